--- a/src/decide/ahead.rs
+++ b/src/decide/ahead.rs
@@ -1,65 +1,67 @@
-//! When a step that waits for room asks for its tickets.
+//! Decides when a step that waits for room asks for its tickets.
 //!
 //! *Load pattern:* tasks that take a whole worker for a few seconds, in a pool with more work than
-//! room. A call for advice takes half a second to a second and a half, and its tickets are valid for
-//! little more. *Without it:* a step asks once there is room, and the worker is idle until the answer
-//! comes: a tenth of a pool's time where tasks take 5.6 s and calls 0.6 s, just when none of it can
-//! be spared. Steps that could be in time are late, and each step behind them with them.
+//! room. A call for advice takes 0.5 to 1.5 s, and its tickets are valid for little longer.
+//! *Without it:* a step asks only once there is room, and the worker is idle until the answer
+//! arrives. This is a tenth of a pool's time if tasks take 5.6 s and calls 0.6 s, at a moment when
+//! the pool has no time to spare. Steps that could be in time are late, and so is each step behind
+//! them.
 //!
-//! So the steps that come first for a worker ask a while before its room is expected, and again
-//! before their tickets end.
+//! So the first steps in order for a worker ask shortly before its room is expected to become free,
+//! and again before their tickets expire.
 //!
-//! *Thresholds:* three steps for each worker, as the first may start elsewhere meanwhile, and with two
-//! a third of the idle time is left. A run's end is known to about 0.8 s, the time between two looks;
-//! so much sooner than needed the first call is made. 150 ms is the way there and back and a short
-//! call before this one. Two members stay without a call, for steps that have no ticket at all yet.
+//! *Thresholds:* three steps per worker, because the first may start elsewhere meanwhile, and with
+//! two steps a third of the idle time remains. The end of a run is known to within 0.8 s, the time
+//! between two progress checks, so the first call is made that much earlier. 150 ms covers the
+//! round trip and a short call before this one. Two members stay without a call, for steps that
+//! have no ticket yet.
 
 use {
     crate::Time,
     std::{collections::HashMap, hash::Hash, time::Duration},
 };
 
-/// How many steps are kept supplied for each worker.
-const STEPS: u32 = 3;
-/// How far the expected end of a run may be off.
-const OFF: Duration = Duration::from_millis(800);
-/// What a call takes beyond its own time.
-const WAY: Duration = Duration::from_millis(150);
-/// The members that stay without a call.
-const SPARE: usize = 2;
-/// With fewer members than this for each one, none can be spared.
-const FEW: usize = 4;
-/// From how many hundredths on a run's own progress says when it ends.
-const TELLS: u8 = 10;
+/// Number of steps per worker that are kept supplied with tickets.
+const STEPS_PER_WORKER: u32 = 3;
+/// Largest error of a run's expected end.
+const END_ERROR: Duration = Duration::from_millis(800);
+/// Time that a call takes beyond its own duration.
+const CALL_OVERHEAD: Duration = Duration::from_millis(150);
+/// Number of members that stay without a call.
+const SPARE_MEMBERS: usize = 2;
+/// Members that are needed for each member that stays without a call.
+const MEMBERS_PER_SPARE: usize = 4;
+/// Least progress, in percent, from which a run's own speed predicts its end.
+const MIN_PROGRESS: u8 = 10;
 
-/// How far a run is.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    /// When it began.
+    /// When it started.
     pub began: Time,
-    /// How much of its work was done then, in hundredths.
+    /// Share of its work that was done at the start, in percent.
     pub first: u8,
-    /// And at the last look.
+    /// Share of its work that was done at the last check, in percent.
     pub last: u8,
-    /// When that was.
+    /// Time of the last check.
     pub looked: Time,
-    /// What the whole of its work is expected to take.
+    /// Expected duration of its whole work.
     pub estimate: Duration,
 }
 
-/// When a run is expected to end: by what it had done at the last look, and by its estimate before that
-/// tells.
+/// Expected end of a run: by its speed up to the last check, or by its estimate while its progress
+/// is too small to tell.
 pub fn end(run: Progress) -> Time {
     let done = run.last.saturating_sub(run.first);
     let left = f64::from(100_u8.saturating_sub(run.last));
-    if done >= TELLS {
+    if done >= MIN_PROGRESS {
         return run.looked + (run.looked - run.began).mul_f64(left / f64::from(done));
     }
-    let whole = f64::from(100_u8.saturating_sub(run.first)) / 100.0;
-    run.began + run.estimate.mul_f64(whole)
+    let share = f64::from(100_u8.saturating_sub(run.first)) / 100.0;
+    run.began + run.estimate.mul_f64(share)
 }
 
-/// The steps of one round that wait for workers without room.
+/// Counts, for one round, the steps that wait for each worker without room.
 #[derive(Clone, Debug)]
 pub struct Line<W> {
     steps: HashMap<W, u32>,
@@ -72,25 +74,27 @@
 }
 
 impl<W: Hash + Eq> Line<W> {
-    /// Whether the next step in order is among the first for a worker; it counts from then on.
+    /// Adds the next step in order to a worker's count, and returns whether it is among the first
+    /// ones.
     pub fn join(&mut self, worker: W) -> bool {
         let steps = self.steps.entry(worker).or_default();
         *steps += 1;
-        *steps <= STEPS
+        *steps <= STEPS_PER_WORKER
     }
 }
 
-/// Until when a worker must be expected to have room for a call that takes so long to be made now.
-pub fn horizon(takes: Duration, now: Time) -> Time {
-    now + takes + WAY + OFF
+/// Latest expected time of room at a worker for which a call of duration `call_time` should be made
+/// now.
+pub fn horizon(call_time: Duration, now: Time) -> Time {
+    now + call_time + CALL_OVERHEAD + END_ERROR
 }
 
-/// Whether a ticket ends before another could come.
-pub fn ends(until: Time, takes: Duration, now: Time) -> bool {
-    until <= now + takes + WAY
+/// Whether a ticket that is valid until `until` expires before a new one could arrive.
+pub fn ends(until: Time, call_time: Duration, now: Time) -> bool {
+    until <= now + call_time + CALL_OVERHEAD
 }
 
-/// Whether a call may be made ahead where so many of the members have none.
+/// Whether a call may be made in advance while `idle` of the members have no call.
 pub fn may(idle: usize, members: usize) -> bool {
-    idle > SPARE.min(members / FEW)
+    idle > SPARE_MEMBERS.min(members / MEMBERS_PER_SPARE)
 }
--- a/src/decide/cancel.rs
+++ b/src/decide/cancel.rs
@@ -1,17 +1,19 @@
-//! Cancellation: what a new text no longer lists is stopped, in bounded work a tick.
+//! Stops the tasks that a new text no longer lists, with bounded work per tick.
 //!
-//! The load: a new text, or a team's mistake taken back, cancels thousands of tasks at once, while
-//! starts go on. If each were searched for and stopped on the spot, the decision loop would stand
-//! still for the length of the wave; if stops were only queued, a task that waits further back in the
-//! queue would still be started and then stopped, and its work done for nothing.
+//! *Load pattern:* a new text, or the removal of a team's mistake, cancels thousands of tasks at
+//! once while other tasks start. *Without it:* if each task were searched for and stopped
+//! immediately, the decision loop would be blocked for the whole wave. If stops were only queued, a
+//! task further back in the queue would still be started and then stopped, and its work would be
+//! lost.
 //!
-//! So a cancel only sets a mark, in O(1) for a task and for a whole job, and [`Cancels::start`], the
-//! one gate that each start passes, reads the mark: from the cancel on, nothing of it starts. Stops of
-//! what runs go out by [`Cancels::tick`], at most `STOPS` each. A stop may be lost with its
-//! connection, so one that is not confirmed in `RESEND` goes out again, until the task has ended.
+//! So a cancel only sets a mark, in O(1) for a task and for a whole job. [`Cancels::start`], which
+//! every start must pass, checks the mark, so nothing of the task or job starts after the cancel.
+//! [`Cancels::tick`] sends the stops of running tasks, at most `STOPS_PER_TICK` per call. A stop
+//! may be lost with its connection, so a stop that is not confirmed within `RESEND_AFTER` is sent
+//! again, until the task has ended.
 //!
-//! The gate holds for this member's buckets; across a change of owner, the desired state in the
-//! operators' text is what says that a task is not to run, and the new owner marks it anew.
+//! The marks hold for the buckets of this member. After a change of owner, the desired state in the
+//! operators' text says that a task must not run, and the new owner marks it again.
 
 use {
     crate::{
@@ -25,30 +27,31 @@
     },
 };
 
-/// Stops a tick. With a tick each 10 ms these are 6,400 a second: a wave over all 21,000 running tasks
-/// is out in 3.3 s, and each tick's share takes some tens of microseconds of the decision loop.
-const STOPS: usize = 64;
-/// The time after which an unconfirmed stop is sent again: longer than a report lags, so that a stop
-/// which was heard is rarely repeated.
-const RESEND: Duration = Duration::from_secs(2);
+/// Stops per tick. With a tick every 10 ms these are 6,400 per second: a wave over all 21,000
+/// running tasks is sent in 3.3 s, and each tick's share takes some tens of microseconds of the
+/// decision loop.
+const STOPS_PER_TICK: usize = 64;
+/// Time after which an unconfirmed stop is sent again. It is longer than the delay of reports, so
+/// that a stop that arrived is rarely repeated.
+const RESEND_AFTER: Duration = Duration::from_secs(2);
 
-/// The marks, and the stops that are not confirmed.
+/// Marks of cancelled tasks and jobs, and the stops that are not confirmed.
 #[derive(Debug, Default)]
 pub struct Cancels {
     jobs: FxHashMap<JobId, Job>,
-    fresh: VecDeque<Fresh>,
-    /// Stops that went out, with the time to send them again; each waits as long, so the first is due
+    unsent: VecDeque<Unsent>,
+    /// Sent stops, with the time to send each again. The delay is constant, so the front is due
     /// first.
     sent: VecDeque<(Time, TaskId)>,
 }
 
-/// Old tasks of a job still run, so it can't be listed anew; holds how many.
+/// Error of [`Cancels::relist`]: old tasks of the job still run. Contains their number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Busy(pub usize);
 
-/// Cancels that `tick` has yet to work off.
+/// Cancels whose stops `tick` has not sent yet.
 #[derive(Debug)]
-enum Fresh {
+enum Unsent {
     Task(TaskId),
     /// The job's running tasks from this index on.
     Job(JobId, TaskIndex),
@@ -72,7 +75,7 @@
     pub fn task(&mut self, task: &TaskId) {
         let job = self.jobs.entry(task.job.clone()).or_default();
         if !job.whole && job.marked.insert(task.index) {
-            self.fresh.push_back(Fresh::Task(task.clone()));
+            self.unsent.push_back(Unsent::Task(task.clone()));
         }
     }
 
@@ -81,11 +84,12 @@
         let entry = self.jobs.entry(job.clone()).or_default();
         if !entry.whole {
             entry.whole = true;
-            self.fresh.push_back(Fresh::Job(job.clone(), TaskIndex(0)));
+            self.unsent.push_back(Unsent::Job(job.clone(), TaskIndex(0)));
         }
     }
 
-    /// The gate that each start passes: whether the task may start; it then counts as running.
+    /// Checks whether the task may start, and if so counts it as running. Every start must call
+    /// this.
     pub fn start(&mut self, task: &TaskId) -> bool {
         let job = self.jobs.entry(task.job.clone()).or_default();
         if job.whole || job.marked.contains(&task.index) {
@@ -95,13 +99,13 @@
         true
     }
 
-    /// Whether the task is cancelled.
+    /// Whether the task or its job is cancelled.
     pub fn cancelled(&self, task: &TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         job.is_some_and(|j| j.whole || j.marked.contains(&task.index))
     }
 
-    /// Notes that nothing of the task runs, by its end or by a confirmed stop.
+    /// Records that the task no longer runs, by its own end or by a confirmed stop.
     pub fn ended(&mut self, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         job.running.remove(&task.index);
@@ -110,7 +114,8 @@
         }
     }
 
-    /// Clears the marks of a job that the text lists anew, errs while old tasks of it still run.
+    /// Clears the marks of a job that the text lists again. Errs while cancelled tasks of it still
+    /// run.
     pub fn relist(&mut self, job: &JobId) -> Result<(), Busy> {
         let Some(entry) = self.jobs.get(job) else { return Ok(()) };
         let cancelled = entry.whole || !entry.marked.is_empty();
@@ -123,36 +128,37 @@
         Ok(())
     }
 
-    /// The stops to send now, `STOPS` at most; new ones before those that are sent again, since few
-    /// are lost.
+    /// Returns the stops to send now, at most `STOPS_PER_TICK`. New ones come before repeated ones,
+    /// because few stops are lost.
     pub fn tick(&mut self, now: Time) -> Vec<TaskId> {
         let mut stops = Vec::new();
-        for _ in 0..STOPS {
-            let Some(task) = self.next_fresh().or_else(|| self.next_due(now)) else { break };
-            if self.runs(&task) {
-                self.sent.push_back((now + RESEND, task.clone()));
+        for _ in 0..STOPS_PER_TICK {
+            let Some(task) = self.next_unsent().or_else(|| self.next_due(now)) else { break };
+            if self.needs_stop(&task) {
+                self.sent.push_back((now + RESEND_AFTER, task.clone()));
                 stops.push(task);
             }
         }
         stops
     }
 
-    /// How many cancels and unconfirmed stops are held; a job whose stops have yet to go out is one.
+    /// Number of cancels and unconfirmed stops. A job whose stops are still to be sent counts as
+    /// one.
     pub fn pending(&self) -> usize {
-        self.fresh.len() + self.sent.len()
+        self.unsent.len() + self.sent.len()
     }
 
-    fn next_fresh(&mut self) -> Option<TaskId> {
+    fn next_unsent(&mut self) -> Option<TaskId> {
         loop {
-            match self.fresh.pop_front()? {
-                Fresh::Task(task) => return Some(task),
-                Fresh::Job(job, from) => {
+            match self.unsent.pop_front()? {
+                Unsent::Task(task) => return Some(task),
+                Unsent::Job(job, from) => {
                     let running = self.jobs.get(&job).map(|j| &j.running);
                     let Some(&index) = running.and_then(|r| r.range(from..).next()) else {
                         continue;
                     };
-                    let rest = Fresh::Job(job.clone(), TaskIndex(index.0.saturating_add(1)));
-                    self.fresh.push_front(rest);
+                    let rest = Unsent::Job(job.clone(), TaskIndex(index.0.saturating_add(1)));
+                    self.unsent.push_front(rest);
                     return Some(TaskId { job, index });
                 }
             }
@@ -167,9 +173,9 @@
         self.sent.pop_front().map(|(_, task)| task)
     }
 
-    /// Whether a stop is still to go out. A task that was listed anew since runs by right, and a
-    /// repeated stop of the one before it would stop it.
-    fn runs(&self, task: &TaskId) -> bool {
+    /// Whether the task still has to be stopped. A task that was listed again since runs
+    /// legitimately, and must not be stopped by a repeated stop of its predecessor.
+    fn needs_stop(&self, task: &TaskId) -> bool {
         let runs = self.jobs.get(&task.job).is_some_and(|j| j.running.contains(&task.index));
         runs && self.cancelled(task)
     }
--- a/src/decide/crash.rs
+++ b/src/decide/crash.rs
@@ -1,49 +1,50 @@
-//! Which runs a worker's crash is laid to.
+//! Decides which runs are blamed for the crash of a worker.
 //!
-//! *Load pattern:* a task that crashes each worker that starts it, among tasks that are sound; racks
-//! and VMs that are lost for other causes. *Without it:* such a task takes one worker after the
-//! other down for as long as its job is there, and what runs beside it each time.
+//! *Load pattern:* a task that crashes every worker that starts it, among healthy tasks, while
+//! racks and VMs are also lost for other causes. *Without it:* such a task takes down one worker
+//! after another as long as its job exists, together with the tasks that run beside it.
 //!
-//! *Thresholds:* a run under which its worker answered a second after its start did not crash it by
-//! starting. Three crashes, as two may be accidents: workers that go down and up again take a task
-//! with them more than once.
+//! *Thresholds:* a run did not crash its worker by starting if the worker still answered a second
+//! after the start. A task is given up after three crashes, because two may be accidents: workers
+//! that go down and up repeatedly take the same task with them more than once.
 
 use {crate::time::Time, std::time::Duration};
 
-/// The crashes after which a task is not started again.
+/// Number of crashes after which a task is not started again.
 pub const CRASHES: usize = 3;
-/// A run under which its worker has answered so long after the start has not crashed it by that.
+/// A run is not blamed as a new one if its worker has answered this long after the start.
 pub const SETTLED: Duration = Duration::from_secs(1);
-/// Runs whose starts were sent within less have begun together.
-const TOGETHER: Duration = Duration::from_millis(100);
-/// How long nothing else starts at a worker where a task has begun under which another has crashed: a
-/// crash that its start brings about comes at once.
+/// Runs whose starts were sent within this time count as started together.
+const START_WINDOW: Duration = Duration::from_millis(100);
+/// How long no other task starts at a worker after the start of a task that was blamed for a crash
+/// before. A crash that is caused by a start happens within this time.
 pub const ALONE: Duration = Duration::from_millis(300);
 
-/// What is known of a run at a worker that has crashed.
+/// State of a run at a worker that has crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resident {
-    /// Whether the worker had said that it was there.
+    /// Whether the worker had reported the run.
     pub there: bool,
     /// When its start was sent.
     pub began: Time,
-    /// Whether the worker has answered [`SETTLED`] after its start.
+    /// Whether the worker has answered [`SETTLED`] or longer after the start.
     pub settled: bool,
-    /// Whether its task lasts.
+    /// Whether its task is a lasting one, without an expected end.
     pub lasts: bool,
 }
 
-/// The runs, by their places in `all`, to which the crash is laid.
+/// Returns the indexes in `all` of the runs that are blamed for the crash.
 ///
-/// Those that had begun last, with what was sent together with them; where no new one had begun, the
-/// first that were sent, as later ones may have met a worker that was down. Else the only run, if
-/// its task doesn't last. Of several that began together none is let off: more than one may be such
-/// a task.
+/// These are the runs that started last, with those whose starts were sent together with them. If
+/// the worker had not reported any new run, they are the first ones sent, because later ones may
+/// have reached a worker that was already down. If there is no new run at all, the only run is
+/// blamed, unless it is a lasting one. All runs that started together are blamed, because more than
+/// one may be a crashing task.
 pub fn blamed(all: &[Resident]) -> Vec<usize> {
     let new = || all.iter().filter(|r| !r.settled);
     let last = new().filter(|r| r.there).map(|r| r.began).max();
     if let Some(at) = last.or(new().map(|r| r.began).min()) {
-        let together = |r: &Resident| r.began < at + TOGETHER && at < r.began + TOGETHER;
+        let together = |r: &Resident| r.began < at + START_WINDOW && at < r.began + START_WINDOW;
         return (0..all.len()).filter(|i| !all[*i].settled && together(&all[*i])).collect();
     }
     if let [only] = all
--- a/src/decide/desk.rs
+++ b/src/decide/desk.rs
@@ -1,95 +1,99 @@
-//! Whether a member can make one more call for advice in time.
+//! Decides whether a member can make another call for advice in time.
 //!
-//! *Load pattern:* the service works on one call at a time for each member that calls, in turn, and a
-//! member calls for the owners of several shards, of which each knows of its own calls only. One of
-//! them has long calls out through all members that it may use. *Without it:* the others take these
-//! members for idle, their calls wait behind the long ones until they are given up, seven times on end
-//! at seven members, and what was given up still takes the service's time.
+//! *Load pattern:* the service works on one call at a time for each calling member, in the order of
+//! arrival. A member makes calls for the owners of several shards, each of which knows only its own
+//! calls, and one of them has long calls in flight through all members that it may use. *Without
+//! it:* the others take these members for idle, and their calls wait behind the long ones until
+//! they are given up, seven times in a row with seven members. The abandoned calls still take the
+//! service's time.
 //!
-//! *Thresholds:* a call is turned away if by what is ahead of it, and by what it takes itself, its
-//! answer would come after the asker has given it up; 50 ms are kept for the way there and back, some
-//! ten times what it takes in calm. One that nobody waits for any more is still worked on and counts to
-//! its reckoned end; the one that is worked on and is late is taken to last for as long again.
+//! *Thresholds:* a call is rejected if its answer would arrive after the caller has given up, by
+//! the calls ahead of it and its own duration. 50 ms are reserved for the round trip, some ten
+//! times what it takes without load. The service still works on an abandoned call, so it counts
+//! until its expected end. A call in progress that is overdue is expected to last for as long again
+//! as it is overdue.
 
 use {
     crate::Time,
     std::{collections::VecDeque, time::Duration},
 };
 
-/// How much sooner than it is given up an answer has to be here.
-const WAY: Duration = Duration::from_millis(50);
+/// Time reserved for the round trip before the caller gives up.
+const ROUND_TRIP: Duration = Duration::from_millis(50);
 
-/// The calls that one member has out, of all who ask it.
+/// The calls in flight from one member, for all its callers.
 #[derive(Clone, Debug, Default)]
 pub struct Desk {
-    /// In turn.
+    /// In the order of arrival.
     calls: VecDeque<Call>,
     /// When the service began with the first of them.
-    began: Time,
-    /// How many calls there were.
+    started_at: Time,
+    /// Number of calls made so far.
     count: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
     number: u64,
-    takes: Duration,
-    /// Whether its asker has given it up.
-    left: bool,
+    call_time: Duration,
+    /// Whether its caller has given it up.
+    abandoned: bool,
 }
 
 impl Desk {
-    /// No calls yet.
+    /// Creates an instance without calls.
     pub fn new() -> Self {
         Desk::default()
     }
 
-    /// The number of a call that takes `takes` and is given up after `limit`; none where it is not to be
-    /// made as its answer would come too late.
+    /// Adds a call that takes `call_time` and is given up after `limit`, and returns its number.
+    /// Returns `None` if the call must not be made because its answer would come too late.
     ///
-    /// It counts as sent now, until [`Desk::done`], or to its end after [`Desk::left`].
-    pub fn admit(&mut self, takes: Duration, limit: Duration, now: Time) -> Option<u64> {
-        if self.ahead(now) + takes + WAY > limit {
+    /// The call counts as sent now, until [`Desk::done`], or to its expected end after
+    /// [`Desk::left`].
+    pub fn admit(&mut self, call_time: Duration, limit: Duration, now: Time) -> Option<u64> {
+        if self.ahead(now) + call_time + ROUND_TRIP > limit {
             return None;
         }
         if self.calls.is_empty() {
-            self.began = now;
+            self.started_at = now;
         }
         self.count += 1;
-        self.calls.push_back(Call { number: self.count, takes, left: false });
+        self.calls.push_back(Call { number: self.count, call_time, abandoned: false });
         Some(self.count)
     }
 
-    /// How long the calls that are out will take yet.
+    /// Returns how long the calls in flight will still take.
     pub fn ahead(&mut self, now: Time) -> Duration {
-        while let Some(first) = self.calls.front().filter(|c| c.left && self.began + c.takes <= now)
+        while let Some(first) =
+            self.calls.front().filter(|c| c.abandoned && self.started_at + c.call_time <= now)
         {
-            self.began = self.began + first.takes;
+            self.started_at = self.started_at + first.call_time;
             self.calls.pop_front();
         }
         let mut calls = self.calls.iter();
         let Some(first) = calls.next() else { return Duration::ZERO };
-        let end = self.began + first.takes;
-        let rest = if end < now { now - end } else { end - now };
-        calls.fold(rest, |sum, c| sum + c.takes)
+        let end = self.started_at + first.call_time;
+        let remaining = if end < now { now - end } else { end - now };
+        calls.fold(remaining, |sum, c| sum + c.call_time)
     }
 
-    /// Records that a call has its answer, or was never made.
+    /// Records that a call was answered or was never made.
     pub fn done(&mut self, number: u64, now: Time) {
         let Some(at) = self.calls.iter().position(|c| c.number == number) else { return };
-        // The service answers in turn: those before it that nobody waits for are over.
-        let over = self.calls.iter().take(at).take_while(|c| c.left).count();
+        // The service answers in order, so abandoned calls before this one have ended.
+        let ended = self.calls.iter().take(at).take_while(|c| c.abandoned).count();
         self.calls.remove(at);
-        self.calls.drain(..over);
-        if over == at {
-            self.began = now;
+        self.calls.drain(..ended);
+        if ended == at {
+            self.started_at = now;
         }
     }
 
-    /// Records that nobody waits for a call any more.
+    /// Records that the caller of a call has given it up.
     pub fn left(&mut self, number: u64) {
         if let Some(call) = self.calls.iter_mut().find(|c| c.number == number) {
-            call.left = true;
+            call.abandoned = true;
         }
     }
 }
--- a/src/decide/evidence.rs
+++ b/src/decide/evidence.rs
@@ -1,8 +1,9 @@
-//! Ended attempts counted by job and worker, and what they say against a worker.
+//! Counts ended attempts by job and worker, as evidence against workers.
 //!
-//! The load: up to 940 attempts end a second, in all over the cell. Counts that were kept for ever
-//! would hold a worker's old faults against it and grow without bound; so they stand in two
-//! generations, of which the older is dropped whole when the younger is full or old.
+//! *Load pattern:* up to 940 attempts end per second in the whole cell. *Without it:* counts that
+//! are kept for ever would hold old faults against a worker and grow without bound. So the counts
+//! are kept in two generations, and the older one is dropped as a whole when the younger one is
+//! full or old.
 
 use {
     crate::{
@@ -13,33 +14,33 @@
     std::{mem, time::Duration},
 };
 
-/// How long a generation lasts: ten minutes hold enough ended tasks to judge by, and a worker that was
-/// mended is judged by new evidence after twenty at the latest.
-const AGE: Duration = Duration::from_secs(600);
-/// Cells (pairs of a job and a worker) in a generation. Both hold some 4 MB at most, 3% of the 128 MB
-/// that a member may use; at one ninth of 940 ended a second, each in a cell of its own, it lasts 2.6
-/// minutes.
-const CELLS: usize = 16_384;
-/// Peers that must have ended a job before it says anything about a worker: with one or two, a single
-/// task with a bad input would stand for the whole job.
-const PEERS: f64 = 3.0;
-
-/// What the other workers had on the same job.
+/// Length of a generation. Ten minutes contain enough ended tasks to judge by, and a repaired
+/// worker is judged by new evidence after twenty minutes at the latest.
+const GENERATION_AGE: Duration = Duration::from_secs(600);
+/// Cells (pairs of a job and a worker) per generation. Both generations take some 4 MB at most, 3%
+/// of the 128 MB that a member may use. At one ninth of 940 ends per second, each in a cell of its
+/// own, a generation lasts 2.6 minutes.
+const MAX_CELLS: usize = 16_384;
+/// Peers that must have ended tasks of a job before the job counts as evidence about a worker. With
+/// one or two, a single task with a bad input would stand for the whole job.
+const MIN_PEERS: f64 = 3.0;
+
+/// Results of the other workers on the same job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Peers {
-    /// How many there are.
+    /// Number of other workers.
     pub(super) count: f64,
-    /// The mean over them of their failure rates, with one failure and one success added, so that a
-    /// few peers that never failed are not taken as proof that nobody fails.
+    /// Mean of their failure rates, with one failure and one success added, so that a few peers
+    /// without failures are not taken as proof that the job never fails.
     pub(super) rate: f64,
 }
 
-/// Attempts by job and worker.
+/// Ended attempts by job and worker, in two generations.
 #[derive(Debug, Default)]
 pub(super) struct Evidence {
     young: Counts,
     old: Counts,
-    begun: Time,
+    started_at: Time,
 }
 
 #[derive(Debug, Default)]
@@ -49,8 +50,8 @@
     cells: usize,
 }
 
-/// One job's cells, and the sum over them of failure rates, kept so that a worker's peers are known
-/// without a walk over thousands of cells.
+/// The cells of one job, and the sum of their failure rates, so that the mean over a worker's peers
+/// needs no walk over thousands of cells.
 #[derive(Debug, Default)]
 struct Row {
     cells: FxHashMap<WorkerId, Cell>,
@@ -95,9 +96,9 @@
 
 impl Evidence {
     pub(super) fn add(&mut self, now: Time, job: &JobId, worker: &WorkerId, failed: bool) {
-        if now.since(self.begun) >= AGE || self.young.cells >= CELLS {
+        if now.since(self.started_at) >= GENERATION_AGE || self.young.cells >= MAX_CELLS {
             self.old = mem::take(&mut self.young);
-            self.begun = now;
+            self.started_at = now;
         }
         let counts = &mut self.young;
         let row = counts.jobs.entry(job.clone()).or_default();
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Drops what is held against a worker that has passed its probes; else the next failure would
-    /// send it back on the old evidence.
+    /// Removes the evidence against a worker that has passed its probes. Otherwise its next failure
+    /// would quarantine it again on the old evidence.
     pub(super) fn acquit(&mut self, worker: &WorkerId) {
         self.young.remove(worker);
         self.old.remove(worker);
@@ -127,12 +128,12 @@
         Peers { count, rate }
     }
 
-    /// Nats of evidence that the worker fails more than its peers on the same jobs.
+    /// Evidence, in nats, that the worker fails more than its peers on the same jobs.
     pub(super) fn against(&self, worker: &WorkerId) -> f64 {
         let (mut ended, mut failed, mut expected) = (0.0, 0.0, 0.0);
         for (counts, job) in self.jobs_of(worker) {
             let peers = self.peers(job, worker);
-            if peers.count >= PEERS {
+            if peers.count >= MIN_PEERS {
                 let cell = counts.cell(job, worker);
                 ended += cell.ended;
                 failed += cell.failed;
@@ -149,13 +150,14 @@
         &'a self,
         worker: &'a WorkerId,
     ) -> impl Iterator<Item = (&'a Counts, &'a JobId)> {
-        let both = [&self.young, &self.old].into_iter();
-        both.flat_map(move |c| c.workers.get(worker).into_iter().flatten().map(move |j| (c, j)))
+        let generations = [&self.young, &self.old].into_iter();
+        generations
+            .flat_map(move |c| c.workers.get(worker).into_iter().flatten().map(move |j| (c, j)))
     }
 }
 
-/// The Kullback-Leibler divergence of two coins, in nats; `q` lies inside (0, 1).
+/// Kullback-Leibler divergence of two Bernoulli distributions, in nats; `q` is inside (0, 1).
 fn divergence(p: f64, q: f64) -> f64 {
-    let part = |a: f64, b: f64| if a == 0.0 { 0.0 } else { a * (a / b).ln() };
-    part(p, q) + part(1.0 - p, 1.0 - q)
+    let term = |a: f64, b: f64| if a == 0.0 { 0.0 } else { a * (a / b).ln() };
+    term(p, q) + term(1.0 - p, 1.0 - q)
 }
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -1,26 +1,28 @@
-//! The waiting requests of one service at one member, in fair order.
+//! Holds the waiting requests of one service at one member, in fair order.
 //!
 //! *Load pattern:* a few callers send most of the requests, some requests run a hundred times as
-//! long as others, and bursts come faster than slots get free. *Without it:* in one first-come
-//! queue everybody waits behind the heaviest caller and the longest request, and a queue without
-//! bound serves requests whose callers have given up.
+//! long as others, and bursts arrive faster than slots become free. *Without it:* in one first-come
+//! queue every request waits behind the heaviest caller and the longest request, and an unbounded
+//! queue serves requests whose callers have given up.
 //!
-//! *Order:* start-time fair queueing on two levels, teams by weight and callers within a team
-//! alike. A request costs its expected run time, so a caller's long requests delay that caller.
-//! [`Queue::done`] charges the difference to the real run time, so a wrong estimate buys nothing;
-//! where all run longer than expected, the workers are slow, and no caller pays for that.
+//! *Order:* start-time fair queueing on two levels: teams by weight, and callers within a team
+//! equally. A request costs its expected run time, so a caller's long requests delay that caller.
+//! [`Queue::done`] charges the difference to the actual run time, so a caller gains nothing from a
+//! wrong estimate. If all requests run longer than expected, the workers are slow, and no caller is
+//! charged for that.
 //!
-//! *Room for short work:* while short requests come, a quarter of the slots takes none that is
-//! [`Queue::new`]'s `long` or longer.
+//! *Slots reserved for short work:* while short requests arrive, a quarter of the slots serves no
+//! request that is expected to run for [`Queue::new`]'s `long_run` or longer.
 //!
 //! *Bounds:* a request leaves the queue when its deadline can no longer be met, which bounds the
-//! queue in time; the count bounds memory. A caller may hold as much as is still free, so that one
-//! caller fills at most half, two fill a third each, and a newcomer finds room.
+//! queue in time; a limit on the count bounds memory. A caller may hold as many requests as the
+//! queue still has free places, so one caller fills at most half of the queue, two callers fill a
+//! third each, and a new caller still finds room.
 
 use {
     crate::{
         Error, Kind, Time,
-        decide::flow::{LANES, Lane, STEPS, Team, cost, served},
+        decide::flow::{LANES, Lane, TAG_UNITS, Team, cost, served},
         ids::{CallerId, RequestId, TeamId},
     },
     rustc_hash::FxHashMap,
@@ -30,23 +32,25 @@
     },
 };
 
-/// Waiting requests for each slot; 32 typical runs are past most deadlines, so that the deadline
-/// bounds the queue first, and the count only where deadlines are far.
-const PER_SLOT: usize = 32;
-/// The least bound on the count, so that a member with a slot or two still takes a burst.
-const LEAST: usize = 64;
-/// A team may hold this many times what is free: four fifths of the queue where it is alone.
+/// Limit of waiting requests per slot. 32 typical runs take longer than most deadlines allow, so
+/// the deadline usually bounds the queue first, and this limit only if deadlines are far away.
+const WAITING_PER_SLOT: usize = 32;
+/// Smallest limit of waiting requests, so that a member with one or two slots can still absorb a
+/// burst.
+const MIN_BOUND: usize = 64;
+/// A team may hold this many times the free places: four fifths of the queue if it is the only
+/// team.
 const TEAM_SHARE: usize = 4;
-/// One slot in this many takes no long work. A quarter is what short work needs where it brings
-/// under a quarter of the load, which is when long work can crowd it out.
-const KEEP_ONE_IN: u32 = 4;
-/// Slots are kept for short work for this long after the last of it came, so that a service with
-/// long work only has all its slots.
-const KEEP_FOR: Duration = Duration::from_secs(10);
-/// The weight of one run in the mean overrun; about the last 32 count, a few callers' worth.
-const GAIN: f64 = 1.0 / 32.0;
-/// Callers that owe nothing are forgotten once in this many arrivals.
-const SWEEP: u64 = 1 << 10;
+/// One slot in this many is reserved for short work. A quarter is what short work needs if it is
+/// less than a quarter of the load, which is when long work can crowd it out.
+const RESERVE_ONE_IN: u32 = 4;
+/// Slots stay reserved for this long after the last short request arrived, so that a service that
+/// gets only long work uses all its slots.
+const RESERVE_PERIOD: Duration = Duration::from_secs(10);
+/// Weight of one run in the mean overrun; about the last 32 runs count, those of a few callers.
+const OVERRUN_WEIGHT: f64 = 1.0 / 32.0;
+/// Callers without debt are removed once in this many arrivals.
+const SWEEP_ARRIVALS: u64 = 1 << 10;
 
 /// A request that waits or runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -57,86 +61,86 @@
     pub caller: CallerId,
     /// The caller's team.
     pub team: TeamId,
-    /// When it came.
+    /// When it arrived.
     pub born: Time,
-    /// When its answer is due.
+    /// When its response is due.
     pub deadline: Time,
-    /// Its expected run time, declared or from history.
+    /// Its expected run time, declared or estimated from history.
     pub run: Duration,
 }
 
 impl Item {
-    /// The last time to start at which it is expected to end by its deadline.
-    pub fn latest(&self) -> Time {
+    /// Latest start at which the request is expected to end by its deadline.
+    pub fn latest_start(&self) -> Time {
         self.deadline - self.run
     }
 }
 
-/// What stands before a new request.
+/// The work that is served before a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ahead {
-    /// The expected run time, in sum, of what is served first.
+    /// Total expected run time of the requests that are served first.
     pub work: Duration,
-    /// The slots that serve it.
+    /// Slots that serve this work.
     pub slots: u32,
 }
 
 /// The waiting requests of one service.
 pub struct Queue {
     slots: u32,
-    long: Duration,
+    long_run: Duration,
     teams: BTreeMap<TeamId, Team>,
     weights: FxHashMap<TeamId, u64>,
     items: FxHashMap<RequestId, (u64, Item)>,
-    latest: BTreeSet<(Time, RequestId)>,
+    by_latest_start: BTreeSet<(Time, RequestId)>,
     expired: Vec<Item>,
-    /// The tag of the team served last.
-    clock: u64,
+    /// Start tag of the team served last.
+    virtual_time: u64,
     seq: u64,
-    /// The long requests that run.
-    running: u32,
-    /// How much longer than expected requests run of late.
-    stretch: f64,
-    /// When the last short request came.
-    short: Option<Time>,
+    /// Number of long requests that are running.
+    running_long: u32,
+    /// Mean ratio of actual to expected run time of recent requests.
+    overrun: f64,
+    /// When the last short request arrived.
+    last_short: Option<Time>,
 }
 
 impl Queue {
-    /// An empty queue for a service with `slots`; requests expected to run `long` or longer leave
-    /// room for the others.
-    pub fn new(slots: u32, long: Duration) -> Self {
+    /// Creates an empty queue for a service with `slots`. Requests that are expected to run for
+    /// `long_run` or longer are long, and leave some slots to the others.
+    pub fn new(slots: u32, long_run: Duration) -> Self {
         Queue {
             slots,
-            long,
+            long_run,
             teams: BTreeMap::new(),
             weights: FxHashMap::default(),
             items: FxHashMap::default(),
-            latest: BTreeSet::new(),
+            by_latest_start: BTreeSet::new(),
             expired: Vec::new(),
-            clock: 0,
+            virtual_time: 0,
             seq: 0,
-            running: 0,
-            stretch: 1.0,
-            short: None,
+            running_long: 0,
+            overrun: 1.0,
+            last_short: None,
         }
     }
 
-    /// Sets the slots of the workers owned.
+    /// Sets the number of slots, over all workers that the member owns.
     pub fn resize(&mut self, slots: u32) {
         self.slots = slots;
     }
 
-    /// Sets a team's weight, 1 to 1024; teams have weight 1 until then.
-    pub fn weigh(&mut self, team: TeamId, weight: u32) {
-        self.weights.insert(team, u64::from(weight).clamp(1, STEPS));
+    /// Sets a team's weight, clamped to 1 to 1024. The default weight is 1.
+    pub fn set_weight(&mut self, team: TeamId, weight: u32) {
+        self.weights.insert(team, u64::from(weight).clamp(1, TAG_UNITS));
     }
 
-    /// The slots of the workers owned.
+    /// Number of slots of the workers that the member owns.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// The number of requests waiting.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.items.len()
     }
@@ -146,20 +150,21 @@
         self.items.is_empty()
     }
 
-    /// Lets a request wait, whose id is not among the waiting ones.
+    /// Adds a request, whose id must not be among the waiting ones.
     ///
-    /// Errs with `Late` where its deadline can't be met even if it starts now, `QueueFull` where
-    /// the count is reached, and `OverShare` where its caller or team holds its share already.
+    /// Errs with `Late` if its deadline can't be met even if it starts now, with `QueueFull` if the
+    /// limit of waiting requests is reached, and with `OverShare` if its caller or team already
+    /// holds its share.
     pub fn push(&mut self, item: Item, now: Time) -> Result<(), Error> {
         debug_assert!(!self.items.contains_key(&item.id), "{} waits already", item.id);
-        if item.latest() < now {
+        if item.latest_start() < now {
             return Err(Error::new(Kind::Late, "less time is left than it runs"));
         }
-        let bound = LEAST.max(PER_SLOT * self.slots as usize);
+        let bound = MIN_BOUND.max(WAITING_PER_SLOT * self.slots as usize);
         let Some(room) = bound.checked_sub(self.items.len()).filter(|&room| room > 0) else {
             return Err(Kind::QueueFull.into());
         };
-        // Looked up, not made: names that are refused must not fill the memory.
+        // Looked up, not inserted, so that names of refused callers don't fill the memory.
         let team = self.teams.get(&item.team);
         let caller = team.and_then(|t| t.callers.get(&item.caller));
         if caller.is_some_and(|c| c.len() >= room) {
@@ -174,35 +179,35 @@
 
     fn insert(&mut self, item: Item, now: Time) {
         self.seq += 1;
-        if self.seq.is_multiple_of(SWEEP) {
+        if self.seq.is_multiple_of(SWEEP_ARRIVALS) {
             self.sweep();
         }
         let (seq, lane) = (self.seq, self.lane(&item));
         if lane == Lane::Short {
-            self.short = Some(now);
+            self.last_short = Some(now);
         }
         let team = self.teams.entry(item.team.clone()).or_default();
         if team.len == 0 {
-            team.tag = team.tag.max(self.clock);
+            team.tag = team.tag.max(self.virtual_time);
         }
         team.len += 1;
         team.work[lane as usize] += cost(item.run);
-        let clock = team.clock;
+        let virtual_time = team.virtual_time;
         team.edit(&item.caller, |c| {
             if c.len() == 0 {
-                c.tag = c.tag.max(clock);
+                c.tag = c.tag.max(virtual_time);
             }
             c.lanes[lane as usize].insert(seq, (item.id, item.run));
         });
-        self.latest.insert((item.latest(), item.id));
+        self.by_latest_start.insert((item.latest_start(), item.id));
         self.items.insert(item.id, (seq, item));
     }
 
-    /// Takes the request that is next for a free slot; none where only long work waits and no slot
-    /// is open to it.
+    /// Removes the next request for a free slot. Returns `None` if nothing waits, or if only long
+    /// requests wait and no slot is open to them.
     pub fn pop(&mut self, now: Time) -> Option<Item> {
-        self.collect(now);
-        let lanes = self.open(now);
+        self.remove_expired(now);
+        let lanes = self.open_lanes(now);
         let heads = self.teams.iter().flat_map(|(id, team)| {
             lanes.iter().filter_map(move |&l| {
                 let (tag, seq, _) = team.order[l as usize].first()?;
@@ -215,74 +220,76 @@
         let (request, _) = *team.callers[caller].lanes[lane as usize].values().next()?;
         let (start, tag) = (team.tag, *tag);
         let item = self.remove(request)?;
-        self.clock = self.clock.max(start);
+        self.virtual_time = self.virtual_time.max(start);
         if let Some(team) = self.teams.get_mut(&item.team) {
-            team.clock = team.clock.max(tag);
+            team.virtual_time = team.virtual_time.max(tag);
         }
         self.charge(&item, |tag, price, _| tag + price, cost(item.run));
         if lane == Lane::Long {
-            self.running += 1;
+            self.running_long += 1;
         }
-        self.rest();
+        self.reset_if_empty();
         Some(item)
     }
 
-    /// Takes out the requests whose deadline has passed or can no longer be met.
+    /// Removes the requests whose deadline has passed or can no longer be met.
     pub fn expire(&mut self, now: Time) -> Vec<Item> {
-        self.collect(now);
+        self.remove_expired(now);
         std::mem::take(&mut self.expired)
     }
 
-    /// Takes out a request whose caller has gone.
+    /// Removes a request whose caller has disconnected.
     pub fn cancel(&mut self, id: RequestId) -> Option<Item> {
         let item = self.remove(id);
-        self.rest();
+        self.reset_if_empty();
         item
     }
 
-    /// Records that a request which was popped has ended after `ran`, so that its caller pays for
-    /// what it took beyond the others' overrun; zero where it did not run.
+    /// Records that a popped request has ended after `ran`, and charges its caller for run time
+    /// beyond what the mean overrun explains. `ran` is zero if the request did not run.
     pub fn done(&mut self, item: &Item, ran: Duration) {
         if self.lane(item) == Lane::Long {
-            self.running = self.running.saturating_sub(1);
+            self.running_long = self.running_long.saturating_sub(1);
         }
         if !ran.is_zero() {
             let sample = ran.as_secs_f64() / item.run.as_secs_f64().max(1e-6);
-            self.stretch += GAIN * (sample.clamp(0.01, 100.0) - self.stretch);
+            self.overrun += OVERRUN_WEIGHT * (sample.clamp(0.01, 100.0) - self.overrun);
         }
-        let ran = ran.div_f64(self.stretch);
+        let ran = ran.div_f64(self.overrun);
         if ran > item.run {
             self.charge(item, |tag, price, _| tag + price, cost(ran - item.run));
         } else {
-            // Not below the clock: the price may have been forgotten since it was paid.
-            let refund = |tag: u64, price, clock| tag.saturating_sub(price).max(tag.min(clock));
+            // Not below the virtual time, because the charge may have been cleared since, by the
+            // sweep or when nothing waited.
+            let refund = |tag: u64, price, floor| tag.saturating_sub(price).max(tag.min(floor));
             self.charge(item, refund, cost(item.run - ran));
         }
     }
 
-    /// What is served before `item` if it is pushed now.
+    /// Returns the work that would be served before `item` if it were pushed now.
     pub fn ahead(&self, item: &Item, now: Time) -> Ahead {
         let own = [self.lane(item)];
-        let (lanes, slots) = match (self.open(now).len(), own[0]) {
+        let (lanes, slots) = match (self.open_lanes(now).len(), own[0]) {
             (2, _) => (&LANES[..], self.slots),
-            (_, Lane::Short) => (&own[..], self.slots.saturating_sub(self.running)),
-            (_, Lane::Long) => (&own[..], self.for_long(now)),
+            (_, Lane::Short) => (&own[..], self.slots.saturating_sub(self.running_long)),
+            (_, Lane::Long) => (&own[..], self.slots_for_long(now)),
         };
-        let work = Duration::from_micros(self.before(item, lanes) / STEPS);
+        let work = Duration::from_micros(self.work_before(item, lanes) / TAG_UNITS);
         Ahead { work, slots: slots.max(1) }
     }
 
-    /// The slots that the waiting requests could use now, were all free.
-    pub fn usable(&self, now: Time) -> u32 {
+    /// Number of slots that the waiting requests could use now if all were free.
+    pub fn usable_slots(&self, now: Time) -> u32 {
         let short = self.teams.values().any(|t| !t.order[Lane::Short as usize].is_empty());
-        if short { self.slots } else { self.for_long(now) }
+        if short { self.slots } else { self.slots_for_long(now) }
     }
 
-    /// The steps of work that fair order puts before `item`, first in its team, then among teams.
-    fn before(&self, item: &Item, lanes: &[Lane]) -> u64 {
+    /// Returns the work, in tag units, that the fair order places before `item`, within its team
+    /// and among the other teams.
+    fn work_before(&self, item: &Item, lanes: &[Lane]) -> u64 {
         let team = self.teams.get(&item.team);
-        let own = team.map_or(0, |t| t.before(&item.caller, lanes));
-        let tag = team.map_or(0, |t| t.tag).max(self.clock);
+        let own = team.map_or(0, |t| t.work_before(&item.caller, lanes));
+        let tag = team.map_or(0, |t| t.tag).max(self.virtual_time);
         let start = tag + own / self.weight(&item.team);
         let others = self.teams.iter().filter(|(id, t)| **id != item.team && t.tag <= start);
         let others = others.map(|(id, t)| {
@@ -292,47 +299,48 @@
     }
 
     fn lane(&self, item: &Item) -> Lane {
-        if item.run < self.long { Lane::Short } else { Lane::Long }
+        if item.run < self.long_run { Lane::Short } else { Lane::Long }
     }
 
     fn weight(&self, team: &TeamId) -> u64 {
         self.weights.get(team).copied().unwrap_or(1)
     }
 
-    fn for_long(&self, now: Time) -> u32 {
-        let keep = self.short.is_some_and(|t| now.since(t) < KEEP_FOR) && self.slots > 1;
-        if keep { self.slots - (self.slots / KEEP_ONE_IN).max(1) } else { self.slots }
+    fn slots_for_long(&self, now: Time) -> u32 {
+        let reserve =
+            self.last_short.is_some_and(|t| now.since(t) < RESERVE_PERIOD) && self.slots > 1;
+        if reserve { self.slots - (self.slots / RESERVE_ONE_IN).max(1) } else { self.slots }
     }
 
-    /// The lanes that may start a request now.
-    fn open(&self, now: Time) -> &'static [Lane] {
-        if self.running < self.for_long(now) { &LANES } else { &LANES[..1] }
+    /// Lanes of which a request may start now.
+    fn open_lanes(&self, now: Time) -> &'static [Lane] {
+        if self.running_long < self.slots_for_long(now) { &LANES } else { &LANES[..1] }
     }
 
-    /// Moves the tags of the item's team and caller: `to` has tag, price and clock.
-    fn charge(&mut self, item: &Item, to: fn(u64, u64, u64) -> u64, price: u64) {
+    /// Sets the tags of the item's team and caller to `adjust(tag, price, virtual_time)`.
+    fn charge(&mut self, item: &Item, adjust: fn(u64, u64, u64) -> u64, price: u64) {
         let weight = self.weight(&item.team);
         let Some(team) = self.teams.get_mut(&item.team) else { return };
-        team.tag = to(team.tag, price / weight, self.clock);
-        let clock = team.clock;
+        team.tag = adjust(team.tag, price / weight, self.virtual_time);
+        let virtual_time = team.virtual_time;
         if team.callers.contains_key(&item.caller) {
-            team.edit(&item.caller, |c| c.tag = to(c.tag, price, clock));
+            team.edit(&item.caller, |c| c.tag = adjust(c.tag, price, virtual_time));
         }
     }
 
-    fn collect(&mut self, now: Time) {
-        while let Some(&(at, id)) = self.latest.first()
+    fn remove_expired(&mut self, now: Time) {
+        while let Some(&(at, id)) = self.by_latest_start.first()
             && at < now
         {
             let item = self.remove(id);
             self.expired.extend(item);
         }
-        self.rest();
+        self.reset_if_empty();
     }
 
     fn remove(&mut self, id: RequestId) -> Option<Item> {
         let (seq, item) = self.items.remove(&id)?;
-        self.latest.remove(&(item.latest(), id));
+        self.by_latest_start.remove(&(item.latest_start(), id));
 
         let lane = self.lane(&item);
         let team = self.teams.get_mut(&item.team)?;
@@ -342,21 +350,22 @@
         Some(item)
     }
 
-    /// Forgets all debts when nothing waits: nobody is being delayed by them.
-    fn rest(&mut self) {
+    /// Clears all debts when nothing waits, because they delay nobody then.
+    fn reset_if_empty(&mut self) {
         if self.items.is_empty() {
             self.teams.clear();
-            self.clock = 0;
+            self.virtual_time = 0;
         }
     }
 
-    /// Forgets those who owe nothing, as callers' names would fill the memory under lasting load.
+    /// Removes teams and callers without debt; their names would fill the memory under sustained
+    /// load.
     fn sweep(&mut self) {
-        let clock = self.clock;
+        let virtual_time = self.virtual_time;
         for team in self.teams.values_mut() {
-            let served = team.clock;
+            let served = team.virtual_time;
             team.callers.retain(|_, c| c.len() > 0 || c.tag > served);
         }
-        self.teams.retain(|_, t| t.len > 0 || t.tag > clock);
+        self.teams.retain(|_, t| t.len > 0 || t.tag > virtual_time);
     }
 }
--- a/src/decide/flow.rs
+++ b/src/decide/flow.rs
@@ -1,6 +1,6 @@
-//! Teams and callers in the fair order of waiting requests: their tags, waiting work and debts.
+//! Start tags, waiting work and debts of the teams and callers in a fair queue.
 //!
-//! A part of [`fair`](crate::decide::fair), which says what the order is for.
+//! A part of [`fair`](crate::decide::fair), which documents the order.
 
 use {
     crate::ids::{CallerId, RequestId},
@@ -11,8 +11,9 @@
     },
 };
 
-/// Tags count this many steps for a microsecond at weight 1, so that weights up to it divide well.
-pub(super) const STEPS: u64 = 1 << 10;
+/// Units of a tag per microsecond of run time at weight 1. Weights go up to this number, so
+/// dividing a tag by a weight loses little.
+pub(super) const TAG_UNITS: u64 = 1 << 10;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Lane {
@@ -25,7 +26,7 @@
 #[derive(Default)]
 pub(super) struct Caller {
     pub(super) tag: u64,
-    /// The requests by their order of arrival, for each lane.
+    /// Waiting requests by order of arrival, per lane.
     pub(super) lanes: [BTreeMap<u64, (RequestId, Duration)>; 2],
 }
 
@@ -43,17 +44,18 @@
 #[derive(Default)]
 pub(super) struct Team {
     pub(super) tag: u64,
-    /// The tag of the caller served last.
-    pub(super) clock: u64,
+    /// Start tag of the caller served last.
+    pub(super) virtual_time: u64,
     pub(super) len: usize,
     pub(super) work: [u64; 2],
     pub(super) callers: FxHashMap<CallerId, Caller>,
-    /// The callers with waiting requests, by tag and by the arrival of their first.
+    /// Callers with waiting requests, by tag and then by the arrival of their first request, per
+    /// lane.
     pub(super) order: [BTreeSet<(u64, u64, CallerId)>; 2],
 }
 
 impl Team {
-    /// Changes a caller and keeps the order true to it.
+    /// Changes a caller and updates `order` accordingly.
     pub(super) fn edit(&mut self, id: &CallerId, change: impl FnOnce(&mut Caller)) {
         let caller = self.callers.entry(id.clone()).or_default();
         for (lane, order) in caller.lanes.iter().zip(&mut self.order) {
@@ -69,11 +71,12 @@
         }
     }
 
-    /// The steps of work that fair order puts before a new request of this caller.
-    pub(super) fn before(&self, id: &CallerId, lanes: &[Lane]) -> u64 {
+    /// Returns the work, in tag units, that the fair order places before a new request of this
+    /// caller.
+    pub(super) fn work_before(&self, id: &CallerId, lanes: &[Lane]) -> u64 {
         let caller = self.callers.get(id);
         let mine = caller.map_or(0, |c| c.work(lanes));
-        let start = caller.map_or(0, |c| c.tag).max(self.clock) + mine;
+        let start = caller.map_or(0, |c| c.tag).max(self.virtual_time) + mine;
         let past = (start + 1, 0, CallerId::from(""));
         let waiting = lanes.iter().flat_map(|&l| self.order[l as usize].range(..&past));
         let others: BTreeSet<_> = waiting.map(|(_, _, c)| c).filter(|&c| c != id).collect();
@@ -86,14 +89,15 @@
     }
 }
 
-/// What a flow with `work` in `len` requests is served until its tag has advanced by `lead`; it is
-/// served whole requests, so one more than fits is begun.
+/// Returns how much of a flow's `work`, in `len` requests, is served until its tag has advanced by
+/// `lead`. Requests are served whole, so one more than fits is counted.
 pub(super) fn served(work: u64, len: usize, lead: u64) -> u64 {
     work.min(lead.saturating_add(work / (len.max(1) as u64)))
 }
 
-/// The steps of a run time; at least a microsecond's, so that each request costs something.
+/// Converts a run time to tag units; at least one microsecond, so that every request costs
+/// something.
 pub(super) fn cost(run: Duration) -> u64 {
     let us = u64::try_from(run.as_micros()).unwrap_or(u64::MAX);
-    us.clamp(1, u64::MAX >> 20) * STEPS
+    us.clamp(1, u64::MAX >> 20) * TAG_UNITS
 }
--- a/src/decide/gather.rs
+++ b/src/decide/gather.rs
@@ -1,69 +1,76 @@
-//! How a gang comes together: which workers are kept for it, and which it asks about.
+//! Decides which workers are kept for a gang until all its tasks can start, and about which workers
+//! it asks for advice.
 //!
-//! *Load pattern:* gangs of up to a hundred tasks, several a second, each on few of the workers, in a
-//! pool that smaller work fills to the last bit; tickets that end after two seconds, and calls for
-//! them that take half a second or more. *Without it:* each gang chooses its workers anew with each
-//! look, so that the room which it had kept is gone, others are emptied for it in vain, and no two of
-//! its tickets are valid at the moment at which there is room; twenty gangs at once never end.
+//! *Load pattern:* gangs of up to a hundred tasks, several per second, each allowed on few of the
+//! workers, in a pool that smaller work fills completely. Tickets expire after two seconds, and the
+//! calls for them take half a second or more. *Without it:* each gang chooses its workers again at
+//! every look. The room that it had kept is then gone, other workers are emptied for it in vain,
+//! and no two of its tickets are valid at a moment when there is room; twenty gangs at the same
+//! time never finish.
 //!
-//! So a gang is given its workers once: those at which it has room soonest, counted from what ends
-//! there, what is being stopped and what may be stopped for it. They are kept for it until it starts.
+//! So a gang gets its workers once: those that have room for it soonest, counting runs that end
+//! there, runs that are being stopped and runs that may be stopped for it. They are kept for the
+//! gang until it starts.
 //!
-//! *Thresholds:* a third of a pool is kept for gangs that come together at the most: with 5 s of work
-//! after 1.2 s of gathering, gangs that take half of a pool keep an eighth, and twice that in a burst.
-//! A tenth for those that are late already, which earn a fifth. A gang that has not started after 4 s
-//! gets its workers anew: what ends there was reckoned wrongly. It asks about workers for half as
-//! many tasks more than it has, as room goes to others while the call is made.
+//! *Thresholds:* at most a third of a pool is kept for gangs that are gathering workers. With 5 s
+//! of work after 1.2 s of gathering, gangs that take half of a pool keep an eighth, and twice that
+//! in a burst. For gangs that are already late, which earn a fifth, it is a tenth. A gang that has
+//! not started after 4 s gets new workers, because the expected ends there were wrong. It asks
+//! about workers for half as many tasks again as it has, because other work takes some of the room
+//! during the call.
 
 use {
     crate::Time,
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// The part of a pool that is kept for gangs which could be in time: one in so many.
+/// At most one in this many workers of a pool is kept for gangs that can still be in time.
 pub const KEPT: u64 = 3;
-/// And for late ones, where the pool is busy.
+/// At most one in this many workers of a busy pool is kept for late gangs.
 pub const KEPT_LATE: u64 = 10;
-/// Further workers are asked about while those that are known would hold a gang less than so often
-/// if they were empty.
+/// More workers are asked about while the known ones, if they were empty, could hold the gang fewer
+/// than this many times.
 pub const CHOICE: u64 = 2;
-/// How soon all of a gang's room has to be there so that it is kept for any gang: a stop and a call.
+/// Room is kept for any gang whose room is complete within this time: that of a stop and a call.
 pub const NEAR: Duration = Duration::from_millis(2000);
-/// How many gangs keep room that is there later; those behind them start where they can meanwhile.
+/// Number of gangs for which room is kept that is complete later. The gangs behind them start
+/// wherever they find room meanwhile.
 pub const FAR: usize = 4;
 /// How long workers are kept for a gang that does not start.
 pub const LONGEST: Duration = Duration::from_secs(4);
-/// For how many tasks workers are asked about, in hundredths of those that it has.
-const MORE: u64 = 150;
-/// The share of workers that may run a step before any was asked about, in hundredths, and how many
-/// answers that guess is worth.
-const GUESS: (u64, u64) = (40, 50);
-/// The least and the most workers that one of several calls names.
-const NAMED: (u64, u64) = (10, 100);
+/// For how many tasks workers are asked about, in percent of the gang's missing tasks.
+const ASKED_PERCENT: u64 = 150;
+/// Assumed share of workers that may run a step, in percent, before any answer, and the number of
+/// answers that this assumption counts as.
+const PRIOR: (u64, u64) = (40, 50);
+/// Least and most workers that one of several calls names.
+const CALL_SIZE: (u64, u64) = (10, 100);
 
-/// From a time on a worker has room for so many members more.
+/// Additional room at a worker from a given time on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer<W> {
     /// The worker.
     pub worker: W,
-    /// From when on.
+    /// When the room becomes available.
     pub at: Time,
-    /// For how many more members than before.
+    /// How many more members the worker has room for than before.
     pub slots: u32,
 }
 
-/// The places of a gang, by worker, and when all of them are there.
+/// The workers of a gang, and when all of them have room.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Places<W> {
-    /// How many members each worker gets.
+    /// Number of members per worker.
     pub each: Vec<(W, u32)>,
-    /// When there is room for all.
+    /// When there is room for all members.
     pub at: Time,
 }
 
-/// The places that are there soonest for so many members; nothing where there are not enough.
+/// Chooses workers for `count` members so that the gang can start soonest; `None` if the offers
+/// don't suffice.
 ///
-/// Of those that are there at the same time the widest come first, so that few workers are needed.
+/// Among offers of the same time those with the most slots come first, so that few workers are
+/// needed.
 pub fn soonest<W: Copy + Ord>(mut offers: Vec<Offer<W>>, count: u32) -> Option<Places<W>> {
     offers.sort_by_key(|o| (o.at, Reverse(o.slots), o.worker));
     let mut sum = 0;
@@ -72,7 +79,8 @@
         sum >= u64::from(count)
     })?;
     let at = offers[enough].at;
-    // Of those that are there in time the last, as the others have room for someone else until then.
+    // Among the offers that are in time the latest are taken, because the others leave room for
+    // other work until then.
     offers.truncate(offers.iter().rposition(|o| o.at == at)? + 1);
     offers.sort_by_key(|o| (Reverse(o.at), Reverse(o.slots), o.worker));
     let mut each: BTreeMap<W, u32> = BTreeMap::new();
@@ -90,30 +98,31 @@
     None
 }
 
-/// What was learnt of a queue's advice: how many workers were named, and how many were good.
+/// Statistics of the advice for a queue: how many workers were named in calls, and how many were
+/// good.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Share {
-    named: u64,
+    total: u64,
     good: u64,
 }
 
 impl Share {
-    /// Learns from an answer.
+    /// Adds the result of one call.
     pub fn learn(&mut self, named: usize, good: usize) {
-        self.named += named as u64;
+        self.total += named as u64;
         self.good += good as u64;
     }
 
-    /// The share of the workers that may run a step, in hundredths; 1 at least.
+    /// The share of workers that may run a step, in percent; at least 1.
     fn percent(&self) -> u64 {
-        let (guess, worth) = GUESS;
-        ((self.good * 100 + guess * worth) / (self.named + worth)).max(1)
+        let (percent, weight) = PRIOR;
+        ((self.good * 100 + percent * weight) / (self.total + weight)).max(1)
     }
 
-    /// How many of these workers, of which each has room for so many members, are asked about so
-    /// that `missing` members find room.
+    /// Returns how many of the workers to ask about so that `missing` members find room. `slots`
+    /// has the number of members that each worker has room for.
     pub fn named(&self, slots: impl Iterator<Item = u32>, missing: u32) -> usize {
-        let wanted = u64::from(missing) * MORE / self.percent();
+        let wanted = u64::from(missing) * ASKED_PERCENT / self.percent();
         let mut found = 0;
         let fewer = |slots: &u32| {
             let before = found;
@@ -124,9 +133,9 @@
     }
 }
 
-/// How many workers each of several calls at once names: with these its time is by half more than
-/// with one.
+/// Returns how many workers each of several parallel calls names. With so many, a call takes half
+/// as long again as its base time.
 pub fn chunk(base: Duration, each: Duration) -> usize {
     let half = base.as_micros() / (2 * each.as_micros()).max(1);
-    u64::try_from(half).unwrap_or(u64::MAX).clamp(NAMED.0, NAMED.1) as usize
+    u64::try_from(half).unwrap_or(u64::MAX).clamp(CALL_SIZE.0, CALL_SIZE.1) as usize
 }
--- a/src/decide/lanes.rs
+++ b/src/decide/lanes.rs
@@ -1,90 +1,93 @@
-//! Which member makes a call for advice.
+//! Chooses the member that makes a call for advice.
 //!
-//! *Load pattern:* the service works on one call at a time for each member that calls, in turn. Most
-//! calls take some 10 ms, few take nearly a second and make up most of the work; they come in
-//! bursts, and at times a member or its link is cut off or slow. *Without it:* a short call waits
-//! behind long ones and the task that it is for comes too late; calls pile up at a few members, and
-//! beyond 32 the service refuses; a member that is cut off, and so never busy, draws all calls.
+//! *Load pattern:* the service works on one call at a time for each calling member, in the order of
+//! arrival. Most calls take some 10 ms; a few take nearly a second and make up most of the work.
+//! Calls arrive in bursts, and sometimes a member or its link is cut off or slow. *Without it:* a
+//! short call waits behind long ones, and the task that it is for starts too late. Calls pile up at
+//! a few members, and the service refuses more than 32. A member that is cut off, and so never
+//! busy, attracts all calls.
 //!
-//! *Load pattern:* several callers, none of which knows of the others' calls; one of them makes
-//! most of the long ones. *Without it:* short calls of the others come behind these, and as each then
-//! avoids the member that was late, their calls meet everywhere. So a short call goes only through
-//! members that no other caller uses, unless all of these are set aside.
+//! *Load pattern:* there are several callers, none of which knows the others' calls, and one of
+//! them makes most of the long ones. *Without it:* short calls of the others queue behind these. As
+//! each caller then avoids the member that was late, their calls collide everywhere. So a short
+//! call only uses members that no other caller uses, unless all of these are suspended.
 //!
-//! *Thresholds:* a call is long over 100 ms: tasks of 0.8 s that are due within 1.5 s have 0.4 s left
-//! beside two calls of theirs, and a hundred such a second with calls of 15 ms fill one lane and a half.
-//! Two lanes stay free of long calls, and one in eight of many, so that one may fail and a short call
-//! still waits for short ones only. A lane holds two calls, the second to hide the way there and back, which is
-//! a third of a short call; deeper ones only fix an order too early. For a long call it hides
-//! nothing, so that only one that has no time left is put second. A lane is set aside for 1 s, as
-//! long as a short loss lasts, and twice as long each next time to 8 s, by when a member that is
-//! gone has left the list. Then one call at a time tries it. Where all lanes are set aside the
-//! cause isn't theirs, and each is tried with one call.
+//! *Thresholds:* a call is long if it takes more than 100 ms. Tasks of 0.8 s that are due within
+//! 1.5 s have 0.4 s left beside two of their calls, and a hundred such tasks per second with calls
+//! of 15 ms fill one and a half lanes. Two lanes stay free of long calls, and one in eight if there
+//! are many, so that one may fail and a short call still waits for short ones only. A lane holds
+//! two calls. The second hides the round trip, which is a third of a short call; a deeper lane
+//! would only fix the order too early. For a long call the second place hides nothing, so a long
+//! call is put second only if it has no time left. A lane is suspended for 1 s, as long as a short
+//! loss lasts, and each next time for twice as long, up to 8 s, by when a member that is gone has
+//! left the list. After a suspension one call at a time tries the lane. If all lanes are suspended,
+//! the cause isn't in the lanes, and each is tried with one call.
 //!
-//! A member that turns a call away has calls of others ahead that are unknown here: for longer than the
-//! slack with which calls are made beyond what is reckoned, 1.5 s. So it counts as busy for that long,
-//! and is asked again within that time only where no other would answer sooner, with more patience by
-//! as much. Where all have turned a call away, 150 ms pass after each that is turned away, so that a
-//! hundred steps that wait ask no oftener than one.
+//! A member that rejects a call has calls of other callers ahead whose length is unknown here. It
+//! has more of them than the 1.5 s of slack that each call has beyond its expected time. So the
+//! member counts as busy for that long. Within that time it is asked again only if no other member
+//! would answer sooner, and the call then waits longer by as much. If the chosen member has
+//! rejected a call of late, each rejection by any member is followed by a pause of 150 ms, so that
+//! a hundred waiting steps don't ask more often than one.
 
 use {
     crate::{Time, ids::Incarnation},
     std::{collections::VecDeque, time::Duration},
 };
 
-/// A call that takes longer is long.
+/// Calls that take longer than this are long.
 pub const LONG: Duration = Duration::from_millis(100);
-/// The least lanes that are kept for short calls.
-const KEPT: usize = 2;
-/// Of many lanes one in so many is kept for them.
-const PART: usize = 8;
-/// The calls that one lane holds.
-const DEPTH: usize = 2;
-/// The first time for which a lane is set aside.
-const ASIDE: Duration = Duration::from_secs(1);
-/// The longest.
-const ASIDE_MAX: Duration = Duration::from_secs(8);
-/// The time in which half of what is known of a lane's lateness is forgotten.
-const FORGET: Duration = Duration::from_secs(1);
-/// How much longer than it should take a call is waited for.
+/// Least number of lanes that are reserved for short calls.
+const MIN_SHORT_LANES: usize = 2;
+/// One in this many lanes is reserved for short calls if that is more.
+const SHORT_LANE_ONE_IN: usize = 8;
+/// Number of calls that one lane holds.
+const LANE_DEPTH: usize = 2;
+/// Length of a lane's first suspension.
+const FIRST_SUSPENSION: Duration = Duration::from_secs(1);
+/// Length of its longest suspension.
+const MAX_SUSPENSION: Duration = Duration::from_secs(8);
+/// Half-life of the measured lateness of a lane.
+const LATENESS_HALF_LIFE: Duration = Duration::from_secs(1);
+/// How long beyond its expected time a call is waited for.
 pub const SLACK: Duration = Duration::from_millis(1500);
-/// The pause after a call was turned away, where all members have turned one away of late.
-const AWAY: Duration = Duration::from_millis(150);
+/// Pause after a rejected call, if the member that would be chosen has rejected one recently.
+const REJECTION_PAUSE: Duration = Duration::from_millis(150);
 
-/// The members through which one caller may call.
+/// The members that one caller may use for its calls.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Peers {
-    /// Those that no other caller uses.
+    /// Members that no other caller uses.
     pub own: Vec<Incarnation>,
-    /// Those that others use too, for long calls.
+    /// Members that other callers use too; for long calls.
     pub shared: Vec<Incarnation>,
 }
 
-/// The members that can call, and what each is at.
+/// The members that can make calls, and the calls of each.
 #[derive(Clone, Debug, Default)]
 pub struct Lanes {
-    /// Those that no other caller uses come first.
+    /// Members that no other caller uses come first.
     all: Vec<Lane>,
-    /// How many these are.
+    /// Number of members that no other caller uses.
     own: usize,
 }
 
 #[derive(Clone, Debug)]
 struct Lane {
     member: Incarnation,
-    /// The calls expected, in turn.
+    /// Calls without an answer yet, in order.
     calls: VecDeque<Call>,
     /// When the service began with the first of them.
-    began: Time,
-    /// How much longer than reckoned calls took of late.
-    late: Duration,
-    /// When `late` was reckoned.
-    late_at: Time,
-    /// Calls without an answer since the last answer.
-    lost: u32,
+    started_at: Time,
+    /// How much longer than expected recent calls took.
+    lateness: Duration,
+    /// When `lateness` was last updated.
+    lateness_at: Time,
+    /// Lost calls since the last answer.
+    lost_count: u32,
     /// When the last of them was given up.
-    lost_at: Time,
-    /// When it last turned a call away for what it has to do for others.
+    last_lost: Time,
+    /// When it last rejected a call because of other callers' calls.
     away: Option<Time>,
 }
 
@@ -95,13 +98,13 @@
 }
 
 impl Lanes {
-    /// No members yet.
+    /// Creates an instance without members.
     pub fn new() -> Self {
         Lanes::default()
     }
 
-    /// Sets the members, and keeps what is known of those that stay. Of equally good ones the first
-    /// is picked: a caller that names itself first spares the way to another.
+    /// Sets the members, and keeps the state of those that stay. Among equally good members the
+    /// first is picked, so a caller that lists itself first saves a hop.
     pub fn members(&mut self, peers: &Peers) {
         let mut old = std::mem::take(&mut self.all);
         let mut keep = |m: &Incarnation| {
@@ -112,17 +115,18 @@
         self.all = peers.own.iter().chain(&peers.shared).map(&mut keep).collect();
     }
 
-    /// The member that is to make a call which takes `cost` and whose answer is wanted by `due`, and
-    /// when the answer is expected; none where the call had better wait until another is done.
+    /// Chooses the member for a call that takes `cost` and whose answer is needed by `due`. Returns
+    /// the member and the expected time of the answer, or `None` if the call should wait until
+    /// another is done.
     ///
     /// The call counts as sent now, until [`Lanes::done`].
     pub fn pick(&mut self, cost: Duration, due: Time, now: Time) -> Option<(Incarnation, Time)> {
         let long = cost > LONG;
         let (lane, end) = self.best(cost, now)?;
-        // Full lanes take part in the choice: a call rather waits for one than goes behind a long
-        // call somewhere else.
+        // Full lanes take part in the choice: a call rather waits for a full lane than goes behind
+        // a long call on another one.
         let away = |l: &Lane, long| l.away.is_some_and(|at| now < at + long);
-        if away(&self.all[lane], SLACK) && self.all.iter().any(|l| away(l, AWAY)) {
+        if away(&self.all[lane], SLACK) && self.all.iter().any(|l| away(l, REJECTION_PAUSE)) {
             return None;
         }
         let busy = self.all[lane].calls.len();
@@ -132,13 +136,13 @@
         }
         let lane = &mut self.all[lane];
         if busy == 0 {
-            lane.began = now;
+            lane.started_at = now;
         }
         lane.calls.push_back(Call { sent: now, cost });
         Some((lane.member, end))
     }
 
-    /// Records that the call which a member was given at `sent` has its answer, or that none is
+    /// Records that the call which a member got at `sent` was answered, or that no answer is
     /// expected any more.
     pub fn done(&mut self, via: Incarnation, sent: Time, answered: bool, now: Time) {
         let Some(lane) = self.all.iter_mut().find(|l| l.member == via) else { return };
@@ -146,86 +150,86 @@
         let call = lane.calls.remove(at);
         if answered && at == 0 {
             let cost = call.map_or(Duration::ZERO, |c| c.cost);
-            lane.learn(now.since(lane.began).saturating_sub(cost), now);
+            lane.record_lateness(now.since(lane.started_at).saturating_sub(cost), now);
         }
         if at == 0 {
-            lane.began = now;
+            lane.started_at = now;
         }
-        // Calls that were on the way together are lost together, and count once.
-        if sent < lane.lost_at {
+        // Calls that were in flight at the same time are lost together, and count once.
+        if sent < lane.last_lost {
             return;
         }
         if answered {
-            lane.lost = 0;
+            lane.lost_count = 0;
         } else {
-            lane.lost = lane.lost.saturating_add(1);
-            lane.lost_at = now;
+            lane.lost_count = lane.lost_count.saturating_add(1);
+            lane.last_lost = now;
         }
     }
 
-    /// Records that a member didn't make the call which it was given at `sent`, as it has too much to do
-    /// for others.
+    /// Records that a member rejected the call which it got at `sent`, because it has too many
+    /// calls of other callers.
     pub fn turned_away(&mut self, via: Incarnation, sent: Time, now: Time) {
         let Some(lane) = self.all.iter_mut().find(|l| l.member == via) else { return };
         let Some(at) = lane.calls.iter().position(|c| c.sent == sent) else { return };
         lane.calls.remove(at);
         if at == 0 {
-            lane.began = now;
+            lane.started_at = now;
         }
         lane.away = Some(now);
     }
 
-    /// How many calls are expected at a member.
+    /// Number of unanswered calls at a member.
     pub fn busy(&self, member: Incarnation) -> usize {
         self.all.iter().find(|l| l.member == member).map_or(0, |l| l.calls.len())
     }
 
-    /// How many members there are.
+    /// Number of members.
     pub fn len(&self) -> usize {
         self.all.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// How many members have no call.
+    /// Number of members without a call.
     pub fn idle(&self) -> usize {
         self.all.iter().filter(|l| l.calls.is_empty()).count()
     }
 
-    /// Whether one long call more leaves a member free for another.
+    /// Whether, after one more long call, another long call would still find a free member.
     pub fn spare(&self, now: Time) -> bool {
-        let usable = self.all.iter().filter(|l| !l.aside(now));
-        let kept = KEPT.max(usable.clone().count() / PART);
+        let usable = self.all.iter().filter(|l| !l.suspended(now));
+        let kept = MIN_SHORT_LANES.max(usable.clone().count() / SHORT_LANE_ONE_IN);
         usable.filter(|l| l.calls.is_empty()).count() > kept + 1
     }
 
-    /// How many calls are expected in all.
+    /// Total number of unanswered calls.
     pub fn total(&self) -> usize {
         self.all.iter().map(|l| l.calls.len()).sum()
     }
 
-    /// The lane where a call would end first, full ones among them, and when.
+    /// Returns the lane, full ones included, on which a call would end first, and that end.
     fn best(&self, cost: Duration, now: Time) -> Option<(usize, Time)> {
-        let usable = self.all.iter().filter(|l| !l.aside(now));
-        let none = usable.clone().next().is_none();
+        let usable = self.all.iter().filter(|l| !l.suspended(now));
+        let all_suspended = usable.clone().next().is_none();
         let all = usable.clone().count();
-        let most = all.saturating_sub(KEPT.max(all / PART)).max(1);
-        let held = usable.filter(|l| l.long()).count();
+        let max_long = all.saturating_sub(MIN_SHORT_LANES.max(all / SHORT_LANE_ONE_IN)).max(1);
+        let long_lanes = usable.filter(|l| l.long()).count();
         let long = cost > LONG;
-        let own = self.all[..self.own].iter().any(|l| !l.aside(now));
-        let may = |(i, l): &(usize, &Lane)| {
-            let open = if none { l.calls.is_empty() } else { !l.aside(now) };
-            let ours = long || !own || *i < self.own;
-            open && ours && (!long || l.long() || held < most)
+        let own = self.all[..self.own].iter().any(|l| !l.suspended(now));
+        let eligible = |(i, l): &(usize, &Lane)| {
+            let open = if all_suspended { l.calls.is_empty() } else { !l.suspended(now) };
+            let allowed = long || !own || *i < self.own;
+            open && allowed && (!long || l.long() || long_lanes < max_long)
         };
-        // Of equally good lanes its own are left to short calls.
-        let last = |i: usize| long && i < self.own;
-        let fit = self.all.iter().enumerate().filter(may);
-        let ends = fit.map(|(i, l)| (i, l.free(now) + l.late(now) + cost));
-        ends.min_by_key(|&(i, end)| (end, last(i)))
+        // Among equally good lanes a long call leaves the unshared ones to short calls.
+        let own_last = |i: usize| long && i < self.own;
+        let fit = self.all.iter().enumerate().filter(eligible);
+        let ends = fit.map(|(i, l)| (i, l.free_at(now) + l.current_lateness(now) + cost));
+        ends.min_by_key(|&(i, end)| (end, own_last(i)))
     }
 }
 
@@ -234,46 +238,48 @@
         Lane {
             member,
             calls: VecDeque::new(),
-            began: Time::ZERO,
-            late: Duration::ZERO,
-            late_at: Time::ZERO,
-            lost: 0,
-            lost_at: Time::ZERO,
+            started_at: Time::ZERO,
+            lateness: Duration::ZERO,
+            lateness_at: Time::ZERO,
+            lost_count: 0,
+            last_lost: Time::ZERO,
             away: None,
         }
     }
 
     fn depth(&self) -> usize {
-        if self.lost > 0 { 1 } else { DEPTH }
+        if self.lost_count > 0 { 1 } else { LANE_DEPTH }
     }
 
     fn long(&self) -> bool {
         self.calls.iter().any(|c| c.cost > LONG)
     }
 
-    fn aside(&self, now: Time) -> bool {
-        let times = self.lost.saturating_sub(1).min(16);
-        self.lost > 0 && now < self.lost_at + ASIDE.saturating_mul(1 << times).min(ASIDE_MAX)
+    fn suspended(&self, now: Time) -> bool {
+        let times = self.lost_count.saturating_sub(1).min(16);
+        self.lost_count > 0
+            && now
+                < self.last_lost + FIRST_SUSPENSION.saturating_mul(1 << times).min(MAX_SUSPENSION)
     }
 
-    /// When the calls that it holds have ended. One that is late is taken to last for as long as it
-    /// is late already.
-    fn free(&self, now: Time) -> Time {
+    /// Returns when the calls of the lane will have ended. A call that is overdue is expected to
+    /// last for as long again as it is overdue.
+    fn free_at(&self, now: Time) -> Time {
         let others = self.away.map_or(now, |at| now.max(at + SLACK));
         let mut calls = self.calls.iter();
         let Some(first) = calls.next() else { return others };
-        let end = self.began + first.cost;
+        let end = self.started_at + first.cost;
         let end = if end < now { now + now.since(end) } else { end };
         calls.fold(end, |end, c| end + c.cost).max(others)
     }
 
-    fn late(&self, now: Time) -> Duration {
-        let halves = now.since(self.late_at).as_secs_f64() / FORGET.as_secs_f64();
-        self.late.mul_f64(0.5_f64.powf(halves))
+    fn current_lateness(&self, now: Time) -> Duration {
+        let halves = now.since(self.lateness_at).as_secs_f64() / LATENESS_HALF_LIFE.as_secs_f64();
+        self.lateness.mul_f64(0.5_f64.powf(halves))
     }
 
-    fn learn(&mut self, late: Duration, now: Time) {
-        self.late = (self.late(now) + late) / 2;
-        self.late_at = now;
+    fn record_lateness(&mut self, late: Duration, now: Time) {
+        self.lateness = (self.current_lateness(now) + late) / 2;
+        self.lateness_at = now;
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,4 +1,4 @@
-//! The decisions, without network or clock: the present time is an argument throughout.
+//! The scheduling decisions, without network or clock: the current time is always an argument.
 
 pub mod admit;
 pub mod ahead;
--- a/src/decide/pace.rs
+++ b/src/decide/pace.rs
@@ -1,54 +1,57 @@
-//! How fast tasks that fill may work beside tasks that serve, on one worker.
+//! Decides how fast filler tasks may work beside serving tasks on one worker.
 //!
-//! *Load pattern:* tasks that fill use what processors are left, and disturb the tail of those that
-//! serve by amounts that nobody knows beforehand and that change within seconds, as the load of
-//! those that serve does. Figures are of the last half second and come every 1 to 2 s, or later
-//! where one is lost. *Without it:* a serving task is over its target for as long as the two are
-//! side by side; or, with fillers kept away from all that serves, the processors left are idle.
+//! *Load pattern:* fillers use the processors that are left, and raise the tail latency of serving
+//! tasks by amounts that are not known in advance and that change within seconds, like the load of
+//! the serving tasks. Measurements cover the last half second and arrive every 1 to 2 s, or later
+//! if one is lost. *Without it:* a serving task exceeds its target as long as a filler runs beside
+//! it; or, if fillers are kept away from all serving tasks, the remaining processors are idle.
 //!
-//! *Thresholds:* a task may be over its target for 4 s on end. It is seen within 2 s and the half
-//! second that a figure covers, and the order takes effect in a tenth: so over the target all work
-//! stops at once, as a second try would come too late. At 80% it is halved, which takes away
-//! half of the disturbance before there is harm; once a second at most, as the figure that comes
-//! sooner doesn't show yet what the last halving did. Up it goes by 10 points a second, 20 between
-//! two figures, and only once the tail was below 60% for a second: in between neither is right, and
-//! a tail that is there is left alone, which also keeps a steady load from a saw's teeth. Where
-//! serving begins the fillers go down to half, as the first figure is yet to come.
+//! *Thresholds:* a task may exceed its target for 4 s at a time. An excess is seen within 2 s plus
+//! the half second that a measurement covers, and an order takes effect within 0.1 s. So above the
+//! target all fillers stop at once, because a second attempt would come too late. At 80% of the
+//! target their speed is halved, which removes half of the disturbance before the target is
+//! exceeded. This happens at most once per second, because an earlier measurement doesn't show the
+//! effect of the last halving yet. The speed rises by 10 points per second, at most 20 between two
+//! measurements, and only after the tail was below 60% for a second. Between 60% and 80% the speed
+//! stays, so that it doesn't oscillate under a steady load. When a task begins to serve, the
+//! fillers go down to half speed until its first measurement.
 
 use {crate::Time, std::time::Duration};
 
-/// Tail against target at which the speed is halved.
-const NEAR: f64 = 0.8;
-/// Tail against target below which it rises.
-const LOW: f64 = 0.6;
-/// What a serving task without a figure yet counts as: neither up nor down.
+/// Ratio of tail latency to target at which the speed is halved.
+const HALVE_RATIO: f64 = 0.8;
+/// Ratio of tail latency to target below which the speed rises.
+const RISE_RATIO: f64 = 0.6;
+/// Ratio assumed for a serving task without a measurement; the speed then stays.
 pub const UNKNOWN: f64 = 0.7;
-/// How long the tail must be low, and how long a halving takes to be seen.
-const SEEN: Duration = Duration::from_secs(1);
-/// The rise, in points a second.
-const RISE: f64 = 10.0;
-/// The longest time for which one step rises: over a longer one nothing was known.
-const STEP: Duration = Duration::from_secs(2);
-/// Where the fillers begin beside what begins to serve.
-const BEGIN: f64 = 50.0;
-/// Full speed.
-const FULL: f64 = 100.0;
-/// Speeds are ordered in so many points, lest each step mean a call for each filler.
-const GRAIN: f64 = 10.0;
+/// How long the tail must be low before the speed rises, and how long a halving takes to show.
+const FEEDBACK_DELAY: Duration = Duration::from_secs(1);
+/// Rise of the speed, in percentage points per second.
+const RISE_PER_S: f64 = 10.0;
+/// Longest time for which one update raises the speed; over a longer one there were no
+/// measurements.
+const MAX_INTERVAL: Duration = Duration::from_secs(2);
+/// Speed of fillers, in percent, when a task begins to serve.
+const INITIAL_PERCENT: f64 = 50.0;
+/// Full speed, in percent.
+const FULL_PERCENT: f64 = 100.0;
+/// Granularity of ordered speeds, in percentage points, so that not every update causes a call for
+/// each filler.
+const PERCENT_STEP: f64 = 10.0;
 
-/// The speed of one worker's fillers.
+/// Controls the speed of one worker's fillers.
 #[derive(Clone, Debug)]
 pub struct Pace {
-    /// In hundredths; what is ordered is this in whole grains.
+    /// Current speed in percent; orders are rounded down to whole `PERCENT_STEP`s.
     percent: f64,
-    /// Whether anything serves.
+    /// Whether any task serves.
     serving: bool,
-    /// When the last step was.
-    last: Time,
-    /// Since when the tail has been low.
-    low: Option<Time>,
-    /// When it was halved last.
-    halved: Option<Time>,
+    /// Time of the last update.
+    last_update: Time,
+    /// Since when the tail has been low; `None` if it is not.
+    low_since: Option<Time>,
+    /// When the speed was last halved.
+    halved_at: Option<Time>,
 }
 
 impl Default for Pace {
@@ -58,54 +61,60 @@
 }
 
 impl Pace {
-    /// Full speed, with nothing that serves.
+    /// Creates a controller at full speed, without serving tasks.
     pub fn new() -> Self {
-        Pace { percent: FULL, serving: false, last: Time::ZERO, low: None, halved: None }
+        Pace {
+            percent: FULL_PERCENT,
+            serving: false,
+            last_update: Time::ZERO,
+            low_since: None,
+            halved_at: None,
+        }
     }
 
-    /// Takes the worst tail against its target of the tasks that serve on the worker, from a new
-    /// figure, and says how fast each filler is to work, in hundredths. `worst` is none where no
-    /// task serves, and [`UNKNOWN`] where there is no figure yet.
+    /// Updates the speed by a new measurement, and returns the speed of each filler in percent.
+    /// `worst` is the highest ratio of tail latency to target among the serving tasks of the
+    /// worker. It is `None` if no task serves, and [`UNKNOWN`] if there is no measurement yet.
     pub fn step(&mut self, worst: Option<f64>, now: Time) -> u8 {
-        let passed = now.since(self.last).min(STEP);
-        self.last = now;
+        let passed = now.since(self.last_update).min(MAX_INTERVAL);
+        self.last_update = now;
         let Some(worst) = worst else {
-            *self = Pace { last: now, ..Pace::new() };
+            *self = Pace { last_update: now, ..Pace::new() };
             return self.wanted();
         };
         if !self.serving {
             self.serving = true;
-            self.percent = BEGIN;
+            self.percent = INITIAL_PERCENT;
         }
-        if worst >= LOW {
-            self.low = None;
+        if worst >= RISE_RATIO {
+            self.low_since = None;
         }
         if worst > 1.0 {
             self.percent = 0.0;
-            self.halved = Some(now);
-        } else if worst >= NEAR {
+            self.halved_at = Some(now);
+        } else if worst >= HALVE_RATIO {
             self.halve(now);
-        } else if worst < LOW {
+        } else if worst < RISE_RATIO {
             self.rise(passed, now);
         }
         self.wanted()
     }
 
-    /// How fast each filler is to work, in hundredths.
+    /// Returns the ordered speed of each filler, in percent.
     pub fn wanted(&self) -> u8 {
-        ((self.percent / GRAIN).floor() * GRAIN) as u8
+        ((self.percent / PERCENT_STEP).floor() * PERCENT_STEP) as u8
     }
 
     fn halve(&mut self, now: Time) {
-        if self.halved.is_none_or(|at| now.since(at) >= SEEN) {
+        if self.halved_at.is_none_or(|at| now.since(at) >= FEEDBACK_DELAY) {
             self.percent /= 2.0;
-            self.halved = Some(now);
+            self.halved_at = Some(now);
         }
     }
 
     fn rise(&mut self, passed: Duration, now: Time) {
-        let low = *self.low.get_or_insert(now);
-        let long = now.since(low).saturating_sub(SEEN).min(passed);
-        self.percent = (self.percent + RISE * long.as_secs_f64()).min(FULL);
+        let low = *self.low_since.get_or_insert(now);
+        let long = now.since(low).saturating_sub(FEEDBACK_DELAY).min(passed);
+        self.percent = (self.percent + RISE_PER_S * long.as_secs_f64()).min(FULL_PERCENT);
     }
 }
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -60,7 +60,7 @@
 #[test]
 fn teams_are_served_by_weight() {
     let mut queue = Queue::new(8, LONG);
-    queue.weigh("insurer".into(), 3);
+    queue.set_weight("insurer".into(), 3);
     for i in 0..60 {
         let team = if i % 2 == 0 { "insurer" } else { "surveyor" };
         queue.push(item(i, team, ms(10)), Time::ZERO).expect("room");
