--- a/src/decide/lanes.rs
+++ b/src/decide/lanes.rs
@@ -67,9 +67,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Lanes {
     /// Members that no other caller uses come first.
-    all: Vec<Lane>,
+    lanes: Vec<Lane>,
     /// Number of members that no other caller uses.
-    own: usize,
+    own_count: usize,
 }
 
 #[derive(Clone, Debug)]
@@ -88,7 +88,7 @@
     /// When the last of them was given up.
     last_lost: Time,
     /// When it last rejected a call because of other callers' calls.
-    away: Option<Time>,
+    rejected_at: Option<Time>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -106,13 +106,13 @@
     /// Sets the members, and keeps the state of those that stay. Among equally good members the
     /// first is picked, so a caller that lists itself first saves a hop.
     pub fn members(&mut self, peers: &Peers) {
-        let mut old = std::mem::take(&mut self.all);
+        let mut old = std::mem::take(&mut self.lanes);
         let mut keep = |m: &Incarnation| {
             let known = old.iter().position(|l| l.member == *m);
             known.map_or_else(|| Lane::new(*m), |i| old.swap_remove(i))
         };
-        self.own = peers.own.len();
-        self.all = peers.own.iter().chain(&peers.shared).map(&mut keep).collect();
+        self.own_count = peers.own.len();
+        self.lanes = peers.own.iter().chain(&peers.shared).map(&mut keep).collect();
     }
 
     /// Chooses the member for a call that takes `cost` and whose answer is needed by `due`. Returns
@@ -125,16 +125,18 @@
         let (lane, end) = self.best(cost, now)?;
         // Full lanes take part in the choice: a call rather waits for a full lane than goes behind
         // a long call on another one.
-        let away = |l: &Lane, long| l.away.is_some_and(|at| now < at + long);
-        if away(&self.all[lane], SLACK) && self.all.iter().any(|l| away(l, REJECTION_PAUSE)) {
+        let rejected_at = |l: &Lane, long| l.rejected_at.is_some_and(|at| now < at + long);
+        if rejected_at(&self.lanes[lane], SLACK)
+            && self.lanes.iter().any(|l| rejected_at(l, REJECTION_PAUSE))
+        {
             return None;
         }
-        let busy = self.all[lane].calls.len();
+        let busy = self.lanes[lane].calls.len();
         let second = !long || end + cost > due;
-        if busy >= self.all[lane].depth() || (busy > 0 && !second) {
+        if busy >= self.lanes[lane].depth() || (busy > 0 && !second) {
             return None;
         }
-        let lane = &mut self.all[lane];
+        let lane = &mut self.lanes[lane];
         if busy == 0 {
             lane.started_at = now;
         }
@@ -145,7 +147,7 @@
     /// Records that the call which a member got at `sent` was answered, or that no answer is
     /// expected any more.
     pub fn done(&mut self, via: Incarnation, sent: Time, answered: bool, now: Time) {
-        let Some(lane) = self.all.iter_mut().find(|l| l.member == via) else { return };
+        let Some(lane) = self.lanes.iter_mut().find(|l| l.member == via) else { return };
         let Some(at) = lane.calls.iter().position(|c| c.sent == sent) else { return };
         let call = lane.calls.remove(at);
         if answered && at == 0 {
@@ -170,64 +172,64 @@
     /// Records that a member rejected the call which it got at `sent`, because it has too many
     /// calls of other callers.
     pub fn turned_away(&mut self, via: Incarnation, sent: Time, now: Time) {
-        let Some(lane) = self.all.iter_mut().find(|l| l.member == via) else { return };
+        let Some(lane) = self.lanes.iter_mut().find(|l| l.member == via) else { return };
         let Some(at) = lane.calls.iter().position(|c| c.sent == sent) else { return };
         lane.calls.remove(at);
         if at == 0 {
             lane.started_at = now;
         }
-        lane.away = Some(now);
+        lane.rejected_at = Some(now);
     }
 
     /// Number of unanswered calls at a member.
     pub fn busy(&self, member: Incarnation) -> usize {
-        self.all.iter().find(|l| l.member == member).map_or(0, |l| l.calls.len())
+        self.lanes.iter().find(|l| l.member == member).map_or(0, |l| l.calls.len())
     }
 
     /// Number of members.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.lanes.len()
     }
 
     /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.lanes.is_empty()
     }
 
     /// Number of members without a call.
     pub fn idle(&self) -> usize {
-        self.all.iter().filter(|l| l.calls.is_empty()).count()
+        self.lanes.iter().filter(|l| l.calls.is_empty()).count()
     }
 
     /// Whether, after one more long call, another long call would still find a free member.
     pub fn spare(&self, now: Time) -> bool {
-        let usable = self.all.iter().filter(|l| !l.suspended(now));
+        let usable = self.lanes.iter().filter(|l| !l.suspended(now));
         let kept = MIN_SHORT_LANES.max(usable.clone().count() / SHORT_LANE_ONE_IN);
         usable.filter(|l| l.calls.is_empty()).count() > kept + 1
     }
 
     /// Total number of unanswered calls.
     pub fn total(&self) -> usize {
-        self.all.iter().map(|l| l.calls.len()).sum()
+        self.lanes.iter().map(|l| l.calls.len()).sum()
     }
 
     /// Returns the lane, full ones included, on which a call would end first, and that end.
     fn best(&self, cost: Duration, now: Time) -> Option<(usize, Time)> {
-        let usable = self.all.iter().filter(|l| !l.suspended(now));
-        let all_suspended = usable.clone().next().is_none();
+        let usable = self.lanes.iter().filter(|l| !l.suspended(now));
+        let every_suspended = usable.clone().next().is_none();
         let all = usable.clone().count();
         let max_long = all.saturating_sub(MIN_SHORT_LANES.max(all / SHORT_LANE_ONE_IN)).max(1);
         let long_lanes = usable.filter(|l| l.long()).count();
         let long = cost > LONG;
-        let own = self.all[..self.own].iter().any(|l| !l.suspended(now));
+        let own = self.lanes[..self.own_count].iter().any(|l| !l.suspended(now));
         let eligible = |(i, l): &(usize, &Lane)| {
-            let open = if all_suspended { l.calls.is_empty() } else { !l.suspended(now) };
-            let allowed = long || !own || *i < self.own;
+            let open = if every_suspended { l.calls.is_empty() } else { !l.suspended(now) };
+            let allowed = long || !own || *i < self.own_count;
             open && allowed && (!long || l.long() || long_lanes < max_long)
         };
         // Among equally good lanes a long call leaves the unshared ones to short calls.
-        let own_last = |i: usize| long && i < self.own;
-        let fit = self.all.iter().enumerate().filter(eligible);
+        let own_last = |i: usize| long && i < self.own_count;
+        let fit = self.lanes.iter().enumerate().filter(eligible);
         let ends = fit.map(|(i, l)| (i, l.free_at(now) + l.current_lateness(now) + cost));
         ends.min_by_key(|&(i, end)| (end, own_last(i)))
     }
@@ -243,7 +245,7 @@
             lateness_at: Time::ZERO,
             lost_count: 0,
             last_lost: Time::ZERO,
-            away: None,
+            rejected_at: None,
         }
     }
 
@@ -265,7 +267,7 @@
     /// Returns when the calls of the lane will have ended. A call that is overdue is expected to
     /// last for as long again as it is overdue.
     fn free_at(&self, now: Time) -> Time {
-        let others = self.away.map_or(now, |at| now.max(at + SLACK));
+        let others = self.rejected_at.map_or(now, |at| now.max(at + SLACK));
         let mut calls = self.calls.iter();
         let Some(first) = calls.next() else { return others };
         let end = self.started_at + first.cost;
--- a/tests/admit.rs
+++ b/tests/admit.rs
@@ -1,4 +1,4 @@
-//! Admission by deadline: bursts, saturation, stalled endpoints, and times to come back.
+//! Admission by deadline: bursts, saturation, stalled endpoints, and retry times.
 
 mod fake;
 
@@ -19,21 +19,21 @@
 
 const SLOTS: u32 = 16;
 const RUN: u64 = 50;
-/// Requests a second that 16 slots can serve at 50 ms each.
+/// Requests per second that 16 slots can serve at 50 ms each.
 const CAPACITY: f64 = 320.0;
 
 fn gate() -> Door {
     Door::Gate(Box::new(Gate::new(fastrand::Rng::with_seed(7))), Queue::new(SLOTS, ms(400)))
 }
 
-/// 20 s of arrivals from ten callers at `load` times the capacity, each due within half a second.
+/// Arrivals of 20 s from ten callers at `load` times the capacity, each due within half a second.
 fn saturation(load: f64) -> Vec<Ask> {
     let until = Time::from_millis(20_000);
     let rate = CAPACITY * load / 10.0;
     (0..10).flat_map(|i| stream(i, &format!("caller{i}"), rate, until, 500, RUN)).collect()
 }
 
-/// The requests answered in time, as a part of what the slots could serve in 20 s.
+/// Requests answered in time, relative to what the slots can serve in 20 s.
 fn goodput(outcomes: &[Outcome]) -> f64 {
     outcomes.iter().filter(|o| o.good()).count() as f64 / (CAPACITY * 20.0)
 }
@@ -44,9 +44,9 @@
     waits[waits.len() * percent / 100]
 }
 
-// Ten callers send 1.5, then 3 times what the workers can do. With an unbounded first-come queue
-// every slot stays busy and hardly anyone gets an answer in time, since each request has waited
-// past its deadline when it starts. The gate refuses what can't be served, at once.
+// Ten callers send 1.5, then 3 times what the workers can serve. With an unbounded first-come queue
+// every slot stays busy and hardly any request is answered in time, because each has waited past
+// its deadline when it starts. The gate must refuse at once what can't be served.
 #[test]
 fn goodput_holds_under_saturation() {
     for load in [1.5, 3.0] {
@@ -60,7 +60,7 @@
         assert!(good > 0.9, "goodput {good} at {load}");
         assert!(base < 0.2, "plain goodput {base} at {load}");
         assert!(p50 < ms(150) && p99 < ms(400));
-        // Who is let in is served: what expires in the queue has waited for nothing.
+        // Admitted requests must be served; those that expire in the queue have waited in vain.
         assert!(expired * 100 < ours.len());
     }
 }
@@ -76,14 +76,14 @@
     for e in refused {
         assert!(matches!(e.kind(), Kind::Late | Kind::OverShare), "{e}");
         assert_eq!(e.kind().answer().ran, Ran::No);
-        let back = e.back().expect("a time to come back");
-        assert!(back > Duration::ZERO && back < Duration::from_secs(45), "{back:?}");
+        let delay = e.back().expect("a retry delay");
+        assert!(delay > Duration::ZERO && delay < Duration::from_secs(45), "{delay:?}");
     }
 }
 
-// Three hundred brokers ask in the same instant, more than can be served within the deadline, then
-// nothing for a while. What fits is served at once or after a wait; the rest hears so immediately,
-// rather than after its deadline.
+// Three hundred callers send a request at the same instant, more than can be served within the
+// deadline, and then none for a while. What fits is served, at once or after a wait. The others
+// must be refused immediately instead of after their deadline.
 #[test]
 fn burst_is_served_as_far_as_deadlines_allow() {
     let burst = || (0..300).map(|i| ask(&format!("broker{i}"), Time::ZERO, ms(500), ms(RUN)));
@@ -95,14 +95,14 @@
         outcomes.iter().filter(answered).filter(|o| !o.good()).count()
     };
     println!("burst: good {} of 300, plain {}", good(&ours), good(&plain));
-    // 160 at most can end within 500 ms.
+    // At most 160 can end within 500 ms.
     assert!(good(&ours) >= 110, "{}", good(&ours));
     assert_eq!(late(&ours), 0);
     assert_eq!(late(&plain), 140);
 }
 
-// A burst is refused, and each caller comes back when told. Told one fixed time, they all return
-// in the same instant and are refused again, for as long as they keep coming.
+// A burst is refused, and each caller retries at its retry time. With one fixed delay they would
+// all retry at the same instant and be refused again, as long as they keep retrying.
 #[test]
 fn refused_callers_come_back_at_the_drain_rate() {
     let burst = (0..2000).map(|i| ask(&format!("broker{i}"), Time::ZERO, ms(500), ms(RUN)));
@@ -111,19 +111,19 @@
     for o in &outcomes {
         let Fate::Refused(e) = &o.fate else { continue };
         let step = |d: Duration| d.as_millis() / 500;
-        *ours.entry(step(e.back().expect("a time"))).or_insert(0) += 1;
-        *fixed.entry(step(e.kind().answer().back.expect("a time"))).or_insert(0) += 1;
+        *ours.entry(step(e.back().expect("a retry delay"))).or_insert(0) += 1;
+        *fixed.entry(step(e.kind().answer().back.expect("a retry delay"))).or_insert(0) += 1;
     }
     let most = |steps: &BTreeMap<u128, u32>| steps.values().copied().max();
     println!("most returns in half a second: {:?}, fixed {:?}", most(&ours), most(&fixed));
-    // The slots serve 160 in half a second.
+    // The slots serve 160 requests in half a second.
     assert!(most(&ours) <= Some(200));
     assert!(most(&fixed) > Some(1500));
 }
 
 // All endpoints of a service stop answering while requests wait. No request leaves the queue any
-// more, so nothing is measured; a gate that goes by its last measurement lets every caller in to
-// wait for nothing. The gate must notice the gap.
+// more, so there are no new measurements. A gate that relied on the last one would admit every
+// caller to wait in vain, so it must detect the gap.
 #[test]
 fn stalled_endpoints_close_the_gate() {
     let mut gate = Gate::new(fastrand::Rng::with_seed(1));
@@ -133,7 +133,7 @@
         let mut item = ask(&format!("caller{i}"), now, ms(5000), ms(RUN)).item;
         item.id.0 = i.into();
         let result = gate.admit(&mut queue, item, now);
-        // One leaves, so that the drain rate is known, and then none.
+        // One request leaves, so that the drain rate is known, and then none.
         if i == 40 {
             gate.pop(&mut queue, now);
         }
@@ -142,14 +142,15 @@
     for i in 0..=40 {
         admit(i, i).expect("room for a burst");
     }
-    admit(41, 60).expect("a gap of 20 ms is no stall");
+    admit(41, 60).expect("a gap of 20 ms must not count as a stall");
     let refused = admit(42, 4000).expect_err("nothing has left the queue for four seconds");
     assert_eq!(refused.kind(), Kind::Late);
     assert!(refused.back() > Some(ms(1000)), "{refused:?}");
 }
 
-// Two callers send three times what the workers can do; twenty send a little, a tenth of it in all.
-// The twenty are to be served as if the two were not there, and the refusals to go to the two.
+// Two callers send three times what the workers can serve; twenty callers together send a tenth of
+// the capacity. The twenty must be served as if the two were absent, and the two must get the
+// refusals.
 #[test]
 fn refusals_go_to_who_sends_too_much() {
     let until = Time::from_millis(20_000);
@@ -171,8 +172,8 @@
     assert!(base < 0.2);
 }
 
-// Models of two seconds at 1.5 times what the workers can do, and indications of 20 ms that are due
-// within a fifth of a second. Neither is to be refused for the other's sake.
+// Model runs of two seconds at 1.5 times the capacity, together with quotes of 20 ms that are due
+// within a fifth of a second. Neither may be refused because of the other.
 #[test]
 fn long_and_short_are_admitted_apart() {
     let until = Time::from_millis(60_000);
@@ -191,12 +192,12 @@
     let (plain_quotes, plain_models) = (good(&plain, "quotes"), good(&plain, "models"));
     println!("quotes {quotes}, plain {plain_quotes}; models {models}, {plain_models}");
     assert!(quotes > 2300 && plain_quotes < 1200);
-    // Twelve slots serve 360 models in a minute.
+    // Twelve slots serve 360 model runs in a minute.
     assert!(models > 330);
 }
 
-// Workers run everything three times as slow as expected. The measured drain rate must say so:
-// a gate that trusts the expected run times lets in three times what can be served.
+// Workers run every request three times as slowly as expected. The measured drain rate must show
+// this: a gate that trusts the expected run times would admit three times what can be served.
 #[test]
 fn drain_rate_is_measured() {
     let slow = saturation(1.0).into_iter().map(|a| Ask { real: a.real * 3, ..a });
@@ -215,9 +216,9 @@
     assert_eq!(refused.kind(), Kind::NoEndpoint);
     gate.admit(&mut queue, asked, Time::ZERO).expect("an empty queue");
     let now = Time::from_millis(451);
-    let [late] = &queue.expire(now)[..] else { panic!("it can no longer be met") };
+    let [late] = &queue.expire(now)[..] else { panic!("the deadline can no longer be met") };
     let error = gate.expired(&queue, late, now);
     assert_eq!((error.kind(), error.kind().answer().ran), (Kind::Expired, Ran::No));
-    // Nothing has left the queue for 451 ms, so that is what one request is reckoned to take.
+    // Nothing has left the queue for 451 ms, so this is the expected time per request.
     assert!(error.back().is_some_and(|b| b >= ms(451) && b <= ms(677)), "{error:?}");
 }
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancellation waves.
+//! Cancellation of many tasks at once.
 
 use {
     dogwoodreach::{
@@ -15,9 +15,9 @@
     TaskId { job: job.into(), index: TaskIndex(index) }
 }
 
-// An operator takes back a text with 5,000 tasks of which 1,000 run. Starts go on meanwhile, from a
-// queue that holds the cancelled ones as well. With stops that are only queued, and no gate, tasks
-// further back are started after they were cancelled, and their work is done for nothing.
+// An operator removes a text with 5,000 tasks, of which 1,000 run, while starts continue from a
+// queue that also holds cancelled tasks. If stops were only queued and starts not checked, tasks
+// further back would be started after their cancellation, and their work would be wasted.
 #[test]
 fn a_wave_is_stopped_in_bounded_ticks_and_starts_nothing() {
     let mut c = Cancels::default();
@@ -32,7 +32,7 @@
         assert!(sent.len() <= 64 && !sent.is_empty());
         stops += sent.len();
         sent.iter().for_each(|t| c.ended(t));
-        // The baseline: starts ten a tick from the queue without the gate.
+        // Baseline: ten starts per tick from the queue without the check.
         for t in waiting.drain(..10) {
             plain += 1;
             started += u32::from(c.start(&t));
@@ -46,8 +46,8 @@
     assert!(c.start(&task("wave", 7)));
 }
 
-// A stop order is lost with its connection. The task was to stop, and runs on for hours, if the order
-// goes out once only.
+// A stop order is lost with its connection. If it were sent only once, the task would run on for
+// hours.
 #[test]
 fn a_lost_stop_is_sent_again_until_the_task_has_ended() {
     let mut c = Cancels::default();
@@ -63,8 +63,8 @@
     assert!(!c.start(&task("a", 1)), "cancelled, so no second attempt");
 }
 
-// A wave must not hold up the stop of a single task that comes after it for longer than its own
-// ticks; nor may ended tasks in the queue be walked over without bound.
+// A wave must delay the stop of a single later task only by its own ticks, and ended tasks in the
+// queue must not be walked over without bound.
 #[test]
 fn a_single_cancel_behind_a_wave_waits_for_the_waves_ticks_only() {
     let mut c = Cancels::default();
--- a/tests/choose.rs
+++ b/tests/choose.rs
@@ -1,4 +1,4 @@
-//! Choice of endpoint and ejection: a slow endpoint, its recovery, and endpoints that fail.
+//! Choice and ejection of endpoints: a slow endpoint, its recovery, and failing endpoints.
 
 mod fake;
 
@@ -24,22 +24,22 @@
     WorkerId::from(&*format!("worker{i}"))
 }
 
-/// What worker 0 does with a request at a time; the others run it as expected.
-enum Deed {
-    Slower(f64),
+/// The fault of worker 0; the other workers run requests as expected.
+enum Fault {
+    Slow(f64),
     Fail,
 }
 
 struct Played {
     times: Vec<Duration>,
     failed: usize,
-    /// Requests that worker 0 was given, by second.
-    given: BTreeMap<u64, u32>,
+    /// Requests sent to worker 0, by second.
+    received: BTreeMap<u64, u32>,
 }
 
 impl Played {
-    fn given(&self, seconds: Range<u64>) -> u32 {
-        self.given.range(seconds).map(|(_, n)| n).sum()
+    fn received(&self, seconds: Range<u64>) -> u32 {
+        self.received.range(seconds).map(|(_, n)| n).sum()
     }
 
     fn p99(&self) -> Duration {
@@ -49,8 +49,9 @@
     }
 }
 
-/// Plays 20 s at `load` parts of the capacity; `ours` or a random free endpoint.
-fn play(ours: bool, load: f64, deed: impl Fn(Time) -> Deed) -> Played {
+/// Plays 20 s at `load` times the capacity, with `Scores` if `ours`, and otherwise with a random
+/// free endpoint.
+fn play(ours: bool, load: f64, fault: impl Fn(Time) -> Fault) -> Played {
     let mut rng = fastrand::Rng::with_seed(3);
     let (mut scores, mut ejector) =
         (Scores::new(fastrand::Rng::with_seed(4)), Ejector::new(WORKERS));
@@ -62,11 +63,11 @@
         now = now + exp(&mut rng, gap);
         agenda.add(now, None);
     }
-    let mut played = Played { times: Vec::new(), failed: 0, given: BTreeMap::new() };
+    let mut played = Played { times: Vec::new(), failed: 0, received: BTreeMap::new() };
     while let Some((now, event)) = agenda.next() {
         match event {
             None => waiting.push_back(now),
-            Some((at, born, ran, failed)) => {
+            Some((at, arrived_at, ran, failed)) => {
                 let name = worker(at);
                 busy[at] -= 1;
                 if failed {
@@ -76,7 +77,7 @@
                         scores.restart(&name, now);
                     }
                 } else {
-                    played.times.push(now.since(born));
+                    played.times.push(now.since(arrived_at));
                     let slowness = scores.answered(&name, RUN, ran, now);
                     if ejector.answered(&name, slowness, now) {
                         scores.restart(&name, now);
@@ -84,7 +85,7 @@
                 }
             }
         }
-        while let Some(&born) = waiting.front() {
+        while let Some(&arrived_at) = waiting.front() {
             let free: Vec<_> = (0..WORKERS).filter(|&i| busy[i] < SLOTS).collect();
             let random = rng.choice(&free).copied();
             let picked = match ours {
@@ -99,73 +100,73 @@
             busy[at] += 1;
             let (mut ran, mut failed) = (exp(&mut rng, RUN), false);
             if at == 0 {
-                *played.given.entry(now.0 / 1_000_000).or_insert(0) += 1;
-                match deed(now) {
-                    Deed::Slower(by) => ran = ran.mul_f64(by),
-                    Deed::Fail => (ran, failed) = (ms(1), true),
+                *played.received.entry(now.0 / 1_000_000).or_insert(0) += 1;
+                match fault(now) {
+                    Fault::Slow(factor) => ran = ran.mul_f64(factor),
+                    Fault::Fail => (ran, failed) = (ms(1), true),
                 }
             }
-            agenda.add(now + ran, Some((at, born, ran, failed)));
+            agenda.add(now + ran, Some((at, arrived_at, ran, failed)));
         }
     }
     played
 }
 
-// One worker of ten runs everything six times as slow. Chosen at random it is given a request
-// whenever a slot of it is free, so one caller in thirty waits for it. It is to get little.
+// One worker of ten is six times as slow. A random choice sends it a request whenever one of its
+// slots is free, so one caller in thirty waits for it. It must get few requests.
 #[test]
 fn slow_endpoint_gets_little() {
-    let ours = play(true, 0.7, |_| Deed::Slower(6.0));
-    let base = play(false, 0.7, |_| Deed::Slower(6.0));
-    let given = |p: &Played| p.given(2..20);
-    println!("slow endpoint was given {} and {}", given(&ours), given(&base));
+    let ours = play(true, 0.7, |_| Fault::Slow(6.0));
+    let base = play(false, 0.7, |_| Fault::Slow(6.0));
+    let received = |p: &Played| p.received(2..20);
+    println!("slow endpoint received {} and {}", received(&ours), received(&base));
     println!("p99 {:?}, random {:?}", ours.p99(), base.p99());
-    assert!(given(&ours) * 4 < given(&base));
-    // The runs by themselves, with no wait and no slow worker, have theirs at 230 ms.
+    assert!(received(&ours) * 4 < received(&base));
+    // The 99th percentile of the runs alone, without waits and slow workers, is 230 ms.
     assert!(ours.p99() < ms(245) && base.p99() > ms(300));
 }
 
-// The same at 95% of the capacity: the other slots are nearly always taken, so that a choice among
-// free ones would fill up the slow worker whatever it knows.
+// The same at 95% of the capacity: the other slots are nearly always in use, so that a choice among
+// the free ones would fill up the slow worker, whatever its score.
 #[test]
 fn slow_endpoint_gets_little_under_high_load() {
-    let ours = play(true, 0.95, |_| Deed::Slower(6.0));
-    let base = play(false, 0.95, |_| Deed::Slower(6.0));
-    let (given, random) = (ours.given(2..20), base.given(2..20));
-    println!("high load: slow endpoint was given {given} and {random}");
-    assert!(given * 4 < random);
+    let ours = play(true, 0.95, |_| Fault::Slow(6.0));
+    let base = play(false, 0.95, |_| Fault::Slow(6.0));
+    let (received, random) = (ours.received(2..20), base.received(2..20));
+    println!("high load: slow endpoint received {received} and {random}");
+    assert!(received * 4 < random);
 }
 
 #[test]
 fn somewhat_slower_endpoint_gets_somewhat_less() {
-    let ours = play(true, 0.5, |_| Deed::Slower(1.7));
-    let base = play(false, 0.5, |_| Deed::Slower(1.7));
-    let (given, random) = (ours.given(2..20), base.given(2..20));
-    println!("1.7 times as slow: given {given} and {random}");
-    assert!(given * 4 < random * 3);
-    assert!(given * 4 > random);
+    let ours = play(true, 0.5, |_| Fault::Slow(1.7));
+    let base = play(false, 0.5, |_| Fault::Slow(1.7));
+    let (received, random) = (ours.received(2..20), base.received(2..20));
+    println!("1.7 times as slow: received {received} and {random}");
+    assert!(received * 4 < random * 3);
+    assert!(received * 4 > random);
 }
 
-// The service is nearly idle, so that a better endpoint than the slow one is always free, also
-// when the slow one is well again. Were it not tried now and then, it would stay out for good.
+// The service is nearly idle, so a better endpoint than the slow one is always free, even after the
+// slow one has recovered. If it weren't tried occasionally, it would never be used again.
 #[test]
 fn recovery_is_seen_by_an_idle_service() {
-    let deed = |now| Deed::Slower(if now < Time::from_millis(8000) { 6.0 } else { 1.0 });
-    let ours = play(true, 0.02, deed);
-    println!("idle: given by second {:?}", ours.given);
-    assert!(ours.given(14..20) > 6);
+    let fault = |now| Fault::Slow(if now < Time::from_millis(8000) { 6.0 } else { 1.0 });
+    let ours = play(true, 0.02, fault);
+    println!("idle: received per second {:?}", ours.received);
+    assert!(ours.received(14..20) > 6);
 }
 
-// The slow worker is well again after eight seconds. It gets so little that its recovery could go
-// unseen for good; and given its full share at once it might fall back. It must return by steps.
+// The slow worker recovers after eight seconds. It gets so few requests that the recovery could go
+// unnoticed; with its full share at once it might become slow again. Its share must grow in stages.
 #[test]
 fn recovered_endpoint_comes_back_by_steps() {
-    let deed = |now| Deed::Slower(if now < Time::from_millis(8000) { 6.0 } else { 1.0 });
-    let ours = play(true, 0.7, deed);
-    println!("given by second {:?}", ours.given);
+    let fault = |now| Fault::Slow(if now < Time::from_millis(8000) { 6.0 } else { 1.0 });
+    let ours = play(true, 0.7, fault);
+    println!("received per second {:?}", ours.received);
     let share = 112;
-    assert!((2..8).all(|s| ours.given(s..s + 1) < share / 5));
-    assert!(ours.given(17..20) > 3 * share * 2 / 3);
+    assert!((2..8).all(|s| ours.received(s..s + 1) < share / 5));
+    assert!(ours.received(17..20) > 3 * share * 2 / 3);
 }
 
 #[test]
@@ -183,15 +184,15 @@
     assert_eq!(steps, [1, 2, 4, 8, 8]);
 }
 
-// A worker fails everything within a millisecond. Its slots are always free, so that without
-// ejection it fails a large part of all requests, far more than its tenth.
+// A worker fails every request within a millisecond. Its slots are always free, so that without
+// ejection it fails far more than a tenth of all requests.
 #[test]
 fn failing_endpoint_is_taken_out() {
-    let ours = play(true, 0.7, |_| Deed::Fail);
-    let base = play(false, 0.7, |_| Deed::Fail);
+    let ours = play(true, 0.7, |_| Fault::Fail);
+    let base = play(false, 0.7, |_| Fault::Fail);
     println!("failed {} of {}", ours.failed, ours.failed + ours.times.len());
     println!("failed, random {} of {}", base.failed, base.failed + base.times.len());
-    // Five in a row, one probe each after 5 and 15 s, and what was in flight.
+    // Five in a row, one trial each after 5 and 15 s, and the requests in flight.
     assert!(ours.failed < 20);
     assert!(base.failed > 2000);
 }
@@ -205,7 +206,7 @@
         assert!(!ejector.allows(&w, 0, now + Duration::from_secs(length) - ms(1)));
         now = now + Duration::from_secs(length);
         assert!(ejector.allows(&w, 0, now) && !ejector.allows(&w, 1, now));
-        assert!(ejector.failed(&w, now), "a failed probe ejects");
+        assert!(ejector.failed(&w, now), "a failed trial must eject again");
     }
     assert!(!ejector.answered(&w, 1.0, now), "an answer to an older request");
     now = now + Duration::from_secs(80);
@@ -213,8 +214,8 @@
     assert!(ejector.allows(&w, 7, now));
 }
 
-// The database behind all workers fails, and with it every request. Were every worker ejected,
-// nothing could be served when it comes back, and nothing would notice that it has.
+// The database behind all workers fails, and with it every request. If every worker were ejected,
+// no request could be served after its recovery, and nothing would detect the recovery.
 #[test]
 fn two_thirds_of_a_pool_stay() {
     let mut ejector = Ejector::new(WORKERS);
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Second runs of slow tasks: when they are worth it, and what comes of them.
+//! Copies of slow tasks: when a copy is worthwhile, and how the two runs end.
 
 mod hand;
 
@@ -16,29 +16,29 @@
     Duration::from_millis(ms)
 }
 
-/// Whether a run that has done so much in so many milliseconds is worth a copy, where its siblings
-/// took two seconds.
+/// Whether a copy is worthwhile for a run that has completed `done` percent in `ran` milliseconds,
+/// if its siblings took two seconds.
 fn slow(ran: u64, done: u8) -> bool {
     worth(Runner { ran: ms(ran), from: 0, done, saved: 0 }, ms(2_000)).is_some()
 }
 
 #[test]
 fn a_run_is_slow_only_far_beyond_its_siblings() {
-    assert!(!slow(2_900, 0), "half as much again is a larger task");
+    assert!(!slow(2_900, 0), "one and a half times the median may be a larger task");
     assert!(slow(3_000, 30));
-    assert!(!slow(3_000, 50), "it ends about when a copy would");
+    assert!(!slow(3_000, 50), "it ends at about the same time as a copy would");
     assert!(!slow(6_000, 80));
-    assert!(slow(60_000, 80), "it began well and stands still");
+    assert!(slow(60_000, 80), "it started well and then made no progress");
     let half = Runner { ran: ms(4_000), from: 0, done: 40, saved: 0 };
     assert!(worth(half, ms(2_000)).is_some());
-    // One that begins at a checkpoint has done less by itself than it shows.
+    // A run that resumed from a checkpoint has done less itself than its progress shows.
     let resumed = Runner { from: 40, done: 55, ..half };
     assert!(worth(resumed, ms(2_000)).is_some());
     assert_eq!((most(1), most(9), most(20), most(45)), (1, 1, 2, 4));
 }
 
-/// Four siblings on workers of their own and one more that is empty; three have ended after two
-/// seconds, and the first is far behind. Returns where it runs, and where its copy does.
+/// Runs four tasks on workers of their own, with a fifth worker empty. Three tasks have ended after
+/// two seconds, and the first is far behind. Returns the worker of its run and that of its copy.
 fn behind(saves: bool) -> (Hand, usize, usize) {
     let mut hand = Hand::new(5);
     hand.submit(1, "plain", job(Step { copies: true, apart: 1, saves, ..step(4, 2) }));
@@ -51,7 +51,7 @@
     (hand, at, copy)
 }
 
-/// The slow run has caught up, so that it is worth no further copy.
+/// Lets the slow run catch up, so that a further copy is not worthwhile.
 fn caught_up(hand: &mut Hand, at: usize) {
     hand.workers[at].row(&task(1, 0)).percent = 95;
     hand.run(100);
@@ -76,16 +76,16 @@
         hand.until("stopped", 500, |h| h.stops().iter().any(|s| s.1 == other));
         hand.run(5_000);
         assert_eq!(hand.stops().len(), 1);
-        assert_eq!(copies(&hand), [1, 2], "nothing starts again");
+        assert_eq!(copies(&hand), [1, 2], "no further run starts");
         assert!(hand.workers.iter().all(|w| w.rows.is_empty()));
     }
 }
 
 #[test]
 fn where_one_of_the_two_ends_without_success_the_other_goes_on_alone() {
-    // Story: the slow run fails at last, or its copy does. Begun anew as if there were no other, a
-    // third run starts while the second is about to end; and a failure that is counted twice, or not
-    // at all, makes the job fail before its time or never.
+    // The slow run or its copy fails while the other continues. If the task were started again as
+    // if there were no other run, a third run would start while the second is about to end. A
+    // failure that is counted twice or not at all would make the job fail too early or never.
     for how in [How::Failed, How::Stopped, How::Lapsed] {
         for first in [true, false] {
             let (mut hand, at, copy) = behind(false);
@@ -104,8 +104,8 @@
 
 #[test]
 fn a_run_that_starts_later_has_a_number_of_its_own() {
-    // Story: both runs have failed. A third one with the number of the copy would be refused where
-    // the copy ran, and its end be taken for that of the copy elsewhere.
+    // Both runs have failed. A third run with the number of the copy would be refused where the
+    // copy ran, and elsewhere its end would be taken for that of the copy.
     let (mut hand, at, copy) = behind(false);
     caught_up(&mut hand, at);
     end(&mut hand, copy, How::Failed);
@@ -147,14 +147,14 @@
 
 #[test]
 fn the_next_owner_keeps_one_of_the_two() {
-    // Story: the owner dies while a task runs twice. The next one hears of both, and must neither
-    // call the job lost nor wait for ever.
+    // The owner dies while a task has two runs. The next owner learns of both, and must neither
+    // report the job as lost nor wait for ever.
     for first in [true, false] {
         let (mut hand, at, copy) = behind(false);
         hand.succeed();
         hand.run(1_000);
         let left = hand.places(task(1, 0));
-        assert_eq!(left.len(), 1, "the other is stopped");
+        assert_eq!(left.len(), 1, "the other run is stopped");
         assert!(left == [at] || left == [copy]);
         let how = if first { How::Done } else { How::Failed };
         end(&mut hand, left[0], how);
--- a/tests/copies_yard.rs
+++ b/tests/copies_yard.rs
@@ -1,4 +1,4 @@
-//! Jobs beside a slow worker, with copies of its tasks and without.
+//! Duration of jobs beside a slow worker, with and without copies of their tasks.
 
 #[path = "yard/mod.rs"]
 mod yard;
@@ -8,11 +8,11 @@
     yard::{Yard, job, step},
 };
 
-/// How long jobs of four tasks on workers of their own take, one after the other, in milliseconds,
-/// and how many starts they made; another worker is slow each time.
+/// Runs five jobs one after the other, each with five tasks on workers of their own and another
+/// slow worker. Returns their total duration in milliseconds and the number of starts.
 fn play(seed: u64, copies: bool, speed: f64) -> (u64, usize) {
     let mut yard = Yard::new(seed, 12);
-    let (mut took, mut now) = (0, 500);
+    let (mut elapsed, mut now) = (0, 500);
     yard.run_until(now);
     for no in 1..=5 {
         for (i, w) in yard.world.workers.iter_mut().enumerate() {
@@ -20,18 +20,18 @@
         }
         let tasks = Step { copies, apart: 1, ..step(5, 2_000) };
         yard.submit(no, "open", job([tasks]));
-        let begun = now;
-        let over = |y: &Yard| y.progress().get(&JobNo(no)).is_some_and(|p| p.state == State::Done);
-        while !over(&yard) {
+        let started_at = now;
+        let done = |y: &Yard| y.progress().get(&JobNo(no)).is_some_and(|p| p.state == State::Done);
+        while !done(&yard) {
             now += 50;
-            assert!(now < begun + 60_000, "seed {seed}: job {no} is not done");
+            assert!(now < started_at + 60_000, "seed {seed}: job {no} is not done");
             yard.run_until(now);
         }
-        took += now - begun;
+        elapsed += now - started_at;
         now += 1_000;
         yard.run_until(now);
     }
-    (took, yard.rules.count as usize)
+    (elapsed, yard.rules.count as usize)
 }
 
 #[test]
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Which runs a worker's crash is laid to.
+//! Which runs are blamed for the crash of a worker.
 
 use dogwoodreach::{
     Time,
--- a/tests/estimate.rs
+++ b/tests/estimate.rs
@@ -1,4 +1,4 @@
-//! Sizes and run times from history, against declared ones.
+//! Estimated sizes and run times, compared with declared ones.
 
 use {
     dogwoodreach::{
@@ -12,8 +12,9 @@
 const DECLARED: Size =
     Size { cores: Cores(1000), memory: Memory(1024), accels: dogwoodreach::units::Accels(0) };
 
-// Operators declare 1 GB and a minute; the tasks use up to 3 GB and run five. Reserved as declared,
-// most workers are driven over their memory. By history, only the first task is.
+// Operators declare 1 GB and one minute; the tasks use up to 3 GB and run for five minutes.
+// Reserved as declared, the tasks exceed the memory of most workers. With observed sizes, only the
+// first task does.
 #[test]
 fn history_corrects_memory_and_run_time() {
     let (mut e, mut rng) = (Estimates::default(), Rng::with_seed(3));
@@ -28,15 +29,15 @@
         plain_late += u32::from(run > Duration::from_secs(60));
         e.ended(&job, run, used);
     }
-    println!("over memory {over} (declared {plain}), longer than reckoned {late} ({plain_late})");
+    println!("over memory {over} (declared {plain}), longer than estimated {late} ({plain_late})");
     assert_eq!((over, plain, plain_late), (1, 200, 200));
     assert!(late <= 30);
     let run = e.run(&job, Duration::from_secs(60)).as_secs();
-    assert!((330..=390).contains(&run), "not so long that each batch looks late: {run}");
+    assert!((330..=390).contains(&run), "too long, each batch would look late: {run}");
 }
 
-// A job that uses less than declared keeps its reservation: the need may yet come. One odd run among
-// the first must not replace the declared time.
+// A job that uses less than declared keeps its reservation, because the need may still occur. One
+// unusual run among the first must not replace the declared time.
 #[test]
 fn declared_sizes_are_the_least_and_two_runs_prove_nothing() {
     let mut e = Estimates::default();
@@ -47,8 +48,8 @@
     assert!(e.run(&job, declared) < Duration::from_secs(5));
 }
 
-// Nineteen tasks of twenty use 1 to 3 cores, one uses 8. Reserved by the peak, workers stand half idle;
-// by the mean, most of its tasks use more than is reserved for them.
+// Nineteen of twenty tasks use 1 to 3 cores, and one uses 8. If the peak were reserved, workers
+// would be half idle; with the mean, most of its tasks would use more than is reserved for them.
 #[test]
 fn processors_are_reserved_by_a_high_quantile() {
     let (mut e, mut rng) = (Estimates::default(), Rng::with_seed(5));
@@ -64,8 +65,9 @@
     assert!((2600..=4000).contains(&cores.0) && (90..=270).contains(&short));
 }
 
-// A task leaks memory on a full worker. Left alone it takes its neighbours' memory, and the kernel
-// kills one of them; stopped and started again with the same size, it comes to the same end for ever.
+// A task leaks memory on a full worker. If it kept running, it would take its neighbours' memory,
+// and the kernel would kill one of them. If it were restarted with the same size, this would repeat
+// for ever.
 #[test]
 fn an_outgrown_task_is_raised_or_stopped_and_its_next_attempt_reserves_more() {
     let mut e = Estimates::default();
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -1,4 +1,5 @@
-//! Fair order: heavy callers, weights, wrong estimates, long among short, expiry and bounds.
+//! Fair order: heavy callers, weights, wrong estimates, long among short requests, expiry and
+//! bounds.
 
 mod fake;
 
@@ -19,7 +20,7 @@
 };
 
 const LONG: Duration = ms(400);
-/// The bytes of one random play, the lower half of its seed.
+/// Number of bytes of one random run, which is the lower half of its seed.
 const SIZE: u64 = 4096;
 
 fn item(id: u128, caller: &str, run: Duration) -> Item {
@@ -27,7 +28,7 @@
     Item { id: RequestId(id), ..ask(caller, Time::ZERO, far, run).item }
 }
 
-/// The 95th percentile of the waits of the callers that `who` names.
+/// 95th percentile of the waits of the callers whose names start with `who`.
 fn wait(outcomes: &[Outcome], who: &str) -> Duration {
     let of = |o: &&Outcome| o.item.caller.as_str().starts_with(who);
     let mut waits: Vec<_> = outcomes.iter().filter(of).filter_map(Outcome::wait).collect();
@@ -39,8 +40,8 @@
     Door::Plain(VecDeque::new())
 }
 
-// Two callers send 80% of the load, in all 1.2 times what the workers can do; twenty others send a
-// little each. In first-come order all wait behind the two. In fair order only the two do.
+// The whole load is 1.2 times the capacity: two callers send 80% of it, and twenty others a little
+// each. In first-come order all callers wait behind the two. In fair order only the two wait.
 #[test]
 fn heavy_callers_delay_only_themselves() {
     let until = Time::from_millis(10_000);
@@ -74,8 +75,8 @@
     assert_eq!(served["surveyor"], 8);
 }
 
-// A caller says that its requests run 10 ms, and they run 100 ms; another tells the truth. Were
-// the first charged what it said, it would have ten times the slots of the second.
+// A caller declares 10 ms for requests that run for 100 ms; another declares the true time. If the
+// first were charged what it declared, it would get ten times the slots of the second.
 #[test]
 fn wrong_estimates_buy_nothing() {
     let mut queue = Queue::new(1, Duration::from_secs(1));
@@ -93,8 +94,8 @@
     assert!(ran["liar"] * 2 < ran["honest"] * 3, "{ran:?}");
 }
 
-// One caller has been served alone for long when another of its team comes. Were the second given
-// what it might have had before, it would hold up the first for as long as it was away.
+// One caller has been served alone for long when another one arrives. If the second got the service
+// that it might have had before, it would block the first for as long as it was absent.
 #[test]
 fn time_away_earns_nothing() {
     let mut queue = Queue::new(8, LONG);
@@ -119,9 +120,9 @@
     }
 }
 
-// Models that run two seconds arrive at 1.5 times what the workers can do, among indications that
-// run 20 ms. First come, first served, each indication waits for models to end. Even in fair order
-// all slots may be taken by models when it comes; slots kept for short work are not.
+// Model runs of two seconds arrive at 1.5 times the capacity, among quotes that run for 20 ms. In
+// first-come order each quote waits for models to end. Even in fair order models may occupy all
+// slots when a quote arrives, unless some slots are reserved for short work.
 #[test]
 fn short_work_finds_room_among_long() {
     let until = Time::from_millis(20_000);
@@ -131,10 +132,10 @@
         long.into_iter().chain(short).collect::<Vec<_>>()
     };
     let ours = play(asks(), 16, Door::Fair(Queue::new(16, LONG)));
-    let all_alike = play(asks(), 16, Door::Fair(Queue::new(16, Duration::MAX)));
+    let unreserved = play(asks(), 16, Door::Fair(Queue::new(16, Duration::MAX)));
     let base = play(asks(), 16, plain());
-    let waits = [&ours, &all_alike, &base].map(|outcomes| wait(outcomes, "quotes"));
-    println!("short work waits {waits:?}: ours, no slots kept, plain");
+    let waits = [&ours, &unreserved, &base].map(|outcomes| wait(outcomes, "quotes"));
+    println!("short work waits {waits:?}: ours, no slots reserved, plain");
     assert!(waits[0] < ms(20));
     assert!(waits[1] > ms(100) && waits[2] > ms(2000));
 }
@@ -149,12 +150,12 @@
     }
     let first: Vec<_> = std::iter::from_fn(|| queue.pop(at(0))).map(|i| i.run).collect();
     assert_eq!(first, [ms(10), ms(2000), ms(2000), ms(2000)]);
-    // No short work has come for ten seconds.
+    // No short work has arrived for ten seconds.
     assert!(queue.pop(at(11)).is_some());
     assert!(queue.pop(at(11)).is_none());
 }
 
-// Requests wait while nothing gets free. Those whose deadline can't be met any more are handed out
+// Requests wait while no slot becomes free. Those whose deadline can no longer be met are returned,
 // to be answered at once, and are never started: a start would waste a slot on a late answer.
 #[test]
 fn what_cannot_end_in_time_is_not_started() {
@@ -177,8 +178,8 @@
 fn one_caller_fills_half_the_queue() {
     let mut queue = Queue::new(8, LONG);
     let mut push = |id, caller: &str| queue.push(item(id, caller, ms(10)), Time::ZERO);
-    let held = (0..1000).take_while(|&i| push(i, "heavy").is_ok()).count();
-    assert_eq!(held, 128);
+    let admitted = (0..1000).take_while(|&i| push(i, "heavy").is_ok()).count();
+    assert_eq!(admitted, 128);
     assert_eq!(push(2000, "heavy").expect_err("over").kind(), Kind::OverShare);
     push(2001, "light").expect("room for others");
     let all = (3000..4000).filter(|&i| push(i, &format!("caller{i}")).is_ok()).count();
@@ -186,8 +187,8 @@
     assert_eq!(push(5000, "late").expect_err("full").kind(), Kind::QueueFull);
 }
 
-// Callers push, cancel, start and end in random order. Each request must come out exactly once:
-// started, expired or cancelled; one lost would leave its caller without an answer.
+// Callers push, cancel, start and end requests in random order. Each request must be returned
+// exactly once: started, expired or cancelled. A lost one would leave its caller without an answer.
 #[test]
 fn each_request_comes_out_once() {
     let play = |u: &mut arbtest::arbitrary::Unstructured<'_>| {
--- a/tests/gang_claim.rs
+++ b/tests/gang_claim.rs
@@ -1,4 +1,4 @@
-//! The claims by which gangs get their room on the racks of several owners.
+//! The claims with which gangs reserve their room on the racks of several owners.
 
 use {
     dogwoodreach::{
@@ -24,17 +24,17 @@
     WorkerId::from(&*format!("w{n}"))
 }
 
-/// A message under way between a gang's member and a rack's owner.
+/// A message in flight between a gang's member and a rack's owner.
 enum Message {
     Reserve { gang: usize, rack: usize, hold: Duration, round: u32 },
     Reply { gang: usize, rack: usize, round: u32, granted: bool },
 }
 
-/// Gangs of several members on racks of several owners; each rack has one worker.
+/// Simulates gangs of several members on racks of several owners; each rack has one worker.
 struct Owners {
     ledgers: Vec<Ledger>,
     claims: Vec<(Claim, Vec<usize>)>,
-    again: BTreeMap<usize, Time>,
+    retries: BTreeMap<usize, Time>,
     ends: BTreeMap<usize, Time>,
     messages: Vec<Message>,
     done: usize,
@@ -57,7 +57,7 @@
         };
         Owners {
             ledgers: (0..racks).map(|_| ledger()).collect(),
-            again: (0..gangs.len()).map(|g| (g, Time::ZERO)).collect(),
+            retries: (0..gangs.len()).map(|g| (g, Time::ZERO)).collect(),
             claims: gangs.into_iter().map(|racks| (Claim::new(Time::ZERO), racks)).collect(),
             ends: BTreeMap::new(),
             messages: Vec::new(),
@@ -65,11 +65,11 @@
         }
     }
 
-    fn obey(&mut self, gang: usize, order: Order, now: Time) {
+    fn execute(&mut self, gang: usize, order: Order, now: Time) {
         let number = |r: &RackId| (0..self.ledgers.len()).find(|n| rack(*n) == *r);
         match order {
             Order::Reserve(r, hold, round) => {
-                let rack = number(&r).expect("it is known");
+                let rack = number(&r).expect("a known rack");
                 self.messages.push(Message::Reserve { gang, rack, hold, round });
             }
             Order::Start => {
@@ -79,11 +79,11 @@
                 }
                 self.ends.insert(gang, now + Duration::from_secs(3));
             }
-            Order::Release(racks, again) => {
+            Order::Release(racks, retry_at) => {
                 for r in racks.iter().filter_map(number).collect::<Vec<_>>() {
                     self.ledgers[r].release(&task(gang), Attempt(1), now);
                 }
-                self.again.insert(gang, again);
+                self.retries.insert(gang, retry_at);
             }
             Order::Nothing => {}
         }
@@ -105,7 +105,7 @@
                 } else {
                     claim.refused(&rack(r), round, now, rng)
                 };
-                self.obey(gang, order, now);
+                self.execute(gang, order, now);
             }
         }
     }
@@ -120,14 +120,14 @@
                     self.ledgers[*r].release(&task(gang), Attempt(1), now);
                 }
             }
-            if self.again.get(&gang).is_some_and(|at| *at <= now) {
-                self.again.remove(&gang);
+            if self.retries.get(&gang).is_some_and(|at| *at <= now) {
+                self.retries.remove(&gang);
                 let racks = self.claims[gang].1.iter().map(|r| rack(*r)).collect();
                 let order = self.claims[gang].0.begin(racks, now);
-                self.obey(gang, order, now);
+                self.execute(gang, order, now);
             }
             let order = self.claims[gang].0.tick(now, rng);
-            self.obey(gang, order, now);
+            self.execute(gang, order, now);
         }
         for _ in 0..rng.usize(0..6).min(self.messages.len()) {
             let message = self.messages.swap_remove(rng.usize(0..self.messages.len()));
@@ -139,8 +139,8 @@
 }
 
 /// The greedy baseline: each gang takes its racks in an order of its own and keeps what it has.
-/// Returns how many have run.
-fn greedy_done(gangs: &[Vec<usize>], racks: usize, rng: &mut fastrand::Rng) -> usize {
+/// Returns the number of gangs that have run.
+fn run_greedy(gangs: &[Vec<usize>], racks: usize, rng: &mut fastrand::Rng) -> usize {
     let mut orders = gangs.to_vec();
     orders.iter_mut().for_each(|o| rng.shuffle(o));
     let (mut holders, mut got) = (vec![None; racks], vec![0; gangs.len()]);
@@ -157,8 +157,8 @@
     (0..gangs.len()).filter(|g| got[*g] == gangs[*g].len()).count()
 }
 
-// Two gangs wait for each other for ever: each holds the room on one rack that the other needs.
-// Greedy ones take what they get in their own order and keep it.
+// Two gangs can deadlock, if each holds the room on one rack that the other needs. Greedy gangs
+// take what they get in their own order and keep it.
 #[test]
 fn gangs_on_the_racks_of_several_owners_all_run() {
     let mut stuck = 0;
@@ -172,7 +172,7 @@
             gangs.push(wanted.into_iter().collect());
         }
         let count = gangs.len();
-        stuck += count - greedy_done(&gangs, racks, &mut rng);
+        stuck += count - run_greedy(&gangs, racks, &mut rng);
         let mut owners = Owners::new(racks, gangs);
         for now in 0..24_000 {
             owners.step(Time::from_millis(now * 25), &mut rng);
@@ -184,8 +184,9 @@
     assert!(stuck > 0);
 }
 
-// Half a gang runs. An owner's answer is so late that the gang has given up, released all and asked
-// again; counted for the new round, it would stand for room that nobody holds.
+// An owner's answer arrives so late that the gang has given up, released all racks and asked again.
+// If it counted for the new round, it would stand for room that is not reserved, and half a gang
+// would run.
 #[test]
 fn a_late_answer_of_a_former_round_does_not_count() {
     let mut rng = fastrand::Rng::with_seed(1);
@@ -193,27 +194,29 @@
     let racks = vec![rack(1), rack(0)];
     let hold = Duration::from_secs(5);
     assert_eq!(claim.begin(racks.clone(), secs(0)), Order::Reserve(rack(0), hold, 0));
-    let Order::Release(held, again) = claim.tick(secs(5), &mut rng) else { panic!("it is over") };
-    assert!(held == [rack(0)] && again > secs(5));
+    let Order::Release(held, next) = claim.tick(secs(5), &mut rng) else {
+        panic!("it has expired")
+    };
+    assert!(held == [rack(0)] && next > secs(5));
     assert_eq!(claim.begin(racks, secs(6)), Order::Reserve(rack(0), hold, 1));
     assert_eq!(claim.granted(&rack(0), 0, secs(7)), Order::Nothing);
     let next = Order::Reserve(rack(1), Duration::from_secs(4), 1);
     assert_eq!(claim.granted(&rack(0), 1, secs(7)), next);
     assert_eq!(claim.granted(&rack(1), 1, secs(11)), Order::Nothing, "too late to start");
-    let Order::Release(held, _) = claim.tick(secs(11), &mut rng) else { panic!("it is over") };
+    let Order::Release(held, _) = claim.tick(secs(11), &mut rng) else { panic!("it has expired") };
     assert_eq!(held, [rack(0), rack(1)]);
 }
 
 #[test]
 fn a_gang_that_has_waited_longer_comes_back_sooner() {
-    let again = |since: u64, round: u32, seed: u64| {
+    let back_off = |since: u64, round: u32, seed: u64| {
         let (mut rng, mut claim) = (fastrand::Rng::with_seed(seed), Claim::new(secs(since)));
         let mut at = secs(300);
         for n in 0..=round {
             claim.begin(vec![rack(0)], at);
             let now = at;
             let order = claim.refused(&rack(0), n, now, &mut rng);
-            let Order::Release(_, next) = order else { panic!("it was refused") };
+            let Order::Release(_, next) = order else { panic!("a refused claim must be released") };
             at = next;
             if n == round {
                 return at - now;
@@ -222,8 +225,8 @@
         Duration::ZERO
     };
     for seed in 0..50 {
-        assert!(again(0, 5, seed) < again(290, 5, seed + 50) / 2);
-        assert!(again(290, 3, seed) > again(290, 0, seed));
-        assert!(again(290, 12, seed) <= Duration::from_secs(10));
+        assert!(back_off(0, 5, seed) < back_off(290, 5, seed + 50) / 2);
+        assert!(back_off(290, 3, seed) > back_off(290, 0, seed));
+        assert!(back_off(290, 12, seed) <= Duration::from_secs(10));
     }
 }
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -1,4 +1,5 @@
-//! Calls for advice over the members: bursts, long among short, members that are slow or cut off.
+//! Distribution of calls for advice over the members: bursts, long among short calls, slow and
+//! cut-off members.
 
 use {
     dogwoodreach::{
@@ -11,29 +12,30 @@
 };
 
 const MEMBERS: u64 = 7;
-/// To the service and back.
-const WAY: u64 = 5;
-/// How long a caller waits for an answer beyond what it expects, in milliseconds.
-const LIMIT: u64 = 2000;
-const SHORT: u64 = 13;
-const LONG: u64 = 840;
+/// Round trip to the service, in milliseconds.
+const ROUND_TRIP_MS: u64 = 5;
+/// How long beyond the expected time a caller waits for an answer, in milliseconds.
+const SLACK_MS: u64 = 2000;
+const SHORT_MS: u64 = 13;
+const LONG_MS: u64 = 840;
 
-/// The service, and who calls: ours, or each member in turn as the baseline.
+/// Simulates the service. The calling members are chosen by `Lanes` if `ours`, and otherwise in
+/// rotation as the baseline.
 struct Fake {
     ours: bool,
-    /// How many times as long a member's calls take; 0 is never answered.
+    /// Factor by which a member's calls take longer; 0 means that they are never answered.
     slow: [u64; MEMBERS as usize],
     rng: Rng,
 }
 
 #[derive(Default)]
-struct Seen {
-    /// From coming to being answered, in milliseconds, of short and of long calls.
+struct Results {
+    /// Time from arrival to answer, in milliseconds, of short and of long calls.
     short: Vec<u64>,
     long: Vec<u64>,
-    /// The most calls that waited at one member.
+    /// Largest number of calls that waited at one member.
     deepest: usize,
-    /// When the last was answered.
+    /// Time of the last answer, in milliseconds.
     end: u64,
 }
 
@@ -41,7 +43,7 @@
     call: (u64, u64),
     via: u64,
     sent: Time,
-    /// When it is answered or given up.
+    /// Time when it is answered or given up.
     end: u64,
     answered: bool,
 }
@@ -61,23 +63,25 @@
         Fake { ours, slow: [1; MEMBERS as usize], rng: Rng::with_seed(11) }
     }
 
-    /// Plays calls, each with when it comes and what it costs, until all are answered.
-    fn play(mut self, calls: &[(u64, u64)]) -> Seen {
-        let (mut lanes, mut seen) = (lanes(MEMBERS), Seen::default());
-        let (mut free, mut turn) = ([0; MEMBERS as usize], 0);
+    /// Plays calls, given by their arrival time and cost in milliseconds, until all are answered.
+    fn play(mut self, calls: &[(u64, u64)]) -> Results {
+        let (mut lanes, mut results) = (lanes(MEMBERS), Results::default());
+        let (mut free, mut rotation) = ([0; MEMBERS as usize], 0);
         let (mut coming, mut waiting) = (calls.to_vec(), Vec::new());
-        let mut out: Vec<Sent> = Vec::new();
+        let mut in_flight: Vec<Sent> = Vec::new();
         coming.sort_by_key(|c| std::cmp::Reverse(*c));
         let mut t = 0;
-        while !(coming.is_empty() && waiting.is_empty() && out.is_empty()) && t < 300_000 {
+        while !(coming.is_empty() && waiting.is_empty() && in_flight.is_empty()) && t < 300_000 {
             let now = Time::from_millis(t);
-            while let Some(s) = out.iter().position(|s| s.end <= t).map(|i| out.swap_remove(i)) {
+            while let Some(s) =
+                in_flight.iter().position(|s| s.end <= t).map(|i| in_flight.swap_remove(i))
+            {
                 lanes.done(Incarnation(s.via), s.sent, s.answered, now);
                 if s.answered {
                     let (at, cost) = s.call;
-                    let kind = if cost > 200 { &mut seen.long } else { &mut seen.short };
+                    let kind = if cost > 200 { &mut results.long } else { &mut results.short };
                     kind.push(t - at);
-                    seen.end = t;
+                    results.end = t;
                 } else {
                     waiting.push(s.call);
                 }
@@ -90,239 +94,246 @@
                 let via = if self.ours {
                     lanes.pick(ms(cost), due, now).map(|(m, _)| m.0)
                 } else {
-                    turn += 1;
-                    Some(turn % MEMBERS)
+                    rotation += 1;
+                    Some(rotation % MEMBERS)
                 };
                 let Some(via) = via else { return true };
                 let lane = &mut free[via as usize];
                 let slow = self.slow[via as usize];
-                let took = cost * slow * self.rng.u64(80..120) / 100;
-                *lane = t.max(*lane) + took;
-                let end = if slow == 0 { t + cost + LIMIT } else { *lane + WAY };
-                out.push(Sent { call: (at, cost), via, sent: now, end, answered: slow > 0 });
+                let duration = cost * slow * self.rng.u64(80..120) / 100;
+                *lane = t.max(*lane) + duration;
+                let end = if slow == 0 { t + cost + SLACK_MS } else { *lane + ROUND_TRIP_MS };
+                in_flight.push(Sent { call: (at, cost), via, sent: now, end, answered: slow > 0 });
                 false
             });
             for m in 0..MEMBERS {
-                seen.deepest = seen.deepest.max(out.iter().filter(|s| s.via == m).count());
+                results.deepest =
+                    results.deepest.max(in_flight.iter().filter(|s| s.via == m).count());
             }
             t += 1;
         }
-        assert_eq!(seen.short.len() + seen.long.len(), calls.len(), "all are answered");
-        seen.short.sort();
-        seen.long.sort();
-        seen
+        assert_eq!(results.short.len() + results.long.len(), calls.len(), "all calls are answered");
+        results.short.sort();
+        results.long.sort();
+        results
     }
 }
 
-/// The value below which 99 of 100 lie.
+/// The 99th percentile.
 fn p99(sorted: &[u64]) -> u64 {
     sorted[(sorted.len() * 99 / 100).min(sorted.len() - 1)]
 }
 
-/// Calls over so many seconds: short ones at a rate, and long ones.
+/// Generates calls over a number of seconds, with the given rates of short and long ones per
+/// second.
 fn load(seconds: u64, short: u64, long: u64) -> Vec<(u64, u64)> {
     let mut rng = Rng::with_seed(3);
     let mut all = Vec::new();
-    for (rate, cost) in [(short, SHORT), (long, LONG)] {
+    for (rate, cost) in [(short, SHORT_MS), (long, LONG_MS)] {
         all.extend((0..rate * seconds).map(|_| (rng.u64(..seconds * 1000), cost)));
     }
     all
 }
 
-/// Plays ours and the baseline, with members slowed as told.
-fn both(calls: &[(u64, u64)], slow: &[(usize, u64)]) -> [Seen; 2] {
+/// Plays the calls with `Lanes` and with the baseline, with members slowed by the given factors.
+fn compare(calls: &[(u64, u64)], slow: &[(usize, u64)]) -> [Results; 2] {
     [true, false].map(|ours| {
         let mut fake = Fake::new(ours);
         slow.iter().for_each(|&(m, by)| fake.slow[m] = by);
-        let seen = fake.play(calls);
-        let (s, l) = (p99(&seen.short), seen.long.last().copied().unwrap_or(0));
-        println!("ours {ours}: short p99 {s}, long at most {l}, deepest {}", seen.deepest);
-        seen
+        let results = fake.play(calls);
+        let (s, l) = (p99(&results.short), results.long.last().copied().unwrap_or(0));
+        println!("ours {ours}: short p99 {s}, long at most {l}, deepest {}", results.deepest);
+        results
     })
 }
 
-// Four long calls a second beside 40 short ones: the few make up nine tenths of the work. Given out
-// in turn, a short call meets a long one at most members and waits for most of a second.
+// Four long calls per second beside 40 short ones make up nine tenths of the work. In rotation, a
+// short call meets a long one at most members and waits for most of a second.
 #[test]
 fn short_calls_do_not_wait_behind_long_ones() {
-    let [ours, turns] = both(&load(20, 40, 4), &[]);
+    let [ours, baseline] = compare(&load(20, 40, 4), &[]);
     assert!(p99(&ours.short) <= 60, "{}", p99(&ours.short));
-    assert!(p99(&turns.short) > 800);
+    assert!(p99(&baseline.short) > 800);
 }
 
-// 300 short calls come at once, as a storm of small jobs makes them. Given out all at once, 43 wait
-// at each member, where the service refuses beyond 32.
+// 300 short calls arrive at once, as from a storm of small jobs. If all were made at once, 43 would
+// wait at each member, while the service refuses more than 32.
 #[test]
 fn burst_stays_within_what_the_service_takes() {
-    let [ours, turns] = both(&[(0, SHORT); 300], &[]);
+    let [ours, baseline] = compare(&[(0, SHORT_MS); 300], &[]);
     assert_eq!(ours.deepest, 2);
-    assert!(turns.deepest > 32);
-    // 300 x 13 ms over 7 lanes are 557 ms.
+    assert!(baseline.deepest > 32);
+    // 300 calls of 13 ms on 7 lanes take 557 ms.
     assert!(ours.end <= 700, "{}", ours.end);
 }
 
-// One member's way to the service takes eight times as long. In turn it gets a seventh of all calls
-// and falls ever further behind.
+// One member's link to the service takes eight times as long. In rotation it gets a seventh of all
+// calls and falls ever further behind.
 #[test]
 fn slow_member_gets_less() {
-    let [ours, turns] = both(&load(20, 150, 0), &[(0, 8)]);
+    let [ours, baseline] = compare(&load(20, 150, 0), &[(0, 8)]);
     assert!(p99(&ours.short) <= 130, "{}", p99(&ours.short));
-    assert!(p99(&turns.short) > 1000);
+    assert!(p99(&baseline.short) > 1000);
 }
 
-// One member is cut off: nothing that it is given is answered, and it seems never to be busy. Each
-// call that goes there costs its task two seconds.
+// One member is cut off: none of its calls is answered, so it never seems busy. Each call through
+// it costs its task two seconds.
 #[test]
 fn silent_member_is_set_aside() {
-    let [ours, turns] = both(&load(20, 100, 0), &[(0, 0)]);
-    let lost = |s: &Seen| s.short.iter().filter(|&&t| t > LIMIT).count();
-    println!("calls that lost two seconds: {} {}", lost(&ours), lost(&turns));
+    let [ours, baseline] = compare(&load(20, 100, 0), &[(0, 0)]);
+    let lost = |s: &Results| s.short.iter().filter(|&&t| t > SLACK_MS).count();
+    println!("calls delayed by two seconds: {} {}", lost(&ours), lost(&baseline));
     assert!(lost(&ours) <= 10, "{}", lost(&ours));
-    assert!(lost(&turns) > 200);
+    assert!(lost(&baseline) > 200);
 }
 
-// Long calls alone ask for more than all lanes do. The short ones among them must not notice, and
-// the five lanes that long ones may have must stay at work.
+// The long calls alone exceed the capacity of all lanes. They must not delay the short calls among
+// them, and the five lanes that may have long calls must stay in use.
 #[test]
 fn saturation_by_long_calls_leaves_short_ones_alone() {
-    let [ours, turns] = both(&load(20, 40, 9), &[]);
+    let [ours, baseline] = compare(&load(20, 40, 9), &[]);
     assert!(p99(&ours.short) <= 60, "{}", p99(&ours.short));
-    assert!(p99(&turns.short) > 1500);
-    // 180 x 840 ms over 5 lanes are 30.2 s.
+    assert!(p99(&baseline.short) > 1500);
+    // 180 calls of 840 ms on 5 lanes take 30.2 s.
     assert!(ours.end <= 33_000, "{}", ours.end);
 }
 
-// All calls go unanswered for a while, as when the service is down. If all lanes were out for 8 s
-// then, nothing would be advised for 8 s after it is back.
+// All calls go unanswered for a while, because the service is down. If all lanes were suspended for
+// 8 s, there would be no advice for 8 s after the service is up again.
 #[test]
 fn all_silent_are_still_tried() {
     let mut lanes = lanes(3);
     for t in 0..30 {
         let now = Time::from_millis(t);
-        if let Some((via, _)) = lanes.pick(ms(SHORT), now, now) {
+        if let Some((via, _)) = lanes.pick(ms(SHORT_MS), now, now) {
             lanes.done(via, now, false, now + ms(1));
         }
     }
     let now = Time::from_millis(31);
     for _ in 0..3 {
-        assert!(lanes.pick(ms(SHORT), now, now).is_some(), "still tried");
+        assert!(lanes.pick(ms(SHORT_MS), now, now).is_some(), "still tried");
     }
-    assert_eq!(lanes.pick(ms(SHORT), now, now), None, "each with one call");
+    assert_eq!(lanes.pick(ms(SHORT_MS), now, now), None, "with one call each");
 }
 
 #[test]
 fn one_lane_takes_all_kinds() {
     let mut lanes = lanes(1);
     let now = Time::ZERO;
-    assert!(lanes.pick(ms(LONG), now, now).is_some());
+    assert!(lanes.pick(ms(LONG_MS), now, now).is_some());
     assert_eq!(
-        lanes.pick(ms(SHORT), now, now),
-        Some((Incarnation(0), Time::from_millis(LONG + SHORT)))
+        lanes.pick(ms(SHORT_MS), now, now),
+        Some((Incarnation(0), Time::from_millis(LONG_MS + SHORT_MS)))
     );
-    assert_eq!(lanes.pick(ms(SHORT), now, now), None);
+    assert_eq!(lanes.pick(ms(SHORT_MS), now, now), None);
     lanes.members(&Peers { own: vec![Incarnation(0), Incarnation(1)], shared: vec![] });
-    assert_eq!(lanes.busy(Incarnation(0)), 2, "what is known is kept");
-    assert_eq!(lanes.pick(ms(SHORT), now, now).map(|p| p.0), Some(Incarnation(1)));
+    assert_eq!(lanes.busy(Incarnation(0)), 2, "the state of a member is kept");
+    assert_eq!(lanes.pick(ms(SHORT_MS), now, now).map(|p| p.0), Some(Incarnation(1)));
 }
 
-/// Lanes of own members 0 and 1 and shared ones 2 and 3, and the long call that one of them turns away.
-fn turned(lanes: &mut Lanes, now: Time) -> Option<u64> {
-    let (via, _) = lanes.pick(ms(LONG), now, now)?;
+/// Picks a member for a long call and rejects the call; returns the member.
+fn reject_one(lanes: &mut Lanes, now: Time) -> Option<u64> {
+    let (via, _) = lanes.pick(ms(LONG_MS), now, now)?;
     lanes.turned_away(via, now, now + ms(1));
     Some(via.0)
 }
 
 #[test]
 fn member_that_turned_a_call_away_comes_after_others() {
-    // Story: a member that others use as well is full of their calls. By the own calls alone it is idle,
-    // so that it was picked again and again, before own members.
+    // A member that other callers use as well is full of their calls. Judged by the caller's own
+    // calls alone it would be idle, and so would be picked again and again, before unshared
+    // members.
     let mut lanes = Lanes::new();
     let of = |range: std::ops::Range<u64>| range.map(Incarnation).collect();
     lanes.members(&Peers { own: of(0..2), shared: of(2..4) });
     let now = Time::ZERO;
-    assert_eq!(turned(&mut lanes, now), Some(2));
-    assert_eq!(lanes.total(), 0, "it was not made");
-    assert_eq!(turned(&mut lanes, now + ms(5)), Some(3), "at once through the next");
-    let (own, end) = lanes.pick(ms(LONG), now, now + ms(10)).expect("an own one");
-    assert_eq!((own.0, end), (0, now + ms(10 + LONG)));
-    let (short, _) = lanes.pick(ms(SHORT), now, now + ms(12)).expect("an own one");
+    assert_eq!(reject_one(&mut lanes, now), Some(2));
+    assert_eq!(lanes.total(), 0, "a rejected call doesn't count");
+    assert_eq!(reject_one(&mut lanes, now + ms(5)), Some(3), "the next member is tried at once");
+    let (own, end) = lanes.pick(ms(LONG_MS), now, now + ms(10)).expect("an unshared member");
+    assert_eq!((own.0, end), (0, now + ms(10 + LONG_MS)));
+    let (short, _) = lanes.pick(ms(SHORT_MS), now, now + ms(12)).expect("an unshared member");
     assert_eq!(short.0, 1);
-    // Its bound of long calls is reached, the others are busy for 1.5 s from when they said so.
+    // The limit of long calls on unshared members is reached, and the shared members count as busy
+    // for 1.5 s after their rejections.
     lanes.done(own, now + ms(10), true, now + ms(20));
     let later = now + ms(1_501);
-    assert_eq!(lanes.pick(ms(LONG), later, later).map(|p| p.0), Some(Incarnation(2)));
+    assert_eq!(lanes.pick(ms(LONG_MS), later, later).map(|p| p.0), Some(Incarnation(2)));
 }
 
 #[test]
 fn where_all_turn_calls_away_they_are_asked_now_and_then() {
-    // Story: all members are full of the calls of others, and a hundred steps wait for advice. Each that
-    // is turned away asks at once through the next: thousands of calls a second that come to nothing.
+    // All members are full of other callers' calls, and a hundred steps wait for advice. If each
+    // rejected step asked the next member at once, there would be thousands of futile calls per
+    // second.
     let mut lanes = lanes(8);
     let mut count = 0;
     for t in 0..3_000 {
         let now = Time::from_millis(t);
-        while count < 1_000 && turned(&mut lanes, now).is_some() {
+        while count < 1_000 && reject_one(&mut lanes, now).is_some() {
             count += 1;
         }
     }
-    // All 8 at first; then one each 150 ms.
+    // All 8 members at first, then one call every 150 ms.
     assert!((20..=8 + 3_000 / 150).contains(&count), "{count}");
-    // Patience grows by what each is known to have ahead.
+    // The expected answer is later by the calls that each member is known to have ahead.
     let now = Time::from_millis(3_200);
-    let (_, end) = lanes.pick(ms(LONG), now, now).expect("a try");
-    assert!(end > now + ms(LONG), "{end}");
+    let (_, end) = lanes.pick(ms(LONG_MS), now, now).expect("a member to try");
+    assert!(end > now + ms(LONG_MS), "{end}");
 }
 
 #[test]
 fn callers_that_know_nothing_of_each_other_do_not_meet() {
-    // Story: four owners call for advice; one of them makes long calls all the time, and the short
-    // ones of the others came behind these. Those avoided each member that had been late, so that
-    // soon the calls met everywhere, and an eighth of the short tasks of a quiet day were late.
+    // Four owners call for advice. One of them makes long calls all the time, and the short calls
+    // of the others queue behind these. If each owner then avoided every member that had been late,
+    // the calls would soon collide everywhere; an eighth of the short tasks of a quiet day were
+    // late.
     let part = |n: u64| (n * 4..n * 4 + 4).map(Incarnation);
     let peers = |n: u64| Peers {
         own: part(n).take(2).collect(),
         shared: (n..4).chain(0..n).flat_map(|n| part(n).skip(2)).collect(),
     };
-    // Each caller has all members as its own: the plain way.
+    // Baseline: each caller may use all members for all calls.
     let plain = |n: u64| Peers { own: (n..4).chain(0..n).flat_map(part).collect(), shared: vec![] };
-    let ours = meet([0, 1, 2, 3].map(peers));
-    let baseline = meet([0, 1, 2, 3].map(plain));
+    let ours = short_call_p99([0, 1, 2, 3].map(peers));
+    let baseline = short_call_p99([0, 1, 2, 3].map(plain));
     assert!(ours < 60, "{ours} ms");
     assert!(baseline > 500, "{baseline} ms");
 }
 
-/// How long the short calls of three callers take, at the 99th of 100, while a fourth makes long ones.
-fn meet(peers: [Peers; 4]) -> u64 {
+/// Returns the 99th percentile of the time of the short calls of three callers, while a fourth
+/// makes long calls.
+fn short_call_p99(peers: [Peers; 4]) -> u64 {
     let mut callers = peers.map(|p| {
         let mut lanes = Lanes::new();
         lanes.members(&p);
         lanes
     });
-    let (mut busy, mut out, mut waiting) = ([0; 16], Vec::new(), Vec::new());
+    let (mut busy, mut in_flight, mut waiting) = ([0; 16], Vec::new(), Vec::new());
     let (mut short, mut rng) = (Vec::new(), Rng::with_seed(5));
     for t in 0..20_000 {
         let now = Time::from_millis(t);
         for caller in 0..4 {
-            let (each, cost) = if caller == 3 { (170, LONG * 2) } else { (40, SHORT * 2) };
+            let (each, cost) = if caller == 3 { (170, LONG_MS * 2) } else { (40, SHORT_MS * 2) };
             if rng.u64(..each) == 0 {
                 waiting.push((caller, t, cost));
             }
         }
-        out.retain(|&(caller, via, sent, end): &(usize, Incarnation, Time, u64)| {
+        in_flight.retain(|&(caller, via, sent, end): &(usize, Incarnation, Time, u64)| {
             if end <= t {
                 callers[caller].done(via, sent, true, now);
             }
             end > t
         });
-        waiting.retain(|&(caller, came, cost)| {
+        waiting.retain(|&(caller, arrived_at, cost)| {
             let Some((via, _)) = callers[caller].pick(ms(cost), now + ms(5_000), now) else {
                 return true;
             };
             let free = &mut busy[via.0 as usize];
             *free = t.max(*free) + cost;
-            out.push((caller, via, now, *free));
+            in_flight.push((caller, via, now, *free));
             if caller < 3 {
-                short.push(*free - came);
+                short.push(*free - arrived_at);
             }
             false
         });
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,4 +1,4 @@
-//! Whose task is next, against first come, first served; and urgent work.
+//! Order of waiting tasks, compared with first come, first served; and preemption by urgent work.
 
 use {
     dogwoodreach::{
@@ -38,7 +38,7 @@
     }
 }
 
-/// Slots that play jobs in virtual time, by `Order` or first come, first served.
+/// Simulates slots that run jobs in virtual time, by `Order` or first come, first served.
 struct Fake {
     order: Order,
     quotas: Quotas,
@@ -46,7 +46,7 @@
     runs: BTreeMap<JobId, Duration>,
     ends: BinaryHeap<Reverse<(Time, TaskId)>>,
     slots: usize,
-    over: BTreeMap<JobId, Time>,
+    finished_at: BTreeMap<JobId, Time>,
     starts: Vec<(Time, TaskId)>,
 }
 
@@ -63,7 +63,7 @@
             runs: BTreeMap::new(),
             ends: BinaryHeap::new(),
             slots,
-            over: BTreeMap::new(),
+            finished_at: BTreeMap::new(),
             starts: Vec::new(),
         }
     }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Plays until `end`, when the next tasks to end are left running.
+    /// Plays until `end` and leaves the tasks running that end later.
     fn play(&mut self, mut now: Time, end: Time) {
         self.fill(now);
         while let Some(Reverse((at, _))) = self.ends.peek() {
@@ -107,7 +107,7 @@
                 let Some(Reverse((_, task))) = self.ends.pop() else { break };
                 self.quotas.ended(&task);
                 self.order.ended(now, &task, &mut self.quotas);
-                self.over.insert(task.job, now);
+                self.finished_at.insert(task.job, now);
             }
             self.fill(now);
         }
@@ -120,8 +120,9 @@
     }
 }
 
-// One team submits 5,000 tasks in the evening; a branch's batch of 200 comes a minute later and must be
-// over by the ministry's hour. First come, first served, it is over after the 5,000, eight hours late.
+// One team submits 5,000 tasks in the evening. A branch's batch of 200 arrives a minute later and
+// must end before a fixed hour. First come, first served, it ends after the 5,000, eight hours
+// late.
 #[test]
 fn a_branchs_batch_is_over_before_the_ministrys_hour() {
     let hour = minutes(120);
@@ -130,7 +131,7 @@
         f.push(Time::ZERO, job("big", "big", 5000, 10));
         f.push(minutes(1), Job { deadline: hour, ..job("branch", "branch", 200, 10) });
         f.play(minutes(1), minutes(2000));
-        f.over[&"branch".into()]
+        f.finished_at[&"branch".into()]
     };
     let (fair, first) = (play(true), play(false));
     println!(
@@ -141,8 +142,9 @@
     assert!(fair <= hour && first > hour);
 }
 
-// Within one team: a long batch with a far deadline came first, a short one has a near deadline, and
-// both could be in time. By arrival the short one is late. A corrected run time moves a job forward.
+// In one team, a long batch with a far deadline arrived first, and a short batch has a near
+// deadline; both could be in time. In order of arrival the short one is late. A corrected run time
+// moves a job forward.
 #[test]
 fn least_slack_goes_first_within_a_team_by_corrected_run_times() {
     let play = |fair, run| {
@@ -155,13 +157,16 @@
         f
     };
     let (fair, first) = (play(true, 10), play(false, 10));
-    assert!(fair.over[&"near".into()] <= minutes(60) && first.over[&"near".into()] > minutes(60));
-    assert!(fair.over[&"far".into()] <= minutes(230));
-    assert_eq!(play(true, 20).starts[0].1.job, "far".into(), "twice the work has no slack");
+    assert!(
+        fair.finished_at[&"near".into()] <= minutes(60)
+            && first.finished_at[&"near".into()] > minutes(60)
+    );
+    assert!(fair.finished_at[&"far".into()] <= minutes(230));
+    assert_eq!(play(true, 20).starts[0].1.job, "far".into(), "with twice the work it goes first");
 }
 
-// A batch waits while another team's work runs, until by its estimate it can't be over in time. By
-// slack it would still go first, and make the batch behind it late as well.
+// A batch waits while another team's work runs, until by its estimate it can no longer be in time.
+// By slack it would still go first, and make the batch behind it late as well.
 #[test]
 fn a_batch_that_has_lost_its_deadline_does_not_make_the_next_one_late() {
     let play = |fair| {
@@ -171,13 +176,13 @@
         f.push(Time::ZERO, Job { deadline: minutes(60), width: 10, ..job("t", "lost", 40, 10) });
         f.push(Time::ZERO, Job { deadline: minutes(100), width: 10, ..job("t", "near", 40, 10) });
         f.play(Time::ZERO, minutes(1000));
-        (f.over[&"lost".into()], f.over[&"near".into()])
+        (f.finished_at[&"lost".into()], f.finished_at[&"near".into()])
     };
     assert_eq!((play(true), play(false).1), ((minutes(110), minutes(70)), minutes(110)));
 }
 
-// Weights 3 and 1, both with more work than fits. Fair shares must follow the weights, not how many
-// tasks each submits; first come, first served gives all to the first.
+// Two teams with weights 3 and 1 both have more work than fits. The shares must follow the weights,
+// not the number of submitted tasks; first come, first served gives all slots to the first team.
 #[test]
 fn shares_follow_the_weights() {
     let play = |fair| {
@@ -193,8 +198,8 @@
     assert_eq!(first, (100, 0));
 }
 
-// A team holds much of the cell by its services, so its share is never the least while others have
-// work all day, and its batch would wait for ever. By age it gets its part of the starts.
+// A team's services occupy much of the cell, so its share is never the least while others have work
+// all day, and its batch would wait for ever. The starts by age must serve it.
 #[test]
 fn a_team_with_a_great_share_is_not_starved() {
     let mut f = Fake::new(100, true, &[("held", 100, 1), ("busy", 100, 1)]);
@@ -203,14 +208,15 @@
     f.push(Time::ZERO, job("held", "held-batch", 10, 1));
     f.push(Time::ZERO, job("busy", "busy", 40_000, 1));
     f.play(Time::ZERO, minutes(1000));
-    let waited = f.over[&"held-batch".into()];
+    let waited = f.finished_at[&"held-batch".into()];
     println!("batch of a team with a great share over after {} min", waited.0 / 60_000_000);
-    // All slots of the fake end in the same instants, one a minute, and each gives one start by age.
+    // All simulated tasks end at the same instants, one per minute, and each instant gives one
+    // start by age.
     assert!(waited <= minutes(240 + 12));
 }
 
-// In one team, dated jobs come without end and each is close to its deadline, or past it. An undated
-// job must still run within its patience, and a higher priority one earlier.
+// In one team, jobs with deadlines arrive without end, each close to its deadline or past it. A job
+// without deadline must still run within its patience, and one of higher priority earlier.
 #[test]
 fn dated_work_does_not_starve_undated_work_of_its_team() {
     let mut f = Fake::new(1, true, &[("t", 1, 1)]);
@@ -222,13 +228,13 @@
         f.play(now, now);
     }
     f.play(minutes(300), minutes(1000));
-    let (last, first) = (f.over[&"undated".into()], f.over[&"preferred".into()]);
+    let (last, first) = (f.finished_at[&"undated".into()], f.finished_at[&"preferred".into()]);
     println!("undated {} min, preferred {} min", last.0 / 60_000_000, first.0 / 60_000_000);
     assert!(last > first && last <= minutes(2 * 240 + 2) && first <= minutes(2 * 60 + 2));
 }
 
-// A large task waits for its team's own quota; small ones of the same team come without end. If they
-// took what frees, the large one would never run.
+// A large task waits for its team's own quota, and small ones of the same team arrive without end.
+// If they took the quota as it is freed, the large one would never run.
 #[test]
 fn small_tasks_do_not_take_the_room_that_a_large_one_waits_for() {
     let mut f = Fake::new(100, true, &[("t", 10, 1), ("idle", 4, 1)]);
@@ -246,8 +252,9 @@
     );
 }
 
-/// 16 workers of 16 cores, full: each runs a service, a gang's member, a long batch task that can't be
-/// checkpointed, and two that can, one of them borrowed and one started of late.
+/// Returns 16 full workers of 16 cores. Each runs a service, a gang member, a long batch task that
+/// can't be checkpointed, and two tasks that can. On every second worker one of the two uses
+/// borrowed quota.
 fn full_cell(now: Time) -> Vec<Place> {
     let mut rng = fastrand::Rng::with_seed(9);
     let task = |w: u32, i| TaskId { job: format!("w{w}").as_str().into(), index: TaskIndex(i) };
@@ -272,9 +279,10 @@
     (0..16).map(&mut worker).collect()
 }
 
-// All workers are full when a family stands at the counter. Without preemption the urgent task waits
-// for a batch task's end, minutes to hours. With victims as found, a service or a gang's member is
-// stopped; the chosen ones can be checkpointed in time and lose least, borrowed room first.
+// All workers are full when an urgent task arrives for a customer who waits. Without preemption it
+// would wait minutes to hours for the end of a batch task. If the first running tasks were chosen
+// as victims, a service or a gang member would be stopped. The victims must be tasks that can be
+// checkpointed in time and that lose least, with borrowed room first.
 #[test]
 fn urgent_work_starts_at_once_at_the_least_cost() {
     let now = minutes(600);
@@ -293,12 +301,12 @@
     assert!(plan.cost.lost < all[0], "first found");
     assert_eq!(urgent::plan(now, need, &places[..1]), None, "w0 checkpoints too slowly");
     assert_eq!(urgent::plan(now, Size::new(8, 8192, 0), &places), None, "services and gangs stay");
-    let both = urgent::plan(now, Size::new(6, 8192, 0), &places).expect("two victims do");
+    let both = urgent::plan(now, Size::new(6, 8192, 0), &places).expect("two victims suffice");
     assert_eq!((both.victims.len(), both.cost.owners), (2, 1));
 }
 
-// A small victim is chosen, then a large one is needed too and makes room alone. The small one must
-// not be stopped for nothing; and where there is room, nobody is.
+// A small victim is chosen, and then a large one is needed too that makes enough room alone. The
+// small one must not be stopped without need, and none must be stopped if there is room.
 #[test]
 fn no_victim_is_stopped_without_need() {
     let now = minutes(600);
@@ -313,7 +321,8 @@
     assert!(urgent::plan(now, Size::new(4, 8192, 0), &places).unwrap().victims.is_empty());
 }
 
-// A team marks its nightly batch of 5,000 urgent. Without an allowance it would preempt everybody.
+// A team marks its nightly batch of 5,000 tasks as urgent. Without an allowance it would preempt
+// every other team.
 #[test]
 fn a_team_that_marks_all_its_work_urgent_preempts_little() {
     let (mut a, team) = (Allowances::default(), "t".into());
