--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -49,7 +49,8 @@
 const RESERVE_PERIOD: Duration = Duration::from_secs(10);
 /// Weight of one run in the mean overrun; about the last 32 runs count, those of a few callers.
 const OVERRUN_WEIGHT: f64 = 1.0 / 32.0;
-/// Callers without debt are removed once in this many arrivals.
+/// Callers without debt (a start tag beyond the virtual time) are removed once in this many
+/// arrivals.
 const SWEEP_ARRIVALS: u64 = 1 << 10;
 
 /// A request that waits or runs.
--- a/src/decide/gather.rs
+++ b/src/decide/gather.rs
@@ -3,8 +3,8 @@
 //!
 //! *Load pattern:* gangs of up to a hundred tasks, several per second, each allowed on few of the
 //! workers, in a pool that smaller work fills completely. Tickets expire after two seconds, and the
-//! calls for them take half a second or more. *Without it:* each gang chooses its workers again at
-//! every look. The room that it had kept is then gone, other workers are emptied for it in vain,
+//! calls for them take half a second or more. *Without it:* each gang chooses its workers again in
+//! every round. The room that it had kept is then gone, other workers are emptied for it in vain,
 //! and no two of its tickets are valid at a moment when there is room; twenty gangs at the same
 //! time never finish.
 //!
@@ -24,9 +24,9 @@
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// At most one in this many workers of a pool is kept for gangs that can still be in time.
+/// At most one part in this many of a pool is kept for gangs that can still be in time.
 pub const KEPT: u64 = 3;
-/// At most one in this many workers of a busy pool is kept for late gangs.
+/// At most one part in this many of a busy pool is kept for late gangs.
 pub const KEPT_LATE: u64 = 10;
 /// More workers are asked about while the known ones, if they were empty, could hold the gang fewer
 /// than this many times.
@@ -79,8 +79,8 @@
         sum >= u64::from(count)
     })?;
     let at = offers[enough].at;
-    // Among the offers that are in time the latest are taken, because the others leave room for
-    // other work until then.
+    // Takes the latest offers that are in time, so that earlier room stays available to other work
+    // until then.
     offers.truncate(offers.iter().rposition(|o| o.at == at)? + 1);
     offers.sort_by_key(|o| (Reverse(o.at), Reverse(o.slots), o.worker));
     let mut each: BTreeMap<W, u32> = BTreeMap::new();
--- a/src/decide/lanes.rs
+++ b/src/decide/lanes.rs
@@ -23,11 +23,11 @@
 //! left the list. After a suspension one call at a time tries the lane. If all lanes are suspended,
 //! the cause isn't in the lanes, and each is tried with one call.
 //!
-//! A member that rejects a call has calls of other callers ahead whose length is unknown here. It
-//! has more of them than the 1.5 s of slack that each call has beyond its expected time. So the
-//! member counts as busy for that long. Within that time it is asked again only if no other member
-//! would answer sooner, and the call then waits longer by as much. If the chosen member has
-//! rejected a call of late, each rejection by any member is followed by a pause of 150 ms, so that
+//! A member that rejects a call has calls of other callers ahead. Their length is unknown here, but
+//! it exceeds the 1.5 s of slack that each call has beyond its expected time, so the member counts
+//! as busy for that long. Within that time it is asked again only if no other member would answer
+//! sooner, and the limit of the call is then longer by as much. If even the best member has
+//! rejected a call recently, each rejection by any member is followed by a pause of 150 ms, so that
 //! a hundred waiting steps don't ask more often than one.
 
 use {
@@ -123,11 +123,11 @@
     pub fn pick(&mut self, cost: Duration, due: Time, now: Time) -> Option<(Incarnation, Time)> {
         let long = cost > LONG;
         let (lane, end) = self.best(cost, now)?;
-        // Full lanes take part in the choice: a call rather waits for a full lane than goes behind
-        // a long call on another one.
-        let rejected_at = |l: &Lane, long| l.rejected_at.is_some_and(|at| now < at + long);
-        if rejected_at(&self.lanes[lane], SLACK)
-            && self.lanes.iter().any(|l| rejected_at(l, REJECTION_PAUSE))
+        // Full lanes take part in the choice, because waiting for a full lane is better than
+        // queueing behind a long call on another one.
+        let rejected_within = |l: &Lane, time| l.rejected_at.is_some_and(|at| now < at + time);
+        if rejected_within(&self.lanes[lane], SLACK)
+            && self.lanes.iter().any(|l| rejected_within(l, REJECTION_PAUSE))
         {
             return None;
         }
@@ -204,8 +204,8 @@
     /// Whether, after one more long call, another long call would still find a free member.
     pub fn spare(&self, now: Time) -> bool {
         let usable = self.lanes.iter().filter(|l| !l.suspended(now));
-        let kept = MIN_SHORT_LANES.max(usable.clone().count() / SHORT_LANE_ONE_IN);
-        usable.filter(|l| l.calls.is_empty()).count() > kept + 1
+        let reserved = MIN_SHORT_LANES.max(usable.clone().count() / SHORT_LANE_ONE_IN);
+        usable.filter(|l| l.calls.is_empty()).count() > reserved + 1
     }
 
     /// Total number of unanswered calls.
@@ -280,8 +280,8 @@
         self.lateness.mul_f64(0.5_f64.powf(halves))
     }
 
-    fn record_lateness(&mut self, late: Duration, now: Time) {
-        self.lateness = (self.current_lateness(now) + late) / 2;
+    fn record_lateness(&mut self, sample: Duration, now: Time) {
+        self.lateness = (self.current_lateness(now) + sample) / 2;
         self.lateness_at = now;
     }
 }
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -13,11 +13,12 @@
 //! jobs shrinks at the same rate, so this order equals that of least slack and needs no sorting as
 //! time passes. Ties are broken by priority, then by arrival.
 //!
-//! *No starvation:* a job's latest start is at most `PATIENCE` after its arrival, and at most half
-//! of its work before it. A deadline that can no longer be met, by the estimate and [`Job::width`],
-//! is ignored. So a job of the same team can only be passed by work that arrived within that time.
-//! Between teams, one start in `AGED_ONE_IN` goes to the team that has had no start for longest
-//! among those whose first job's latest start has passed, whatever the team's share.
+//! *No starvation:* a job's latest start is at most `PATIENCE` after its arrival, and precedes the
+//! arrival by at most half of the job's work. A deadline that can no longer be met, by the estimate
+//! and [`Job::width`], is ignored. So a job of the same team can only be passed by work that
+//! arrived within that time. Between teams, one start in `AGED_ONE_IN` goes to the team that has
+//! had no start for longest among those whose first job's latest start has passed, regardless of
+//! the team's share.
 //!
 //! A start takes O(log n) in the number of teams and of the team's jobs; the tasks of a job are
 //! alike and are kept inside its entry.
--- a/src/decide/pace.rs
+++ b/src/decide/pace.rs
@@ -114,7 +114,7 @@
 
     fn rise(&mut self, passed: Duration, now: Time) {
         let low = *self.low_since.get_or_insert(now);
-        let long = now.since(low).saturating_sub(FEEDBACK_DELAY).min(passed);
-        self.percent = (self.percent + RISE_PER_S * long.as_secs_f64()).min(FULL_PERCENT);
+        let duration = now.since(low).saturating_sub(FEEDBACK_DELAY).min(passed);
+        self.percent = (self.percent + RISE_PER_S * duration.as_secs_f64()).min(FULL_PERCENT);
     }
 }
