--- a/src/decide/sound.rs
+++ b/src/decide/sound.rs
@@ -1,166 +1,170 @@
-//! Whether a worker is sound, and whether a run is stuck.
+//! Decides whether a worker is healthy or quarantined, and whether a run is stuck.
 //!
-//! *Load pattern:* a worker fails all that it starts, or tasks on it stand still, or it is four to
-//! eight times slower than its peers; at the same time jobs come that fail everywhere, and of the
-//! others one task in 200 to one in 10 fails by itself. *Without it:* a worker that fails at once is
-//! always free and draws most tasks; as these have 3 or 4 attempts, good jobs are lost within
-//! seconds. Judged by failures alone, a storm of bad jobs would put all workers out of use.
+//! *Load pattern:* a worker fails everything it starts, or tasks on it make no progress, or it runs
+//! four to eight times slower than its peers. At the same time, some jobs fail on every worker, and
+//! between one in 200 and one in 10 tasks of the other jobs fail on their own. *Without it:* a
+//! worker that fails tasks at once is always free and attracts most tasks; since tasks have 3 or 4
+//! attempts, good jobs are lost within seconds. If failures alone were counted, a burst of bad jobs
+//! would quarantine every worker.
 //!
-//! *Thresholds of failing:* two jobs that fail on end, with no success between, come by chance once
-//! in 1000 ends where one in 32 fails; where the worker itself has seen more fail while it was
-//! sound, it takes as many as come by chance as seldom: three at one in ten, six at one in three. A
-//! failure of a job that has failed elsewhere, or here just before, counts a tenth, so that a bad
-//! job of many tasks doesn't hold all workers that it came to at once. One failure alone makes a
-//! worker suspect for 5 s, and counts for 30 s: as a suspect it gets few tasks, and the second
-//! failure would else never come in time.
-//! Quarantine lasts 2 s, about three short tasks, then one task tries the worker; twice as long each
-//! next time to 16 s, at which a dead loss costs a task every 16 s. A success clears all. A success
-//! while no probe is out may be of a task that began before, so it only lets the probe go at once.
+//! *Thresholds for failures:* if one run in 32 fails, two jobs that fail in a row without a success
+//! between them occur by chance once in 1000 ends. If the worker has seen a higher failure rate
+//! while healthy, it takes as many failures as are equally unlikely: three at a rate of one in ten,
+//! six at one in three. A failure counts a tenth if the same job has failed on another worker or
+//! shortly before on this one, so that a bad job with many tasks does not quarantine every worker
+//! it reaches. A single failure makes a worker suspect for 5 s but counts for 30 s: a suspect
+//! worker gets few tasks, so a second failure would otherwise never arrive in time.
 //!
-//! A task that lasts has no end that could tell: as a trial it tells by being at work for 2 s. It may try a
-//! worker 2 s after the last failure or trial there: a failure costs it a start, and each further
-//! second away costs whom it serves.
+//! The first quarantine lasts 2 s, about three short tasks. Then one task is sent as a probe, and
+//! each failed probe doubles the quarantine, up to 16 s; a dead worker then costs one task every
+//! 16 s. A success clears all failures. A success while no probe is out may belong to a task that
+//! started before the quarantine, so it only allows the probe to be sent at once.
 //!
-//! *Thresholds of slowness:* below 0.35 of what its peers do, three times on end over 2 s. Rough
-//! estimates make a sound worker look half as fast, and work away from its data and on two racks
-//! makes it 0.44; a slow one is at 0.25 at most. From 0.5 on it is sound again.
+//! A long-running task does not end, so as a probe it succeeds once it has been running for 2 s. It
+//! may be sent 2 s after the quarantine began or the last probe was sent: a failure costs it only
+//! one start, while each second that it is not running affects the users of its service.
 //!
-//! The caller bounds how many workers are held at once, by [`most_held`]: where more than a third of
-//! a pool looks bad the cause is something else.
+//! *Thresholds for slowness:* three reports in a row, over at least 2 s, below 0.35 of the speed of
+//! the peers. Rough estimates make a healthy worker appear half as fast, and work away from its
+//! data and split over two racks reduces that to 0.44; a slow worker reaches 0.25 at most. From 0.5
+//! on, the worker counts as healthy again.
+//!
+//! The caller limits how many workers are quarantined at once with [`most_held`]: if more than a
+//! third of a pool looks bad, the cause is not the workers.
 
 use {
     crate::{Time, work::JobNo},
     std::time::Duration,
 };
 
-/// What failures without a success between must add up to at least.
-const ENOUGH: f64 = 2.0;
-/// And at most.
-const ENOUGH_MAX: f64 = 8.0;
-/// How often that may come by chance.
-const CHANCE: f64 = 0.001;
-/// How fast the part that fails on a sound worker is learnt: over some 60 ends.
-const LEARN: f64 = 1.0 / 64.0;
-/// How long a failure counts, with no success after it.
-const SPAN: Duration = Duration::from_secs(30);
-/// How long it makes suspect.
-const SUSPECT: Duration = Duration::from_secs(5);
-/// What a failure counts whose job has failed elsewhere, or is among those that count already.
-const LITTLE: f64 = 0.1;
-/// The failures kept: as many as can matter.
-const KEPT: usize = 32;
-/// Rate below which a worker is slow.
-const SLOW: f64 = 0.35;
-/// Rate from which it is not.
-const FAST: f64 = 0.5;
-/// How often on end it must be slow.
-const TIMES: u32 = 3;
-/// And for how long.
-const LASTS: Duration = Duration::from_secs(2);
-/// The first quarantine.
-const SHORTEST: Duration = Duration::from_secs(2);
-/// The longest.
-const LONGEST: Duration = Duration::from_secs(16);
-/// After which a probe that told nothing is given up.
-const PROBE: Duration = Duration::from_secs(10);
-/// One in so many workers of a pool may be held at once.
-const ONE_IN: usize = 3;
+/// Minimum sum of failure weights, without a success between them, that causes a quarantine.
+const MIN_THRESHOLD: f64 = 2.0;
+/// Maximum of that threshold, for workers with a high usual failure rate.
+const MAX_THRESHOLD: f64 = 8.0;
+/// Accepted probability that a healthy worker reaches the threshold by chance.
+const FALSE_POSITIVE_RATE: f64 = 0.001;
+/// Weight of one run in the moving average of the failure rate, which spans some 60 runs.
+const LEARNING_RATE: f64 = 1.0 / 64.0;
+/// How long a failure counts if no success follows it.
+const FAILURE_WINDOW: Duration = Duration::from_secs(30);
+/// How long a failure or a slow report makes the worker suspect.
+const SUSPECT_PERIOD: Duration = Duration::from_secs(5);
+/// Weight of a failure whose job has also failed elsewhere, or is already counted here.
+const REPEAT_WEIGHT: f64 = 0.1;
+/// Maximum number of failures stored; more would not change the verdict.
+const MAX_FAILURES: usize = 32;
+/// Speed relative to the peers below which a worker is slow.
+const SLOW_RATE: f64 = 0.35;
+/// Relative speed from which a worker is no longer slow.
+const NORMAL_RATE: f64 = 0.5;
+/// Number of slow reports in a row that cause a quarantine.
+const SLOW_REPORTS: u32 = 3;
+/// Minimum time that these slow reports must span.
+const SLOW_PERIOD: Duration = Duration::from_secs(2);
+/// Length of the first quarantine.
+const MIN_QUARANTINE: Duration = Duration::from_secs(2);
+/// Maximum length of a quarantine.
+const MAX_QUARANTINE: Duration = Duration::from_secs(16);
+/// Time after which a probe without a result is given up.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(10);
+/// One in this many workers of a pool may be quarantined at once.
+const QUARANTINE_DIVISOR: usize = 3;
 
-/// What is thought of a worker.
+/// Assessment of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may have any task.
+    /// The worker may get any task.
     Sound,
-    /// Better give a task to others, where these have room.
+    /// Other workers are preferred if they have room.
     Suspect,
-    /// It gets no task but what [`Sound::probe`] allows.
+    /// The worker gets only the probes that [`Sound::probe`] or [`Sound::tries`] allows.
     Quarantined {
-        /// When it may be tried; it stays in quarantine until that is well.
+        /// When a probe may be sent. The quarantine lasts until a probe succeeds.
         until: Time,
     },
 }
 
-/// How many of so many workers may be held in quarantine at once.
+/// Maximum number of workers that may be quarantined at once in a pool of `workers`.
 pub fn most_held(workers: usize) -> usize {
-    workers / ONE_IN
+    workers / QUARANTINE_DIVISOR
 }
 
-/// The soundness of one worker.
+/// Health record of one worker.
 #[derive(Clone, Debug, Default)]
 pub struct Sound {
-    /// Failures since the last success: job, weight, when.
+    /// Failures since the last success: job, weight and time.
     failures: Vec<(JobNo, f64, Time)>,
-    /// The part of ends that failed by the way, between successes.
-    usual: f64,
-    /// Quarantine for failing.
-    failing: Hold,
-    /// Slow rates on end, since when, and the last.
-    slow: Option<(u32, Time, Time)>,
-    /// Quarantine for being slow.
-    slowed: Hold,
+    /// Share of runs that failed while the worker was healthy, as a moving average.
+    failure_rate: f64,
+    /// Quarantine for failures.
+    failure_quarantine: Quarantine,
+    /// Slow reports in a row: their count, the time of the first and of the last.
+    slow_streak: Option<(u32, Time, Time)>,
+    /// Quarantine for slowness.
+    slow_quarantine: Quarantine,
 }
 
-/// A quarantine, for one cause.
+/// A quarantine for one cause.
 #[derive(Clone, Debug, Default)]
-struct Hold {
+struct Quarantine {
     until: Option<Time>,
-    /// When it began.
+    /// When the quarantine began.
     since: Time,
-    /// How often on end.
-    times: u32,
-    /// When the probe went out.
+    /// Number of quarantines in a row.
+    count: u32,
+    /// When the current probe was sent.
     probe: Option<Time>,
 }
 
 impl Sound {
-    /// A worker of which nothing is known.
+    /// Creates a record without any history.
     pub fn new() -> Self {
         Sound::default()
     }
 
-    /// Records that a run ended by itself. `fails_before` is how often this task, or others of its
-    /// job, failed on other workers. Runs that were stopped say nothing.
+    /// Records that a run ended by itself. `fails_before` is how often this task, or other tasks of
+    /// its job, failed on other workers. Runs that were stopped must not be recorded.
     pub fn ended(&mut self, job: JobNo, ok: bool, fails_before: u32, now: Time) {
         if ok {
-            return self.succeeded(now);
+            return self.record_success(now);
         }
-        if self.failing.until.is_some() {
-            return self.failing.failed(now, fails_before == 0);
+        if self.failure_quarantine.until.is_some() {
+            return self.failure_quarantine.probe_failed(now, fails_before == 0);
         }
-        self.failures.retain(|(.., at)| now.since(*at) < SPAN);
+        self.failures.retain(|(.., at)| now.since(*at) < FAILURE_WINDOW);
         let known = self.failures.iter().any(|(j, ..)| *j == job);
-        let weight = if known || fails_before > 0 { LITTLE } else { 1.0 };
-        if self.failures.len() < KEPT {
+        let weight = if known || fails_before > 0 { REPEAT_WEIGHT } else { 1.0 };
+        if self.failures.len() < MAX_FAILURES {
             self.failures.push((job, weight, now));
         }
-        // They are kept: should it turn out sound, they are among what usually fails.
-        if self.weight(now, SPAN) >= self.enough() {
-            self.failing.begin(now);
+        // The failures are kept: if the worker proves healthy, they raise its usual failure rate.
+        if self.weight(now, FAILURE_WINDOW) >= self.threshold() {
+            self.failure_quarantine.begin(now);
         }
     }
 
-    /// Records how fast runs there go against what is expected from their peers: with each figure,
-    /// and when a run ends by itself. Runs that are paced, restored or held up by their gang say
-    /// nothing.
+    /// Records the speed of a run, relative to what is expected from its peers. Called with each
+    /// progress report and when a run ends by itself; runs that are paced, restored or waiting for
+    /// their gang must not be recorded.
     pub fn moved(&mut self, rate: f64, now: Time) {
-        if rate >= FAST {
-            self.slow = None;
-            self.slowed = Hold::default();
-        } else if rate < SLOW {
-            let recent = self.slow.filter(|(.., last)| now.since(*last) < SPAN);
-            let (times, since, _) = recent.unwrap_or((0, now, now));
-            self.slow = Some((times.saturating_add(1), since, now));
-            if self.slowed.until.is_some() {
-                self.slowed.failed(now, true);
-            } else if times + 1 >= TIMES && now.since(since) >= LASTS {
-                self.slowed.begin(now);
+        if rate >= NORMAL_RATE {
+            self.slow_streak = None;
+            self.slow_quarantine = Quarantine::default();
+        } else if rate < SLOW_RATE {
+            let recent = self.slow_streak.filter(|(.., last)| now.since(*last) < FAILURE_WINDOW);
+            let (count, since, _) = recent.unwrap_or((0, now, now));
+            self.slow_streak = Some((count.saturating_add(1), since, now));
+            if self.slow_quarantine.until.is_some() {
+                self.slow_quarantine.probe_failed(now, true);
+            } else if count + 1 >= SLOW_REPORTS && now.since(since) >= SLOW_PERIOD {
+                self.slow_quarantine.begin(now);
             }
         }
     }
 
-    /// What is thought of it now.
+    /// Returns the current assessment.
     pub fn verdict(&self, now: Time) -> Verdict {
-        let until = self.failing.until.max(self.slowed.until);
+        let until = self.failure_quarantine.until.max(self.slow_quarantine.until);
         match until {
             Some(until) => Verdict::Quarantined { until },
             None if self.suspect(now) => Verdict::Suspect,
@@ -168,61 +172,63 @@
         }
     }
 
-    /// Whether a task may be sent there now. Of a worker in quarantine this counts as sent, and no
-    /// other may be until it tells something, or 10 s have passed.
+    /// Returns whether a task may be sent to the worker now. In quarantine, the task is recorded as
+    /// sent, and no other is allowed until the probe has a result or 10 s have passed.
     pub fn probe(&mut self, now: Time) -> bool {
-        let may = self.tries(false, now);
-        if may {
+        let allowed = self.tries(false, now);
+        if allowed {
             self.tried(now);
         }
-        may
+        allowed
     }
 
-    /// Whether a task, which lasts or not, may be sent there now.
+    /// Returns whether a task may be sent now; `lasts` says whether it is long-running.
     pub fn tries(&self, lasts: bool, now: Time) -> bool {
-        self.failing.may(lasts, now) && self.slowed.may(lasts, now)
+        self.failure_quarantine.allows(lasts, now) && self.slow_quarantine.allows(lasts, now)
     }
 
-    /// Records that a task was sent; of a worker in quarantine it is the trial.
+    /// Records that a task was sent. In quarantine, the task is the probe.
     pub fn tried(&mut self, now: Time) {
-        self.failing.probed(now);
-        self.slowed.probed(now);
+        self.failure_quarantine.probed(now);
+        self.slow_quarantine.probed(now);
     }
 
-    /// Records that a task that lasts has been at work since `began`, and still is.
+    /// Records that a long-running task has been running since `began` and still is.
     ///
-    /// Guards against a trial that tells nothing as it never ends: it bars the worker for all others,
-    /// one after the other, beside its room. Of speed it says nothing, so that the next trial may go.
+    /// Without this, a probe that never ends has no result, and the worker stays closed to all
+    /// other tasks while its room is free. The task says nothing about speed, so for a slowness
+    /// quarantine it only allows the next probe.
     pub fn stays(&mut self, began: Time, now: Time) {
-        let told = |h: &Hold| h.probe.is_some_and(|p| began >= p && began + SHORTEST <= now);
-        if told(&self.slowed) {
-            self.slowed.probe = None;
+        let succeeded =
+            |h: &Quarantine| h.probe.is_some_and(|p| began >= p && began + MIN_QUARANTINE <= now);
+        if succeeded(&self.slow_quarantine) {
+            self.slow_quarantine.probe = None;
         }
-        if told(&self.failing) {
-            self.succeeded(now);
+        if succeeded(&self.failure_quarantine) {
+            self.record_success(now);
         }
     }
 
-    fn succeeded(&mut self, now: Time) {
-        if self.failing.until.is_some() && self.failing.probe.is_none() {
-            self.failing.until = self.failing.until.min(Some(now));
+    fn record_success(&mut self, now: Time) {
+        if self.failure_quarantine.until.is_some() && self.failure_quarantine.probe.is_none() {
+            self.failure_quarantine.until = self.failure_quarantine.until.min(Some(now));
             return;
         }
         for failed in self.failures.iter().map(|_| 1.0).chain([0.0]) {
-            self.usual += (failed - self.usual) * LEARN;
+            self.failure_rate += (failed - self.failure_rate) * LEARNING_RATE;
         }
         self.failures.clear();
-        self.failing = Hold::default();
+        self.failure_quarantine = Quarantine::default();
     }
 
     fn suspect(&self, now: Time) -> bool {
-        let slow = self.slow.is_some_and(|(.., last)| now.since(last) < SUSPECT);
-        slow || self.weight(now, SUSPECT) >= 1.0
+        let slow = self.slow_streak.is_some_and(|(.., last)| now.since(last) < SUSPECT_PERIOD);
+        slow || self.weight(now, SUSPECT_PERIOD) >= 1.0
     }
 
-    fn enough(&self) -> f64 {
-        let usual = self.usual.clamp(CHANCE, 0.9);
-        (CHANCE.ln() / usual.ln()).clamp(ENOUGH, ENOUGH_MAX)
+    fn threshold(&self) -> f64 {
+        let failure_rate = self.failure_rate.clamp(FALSE_POSITIVE_RATE, 0.9);
+        (FALSE_POSITIVE_RATE.ln() / failure_rate.ln()).clamp(MIN_THRESHOLD, MAX_THRESHOLD)
     }
 
     fn weight(&self, now: Time, span: Duration) -> f64 {
@@ -231,28 +237,34 @@
     }
 }
 
-impl Hold {
+impl Quarantine {
     fn begin(&mut self, now: Time) {
-        let length = SHORTEST.saturating_mul(1 << self.times.min(8)).min(LONGEST);
-        *self = Hold { until: Some(now + length), since: now, times: self.times + 1, probe: None };
+        let length = MIN_QUARANTINE.saturating_mul(1 << self.count.min(8)).min(MAX_QUARANTINE);
+        *self = Quarantine {
+            until: Some(now + length),
+            since: now,
+            count: self.count + 1,
+            probe: None,
+        };
     }
 
-    /// A probe failed. One that tells little doesn't double the length: it is as long again, as
-    /// there may be no other task to probe with. What began before the quarantine is no probe.
-    fn failed(&mut self, now: Time, tells: bool) {
+    /// Restarts the quarantine after a failed probe. An inconclusive probe doesn't double the length,
+    /// since there may be no other task to probe with. A run that started before the quarantine is
+    /// not a probe.
+    fn probe_failed(&mut self, now: Time, conclusive: bool) {
         if self.probe.is_some() {
-            self.times -= u32::from(!tells && self.times > 0);
+            self.count -= u32::from(!conclusive && self.count > 0);
             self.begin(now);
         }
     }
 
-    fn may(&self, lasts: bool, now: Time) -> bool {
+    fn allows(&self, lasts: bool, now: Time) -> bool {
         let Some(until) = self.until else { return true };
-        let (until, pause) = match lasts {
-            true => (until.min(self.since + SHORTEST), SHORTEST),
-            false => (until, PROBE),
+        let (until, timeout) = match lasts {
+            true => (until.min(self.since + MIN_QUARANTINE), MIN_QUARANTINE),
+            false => (until, PROBE_TIMEOUT),
         };
-        now >= until && self.probe.is_none_or(|at| now.since(at) >= pause)
+        now >= until && self.probe.is_none_or(|at| now.since(at) >= timeout)
     }
 
     fn probed(&mut self, now: Time) {
@@ -260,29 +272,31 @@
     }
 }
 
-/// What a stop, an order elsewhere and a restore take.
-const ANEW: Duration = Duration::from_secs(2);
-/// Of the time between two figures, what may have passed without work: a restore, a late figure.
-const LAG: Duration = Duration::from_millis(600);
-/// The least time between two figures that tells anything, and spares a run that has just begun.
-const LEAST: Duration = Duration::from_millis(1500);
-/// How many times as long waiting must take: as the expectation may be off by 2.
-const MARGIN: f64 = 2.0;
+/// Time that a stop, a start on another worker and a restore take.
+const RESTART_TIME: Duration = Duration::from_secs(2);
+/// Part of the time between two reports that may have passed without work: a restore or a late
+/// report.
+const MAX_IDLE: Duration = Duration::from_millis(600);
+/// Minimum time between two reports that is conclusive; it also protects a run that has just begun.
+const MIN_ELAPSED: Duration = Duration::from_millis(1500);
+/// Factor by which waiting must take longer than a restart, as the expected time may be off by 2.
+const WAIT_FACTOR: f64 = 2.0;
 
-/// Whether a run stands still, or is so slow that another from its checkpoint (where it `saves`), or
-/// from the beginning, ends sooner than this one.
+/// Returns whether a run makes no progress, or is so slow that a new run, from its checkpoint if
+/// the task `saves` one and from the beginning otherwise, would end sooner.
 ///
-/// The percents are those of two figures, `elapsed` apart; 2 to 4 s, or longer while nothing moves.
-/// `expected` is what the whole task takes: its peers' median, and its estimate only as long as
-/// there are no peers. Whole hundredths hide up to one, which is counted in the run's favour, so a
-/// run at half of the expected speed or more is never stuck. One at 100 that doesn't end may be.
+/// `then` and `now` are the percentages of two progress reports, `elapsed` apart: 2 to 4 s, or
+/// longer while there is no progress. `expected` is the time of the whole task: the median of its
+/// peers, or its estimate while it has no peers. Percentages are rounded down, which may hide up to
+/// one percent; this is counted in the run's favour, so a run at half of the expected speed or more
+/// is never considered stuck. A run at 100 percent that doesn't end may be.
 pub fn stuck(then: u8, now: u8, elapsed: Duration, expected: Duration, saves: bool) -> bool {
-    if elapsed < LEAST {
+    if elapsed < MIN_ELAPSED {
         return false;
     }
-    let gain = f64::from(now.saturating_sub(then)) + 1.0;
+    let gained = f64::from(now.saturating_sub(then)) + 1.0;
     let left = f64::from(100_u8.saturating_sub(now).max(1));
-    let wait = (elapsed - LAG).as_secs_f64() * left / gain;
-    let again = if saves { left / 100.0 } else { 1.0 };
-    wait > MARGIN * (ANEW.as_secs_f64() + again * expected.as_secs_f64())
+    let remaining = (elapsed - MAX_IDLE).as_secs_f64() * left / gained;
+    let restart = if saves { left / 100.0 } else { 1.0 };
+    remaining > WAIT_FACTOR * (RESTART_TIME.as_secs_f64() + restart * expected.as_secs_f64())
 }
