--- a/src/decide/quota.rs
+++ b/src/decide/quota.rs
@@ -1,16 +1,20 @@
-//! Teams' quotas: what each may hold, what it may borrow, and how borrowed room goes back.
+//! Tracks teams' quotas: what each team may hold, what it may borrow, and how borrowed room is
+//! returned.
 //!
-//! The load: 310 teams, of which most are idle at any time and a few have far more work than their
-//! quota. With hard quotas the cell stands half empty while these wait. With free borrowing, a team
-//! that comes back to its quota in the morning finds it taken by others' long tasks.
+//! The load: 310 teams, most of which are idle at any time, while a few have far more work than
+//! their quota. With hard quotas, half of the cell is idle while these few wait. With unrestricted
+//! borrowing, a team that needs its quota again in the morning finds it taken by other teams' long
+//! tasks.
 //!
-//! So idle quota is lent, in all three dimensions, to work that can be given back: tasks that
-//! checkpoint, and brief ones. What a lender's waiting work needs of its own quota is no longer idle,
-//! and when more is borrowed than is idle, borrowed tasks are checkpointed and stopped, the newest of
-//! the team that has borrowed most by dominant share and weight, at a bounded rate.
+//! So idle quota is lent, in all three dimensions, to tasks whose room can be reclaimed: tasks that
+//! checkpoint, and brief ones. The part of a lender's quota that its own waiting work needs is not
+//! idle. When more is borrowed than is idle, borrowed tasks are checkpointed and stopped at a
+//! bounded rate, starting with the newest task of the team that has borrowed the most, measured by
+//! its weighted dominant share.
 //!
-//! Shares are of the sum of all quotas, which is taken to be what the cell has; where operators give
-//! out more than that, placement says what fits, and this code still keeps teams to their parts.
+//! Shares are relative to the sum of all quotas, which is assumed to be the capacity of the cell.
+//! If operators assign more than that, placement decides what fits, and this module still limits
+//! each team to its quota.
 
 use {
     crate::{
@@ -23,90 +27,91 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// A task expected to end within this is brief: it may borrow without a checkpoint, since waiting for
-/// its end costs a lender no more than a checkpoint and restart would cost the borrower.
+/// A task that is expected to end within this time is brief. It may borrow without a checkpoint,
+/// since waiting for its end costs a lender no more than a checkpoint and a restart would cost the
+/// borrower.
 pub const BRIEF: Duration = Duration::from_secs(60);
-/// Returns a second. Each is a checkpoint of gigabytes; at 20 a second, 7,000 borrowed tasks (a third
-/// of those running) are returned in six minutes, and a hundred in five seconds.
-const RETURNS: u64 = 20;
-/// Returns that may go out at once after a quiet time.
-const BURST: u64 = 20;
-/// One of weight and share, as a fixed-point number.
-const ONE: u128 = 1 << 40;
-
-/// How a task's room can be had back.
+/// Number of returns a second. Each is a checkpoint of gigabytes; at 20 a second, 7,000 borrowed
+/// tasks (a third of those running) are returned in six minutes, and a hundred in five seconds.
+const RETURNS_PER_SECOND: u64 = 20;
+/// Number of returns that may be requested at once after a period without returns.
+const MAX_RETURN_BURST: u64 = 20;
+/// The value 1.0 of a share, as a fixed-point number.
+const SHARE_SCALE: u128 = 1 << 40;
+
+/// How a task's room can be reclaimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Back {
-    /// By checkpoint.
+    /// By checkpointing and stopping the task.
     Checkpoint,
-    /// By waiting: it is expected to end within [`BRIEF`].
+    /// By waiting: the task is expected to end within [`BRIEF`].
     Brief,
-    /// Not at all, as with services and single tasks of a gang.
+    /// Not at all, as for services and single tasks of a gang.
     Never,
 }
 
-/// A task that asks for room.
+/// A task that requests room.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// The team that pays.
+    /// The team whose quota is charged.
     pub team: TeamId,
     /// The task.
     pub task: TaskId,
-    /// What it reserves.
+    /// Resources that the task reserves.
     pub size: Size,
-    /// How its room can be had back.
+    /// How its room can be reclaimed.
     pub back: Back,
 }
 
 /// What a task may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grant {
-    /// Room of its team's own quota.
+    /// Room within its team's own quota.
     Own,
-    /// Idle room of other teams' quotas.
+    /// Idle room within other teams' quotas.
     Borrowed,
-    /// Nothing now.
+    /// Nothing for now.
     Wait,
 }
 
 /// Why a job is refused at submission.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Refusal {
-    /// No such team.
+    /// There is no such team.
     #[display("no team of this name has a quota")]
     Unknown,
-    /// Its tasks must run at once, and never could.
+    /// All tasks must run at once, which exceeds the quota.
     #[display("all its tasks at once need {need}, more than the team's quota of {quota}")]
     OverQuota {
-        /// What all tasks need.
+        /// Total resources of all tasks.
         need: Size,
-        /// What the team has.
+        /// The team's quota.
         quota: Size,
     },
 }
 
-/// A team's place among teams; the lowest is next.
+/// A team's place among all teams; the lowest is served next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Whether it has borrowed.
+    /// Whether the team has borrowed room.
     pub borrows: bool,
-    /// Its dominant share by weight, in parts of 2^40.
+    /// Its dominant share divided by its weight, in units of 2^-40.
     pub share: u64,
 }
 
-/// All teams' quotas and what is held of them.
+/// All quotas and what is held of them.
 #[derive(Debug, Default)]
 pub struct Quotas {
     teams: BTreeMap<TeamId, Account>,
     tasks: FxHashMap<TaskId, Held>,
     total: Size,
-    /// The sums over teams, kept so that a grant looks at one team only.
+    /// Sums over all teams, kept so that a grant reads one team only.
     lendable: Size,
     borrowed: Size,
     returning: Size,
-    next: u64,
+    next_sequence: u64,
     tokens: u64,
-    filled: Time,
+    last_refill: Time,
 }
 
 #[derive(Debug, Default)]
@@ -125,7 +130,7 @@
     team: TeamId,
     size: Size,
     back: Back,
-    number: u64,
+    sequence: u64,
     state: State,
 }
 
@@ -137,12 +142,12 @@
 }
 
 impl Account {
-    /// Quota that neither runs nor is wanted by waiting work of the team.
+    /// Returns the quota that is neither in use nor needed by waiting work of the team.
     fn lendable(&self) -> Size {
         self.quota.saturating_sub(&self.own).saturating_sub(&self.waiting)
     }
 
-    fn has_own(&self, size: &Size) -> bool {
+    fn fits_own(&self, size: &Size) -> bool {
         (self.own + *size).fits(&self.quota)
     }
 }
@@ -150,16 +155,20 @@
 impl Quotas {
     /// Sets a team's quota and weight; a weight of zero counts as one.
     ///
-    /// What runs stays as it was granted: a smaller quota is reached as tasks end.
+    /// Running tasks keep their grants: usage drops to a smaller quota as tasks end.
     pub fn set(&mut self, team: &TeamId, quota: Size, weight: u32) {
-        self.change(team, |a| {
+        self.update(team, |a| {
             a.quota = quota;
             a.weight = u64::from(weight.max(1));
         });
         self.total = self.teams.values().map(|a| a.quota).sum();
     }
 
-    /// Whether a job whose tasks must all run at once can ever do so; errs with the reason.
+    /// Checks that a job whose tasks must all run at once fits the team's quota.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the job can never run.
     pub fn check(&self, team: &TeamId, need: Size) -> Result<(), Refusal> {
         let Some(a) = self.teams.get(team) else { return Err(Refusal::Unknown) };
         if need.fits(&a.quota) {
@@ -168,20 +177,20 @@
         Err(Refusal::OverQuota { need, quota: a.quota })
     }
 
-    /// Notes so many tasks of a team that wait, so that its quota is not lent on.
+    /// Records `count` waiting tasks of a team, so that the quota they need is not lent.
     pub fn wait(&mut self, team: &TeamId, size: Size, count: usize) {
-        self.change(team, |a| a.waiting += size.times(count as u64));
+        self.update(team, |a| a.waiting += size.times(count as u64));
     }
 
-    /// Notes that so many tasks no longer wait, other than by [`Quotas::start`].
+    /// Records that `count` tasks no longer wait, for a reason other than [`Quotas::start`].
     pub fn leave(&mut self, team: &TeamId, size: Size, count: usize) {
-        self.change(team, |a| a.waiting = a.waiting.saturating_sub(&size.times(count as u64)));
+        self.update(team, |a| a.waiting = a.waiting.saturating_sub(&size.times(count as u64)));
     }
 
-    /// What the task might take now.
+    /// Returns what the task could take now.
     pub fn grant(&self, ask: &Ask) -> Grant {
         let Some(a) = self.teams.get(&ask.team) else { return Grant::Wait };
-        if a.has_own(&ask.size) {
+        if a.fits_own(&ask.size) {
             return Grant::Own;
         }
         let spare = self.lendable.saturating_sub(&self.borrowed);
@@ -196,17 +205,17 @@
             Grant::Borrowed => State::Borrowed,
             Grant::Wait => return grant,
         };
-        self.enter(ask, state);
+        self.insert(ask, state);
         grant
     }
 
-    /// Counts a task that runs already, started by a former owner, whatever is idle.
+    /// Counts a task that a former owner started, whether or not there is idle quota for it.
     pub fn adopt(&mut self, ask: &Ask) {
-        let own = self.teams.get(&ask.team).is_some_and(|a| a.has_own(&ask.size));
-        self.enter(ask, if own { State::Own } else { State::Borrowed });
+        let own = self.teams.get(&ask.team).is_some_and(|a| a.fits_own(&ask.size));
+        self.insert(ask, if own { State::Own } else { State::Borrowed });
     }
 
-    /// Frees what the task held; room of the team's own goes to its oldest loans first.
+    /// Frees what the task held. Room of the team's own quota is passed to its oldest loans first.
     pub fn ended(&mut self, task: &TaskId) {
         let Some(held) = self.tasks.remove(task) else { return };
         self.release(&held);
@@ -215,7 +224,8 @@
         }
     }
 
-    /// Tasks to checkpoint and stop, so that lenders have their room back; each is named once.
+    /// Returns tasks to checkpoint and stop so that lenders get their room back; each is returned
+    /// once.
     pub fn returns(&mut self, now: Time) -> Vec<TaskId> {
         self.refill(now);
         let mut tasks = Vec::new();
@@ -225,7 +235,7 @@
             held.state = State::Returning;
             self.returning += held.size;
             if let Some(a) = self.teams.get_mut(&held.team) {
-                a.loans.remove(&held.number);
+                a.loans.remove(&held.sequence);
             }
             self.tokens -= 1;
             tasks.push(task);
@@ -233,30 +243,32 @@
         tasks
     }
 
-    /// The team's place among teams.
+    /// Returns the team's place among all teams.
     pub fn rank(&self, team: &TeamId) -> Rank {
         let Some(a) = self.teams.get(team) else { return Rank::default() };
         Rank { borrows: a.borrowed != Size::default(), share: self.share(a, a.own + a.borrowed) }
     }
 
-    /// What the team holds, its own and borrowed.
+    /// Returns what the team holds of its own quota, and what it has borrowed.
     pub fn held(&self, team: &TeamId) -> (Size, Size) {
         self.teams.get(team).map(|a| (a.own, a.borrowed)).unwrap_or_default()
     }
 
-    /// What the team waits for.
+    /// Returns the total resources of the team's waiting tasks.
     pub fn waits(&self, team: &TeamId) -> Size {
         self.teams.get(team).map(|a| a.waiting).unwrap_or_default()
     }
 
-    /// Whether the task runs in borrowed room.
+    /// Returns whether the task runs in borrowed room.
     pub fn borrows(&self, task: &TaskId) -> bool {
         self.tasks.get(task).is_some_and(|h| h.state != State::Own)
     }
 
-    /// The greatest part of the total that `used` takes in any dimension, by the team's weight.
+    /// Returns the largest share of the total that `used` takes in any dimension, divided by the
+    /// weight.
     fn share(&self, a: &Account, used: Size) -> u64 {
-        let part = |used: u64, total: u64| u128::from(used) * ONE / u128::from(total.max(1));
+        let part =
+            |used: u64, total: u64| u128::from(used) * SHARE_SCALE / u128::from(total.max(1));
         let cores = part(used.cores.0, self.total.cores.0);
         let memory = part(used.memory.0, self.total.memory.0);
         let accels = part(used.accels.0, self.total.accels.0);
@@ -264,33 +276,33 @@
         u64::try_from(share).unwrap_or(u64::MAX)
     }
 
-    fn enter(&mut self, ask: &Ask, state: State) {
+    fn insert(&mut self, ask: &Ask, state: State) {
         self.leave(&ask.team, ask.size, 1);
-        let number = self.next;
-        self.next += 1;
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
         let team = ask.team.clone();
-        let held = Held { team, size: ask.size, back: ask.back, number, state };
-        self.hold(&ask.task, &held);
+        let held = Held { team, size: ask.size, back: ask.back, sequence, state };
+        self.charge(&ask.task, &held);
         self.tasks.insert(ask.task.clone(), held);
     }
 
-    fn change(&mut self, team: &TeamId, f: impl FnOnce(&mut Account)) {
+    fn update(&mut self, team: &TeamId, f: impl FnOnce(&mut Account)) {
         let a = self.teams.entry(team.clone()).or_default();
         let before = a.lendable();
         f(a);
         self.lendable = self.lendable.saturating_sub(&before) + a.lendable();
     }
 
-    fn hold(&mut self, task: &TaskId, held: &Held) {
+    fn charge(&mut self, task: &TaskId, held: &Held) {
         let size = held.size;
         if held.state == State::Own {
-            return self.change(&held.team, |a| a.own += size);
+            return self.update(&held.team, |a| a.own += size);
         }
         self.borrowed += size;
-        self.change(&held.team, |a| {
+        self.update(&held.team, |a| {
             a.borrowed += size;
             if held.back == Back::Checkpoint {
-                a.loans.insert(held.number, task.clone());
+                a.loans.insert(held.sequence, task.clone());
             }
         });
     }
@@ -298,20 +310,20 @@
     fn release(&mut self, held: &Held) {
         let size = held.size;
         if held.state == State::Own {
-            return self.change(&held.team, |a| a.own = a.own.saturating_sub(&size));
+            return self.update(&held.team, |a| a.own = a.own.saturating_sub(&size));
         }
         if held.state == State::Returning {
             self.returning = self.returning.saturating_sub(&size);
         }
         self.borrowed = self.borrowed.saturating_sub(&size);
-        self.change(&held.team, |a| {
+        self.update(&held.team, |a| {
             a.borrowed = a.borrowed.saturating_sub(&size);
-            a.loans.remove(&held.number);
+            a.loans.remove(&held.sequence);
         });
     }
 
-    /// Turns the team's oldest loans into own room where they fit beside what waits for it; a loan
-    /// that took the room of waiting work which can't borrow would starve that work.
+    /// Turns the team's oldest loans into own room if they fit beside the team's waiting work. A
+    /// loan that took the room of waiting work that can't borrow would starve that work.
     fn repay(&mut self, team: &TeamId) {
         loop {
             let Some(a) = self.teams.get(team) else { return };
@@ -321,7 +333,7 @@
             if fits {
                 self.release(&held);
                 held.state = State::Own;
-                self.hold(&task, &held);
+                self.charge(&task, &held);
             }
             self.tasks.insert(task, held);
             if !fits {
@@ -330,19 +342,19 @@
         }
     }
 
-    /// The newest loan, as the least work is lost there, of the team that has borrowed most.
+    /// Returns the newest loan, which loses the least work, of the team that has borrowed most.
     fn newest_loan(&self) -> Option<TaskId> {
         let lent = self.teams.values().filter(|a| !a.loans.is_empty());
-        let most = lent.max_by_key(|a| self.share(a, a.borrowed))?;
-        most.loans.values().next_back().cloned()
+        let largest = lent.max_by_key(|a| self.share(a, a.borrowed))?;
+        largest.loans.values().next_back().cloned()
     }
 
     fn refill(&mut self, now: Time) {
-        let passed = u64::try_from(now.since(self.filled).as_micros()).unwrap_or(u64::MAX);
-        let new = passed.saturating_mul(RETURNS) / 1_000_000;
-        if new > 0 {
-            self.tokens = (self.tokens + new).min(BURST);
-            self.filled = now;
+        let passed = u64::try_from(now.since(self.last_refill).as_micros()).unwrap_or(u64::MAX);
+        let refilled = passed.saturating_mul(RETURNS_PER_SECOND) / 1_000_000;
+        if refilled > 0 {
+            self.tokens = (self.tokens + refilled).min(MAX_RETURN_BURST);
+            self.last_refill = now;
         }
     }
 }
--- a/src/decide/urgent.rs
+++ b/src/decide/urgent.rs
@@ -1,15 +1,17 @@
-//! Urgent work that starts at once, in the room of work that can be checkpointed.
+//! Chooses the tasks that are preempted so that urgent work starts at once.
 //!
-//! The load: a surveyor's structural model or an eligibility run for a family at the counter arrives
-//! while all workers are full of batch work. In the queue it would wait for hours, and the letter asks
-//! for a start within 1.1 s. Preempting whatever is found first stops services, breaks gangs and throws
-//! away hours of work; and if "urgent" costs its team nothing, everything is soon urgent.
+//! The load: a surveyor's structural model or an eligibility run for a family at the counter
+//! arrives while all workers are full of batch work. In the queue it would wait for hours, but it
+//! has to start within 1.1 s. Preempting the first task found stops services, breaks gangs and
+//! discards hours of work. If urgent work has no limit for its team, everything soon becomes
+//! urgent.
 //!
-//! Victims are tasks that checkpoint within `SAVE`, never services nor single members of a gang (the
-//! rest of the gang would hold its room and do nothing). Borrowed room goes first, then what loses
-//! least: processor time since the last checkpoint, with a fixed price a victim, so that one task is
-//! not replaced by ten small ones. Each team has an allowance in parts of its quota; urgent work over
-//! it is not refused, it waits in the usual order.
+//! Victims are tasks that checkpoint within `MAX_CHECKPOINT`, never services or single members of a
+//! gang (the rest of the gang would hold its room and make no progress). Tasks in borrowed room are
+//! preempted first, then those that lose the least processor time since their last checkpoint. Each
+//! victim has a fixed extra cost, so that one task is not replaced by ten small ones. Each team has
+//! an allowance, a part of its quota; urgent work over the allowance is not refused but waits in
+//! the usual order.
 
 use {
     crate::{
@@ -21,34 +23,35 @@
     std::time::Duration,
 };
 
-/// The longest checkpoint of a victim: of the 1.1 s, 0.2 s go to the decision, the commit of intent
-/// and two messages, and 0.2 s are kept for a late one.
-const SAVE: Duration = Duration::from_millis(700);
-/// Tasks stopped for one start at most; each may fail to checkpoint in time.
-const VICTIMS: usize = 4;
-/// What a victim costs whatever it loses, in core-seconds: a restart loads its image and inputs anew,
-/// about half a minute of one core.
-const RESTART: u64 = 30;
-/// The part of a team's quota that its urgent tasks may hold at a time, one in so many. With a tenth
+/// Maximum time that a victim's checkpoint may take. Of the 1.1 s, 0.2 s are used by the decision,
+/// the commit of intent and two messages, and 0.2 s are reserved for a late message.
+const MAX_CHECKPOINT: Duration = Duration::from_millis(700);
+/// Maximum number of tasks stopped for one start; each may fail to checkpoint in time.
+const MAX_VICTIMS: usize = 4;
+/// Cost of each victim besides the work it loses, in core-seconds: a restart loads its image and
+/// inputs again, which takes about half a minute of one core.
+const RESTART_CORE_SECONDS: u64 = 30;
+/// Divisor for the part of a team's quota that its urgent tasks may hold at a time. With a tenth
 /// for each team, at most a tenth of the cell is ever preempted for urgent work.
-const PART: u64 = 10;
-/// Urgent starts of a team in a burst, and the time in which one comes back: a counter's rush passes,
-/// and a team that marks its nightly batch urgent gets twelve of these a minute, no more.
-const BURST: u32 = 20;
-const EACH: Duration = Duration::from_secs(5);
-
-/// What a running task is, for the choice of victims.
+const QUOTA_DIVISOR: u64 = 10;
+/// Number of urgent starts of a team in a burst, enough for a rush at a counter.
+const BURST_STARTS: u32 = 20;
+/// Time after which one more urgent start is allowed: a team that marks its nightly batch as urgent
+/// gets twelve of them a minute.
+const START_INTERVAL: Duration = Duration::from_secs(5);
+
+/// How a running task counts in the choice of victims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A replica of a service, not to be stopped.
+    /// A replica of a service, which must not be stopped.
     Service,
-    /// A member of a gang, not to be stopped alone.
+    /// A member of a gang, which must not be stopped alone.
     Gang,
-    /// Urgent itself.
+    /// An urgent task.
     Urgent,
-    /// Batch work that cannot be checkpointed.
+    /// A batch task that cannot be checkpointed.
     Plain,
-    /// Batch work that can.
+    /// A batch task that can be checkpointed.
     Checkpoint,
 }
 
@@ -57,46 +60,47 @@
 pub struct Running {
     /// The task.
     pub task: TaskId,
-    /// What it reserves.
+    /// Resources that the task reserves.
     pub size: Size,
-    /// What it is.
+    /// How the task counts in the choice of victims.
     pub kind: Kind,
     /// Whether it runs in borrowed room.
     pub borrowed: bool,
-    /// When it started, or was last checkpointed.
+    /// When the task started or was last checkpointed.
     pub saved: Time,
-    /// How long a checkpoint takes.
+    /// Time that a checkpoint takes.
     pub save: Duration,
 }
 
-/// A worker that might take the urgent task.
+/// A worker that could take the urgent task.
 #[derive(Clone, Debug)]
 pub struct Place {
     /// The worker.
     pub worker: WorkerId,
-    /// What is free there.
+    /// Free resources of the worker.
     pub free: Size,
-    /// What runs there.
+    /// Tasks that run on the worker.
     pub running: Vec<Running>,
 }
 
-/// Where an urgent task starts, and what is checkpointed and stopped there before.
+/// Where an urgent task starts, and which tasks are checkpointed and stopped there first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The worker.
     pub worker: WorkerId,
-    /// The tasks to stop; empty where there is room.
+    /// The tasks to stop; empty if the worker has room.
     pub victims: Vec<TaskId>,
-    /// What that costs.
+    /// Cost of stopping them.
     pub cost: Cost,
 }
 
-/// What a preemption costs; own room weighs more than any loss of borrowed room.
+/// Cost of a preemption. Stopping tasks within their team's own quota outweighs any loss of tasks
+/// in borrowed room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cost {
-    /// Victims in room of their own team's quota.
+    /// Number of victims within their own team's quota.
     pub owners: usize,
-    /// Work lost, in core-seconds.
+    /// Lost work, in core-seconds.
     pub lost: u64,
 }
 
@@ -109,21 +113,21 @@
 #[derive(Debug)]
 struct Allowance {
     held: Size,
-    /// When the allowance of starts was, or will be, full.
-    full: Time,
+    /// Time from which the full burst of starts is available.
+    full_at: Time,
 }
 
 impl Allowances {
-    /// Whether the team may start urgent work of this size now; if so, it is counted.
+    /// Returns whether the team may start urgent work of this size now, and counts it if so.
     pub fn start(&mut self, now: Time, team: &TeamId, size: Size, quota: Size) -> bool {
-        let new = Allowance { held: Size::default(), full: Time::ZERO };
+        let new = Allowance { held: Size::default(), full_at: Time::ZERO };
         let a = self.teams.entry(team.clone()).or_insert(new);
-        let full = a.full.max(now) + EACH;
+        let full_at = a.full_at.max(now) + START_INTERVAL;
         let held = a.held + size;
-        if full > now + EACH * BURST || !held.fits(&part(quota)) {
+        if full_at > now + START_INTERVAL * BURST_STARTS || !held.fits(&allowance(quota)) {
             return false;
         }
-        a.full = full;
+        a.full_at = full_at;
         a.held = held;
         true
     }
@@ -135,24 +139,26 @@
     }
 }
 
-/// The cheapest of `places` for a task of size `need`, or `None` where no allowed victims make room.
+/// Returns the cheapest of `places` for a task of size `need`, or `None` if stopping allowed
+/// victims doesn't make enough room.
 ///
-/// Work grows with the tasks that run on `places`; the caller gives some dozens of workers, not all.
+/// The time grows with the number of tasks that run on `places`; the caller passes some dozens of
+/// workers, not all.
 pub fn plan(now: Time, need: Size, places: &[Place]) -> Option<Plan> {
     let plans = places.iter().filter_map(|p| plan_at(now, need, p));
     plans.min_by(|a, b| (a.cost, &a.worker).cmp(&(b.cost, &b.worker)))
 }
 
 fn plan_at(now: Time, need: Size, place: &Place) -> Option<Plan> {
-    let mut open: Vec<_> = place.running.iter().filter(|r| may_stop(r)).collect();
-    open.sort_by_key(|r| (!r.borrowed, lost(now, r), r.task.clone()));
+    let mut candidates: Vec<_> = place.running.iter().filter(|r| is_preemptible(r)).collect();
+    candidates.sort_by_key(|r| (!r.borrowed, lost_work(now, r), r.task.clone()));
     let mut free = place.free;
     let mut victims = Vec::new();
-    for r in open {
+    for r in candidates {
         if need.fits(&free) {
             break;
         }
-        if helps(&need, &free, &r.size) {
+        if reduces_shortage(&need, &free, &r.size) {
             free += r.size;
             victims.push(r);
         }
@@ -160,50 +166,51 @@
     if !need.fits(&free) {
         return None;
     }
-    spare_needless(need, free, &mut victims);
-    if victims.len() > VICTIMS {
+    drop_unneeded(need, free, &mut victims);
+    if victims.len() > MAX_VICTIMS {
         return None;
     }
     let cost = Cost {
         owners: victims.iter().filter(|r| !r.borrowed).count(),
-        lost: victims.iter().map(|r| lost(now, r)).sum(),
+        lost: victims.iter().map(|r| lost_work(now, r)).sum(),
     };
     let victims = victims.iter().map(|r| r.task.clone()).collect();
     Some(Plan { worker: place.worker.clone(), victims, cost })
 }
 
-/// Drops victims that turned out not to be needed after a larger one was added, the dearest, which are last, first.
-fn spare_needless(need: Size, mut free: Size, victims: &mut Vec<&Running>) {
+/// Removes victims that are no longer needed after a larger one was added, starting with the most
+/// expensive, which come last.
+fn drop_unneeded(need: Size, mut free: Size, victims: &mut Vec<&Running>) {
     for i in (0..victims.len()).rev() {
-        let Some(less) = free.checked_sub(&victims[i].size) else { continue };
-        if need.fits(&less) {
-            free = less;
+        let Some(remaining) = free.checked_sub(&victims[i].size) else { continue };
+        if need.fits(&remaining) {
+            free = remaining;
             victims.remove(i);
         }
     }
 }
 
-/// Whether stopping a task of this size brings any dimension that is short nearer to the need.
-fn helps(need: &Size, free: &Size, size: &Size) -> bool {
+/// Returns whether stopping a task of this size reduces the shortage in any dimension.
+fn reduces_shortage(need: &Size, free: &Size, size: &Size) -> bool {
     let short = need.saturating_sub(free);
     (short.cores > Cores(0) && size.cores > Cores(0))
         || (short.memory > Memory(0) && size.memory > Memory(0))
         || (short.accels > Accels(0) && size.accels > Accels(0))
 }
 
-fn may_stop(r: &Running) -> bool {
-    r.kind == Kind::Checkpoint && r.save <= SAVE
+fn is_preemptible(r: &Running) -> bool {
+    r.kind == Kind::Checkpoint && r.save <= MAX_CHECKPOINT
 }
 
-fn lost(now: Time, r: &Running) -> u64 {
-    now.since(r.saved).as_secs().saturating_mul(r.size.cores.0) / 1000 + RESTART
+fn lost_work(now: Time, r: &Running) -> u64 {
+    now.since(r.saved).as_secs().saturating_mul(r.size.cores.0) / 1000 + RESTART_CORE_SECONDS
 }
 
-fn part(quota: Size) -> Size {
-    // At least one task of some size must be possible, so parts are rounded up.
+fn allowance(quota: Size) -> Size {
+    // Rounded up, so that a team with a small quota can run at least one small task.
     Size {
-        cores: Cores(quota.cores.0.div_ceil(PART)),
-        memory: Memory(quota.memory.0.div_ceil(PART)),
-        accels: Accels(quota.accels.0.div_ceil(PART)),
+        cores: Cores(quota.cores.0.div_ceil(QUOTA_DIVISOR)),
+        memory: Memory(quota.memory.0.div_ceil(QUOTA_DIVISOR)),
+        accels: Accels(quota.accels.0.div_ceil(QUOTA_DIVISOR)),
     }
 }
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -1,9 +1,9 @@
-//! A job whose tasks wait, and its places among the jobs of its team.
+//! Defines a job with waiting tasks and its place among the jobs of its team.
 //!
-//! The load is that of [`super::order`], which holds the jobs; here stands what makes one job go before
-//! another. Work that by its estimate can't be in time any more is taken out of the order by slack: at
-//! the front, where its slack would put it, it makes the work behind it late as well, job after job
-//! (the rows `Slack` and `Own` of docs/MEASUREMENTS.md, "Order of tasks").
+//! The load is that of [`super::order`], which holds the jobs; this module decides which job comes
+//! first. Jobs that by their estimate can no longer meet their deadline are not ordered by slack:
+//! slack would put them first, where they would make the jobs behind them late as well, one after
+//! the other (rows `Slack` and `Own` of docs/MEASUREMENTS.md, "Order of tasks").
 
 use {
     super::quota::{Ask, Back},
@@ -15,36 +15,37 @@
     std::{cmp::Reverse, collections::BTreeSet, time::Duration},
 };
 
-/// The longest that work without a deadline stands behind later work of its team: four hours, half of
-/// the night in which batches run, so that what came in the evening is over in the morning.
-const PATIENCE: Duration = Duration::from_secs(4 * 3600);
-/// Latest starts this close together count as equal, so that priority decides: estimates are not
-/// better than a minute.
-const GRAIN: u64 = 60_000_000;
-/// What is added to the estimated time of the remaining tasks, one part in so many: run times are
-/// often off by half, and a batch that is early harms nobody.
-const MARGIN: u32 = 2;
+/// Maximum time for which a job without a deadline is passed by later jobs of its team: four hours,
+/// half of the night in which batches run, so that a job submitted in the evening is done in the
+/// morning.
+const MAX_DELAY: Duration = Duration::from_secs(4 * 3600);
+/// Latest start times within the same interval of this length, in microseconds, count as equal, so
+/// that priority decides: estimates are not more precise than a minute.
+const GRAIN_MICROS: u64 = 60_000_000;
+/// Divisor for the share of the remaining time that is added to it as a margin: run times are often
+/// off by half, and a batch that ends early does no harm.
+const MARGIN_DIVISOR: u32 = 2;
 
 /// A job whose tasks wait.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its name.
+    /// The name of the job.
     pub id: JobId,
-    /// The team that pays.
+    /// The team whose quota is charged.
     pub team: TeamId,
     /// When all its tasks must have ended, or [`Time::NEVER`].
     pub deadline: Time,
-    /// Higher goes first.
+    /// Jobs with a higher priority go first.
     pub priority: u8,
-    /// A task's run time, declared or estimated.
+    /// Run time of a task, declared or estimated.
     pub run: Duration,
-    /// How many of its tasks can run at once; zero counts as one.
+    /// Number of tasks that can run at once; zero counts as one.
     pub width: u32,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What a task reserves.
+    /// Resources that a task reserves.
     pub size: Size,
-    /// How a task's room can be had back.
+    /// How a task's room can be reclaimed.
     pub back: Back,
 }
 
@@ -53,7 +54,7 @@
     pub(super) job: Job,
     arrival: Time,
     pub(super) key: Key,
-    /// Tasks that have not ended.
+    /// Number of tasks that have not ended.
     pub(super) left: u32,
     pub(super) waiting: BTreeSet<TaskIndex>,
     pub(super) parked: bool,
@@ -70,7 +71,7 @@
 
 impl Key {
     pub(super) fn latest(&self) -> Time {
-        Time(self.grain.saturating_mul(GRAIN))
+        Time(self.grain.saturating_mul(GRAIN_MICROS))
     }
 }
 
@@ -86,13 +87,14 @@
     pub(super) fn key(&self, now: Time) -> Key {
         let job = &self.job;
         let rounds = self.left.div_ceil(job.width.max(1));
-        let work = job.run.saturating_mul(rounds);
-        let aged = self.arrival + PATIENCE / (1 + u32::from(job.priority));
-        let lost = now + work > job.deadline;
-        let dated = if lost { aged } else { job.deadline - (work + work / MARGIN) };
-        let latest = dated.min(aged);
+        let remaining = job.run.saturating_mul(rounds);
+        let by_age = self.arrival + MAX_DELAY / (1 + u32::from(job.priority));
+        let late = now + remaining > job.deadline;
+        let by_deadline =
+            if late { by_age } else { job.deadline - (remaining + remaining / MARGIN_DIVISOR) };
+        let latest = by_deadline.min(by_age);
         Key {
-            grain: latest.0 / GRAIN,
+            grain: latest.0 / GRAIN_MICROS,
             priority: Reverse(job.priority),
             arrival: self.arrival,
             job: job.id.clone(),
