--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -1,23 +1,23 @@
-//! Which worker a task goes to.
+//! Chooses the worker that a task is placed on.
 //!
-//! Load answered: batch work of mixed sizes, whose VMs should be few, beside services, whose
-//! replicas should not fail together; thousands of decisions a second. Packed first-fit, tasks that
-//! come and go keep more VMs in use than they need; spread at random, two replicas share a rack and
-//! fall with its switch; scanned one by one, 3,900 workers take longer than the peak leaves for a
-//! decision.
+//! Load answered: batch tasks of mixed sizes, which should use few VMs, along with services, whose
+//! replicas should not fail together, at thousands of decisions a second. With first-fit packing,
+//! tasks that come and go keep more VMs in use than they need. With random spreading, two replicas
+//! share a rack and fail with its switch. A scan of all 3,900 workers takes longer than the peak
+//! load leaves for a decision.
 //!
-//! - *Pack* takes the fullest fitting worker: the one with the smallest sum of free shares of its
-//!   processors, memory and accelerators. So the emptiest workers get nothing new and become idle.
-//!   Best-fit on the scarcest dimension alone keeps more VMs in use than first-fit does, as it looks
-//!   past what the other dimensions have left; the test of packing compares all three.
+//! - *Pack* takes the fullest worker that has room: the one with the smallest sum of free shares of
+//! its processors, memory and accelerators. So the emptiest workers get no new work and become
+//! idle. Best-fit on the scarcest dimension alone keeps more VMs in use than first-fit, because it
+//! ignores what is left in the other dimensions; the packing test compares all three.
 //! - *Spread* takes the rack with the fewest replicas of the job, then the worker with the fewest,
-//!   then the emptiest.
-//! - Work without accelerators shuns workers that have some while any other has room; if it must,
-//!   it takes the one with the fewest accelerators free, as the rest of such a worker is of the
-//!   least use to others.
+//! then the emptiest.
+//! - Work without accelerators avoids workers that have some as long as any other worker has room.
+//! Otherwise it takes the one with the fewest free accelerators, since the rest of that worker is
+//! the least useful to other tasks.
 //!
-//! There are no thresholds. The index proposes; the ledger has the last word. One index covers the
-//! workers among which a task may choose: keep one for each pool.
+//! There are no thresholds. The index proposes a worker; the ledger makes the final decision. One
+//! index covers the workers that a task may choose from: keep one for each pool.
 
 mod tree;
 
@@ -31,40 +31,40 @@
     std::cmp::Reverse,
 };
 
-/// A worker as the index knows it.
+/// State of a worker in the index.
 #[derive(Clone, Debug)]
-struct Spot {
+struct WorkerState {
     worker: WorkerId,
     rack: u32,
     size: Size,
     free: Size,
-    open: bool,
+    schedulable: bool,
 }
 
-/// The workers that tasks may be placed on, by their free room.
+/// Index of workers by their free room, on which tasks may be placed.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     ids: FxHashMap<WorkerId, u32>,
-    spots: Vec<Spot>,
-    vacant: Vec<u32>,
+    states: Vec<WorkerState>,
+    free_ids: Vec<u32>,
     rack_ids: FxHashMap<RackId, u32>,
     racks: Vec<Vec<u32>>,
     size: Size,
-    /// The open workers without accelerators, the fullest first.
-    plain: Tree,
-    /// The open workers with accelerators, the fullest first.
-    accel: Tree,
-    /// The same, those with the fewest accelerators free first.
-    shunned: Tree,
+    /// Schedulable workers without accelerators, the fullest first.
+    without_accels: Tree,
+    /// Schedulable workers with accelerators, the fullest first.
+    with_accels: Tree,
+    /// The same workers, those with the fewest free accelerators first.
+    by_accels: Tree,
 }
 
 impl Index {
-    /// An index without workers.
+    /// Creates an index without workers.
     pub fn new() -> Self {
         Index::default()
     }
 
-    /// Enters a worker, empty and open; a known one is entered anew.
+    /// Adds a worker, empty and schedulable; a known worker is replaced.
     pub fn add(&mut self, worker: &WorkerId, rack: &RackId, size: Size) {
         self.remove(worker);
         let next = self.racks.len() as u32;
@@ -72,60 +72,62 @@
         if rack == next {
             self.racks.push(Vec::new());
         }
-        let spot = Spot { worker: worker.clone(), rack, size, free: size, open: true };
-        let id = self.vacant.pop().unwrap_or(self.spots.len() as u32);
-        match self.spots.get_mut(id as usize) {
-            Some(old) => *old = spot,
-            None => self.spots.push(spot),
+        let state =
+            WorkerState { worker: worker.clone(), rack, size, free: size, schedulable: true };
+        let id = self.free_ids.pop().unwrap_or(self.states.len() as u32);
+        match self.states.get_mut(id as usize) {
+            Some(old) => *old = state,
+            None => self.states.push(state),
         }
         self.racks[rack as usize].push(id);
         self.ids.insert(worker.clone(), id);
         self.size += size;
-        self.enter(id);
+        self.link(id);
     }
 
-    /// Takes a worker out.
+    /// Removes a worker.
     pub fn remove(&mut self, worker: &WorkerId) {
         let Some(id) = self.ids.remove(worker) else { return };
-        self.leave(id);
-        let spot = &mut self.spots[id as usize];
-        spot.open = false;
-        self.size = self.size.saturating_sub(&spot.size);
-        self.racks[spot.rack as usize].retain(|other| *other != id);
-        self.vacant.push(id);
+        self.unlink(id);
+        let state = &mut self.states[id as usize];
+        state.schedulable = false;
+        self.size = self.size.saturating_sub(&state.size);
+        self.racks[state.rack as usize].retain(|other| *other != id);
+        self.free_ids.push(id);
     }
 
-    /// Notes what is free on a worker, and whether it takes new work.
+    /// Updates the free room of a worker, and whether it is `open` to new work.
     ///
-    /// Call it after each change of the ledger; a worker that is leaving or quarantined is not open.
-    pub fn set(&mut self, worker: &WorkerId, free: Size, open: bool) {
+    /// Must be called after each change of the ledger. A worker that is leaving or quarantined is
+    /// not open.
+    pub fn set(&mut self, worker: &WorkerId, free: Size, schedulable: bool) {
         let Some(&id) = self.ids.get(worker) else { return };
-        self.leave(id);
-        let spot = &mut self.spots[id as usize];
-        (spot.free, spot.open) = (free, open);
-        self.enter(id);
+        self.unlink(id);
+        let state = &mut self.states[id as usize];
+        (state.free, state.schedulable) = (free, schedulable);
+        self.link(id);
     }
 
-    /// What is free on a worker.
+    /// Returns the free room of a worker.
     pub fn free(&self, worker: &WorkerId) -> Option<Size> {
-        self.ids.get(worker).map(|id| self.spots[*id as usize].free)
+        self.ids.get(worker).map(|id| self.states[*id as usize].free)
     }
 
-    /// The worker for a task of batch work, if one that isn't in `avoid` has the room.
+    /// Returns the worker for a batch task, if one that is not in `avoid` has room.
     pub fn pack(&self, need: &Size, avoid: &[WorkerId]) -> Option<&WorkerId> {
-        let ok = |id: u32| !avoid.contains(&self.spots[id as usize].worker);
+        let accept = |id: u32| !avoid.contains(&self.states[id as usize].worker);
         let id = if need.accels.0 > 0 {
-            self.accel.first(need, &ok)
+            self.with_accels.first(need, &accept)
         } else {
-            self.plain.first(need, &ok).or_else(|| self.shunned.first(need, &ok))
+            self.without_accels.first(need, &accept).or_else(|| self.by_accels.first(need, &accept))
         };
-        id.map(|id| &self.spots[id as usize].worker)
+        id.map(|id| &self.states[id as usize].worker)
     }
 
-    /// The worker for a service's replica, whose others run on `replicas` (a worker as often as it
-    /// runs one), if one that isn't in `avoid` has the room.
+    /// Returns the worker for a replica of a service, if one that is not in `avoid` has room.
     ///
-    /// Takes a time that grows with the replicas and the workers of their racks besides.
+    /// `replicas` lists the workers of the other replicas, each as often as it runs one. The time
+    /// grows with the number of replicas and of workers in their racks.
     pub fn spread(
         &self,
         need: &Size,
@@ -136,75 +138,82 @@
         let mut racks = FxHashMap::default();
         for id in replicas.iter().filter_map(|w| self.ids.get(w)) {
             *counts.entry(*id).or_insert(0u32) += 1;
-            *racks.entry(self.spots[*id as usize].rack).or_insert(0u32) += 1;
+            *racks.entry(self.states[*id as usize].rack).or_insert(0u32) += 1;
         }
-        let ok = |id: u32| !avoid.contains(&self.spots[id as usize].worker);
-        let fresh = |id: u32| !racks.contains_key(&self.spots[id as usize].rack) && ok(id);
-        let shared = |accel: bool| {
+        let accept = |id: u32| !avoid.contains(&self.states[id as usize].worker);
+        let in_new_rack =
+            |id: u32| !racks.contains_key(&self.states[id as usize].rack) && accept(id);
+        let in_used_rack = |with_accels: bool| {
             let known = racks.keys().flat_map(|r| &self.racks[*r as usize]).copied();
             let fit = known.filter(|id| {
-                let s = &self.spots[*id as usize];
-                s.open && (s.size.accels.0 > 0) == accel && need.fits(&s.free) && ok(*id)
+                let s = &self.states[*id as usize];
+                s.schedulable
+                    && (s.size.accels.0 > 0) == with_accels
+                    && need.fits(&s.free)
+                    && accept(*id)
             });
             fit.min_by_key(|id| {
-                let s = &self.spots[*id as usize];
+                let s = &self.states[*id as usize];
                 (racks[&s.rack], counts.get(id).copied(), Reverse(emptiness(s)), *id)
             })
         };
-        let plain = || self.plain.last(need, &fresh).or_else(|| shared(false));
-        let accel = || self.accel.last(need, &fresh).or_else(|| shared(true));
-        let id = if need.accels.0 > 0 { accel() } else { plain().or_else(accel) };
-        id.map(|id| &self.spots[id as usize].worker)
+        let without_accels =
+            || self.without_accels.last(need, &in_new_rack).or_else(|| in_used_rack(false));
+        let with_accels =
+            || self.with_accels.last(need, &in_new_rack).or_else(|| in_used_rack(true));
+        let id =
+            if need.accels.0 > 0 { with_accels() } else { without_accels().or_else(with_accels) };
+        id.map(|id| &self.states[id as usize].worker)
     }
 
-    /// The order in which to place a batch that is known whole: the largest tasks first, by their
-    /// share of all workers in the dimension where it is largest.
+    /// Returns the order in which to place a batch whose tasks are all known: the largest first, by
+    /// their share of all workers in the dimension where this share is largest.
     ///
-    /// Large tasks that come last find room only on further workers, while small ones still fit
-    /// into what large ones left.
+    /// If large tasks came last, they would need further workers, while small ones fit into the
+    /// room that large ones leave.
     pub fn order(&self, needs: &[Size]) -> Vec<usize> {
         let mut order: Vec<usize> = (0..needs.len()).collect();
         order.sort_by_key(|n| Reverse(shares(&needs[*n], &self.size).into_iter().max()));
         order
     }
 
-    fn enter(&mut self, id: u32) {
-        let spot = &self.spots[id as usize];
-        if !spot.open {
+    fn link(&mut self, id: u32) {
+        let state = &self.states[id as usize];
+        if !state.schedulable {
             return;
         }
-        if spot.size.accels.0 == 0 {
-            self.plain.insert(id, emptiness(spot), spot.free);
+        if state.size.accels.0 == 0 {
+            self.without_accels.insert(id, emptiness(state), state.free);
         } else {
-            self.accel.insert(id, emptiness(spot), spot.free);
-            self.shunned.insert(id, spot.free.accels.0, spot.free);
+            self.with_accels.insert(id, emptiness(state), state.free);
+            self.by_accels.insert(id, state.free.accels.0, state.free);
         }
     }
 
-    fn leave(&mut self, id: u32) {
-        let spot = &self.spots[id as usize];
-        if !spot.open {
+    fn unlink(&mut self, id: u32) {
+        let state = &self.states[id as usize];
+        if !state.schedulable {
             return;
         }
-        if spot.size.accels.0 == 0 {
-            self.plain.remove(id);
+        if state.size.accels.0 == 0 {
+            self.without_accels.remove(id);
         } else {
-            self.accel.remove(id);
-            self.shunned.remove(id);
+            self.with_accels.remove(id);
+            self.by_accels.remove(id);
         }
     }
 }
 
-/// The sum of a worker's free shares; greatest where it is idle.
-fn emptiness(spot: &Spot) -> u64 {
-    shares(&spot.free, &spot.size).into_iter().sum()
+/// Returns the sum of a worker's free shares, which is largest for an idle worker.
+fn emptiness(state: &WorkerState) -> u64 {
+    shares(&state.free, &state.size).into_iter().sum()
 }
 
-/// The part that one size is of another in each dimension, in units of 2^-32.
+/// Returns the share of `all` that `part` is in each dimension, in units of 2^-32.
 fn shares(part: &Size, all: &Size) -> [u64; 3] {
     let share = |part: u64, all: u64| {
-        let wide = (u128::from(part) << 32) / u128::from(all.max(1));
-        u64::try_from(wide).unwrap_or(u64::MAX >> 2)
+        let scaled = (u128::from(part) << 32) / u128::from(all.max(1));
+        u64::try_from(scaled).unwrap_or(u64::MAX >> 2)
     };
     [
         share(part.cores.0, all.cores.0),
--- a/src/decide/place/tree.rs
+++ b/src/decide/place/tree.rs
@@ -1,26 +1,26 @@
 //! Workers in an order of preference, searched by their free room in all dimensions.
 //!
-//! A treap: a binary search tree by key that is a heap by priority, so its depth is logarithmic in
-//! expectation whatever the order of changes. Each node knows the greatest room below it, dimension
-//! by dimension, so that a search passes over whole subtrees in which nothing can fit. Priorities
-//! are a fixed hash of the worker's number: the same calls give the same tree.
+//! The tree is a treap: a binary search tree by key that is also a heap by priority, so its
+//! expected depth is logarithmic for any order of changes. Each node stores the maximum free room
+//! of its subtree in each dimension, so that a search skips subtrees in which nothing can fit.
+//! Priorities are a fixed hash of the worker's number, so that the same calls build the same tree.
 
 use crate::units::Size;
 
 const NIL: u32 = u32::MAX;
-/// The odd number next to 2^64 over the golden ratio; multiples of it scatter well.
-const SCATTER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The odd number closest to 2^64 divided by the golden ratio, as in Fibonacci hashing.
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 #[derive(Clone, Debug)]
 struct Node {
     key: u64,
     free: Size,
-    most: Size,
+    max_free: Size,
     left: u32,
     right: u32,
 }
 
-/// Workers in the order of their keys.
+/// Workers ordered by their keys.
 #[derive(Clone, Debug)]
 pub(super) struct Tree {
     root: u32,
@@ -34,9 +34,9 @@
 }
 
 impl Tree {
-    /// Enters a worker that is not in the tree.
+    /// Inserts a worker that is not in the tree.
     pub(super) fn insert(&mut self, id: u32, key: u64, free: Size) {
-        let node = Node { key, free, most: free, left: NIL, right: NIL };
+        let node = Node { key, free, max_free: free, left: NIL, right: NIL };
         while self.nodes.len() <= id as usize {
             self.nodes.push(node.clone());
         }
@@ -44,32 +44,42 @@
         self.root = self.insert_at(self.root, id);
     }
 
-    /// Takes out a worker that is in the tree.
+    /// Removes a worker that is in the tree.
     pub(super) fn remove(&mut self, id: u32) {
         self.root = self.remove_at(self.root, id);
     }
 
-    /// The first worker in order with room for `need` that passes `ok`.
-    pub(super) fn first(&self, need: &Size, ok: &dyn Fn(u32) -> bool) -> Option<u32> {
-        self.find(self.root, need, false, ok)
+    /// Returns the first worker in order with room for `need` that passes `accept`.
+    pub(super) fn first(&self, need: &Size, accept: &dyn Fn(u32) -> bool) -> Option<u32> {
+        self.find(self.root, need, false, accept)
     }
 
-    /// The last worker in order with room for `need` that passes `ok`.
-    pub(super) fn last(&self, need: &Size, ok: &dyn Fn(u32) -> bool) -> Option<u32> {
-        self.find(self.root, need, true, ok)
+    /// Returns the last worker in order with room for `need` that passes `accept`.
+    pub(super) fn last(&self, need: &Size, accept: &dyn Fn(u32) -> bool) -> Option<u32> {
+        self.find(self.root, need, true, accept)
     }
 
-    fn find(&self, at: u32, need: &Size, back: bool, ok: &dyn Fn(u32) -> bool) -> Option<u32> {
+    fn find(
+        &self,
+        at: u32,
+        need: &Size,
+        reverse: bool,
+        accept: &dyn Fn(u32) -> bool,
+    ) -> Option<u32> {
         let node = self.nodes.get(at as usize)?;
-        if !need.fits(&node.most) {
+        if !need.fits(&node.max_free) {
             return None;
         }
-        let (near, far) = if back { (node.right, node.left) } else { (node.left, node.right) };
-        let found = self.find(near, need, back, ok);
+        let (near, far) = if reverse { (node.right, node.left) } else { (node.left, node.right) };
+        let found = self.find(near, need, reverse, accept);
         if found.is_some() {
             return found;
         }
-        if need.fits(&node.free) && ok(at) { Some(at) } else { self.find(far, need, back, ok) }
+        if need.fits(&node.free) && accept(at) {
+            Some(at)
+        } else {
+            self.find(far, need, reverse, accept)
+        }
     }
 
     fn insert_at(&mut self, at: u32, id: u32) -> u32 {
@@ -78,16 +88,16 @@
         }
         if priority(id) > priority(at) {
             let (left, right) = self.split(at, id);
-            self.link(id, left, right);
+            self.set_children(id, left, right);
             return id;
         }
         let Node { left, right, .. } = self.nodes[at as usize];
-        if self.before(id, at) {
+        if self.precedes(id, at) {
             let left = self.insert_at(left, id);
-            self.link(at, left, right);
+            self.set_children(at, left, right);
         } else {
             let right = self.insert_at(right, id);
-            self.link(at, left, right);
+            self.set_children(at, left, right);
         }
         at
     }
@@ -100,34 +110,34 @@
         if at == id {
             return self.merge(left, right);
         }
-        if self.before(id, at) {
+        if self.precedes(id, at) {
             let left = self.remove_at(left, id);
-            self.link(at, left, right);
+            self.set_children(at, left, right);
         } else {
             let right = self.remove_at(right, id);
-            self.link(at, left, right);
+            self.set_children(at, left, right);
         }
         at
     }
 
-    /// The parts of a subtree before and after a worker.
+    /// Splits a subtree into the parts before and after a worker.
     fn split(&mut self, at: u32, id: u32) -> (u32, u32) {
         if at == NIL {
             return (NIL, NIL);
         }
         let Node { left, right, .. } = self.nodes[at as usize];
-        if self.before(at, id) {
+        if self.precedes(at, id) {
             let (inner, after) = self.split(right, id);
-            self.link(at, left, inner);
+            self.set_children(at, left, inner);
             (at, after)
         } else {
             let (before, inner) = self.split(left, id);
-            self.link(at, inner, right);
+            self.set_children(at, inner, right);
             (before, at)
         }
     }
 
-    /// One subtree of two, the first of which lies before the second.
+    /// Merges two subtrees, all nodes of the first of which precede those of the second.
     fn merge(&mut self, a: u32, b: u32) -> u32 {
         if a == NIL {
             return b;
@@ -138,33 +148,33 @@
         if priority(a) > priority(b) {
             let Node { left, right, .. } = self.nodes[a as usize];
             let right = self.merge(right, b);
-            self.link(a, left, right);
+            self.set_children(a, left, right);
             a
         } else {
             let Node { left, right, .. } = self.nodes[b as usize];
             let left = self.merge(a, left);
-            self.link(b, left, right);
+            self.set_children(b, left, right);
             b
         }
     }
 
-    fn link(&mut self, at: u32, left: u32, right: u32) {
-        let mut most = self.nodes[at as usize].free;
+    fn set_children(&mut self, at: u32, left: u32, right: u32) {
+        let mut max_free = self.nodes[at as usize].free;
         for child in [left, right] {
             if let Some(node) = self.nodes.get(child as usize) {
-                most = most.max(&node.most);
+                max_free = max_free.max(&node.max_free);
             }
         }
         let node = &mut self.nodes[at as usize];
-        (node.left, node.right, node.most) = (left, right, most);
+        (node.left, node.right, node.max_free) = (left, right, max_free);
     }
 
-    fn before(&self, a: u32, b: u32) -> bool {
+    fn precedes(&self, a: u32, b: u32) -> bool {
         (self.nodes[a as usize].key, a) < (self.nodes[b as usize].key, b)
     }
 }
 
 fn priority(id: u32) -> u64 {
-    let scattered = (u64::from(id) + 1).wrapping_mul(SCATTER);
-    (scattered ^ (scattered >> 29)).wrapping_mul(SCATTER)
+    let hash = (u64::from(id) + 1).wrapping_mul(HASH_MULTIPLIER);
+    (hash ^ (hash >> 29)).wrapping_mul(HASH_MULTIPLIER)
 }
--- a/src/decide/relay.rs
+++ b/src/decide/relay.rs
@@ -1,162 +1,164 @@
-//! Whether a member calls the store itself or has another member relay the call, and whether it may
-//! own shards meanwhile.
+//! Decides whether a member calls the store directly or has another member relay the call, and
+//! whether the member may own shards in the meantime.
 //!
-//! *Load pattern:* the store turns some machines away for seconds, or they are cut off from it,
-//! while it serves the others; callers come in at such a machine as at any, and shards are owned
-//! there. *Without it:* such a member refuses its callers, its lease ends, and its shards stand
-//! still until lease and grace are over and another member has taken them over; the same for each
+//! *Load pattern:* the store rejects some machines for seconds, or they are cut off from it, while
+//! it serves the others. Callers still connect to such a machine, and it owns shards. *Without it:*
+//! the member refuses its callers, its lease ends, and its shards stop until the lease and the
+//! grace period have passed and another member has taken them over. The same happens for each
 //! further machine.
 //!
-//! *Thresholds:* two calls on end that the store didn't serve; a single one is an answer that was
-//! lost, or a write refused in a storm. The direct way is tried again twice a second, as often as
-//! the lease is renewed, by calls that may be made twice: a member is back within half a second, and
-//! no write waits for a silent connection. A member that didn't relay a call may be cut off as well:
-//! it is asked last for two seconds, the length of a lease. Where none of the members that were asked
-//! relayed a call, the store itself is down, and relays would multiply the calls that it refuses: none
-//! for a second, then one. Shards are given up after half a second without the direct way: a handover
-//! costs them about as much.
+//! *Thresholds:* the direct path counts as lost after two failed direct calls in a row; a single
+//! failure is a lost answer, or a write refused under heavy load. While it is lost, the direct path
+//! is probed twice a second, as often as the lease is renewed, with calls that are safe to repeat.
+//! So a member recovers within half a second, and no write waits for a dead connection. A member
+//! that failed to relay a call may be cut off as well: it is tried last for two seconds, the length
+//! of a lease. If no member relayed a call, the store itself is down, and relaying would multiply
+//! the calls that it refuses: nothing is relayed for a second, then one call is. Shards are given
+//! up half a second after the direct path was lost, which is about the cost of a handover.
 
 use {
     crate::{ids::Incarnation, time::Time},
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// So many direct calls on end that were not served mean that the direct way is lost.
-const LOST: u32 = 2;
-/// How often the direct way is tried while it is lost.
-const PROBE: Duration = Duration::from_millis(500);
-/// The pause after a call that nobody relayed.
-const REST: Duration = Duration::from_secs(1);
-/// For how long the direct way is lost before shards are given up.
-const YIELD: Duration = Duration::from_millis(500);
-/// For how long a member is asked last that didn't relay a call.
-const AVOID: Duration = Duration::from_secs(2);
-/// The least time of a call whose want of an answer says something of the way.
-const FAIR: Duration = Duration::from_millis(200);
-/// The most members that are tried for one call: where a third of all are cut off, all of them are in
-/// one case of a hundred.
-const MOST: usize = 4;
+/// Number of failed direct calls in a row after which the direct path is lost.
+const MAX_FAULTS: u32 = 2;
+/// Interval at which the direct path is probed while it is lost.
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause after a call that no member relayed.
+const RELAY_PAUSE: Duration = Duration::from_secs(1);
+/// How long the direct path is lost before shards are given up.
+const YIELD_DELAY: Duration = Duration::from_millis(500);
+/// How long a member that failed to relay a call is tried last.
+const AVOID_PERIOD: Duration = Duration::from_secs(2);
+/// Minimum duration of a call without an answer that counts as a failure of the path.
+const MIN_CALL_TIME: Duration = Duration::from_millis(200);
+/// Maximum number of members that are tried for one call: if a third of all members are cut off,
+/// all of the tried ones are in one case out of a hundred.
+const MAX_RELAYS: usize = 4;
 
-/// The way of one call.
+/// How a call reaches the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Direct.
+    /// Directly.
     Direct,
-    /// Direct for a moment, to see whether that works again; relayed if not.
+    /// Directly for a short time, to test whether the direct path works again; relayed if not.
     Probe,
     /// Relayed by another member.
     Relayed,
 }
 
-/// What the last calls say of the ways to the store.
+/// State of the paths to the store, as known from recent calls.
 #[derive(Clone, Debug, Default)]
 pub struct Relay {
-    /// Direct calls on end that were not served.
+    /// Failed direct calls in a row.
     faults: u32,
-    /// When the direct way was lost.
-    since: Time,
-    /// Whether this member leaves owning shards to others, until the store serves it.
-    yields: bool,
-    /// When the direct way is tried next.
-    probe: Time,
-    /// No relay before.
-    rest: Time,
+    /// When the direct path was lost.
+    lost_at: Time,
+    /// Whether this member gives up its shards until the store serves it again.
+    yielding: bool,
+    /// When the direct path is probed next.
+    next_probe: Time,
+    /// Calls are not relayed before this time.
+    paused_until: Time,
     /// When the store last served a direct call.
-    heard: Time,
-    /// The member that relayed last, and when a call was last relayed.
-    last: Option<Incarnation>,
-    relayed: Option<Time>,
-    /// Members that didn't relay a call, and until when each is asked last.
+    last_served: Time,
+    /// The member that relayed the last call.
+    last_relay: Option<Incarnation>,
+    /// When a call was last relayed.
+    relayed_at: Option<Time>,
+    /// Members that failed to relay a call, and until when each is tried last.
     avoided: BTreeMap<Incarnation, Time>,
 }
 
 impl Relay {
-    /// The way of a call; `repeats` says whether it may be made twice.
+    /// Chooses the path of a call; `repeats` says whether the call is safe to repeat.
     pub fn way(&mut self, repeats: bool, now: Time) -> Way {
         if !self.lost() {
             return Way::Direct;
         }
-        if repeats && self.probe <= now {
-            self.probe = now + PROBE;
+        if repeats && self.next_probe <= now {
+            self.next_probe = now + PROBE_INTERVAL;
             return Way::Probe;
         }
         if self.rests(now) { Way::Direct } else { Way::Relayed }
     }
 
-    /// Whether the direct way is lost.
+    /// Returns whether the direct path is lost.
     pub fn lost(&self) -> bool {
-        self.faults >= LOST
+        self.faults >= MAX_FAULTS
     }
 
-    /// Whether nothing is relayed for now.
+    /// Returns whether relaying is paused.
     pub fn rests(&self, now: Time) -> bool {
-        now < self.rest
+        now < self.paused_until
     }
 
-    /// Takes in a direct call: whether the store served it.
+    /// Records whether the store served a direct call.
     pub fn direct(&mut self, served: bool, now: Time) {
         if served {
-            (self.faults, self.heard, self.yields) = (0, now, false);
+            (self.faults, self.last_served, self.yielding) = (0, now, false);
             return;
         }
         self.faults = self.faults.saturating_add(1);
-        if self.faults == LOST {
-            (self.since, self.probe) = (now, now + PROBE);
+        if self.faults == MAX_FAULTS {
+            (self.lost_at, self.next_probe) = (now, now + PROBE_INTERVAL);
         }
     }
 
-    /// Whether this member leaves owning shards to members that the store serves.
+    /// Returns whether this member leaves the ownership of shards to members that the store serves.
     ///
-    /// Guards against jobs that pile up at an owner that is cut off: all that its shards read and write
-    /// would go through another member's link, and each end of a task and each start after it wait there.
-    /// Where others are not served either, nobody could do better.
+    /// Without this, jobs pile up at an owner that is cut off: all reads and writes of its shards
+    /// go through another member's connection, and each end and start of a task waits for it. If
+    /// the other members are not served either, giving up shards would not help.
     pub fn yields(&mut self, now: Time) -> bool {
-        let relays = self.relayed.is_some_and(|at| at >= self.since) && !self.rests(now);
-        self.yields |= self.lost() && relays && now - self.since >= YIELD;
-        self.yields
+        let relays = self.relayed_at.is_some_and(|at| at >= self.lost_at) && !self.rests(now);
+        self.yielding |= self.lost() && relays && now - self.lost_at >= YIELD_DELAY;
+        self.yielding
     }
 
-    /// Takes in a direct call that was given up.
+    /// Records a direct call that timed out.
     ///
-    /// Guards against a busy link that is taken for a lost one, with all that is under way on it given
-    /// up: a caller's last moments are too short for any answer, and one that waits behind a large
-    /// answer is late while others are served.
+    /// The call counts as failed only if it lasted long enough and the store served no other call
+    /// since it was sent. Otherwise a busy connection would be taken for a lost one, and all calls
+    /// in progress on it would be given up: the last moments before a caller's deadline are too
+    /// short for any answer, and a call behind a large answer is late while others are served.
     pub fn unanswered(&mut self, sent: Time, now: Time) {
-        if now - sent >= FAIR && self.heard < sent {
+        if now - sent >= MIN_CALL_TIME && self.last_served < sent {
             self.direct(false, now);
         }
     }
 
-    /// Takes in a call that a member was asked to relay: whether the store served it.
+    /// Records whether the store served a call that a member was asked to relay.
     ///
-    /// Guards against a single member that is cut off as well, or too slow for one call: relays by
-    /// others go on.
+    /// A failure affects only this member, which may be cut off as well, or too slow for one call;
+    /// other members continue to relay.
     pub fn relayed(&mut self, by: Incarnation, served: bool, now: Time) {
         if served {
-            (self.last, self.relayed) = (Some(by), Some(now));
+            (self.last_relay, self.relayed_at) = (Some(by), Some(now));
             self.avoided.remove(&by);
             return;
         }
-        self.last = self.last.filter(|l| *l != by);
+        self.last_relay = self.last_relay.filter(|l| *l != by);
         self.avoided.retain(|_, until| now < *until);
-        self.avoided.insert(by, now + AVOID);
+        self.avoided.insert(by, now + AVOID_PERIOD);
     }
 
-    /// Takes in a call that none of the members that were asked has relayed.
+    /// Records a call that none of the tried members relayed.
     pub fn unrelayed(&mut self, now: Time) {
-        self.rest = now + REST;
+        self.paused_until = now + RELAY_PAUSE;
     }
 
-    /// The members to be tried for a call, in order: the one that relayed last, then those behind
-    /// this member in the ring of all, so that several that are cut off lean on different ones; those
-    /// that didn't relay of late come last.
+    /// Returns the members to try for a call, in order: the one that relayed last, then those that
+    /// follow this member in the ring of all members, so that several members that are cut off use
+    /// different relays. Members that recently failed to relay a call come last.
     pub fn members(&self, able: &[Incarnation], me: Incarnation, now: Time) -> Vec<Incarnation> {
         let behind = able.iter().filter(|m| **m > me);
         let mut ring: Vec<Incarnation> =
             behind.chain(able.iter().filter(|m| **m < me)).copied().collect();
         let avoided = |m: &Incarnation| self.avoided.get(m).is_some_and(|until| now < *until);
-        ring.sort_by_key(|m| (self.last != Some(*m), avoided(m)));
-        ring.truncate(MOST);
+        ring.sort_by_key(|m| (self.last_relay != Some(*m), avoided(m)));
+        ring.truncate(MAX_RELAYS);
         ring
     }
 }
--- a/src/decide/shift.rs
+++ b/src/decide/shift.rs
@@ -1,18 +1,21 @@
-//! Which peer member gets a request that this member can't serve at once.
+//! Chooses the peer member that gets a request which this member can't serve at once.
 //!
-//! *Load pattern:* callers' connections, and so requests, fall unevenly on members; each owns some
-//! racks, and knows the others' load from reports that are up to a second old. *Without it:* the
-//! peer that the last report called least loaded is sent everything by every member until the next
-//! report, which calls it the most loaded: load swings from peer to peer, full while others idle.
+//! *Load pattern:* callers' connections, and so requests, are distributed unevenly over members.
+//! Each member owns some racks and knows the load of the others from reports that are up to a
+//! second old. *Without it:* all members send everything to the peer that the last report showed as
+//! least loaded, until the next report shows it as the most loaded. The load oscillates between
+//! peers; some are full while others are idle.
 //!
-//! *Choice:* two random peers with room by their last report, and of these the less loaded. What
-//! this member sent since the report counts as load for as long as it is expected to run. It counts
-//! once for each member that sends likewise, as each has the same report: all of them, until the
-//! reports show that the peers have less than that.
+//! *Choice:* the less loaded of two random peers that had room by their last report. Requests that
+//! this member sent since the report count as load for their expected run time. They are multiplied
+//! by the number of members that send as much as this one, since all of them see the same report.
+//! This is assumed to be every member, unless the reports show that the peers have fewer requests
+//! than that.
 //!
-//! *Availability zones:* a peer in the same availability zone saves 1.5 ms each way. It is taken
-//! until more than 60% of its slots are taken and a fifth more than of the other choice's; from
-//! there on the others' part grows with the excess. A switch at one threshold would swing.
+//! *Availability zones:* a peer in the same availability zone saves 1.5 ms each way. It is
+//! preferred until more than 60% of its slots are taken and its load exceeds that of the other
+//! choice by a fifth of the slots. Above that, the share of other zones grows with the excess;
+//! switching at a single threshold would cause oscillation.
 
 use {
     crate::{
@@ -26,59 +29,59 @@
     },
 };
 
-/// The load, as a part of the slots, that a peer in the same availability zone may have more than
-/// others: at 8 slots, two more taken, which is less than the chance variation of one report.
-const MARGIN: f64 = 0.2;
-/// The load up to which a peer in the same availability zone is taken whatever the others': of 16
-/// slots at 60%, one request in twenty finds none free.
-const EASY: f64 = 0.6;
-/// The excess over which requests go over to other availability zones.
-const RAMP: f64 = 0.3;
-/// A peer whose report is older is not sent anything: it reports a few times a second, so several
-/// reports in a row were lost, and likely it is gone.
-const OLDEST: Duration = Duration::from_secs(3);
-/// A peer without a free slot is worth it where its wait is this many times shorter than here:
-/// both waits are estimates, and a request is forwarded once only.
-const WORTH: u32 = 2;
-/// The way there and back to another availability zone, which the wait must be shorter by as well.
-const TRIP: Duration = Duration::from_millis(3);
-/// The weight of a report of one peer in what the peers have for each request of this member's: a
-/// few seconds' count, so that a burst, seen here before the reports show it, doesn't mislead.
-const GAIN: f64 = 0.1;
-/// The longest wait that is believed, in milliseconds, so that no report makes the sums overflow.
-const LONGEST: u64 = 3_600_000;
+/// Excess load, as a share of the slots, that a peer in the same availability zone may have over
+/// others. With 8 slots, that is two more taken, less than the random variation of one report.
+const ZONE_MARGIN: f64 = 0.2;
+/// Load up to which a peer in the same availability zone is preferred whatever the load of others:
+/// with 16 slots at 60%, one request in twenty finds none free.
+const LOCAL_LOAD: f64 = 0.6;
+/// Excess load over which requests gradually move to other availability zones.
+const SPILL_RANGE: f64 = 0.3;
+/// Maximum age of a report. A peer reports a few times a second, so an older report means that
+/// several in a row were lost, and the peer is probably gone.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
+/// Factor by which the wait at a peer without a free slot must be shorter than here: both waits are
+/// estimates, and a request is forwarded only once.
+const MIN_WAIT_RATIO: u32 = 2;
+/// Round-trip time to another availability zone, by which the wait must also be shorter.
+const CROSS_ZONE_RTT: Duration = Duration::from_millis(3);
+/// Weight of one report in the moving averages, which span a few seconds, so that a burst that this
+/// member sees before the reports show it doesn't distort the ratio of the averages.
+const REPORT_WEIGHT: f64 = 0.1;
+/// Maximum reported wait, in milliseconds; larger values are capped to prevent overflow.
+const MAX_WAIT_MS: u64 = 3_600_000;
 
-/// The peers that serve one service, and what they report.
+/// The peers that serve one service, and their reported load.
 pub struct Spread {
     zone: Zone,
     rng: fastrand::Rng,
     peers: BTreeMap<Incarnation, Peer>,
-    /// The mean of the requests at a peer.
-    seen: f64,
-    /// The mean of this member's requests at a peer.
-    own: f64,
+    /// Moving average of the requests that a peer reports.
+    mean_reported: f64,
+    /// Moving average of this member's requests at a peer.
+    mean_sent: f64,
 }
 
 struct Peer {
     zone: Zone,
     load: ServiceLoad,
-    /// When the report was true.
-    at: Time,
-    /// The mean of the requests there over some seconds of reports.
-    usual: f64,
-    /// Requests sent by this member that the report doesn't have: when, and their expected end.
+    /// Time at which the report was current.
+    reported_at: Time,
+    /// Moving average of the requests that this peer reports.
+    mean: f64,
+    /// Requests sent by this member since the report: send time and expected end.
     sent: VecDeque<(Time, Time)>,
-    /// Whether it has refused a request since the report.
+    /// Whether the peer has refused a request since the report.
     full: bool,
 }
 
 impl Spread {
-    /// The spread of a member in `zone`; `rng` draws the choices.
+    /// Creates a selector for a member in `zone`; `rng` draws the random choices.
     pub fn new(zone: Zone, rng: fastrand::Rng) -> Self {
-        Spread { zone, rng, peers: BTreeMap::new(), seen: 0.0, own: 0.0 }
+        Spread { zone, rng, peers: BTreeMap::new(), mean_reported: 0.0, mean_sent: 0.0 }
     }
 
-    /// Takes in a peer's report that was true `age` ago.
+    /// Records a peer's report that was current `age` ago.
     pub fn report(
         &mut self,
         peer: Incarnation,
@@ -89,52 +92,52 @@
     ) {
         let at = now - age;
         let before = self.peers.remove(&peer);
-        let (mut sent, usual) = before.map(|p| (p.sent, Some(p.usual))).unwrap_or_default();
+        let (mut sent, mean) = before.map(|p| (p.sent, Some(p.mean))).unwrap_or_default();
         let own = sent.iter().filter(|&&(_, end)| end > now).count() as f64;
         sent.retain(|&(t, _)| t > at);
         let peers = self.peers.len() as f64 + 1.0;
         let reported = reported(&load);
-        let usual = usual.map_or(reported, |usual| usual + GAIN * (reported - usual));
-        self.own += GAIN / peers * (own - self.own);
-        self.seen += GAIN / peers * (reported - self.seen);
+        let mean = mean.map_or(reported, |mean| mean + REPORT_WEIGHT * (reported - mean));
+        self.mean_sent += REPORT_WEIGHT / peers * (own - self.mean_sent);
+        self.mean_reported += REPORT_WEIGHT / peers * (reported - self.mean_reported);
         let zone = zone.clone();
-        self.peers.insert(peer, Peer { zone, load, at, usual, sent, full: false });
+        self.peers.insert(peer, Peer { zone, load, reported_at: at, mean, sent, full: false });
     }
 
-    /// Whether some peer has slots of the service.
+    /// Returns whether any peer has slots for the service.
     pub fn served(&self) -> bool {
         self.peers.values().any(|p| p.load.slots > 0)
     }
 
-    /// Forgets a peer that is stopping or gone.
+    /// Removes a peer that is stopping or gone.
     pub fn forget(&mut self, peer: Incarnation) {
         self.peers.remove(&peer);
     }
 
-    /// Records that a peer had no slot for a request; it is sent none until its next report.
+    /// Records that a peer had no slot for a request. It gets no requests until its next report.
     pub fn refused(&mut self, peer: Incarnation) {
         if let Some(p) = self.peers.get_mut(&peer) {
             p.full = true;
         }
     }
 
-    /// Chooses a peer for a request that would wait `wait` here and runs `run`, and counts it there;
-    /// none where no peer is expected to serve it sooner.
+    /// Chooses a peer for a request that would wait `wait` here and runs for `run`, and counts the
+    /// request there. Returns `None` if no peer is expected to serve it sooner.
     pub fn pick(&mut self, wait: Duration, run: Duration, now: Time) -> Option<Incarnation> {
         let senders = self.senders();
         let (mut near, mut far) = (Vec::new(), Vec::new());
         for (&id, peer) in &mut self.peers {
             peer.sent.retain(|&(_, end)| end > now);
             let load = peer.load(run, senders, now);
-            if peer.takes(wait, load, now) {
+            if peer.accepts(wait, load, now) {
                 let side = if peer.zone == self.zone { &mut near } else { &mut far };
                 side.push((load, id));
             }
         }
-        let id = match (self.better(&near), self.better(&far)) {
+        let id = match (self.less_loaded(&near), self.less_loaded(&far)) {
             (Some(near), Some(far)) => {
-                let excess = (near.0 - EASY).min(near.0 - far.0 - MARGIN);
-                if self.rng.f64() < excess / RAMP { far.1 } else { near.1 }
+                let excess = (near.0 - LOCAL_LOAD).min(near.0 - far.0 - ZONE_MARGIN);
+                if self.rng.f64() < excess / SPILL_RANGE { far.1 } else { near.1 }
             }
             (near, far) => near.or(far)?.1,
         };
@@ -144,14 +147,18 @@
         Some(id)
     }
 
-    /// How many members send as much as this one, itself included.
+    /// Estimates how many members send as much as this one, including this one.
     fn senders(&self) -> f64 {
         let most = self.peers.len() as f64;
-        if self.seen >= self.own * most { most } else { (self.seen / self.own).max(1.0) }
+        if self.mean_reported >= self.mean_sent * most {
+            most
+        } else {
+            (self.mean_reported / self.mean_sent).max(1.0)
+        }
     }
 
-    /// The less loaded of two random ones.
-    fn better(&mut self, peers: &[(f64, Incarnation)]) -> Option<(f64, Incarnation)> {
+    /// Returns the less loaded of two random peers.
+    fn less_loaded(&mut self, peers: &[(f64, Incarnation)]) -> Option<(f64, Incarnation)> {
         let mut two = self.rng.choose_multiple(peers, 2).into_iter();
         let (first, second) = (two.next()?, two.next());
         let second = second.filter(|s| s.0 < first.0);
@@ -160,34 +167,36 @@
 }
 
 impl Peer {
-    /// Requests running and waiting there for each slot.
+    /// Estimates the number of requests running and waiting at the peer, per slot.
     ///
-    /// Of those in the report, the ones that have ended since are taken to be replaced by the usual
-    /// number, as what one old report has more or less is over. What was sent since counts where it
-    /// is more, not on top, or a steady load would count twice.
+    /// Reported requests that have probably ended since are assumed to be replaced by the average
+    /// number, since the deviation of a single old report does not last. Requests sent since the
+    /// report replace that part if they are more. They are not added to it, or a steady load would
+    /// count twice.
     fn load(&self, run: Duration, senders: f64, now: Time) -> f64 {
-        let age = now.since(self.at).as_secs_f64();
-        let stay = (-age / run.as_secs_f64().max(1e-6)).exp();
+        let age = now.since(self.reported_at).as_secs_f64();
+        let remaining = (-age / run.as_secs_f64().max(1e-6)).exp();
         let sent = self.sent.len() as f64 * senders;
-        let there = reported(&self.load) * stay + sent.max(self.usual * (1.0 - stay));
-        there / f64::from(self.load.slots.max(1))
+        let expected = reported(&self.load) * remaining + sent.max(self.mean * (1.0 - remaining));
+        expected / f64::from(self.load.slots.max(1))
     }
 
-    /// Whether a request is expected to wait far less there than `wait`, at this load.
-    fn takes(&self, wait: Duration, load: f64, now: Time) -> bool {
-        if self.full || self.load.slots == 0 || now.since(self.at) > OLDEST {
+    /// Returns whether a request is expected to wait far less than `wait` at the peer with this
+    /// load.
+    fn accepts(&self, wait: Duration, load: f64, now: Time) -> bool {
+        if self.full || self.load.slots == 0 || now.since(self.reported_at) > MAX_REPORT_AGE {
             return false;
         }
         if load < 1.0 {
             return true;
         }
-        let grown = load * f64::from(self.load.slots) / reported(&self.load).max(1.0);
-        let there = Duration::from_millis(self.load.wait.clamp(1, LONGEST)).mul_f64(grown);
-        there.saturating_mul(WORTH) + TRIP < wait
+        let growth = load * f64::from(self.load.slots) / reported(&self.load).max(1.0);
+        let expected = Duration::from_millis(self.load.wait.clamp(1, MAX_WAIT_MS)).mul_f64(growth);
+        expected.saturating_mul(MIN_WAIT_RATIO) + CROSS_ZONE_RTT < wait
     }
 }
 
-/// Requests running and waiting by a report.
+/// Returns the number of requests running and waiting according to a report.
 fn reported(load: &ServiceLoad) -> f64 {
     f64::from(load.slots.saturating_sub(load.free)) + f64::from(load.waiting)
 }
