--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -96,10 +96,10 @@
         self.free_ids.push(id);
     }
 
-    /// Updates the free room of a worker, and whether it is `open` to new work.
+    /// Updates the free room of a worker, and whether it is `schedulable`, that is, takes new work.
     ///
     /// Must be called after each change of the ledger. A worker that is leaving or quarantined is
-    /// not open.
+    /// not schedulable.
     pub fn set(&mut self, worker: &WorkerId, free: Size, schedulable: bool) {
         let Some(&id) = self.ids.get(worker) else { return };
         self.unlink(id);
--- a/src/decide/rank.rs
+++ b/src/decide/rank.rs
@@ -1,74 +1,78 @@
-//! In which order steps of jobs get room.
+//! Decides the order in which steps of jobs get room.
 //!
-//! Load: more work than room, short urgent jobs among long ones, for minutes on end. Served by due
-//! time alone, a queue that can't keep up serves every job just after its objective and earns
-//! little with any; served by priority alone, urgent jobs that are late already hold up others that
-//! could still be in time. So what can still meet its objective goes first, then what is late but
-//! earns something, then the rest; within these by the queue's priority, then by due time.
+//! Load: more work than room, with short urgent jobs among long ones, for minutes. If jobs were
+//! ordered by due time alone, a queue that can't keep up would complete every job just after its
+//! objective and earn little with any of them. If they were ordered by priority alone, urgent jobs
+//! that are already late would delay others that could still be in time. So jobs that can still
+//! meet their objective go first, then late jobs that still have value, then the rest. Within each
+//! class, the queue's priority decides, then the due time.
 //!
-//! Load: steps so wide that they run in waves, and tasks that fail by their own fault. The objective
-//! allows for both. Reckoned without them, a job that has most of its time left is taken for late and
-//! comes behind all that could be in time, and so it is late.
+//! Load: steps that are so wide that they run in several rounds, and tasks that fail by their own
+//! fault. The objective allows for both. Otherwise a job that still has most of its time would be
+//! considered late, be ordered behind all jobs that could be in time, and become late for that
+//! reason.
 //!
-//! A job that is up to three times its objective late still earns: the second class ends there.
+//! A job still has value until three times its objective has passed; the second class ends there.
 
 use {crate::work::Queue, std::time::Duration};
 
-/// Up to how many objectives after its coming a job is worth anything.
-const LATE: u64 = 3;
+/// Number of objectives after its arrival within which a job still has value.
+const VALUE_FACTOR: u64 = 3;
 
-/// A step that is wider than this part of the room runs in waves, and its objective allows for them.
-const PART: u64 = 4;
+/// Divisor for the part of the room that a step can fill in one round: a wider step runs in several
+/// rounds, for which its objective allows.
+const ROUND_DIVISOR: u64 = 4;
 
-/// A place in the order; the least comes first.
+/// A place in the order; the lowest goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rank {
-    /// 0 can be in time, 1 late, 2 later than that.
+    /// 0: can be in time, 1: late, 2: too late to have value.
     class: u8,
-    /// The queue's.
+    /// The queue's priority.
     priority: u8,
-    /// When it is due, in milliseconds of the Unix clock.
+    /// Due time, in milliseconds since the Unix epoch.
     due: u64,
 }
 
 impl Rank {
-    /// 0 can be in time, 1 late, 2 later than that.
+    /// Returns 0 for a step that can be in time, 1 for a late one, 2 for one too late to have
+    /// value.
     pub fn class(&self) -> usize {
         usize::from(self.class)
     }
 
-    /// When it is due, in milliseconds of the Unix clock.
+    /// Returns the due time, in milliseconds since the Unix epoch.
     pub fn due(&self) -> u64 {
         self.due
     }
 }
 
-/// What a rank is made of.
+/// What the rank of a step depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct Facts {
-    /// When the job, or its occurrence, came, in milliseconds of the Unix clock.
+    /// Arrival of the job or its occurrence, in milliseconds since the Unix epoch.
     pub came: u64,
-    /// Its longest chain of work, in waves and with the runs that failed.
+    /// Length of the critical path of the job, including rounds and failed runs.
     pub chain: Duration,
-    /// What of it is ahead of this step's end, this step included.
+    /// Part of the critical path up to the end of this step that is still to be done.
     pub left: Duration,
     /// Whether the step runs until it is cancelled.
     pub lasts: bool,
 }
 
-/// In how many waves so many tasks run, as the objective counts them, where a pool has room for
-/// `room` of them.
+/// Returns the number of rounds in which `count` tasks run, for the objective, in a pool with room
+/// for `room` of them.
 pub fn waves(count: u32, room: u64) -> u32 {
-    let wave = (room / PART).max(1);
-    u32::try_from(u64::from(count).div_ceil(wave)).unwrap_or(u32::MAX)
+    let round_size = (room / ROUND_DIVISOR).max(1);
+    u32::try_from(u64::from(count).div_ceil(round_size)).unwrap_or(u32::MAX)
 }
 
-/// The objective of a job: how long it may take.
+/// Returns the objective of a job: how long it may take from its arrival.
 pub fn objective(queue: &Queue, chain: Duration) -> Duration {
     chain.mul_f64(queue.stretch.max(0.0)) + queue.slack
 }
 
-/// Where a step stands in the order at `now`, in milliseconds of the Unix clock.
+/// Returns the rank of a step at `now`, in milliseconds since the Unix epoch.
 pub fn rank(queue: &Queue, facts: Facts, now: u64) -> Rank {
     let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
     let objective = ms(objective(queue, facts.chain));
@@ -76,7 +80,7 @@
     let end = now.saturating_add(ms(facts.left));
     let class = if facts.lasts || end <= due {
         0
-    } else if end <= facts.came.saturating_add(objective.saturating_mul(LATE)) {
+    } else if end <= facts.came.saturating_add(objective.saturating_mul(VALUE_FACTOR)) {
         1
     } else {
         2
--- a/src/decide/reads.rs
+++ b/src/decide/reads.rs
@@ -1,51 +1,51 @@
-//! How many questions for the states of jobs a member may settle by reading the store.
+//! Limits the queries for job states that a member answers by reading the store.
 //!
-//! *Load pattern:* callers ask again and again for thousands of jobs, and the owner of their shard is
-//! away, is still reading it or answers late. *Without it:* each question becomes two or three reads.
-//! They take all that the store serves to all members, which then refuses writes and renewals, the
-//! owner's among them: jobs end later still, more of them are asked for, and the load goes on when its
-//! cause is gone.
+//! *Load pattern:* callers repeatedly query thousands of jobs while the owner of their shard is
+//! away, is still reading the shard, or answers late. *Without it:* each query becomes two or three
+//! reads. Together they use up the store's capacity for all members. The store then refuses writes
+//! and lease renewals, also those of the owner, so jobs end even later, more of them are queried,
+//! and the load outlasts its cause.
 //!
-//! *Thresholds:* a quarter of what the store serves, in equal parts for all members, so that owners have
-//! the rest for ends, starts and takeovers. What gathers while nobody asks is worth a second: callers
-//! come in bursts.
+//! *Thresholds:* a quarter of the store's capacity, divided equally among all members, so that
+//! owners have the rest for ends, starts and takeovers. Up to a second of unused reads is saved,
+//! since callers come in bursts.
 
 use {crate::time::Time, std::time::Duration};
 
-/// The part of the store's reads that states may take.
-const SHARE: f64 = 0.25;
-/// For how long unused reads gather.
-const GATHERS: Duration = Duration::from_secs(1);
-/// The reads of one question where they are most.
-const QUESTION: f64 = 3.0;
+/// Share of the store's read capacity available for queries of states.
+const STATE_SHARE: f64 = 0.25;
+/// Time over which unused reads are saved.
+const BURST_PERIOD: Duration = Duration::from_secs(1);
+/// Maximum number of reads for one query.
+const READS_PER_QUERY: f64 = 3.0;
 
-/// The reads that one member may make for states.
+/// Reads that one member may make to answer queries of states.
 #[derive(Clone, Debug, Default)]
 pub struct Reads {
-    /// What was left, and when.
-    left: f64,
-    at: Option<Time>,
+    /// Reads available at the time `refilled_at`.
+    available: f64,
+    refilled_at: Option<Time>,
 }
 
 impl Reads {
-    /// Whether one more question may be settled by the store, which serves so many reads a second to so
-    /// many members.
+    /// Returns whether one more query may be answered from the store, which serves `rate` reads per
+    /// second to `members` members.
     pub fn admit(&mut self, rate: f64, members: usize, now: Time) -> bool {
-        let each = rate * SHARE / members.max(1) as f64;
-        // A small share has room for one question all the same.
-        let most = (each * GATHERS.as_secs_f64()).max(QUESTION);
-        let gained = self.at.map_or(most, |at| each * (now - at).as_secs_f64());
-        self.left = (self.left + gained).min(most);
-        self.at = Some(now);
-        let admitted = self.left >= QUESTION;
+        let member_rate = rate * STATE_SHARE / members.max(1) as f64;
+        // Even a small share allows one query at a time.
+        let max = (member_rate * BURST_PERIOD.as_secs_f64()).max(READS_PER_QUERY);
+        let refilled = self.refilled_at.map_or(max, |at| member_rate * (now - at).as_secs_f64());
+        self.available = (self.available + refilled).min(max);
+        self.refilled_at = Some(now);
+        let admitted = self.available >= READS_PER_QUERY;
         if admitted {
-            self.left -= QUESTION;
+            self.available -= READS_PER_QUERY;
         }
         admitted
     }
 
-    /// Takes back what a question didn't need that took so many reads.
+    /// Returns the unused part of the allowance of a query that took `reads` reads.
     pub fn settled(&mut self, reads: u32) {
-        self.left += (QUESTION - f64::from(reads)).max(0.0);
+        self.available += (READS_PER_QUERY - f64::from(reads)).max(0.0);
     }
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,18 +1,18 @@
-//! Which refused requests are tried again, and how many over the whole fleet.
+//! Decides which refused requests are retried, and limits the retries of the whole fleet.
 //!
-//! *Load pattern:* endpoints refuse or can't be reached, a few (a worker restarts) or all (an
-//! outage, overload). *Without it:* each request is tried several times just when there is least
-//! to serve it; the load grows by that factor at each layer that tries again, and the outage stays
-//! after its cause has gone. A retry of what may have run would run it twice.
+//! *Load pattern:* endpoints refuse requests or can't be reached, a few of them (a worker restarts)
+//! or all (an outage, overload). *Without it:* each request is tried several times just when the
+//! least capacity is available. The load is multiplied at each layer that retries, and the outage
+//! outlasts its cause. A retry of a request that may have run would run it twice.
 //!
-//! *Budget:* a first try earns a tenth of a retry. Of a pool with one bad worker in ten or more all
-//! refusals can be tried again; and retries add a tenth to the load at most, less than what the
-//! admission leaves free. A request earns at the member that it came to; a forwarded one carries
-//! its try count and earns nothing, so the sum over members keeps the same bound.
+//! *Budget:* a first try earns a tenth of a retry. If at most one worker in ten of a pool is bad,
+//! all refusals can be retried. Retries add at most a tenth to the load, less than what admission
+//! leaves free. A request earns at the member that received it; a forwarded request carries its
+//! number of tries and earns nothing, so the same bound holds for the sum over all members.
 //!
-//! *Small callers:* one retry a second at each member is kept for callers that have not had one of
-//! late: where there are few requests a tenth of them is none, and a heavy caller's refusals would
-//! use up what all have earned.
+//! *Small callers:* each member reserves one retry a second for callers that had none recently.
+//! Otherwise a caller with few requests would earn no retry, since a tenth of few requests is none,
+//! and the refusals of a heavy caller would use up what all callers have earned.
 
 use {
     crate::{Error, Kind, Ran, Time, ids::CallerId},
@@ -20,48 +20,57 @@
     std::time::Duration,
 };
 
-/// The part of a retry that a first try earns.
-const EARN: f64 = 0.1;
-/// The most that may be saved up: a worker's 8 slots and 64 connections refused at once are tried
-/// again, and not more, lest a quiet hour pay for a storm.
-const MOST: f64 = 72.0;
-/// Retries a second that are kept for callers that had none of late; what `RetryBudget` tells
-/// callers to wait is the time for one.
-const KEPT: f64 = 1.0;
-/// The most of those that may be saved up.
-const MOST_KEPT: f64 = 5.0;
-/// A caller that had a retry uses none of the kept ones for this long.
-const LATELY: Duration = Duration::from_secs(10);
-/// The tries of one request, over all members: a third random endpoint refuses too where most do.
-const TRIES: u32 = 3;
+/// Share of a retry that a first try earns.
+const EARNED_PER_TRY: f64 = 0.1;
+/// Maximum number of earned retries: the 8 slots and 64 connections of one worker, refused at once,
+/// can all be retried. A higher limit would let a quiet hour pay for a retry storm.
+const MAX_EARNED: f64 = 72.0;
+/// Retries per second reserved for callers that had none recently. The delay that callers get with
+/// `RetryBudget` is the time for one such retry.
+const RESERVED_PER_SECOND: f64 = 1.0;
+/// Maximum number of reserved retries.
+const MAX_RESERVED: f64 = 5.0;
+/// How long a caller that got a retry can use no reserved one.
+const RECENT_PERIOD: Duration = Duration::from_secs(10);
+/// Maximum number of tries of one request, over all members: if most endpoints refuse, a third
+/// random one refuses too.
+const MAX_TRIES: u32 = 3;
 
 /// The retries that one member may make.
 pub struct Budget {
     earned: f64,
-    kept: f64,
-    /// When `kept` was reckoned.
-    at: Time,
-    /// When each caller had its last retry.
-    last: FxHashMap<CallerId, Time>,
+    reserved: f64,
+    /// When `reserved` was last updated.
+    refilled_at: Time,
+    /// When each caller got its last retry.
+    last_retry: FxHashMap<CallerId, Time>,
 }
 
 impl Budget {
-    /// A budget that has earned nothing yet.
+    /// Creates a budget with no earned retries.
     pub fn new(now: Time) -> Self {
-        Budget { earned: 0.0, kept: MOST_KEPT, at: now, last: FxHashMap::default() }
+        Budget {
+            earned: 0.0,
+            reserved: MAX_RESERVED,
+            refilled_at: now,
+            last_retry: FxHashMap::default(),
+        }
     }
 
     /// Records a request that is about to be tried, after `tries` tries at any member.
     pub fn tried(&mut self, tries: u32) {
         if tries == 0 {
-            self.earned = (self.earned + EARN).min(MOST);
+            self.earned = (self.earned + EARNED_PER_TRY).min(MAX_EARNED);
         }
     }
 
-    /// Lets a request be tried again that was tried `tries` times and refused with `error`.
+    /// Decides whether a request that was tried `tries` times and refused with `error` may be
+    /// retried.
+    ///
+    /// # Errors
     ///
-    /// Errs with that same error where another try is no use or might run the request twice, and
-    /// with `RetryBudget` where the budget is spent.
+    /// Returns `error` if another try is useless or might run the request twice, and `RetryBudget`
+    /// if the budget is exhausted.
     pub fn retry(
         &mut self,
         caller: &CallerId,
@@ -69,35 +78,40 @@
         tries: u32,
         now: Time,
     ) -> Result<(), Error> {
-        if !can_retry(error.kind()) || tries >= TRIES {
+        if !can_retry(error.kind()) || tries >= MAX_TRIES {
             return Err(error);
         }
         self.refill(now);
-        let lately = self.last.get(caller).is_some_and(|&t| now.since(t) < LATELY);
+        let recent = self.last_retry.get(caller).is_some_and(|&t| now.since(t) < RECENT_PERIOD);
         if self.earned >= 1.0 {
             self.earned -= 1.0;
-        } else if self.kept >= 1.0 && !lately {
-            self.kept -= 1.0;
+        } else if self.reserved >= 1.0 && !recent {
+            self.reserved -= 1.0;
         } else {
             return Err(Error::new(Kind::RetryBudget, error.to_string()));
         }
-        self.last.insert(caller.clone(), now);
+        self.last_retry.insert(caller.clone(), now);
         Ok(())
     }
 
     fn refill(&mut self, now: Time) {
-        let passed = now.since(self.at);
-        self.kept = (self.kept + KEPT * passed.as_secs_f64()).min(MOST_KEPT);
-        // The map holds callers with a retry in two spans at most, which the budget bounds.
-        if self.at.0 / LATELY.as_micros() as u64 != now.0 / LATELY.as_micros() as u64 {
-            self.last.retain(|_, at| now.since(*at) < LATELY);
+        let passed = now.since(self.refilled_at);
+        self.reserved =
+            (self.reserved + RESERVED_PER_SECOND * passed.as_secs_f64()).min(MAX_RESERVED);
+        // Entries are removed once per period, so the map holds only callers with a retry in the last
+        // two periods, whose number the budget limits.
+        if self.refilled_at.0 / RECENT_PERIOD.as_micros() as u64
+            != now.0 / RECENT_PERIOD.as_micros() as u64
+        {
+            self.last_retry.retain(|_, at| now.since(*at) < RECENT_PERIOD);
         }
-        self.at = now;
+        self.refilled_at = now;
     }
 }
 
-/// Whether a request refused so certainly did not run, and may run elsewhere. Refusals by admission
-/// are not among them: they say that there is too much load already.
+/// Returns whether a request that was refused with this kind certainly did not run and may run
+/// elsewhere. Refusals by admission are not included: they mean that there is already too much
+/// load.
 pub fn can_retry(kind: Kind) -> bool {
     let elsewhere = matches!(
         kind,
--- a/src/decide/standby.rs
+++ b/src/decide/standby.rs
@@ -1,69 +1,72 @@
-//! When a VM of a standby pool is lent to a pool whose work waits, and when it goes back.
+//! Decides when a VM of a standby pool is lent to a pool with waiting work, and when it is
+//! returned.
 //!
-//! *Load pattern:* a pool is full for some seconds or minutes, several times a day, while VMs that cost
-//! nothing stand by. *Without it:* work waits beside them. *Without hysteresis:* each end of a task in a
-//! busy pool looks like room to spare and each start like a lack of it; VMs go back and forth, each
-//! move is paid for, and a VM is of no use to anybody on its way.
+//! *Load pattern:* a pool is full for some seconds or minutes, several times a day, while VMs of a
+//! standby pool, which cost nothing, are idle. *Without it:* work waits although these VMs are
+//! free. *Without hysteresis:* in a busy pool each end of a task looks like spare room and each
+//! start like a shortage. VMs move back and forth, each move costs money, and a moving VM is of no
+//! use.
 //!
-//! *Thresholds:* work that could start has to wait for [`WAIT`] on end: ends of tasks come every few
-//! seconds, so that below it most work finds room by itself, and a move takes half as long. One VM is lent
-//! at a time, and the next only [`EFFECT`] after: the one before has to arrive and to be filled before
-//! what still waits says anything. A VM goes back when nothing has waited for more than [`SHORT`] for
-//! [`CALM`], and it was empty for [`IDLE`]: a move there and back costs about as much as ten seconds
-//! of a VM, so one that is given back sooner and wanted again would have been cheaper to keep.
+//! *Thresholds:* a VM is lent after work that could start has waited for [`LOAN_WAIT`] without a
+//! break. Tasks end every few seconds, so most work finds room by itself sooner, and a move takes
+//! half as long. One VM is lent at a time, and the next only [`LOAN_INTERVAL`] later: the previous
+//! VM has to arrive and fill up before the remaining wait is meaningful. A VM is returned when
+//! nothing has waited for more than [`SHORT_WAIT`] during [`QUIET_PERIOD`], and the VM has been
+//! empty for [`IDLE_PERIOD`]. A move there and back costs about as much as ten seconds of a VM, so
+//! a VM that is returned sooner and needed again would have been cheaper to keep.
 
 use {crate::Time, std::time::Duration};
 
-/// How long work waits before a VM is lent.
-pub const WAIT: Duration = Duration::from_secs(3);
-/// The pause after a loan, until the next.
-pub const EFFECT: Duration = Duration::from_secs(5);
-/// A wait that is none.
-pub const SHORT: Duration = Duration::from_millis(500);
-/// How long nothing has to have waited before a VM goes back.
-pub const CALM: Duration = Duration::from_secs(10);
-/// How long it has to have been empty.
-pub const IDLE: Duration = Duration::from_secs(5);
+/// How long work must wait before a VM is lent.
+pub const LOAN_WAIT: Duration = Duration::from_secs(3);
+/// Minimum time between two loans to a pool.
+pub const LOAN_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum wait that does not count as waiting.
+pub const SHORT_WAIT: Duration = Duration::from_millis(500);
+/// How long nothing may have waited before a VM is returned.
+pub const QUIET_PERIOD: Duration = Duration::from_secs(10);
+/// How long a VM must have been empty before it is returned.
+pub const IDLE_PERIOD: Duration = Duration::from_secs(5);
 
-/// How a pool's work has waited of late.
+/// Recent waits of the work of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tide {
     /// Since when nothing has waited.
-    calm: Option<Time>,
-    /// How long the oldest that waits does so.
-    waits: Duration,
-    /// When a VM was lent last.
-    lent: Option<Time>,
+    quiet_since: Option<Time>,
+    /// Wait of the oldest waiting work.
+    longest_wait: Duration,
+    /// When a VM was last lent to the pool.
+    last_loan: Option<Time>,
 }
 
 impl Tide {
-    /// Takes in how long the oldest work that waits does so.
+    /// Records how long the oldest waiting work has waited.
     pub fn seen(&mut self, waits: Duration, now: Time) {
-        self.waits = waits;
-        if waits > SHORT {
-            self.calm = None;
+        self.longest_wait = waits;
+        if waits > SHORT_WAIT {
+            self.quiet_since = None;
         } else {
-            self.calm.get_or_insert(now);
+            self.quiet_since.get_or_insert(now);
         }
     }
 
-    /// Whether anything waits.
+    /// Returns whether any work waits.
     pub fn waits(&self) -> bool {
-        self.waits > SHORT
+        self.longest_wait > SHORT_WAIT
     }
 
-    /// Whether a VM is to be lent now; it counts as lent then.
+    /// Returns whether a VM is to be lent now, and records the loan if so.
     pub fn borrow(&mut self, now: Time) -> bool {
-        let soon = self.lent.is_some_and(|at| now - at < EFFECT);
-        let wanted = self.waits >= WAIT && !soon;
+        let too_soon = self.last_loan.is_some_and(|at| now - at < LOAN_INTERVAL);
+        let wanted = self.longest_wait >= LOAN_WAIT && !too_soon;
         if wanted {
-            self.lent = Some(now);
+            self.last_loan = Some(now);
         }
         wanted
     }
 
-    /// Whether a VM that has been empty since then is to go back.
+    /// Returns whether a VM that has been empty since `empty` is to be returned.
     pub fn give_back(&self, empty: Time, now: Time) -> bool {
-        now - empty >= IDLE && self.calm.is_some_and(|at| now - at >= CALM)
+        now - empty >= IDLE_PERIOD && self.quiet_since.is_some_and(|at| now - at >= QUIET_PERIOD)
     }
 }
--- a/src/decide/turns.rs
+++ b/src/decide/turns.rs
@@ -1,15 +1,16 @@
-//! Which pool's steps make the next long call for advice.
+//! Decides which pool's steps make the next long call for placement advice.
 //!
-//! *Load pattern:* several pools, each with more steps that need advice than the members have time to
-//! call for. One of them is full, and its steps come first in the order. *Without it:* each member that
-//! gets free calls for a step of the full pool, and the tickets end before there is room; steps of
-//! another pool are never asked for, it runs empty, and its jobs never begin.
+//! *Load pattern:* several pools, each with more steps that need advice than the members have time
+//! to call for. One of them is full, and its steps come first in the order. *Without it:* each
+//! member that becomes free calls for a step of the full pool, and the tickets expire before there
+//! is room. Steps of another pool never get advice, the pool runs empty, and its jobs never start.
 //!
-//! So where a pool waits for a member, that one goes first whose calls that are out take the least; they
-//! count twice where its step finds no room yet. The order within a pool stays as it is.
+//! So if several pools wait for a member, the pool whose calls in progress cost the least time goes
+//! first. These count twice if its step finds no room yet. The order within a pool does not change.
 //!
-//! *Thresholds:* a pool that found no member free is waited for during 400 ms, which a look at what
-//! waits every 250 ms renews; one that no longer asks doesn't hold up the others for long.
+//! *Thresholds:* a pool that found no free member keeps its turn for 400 ms. The waiting steps are
+//! examined every 250 ms, which renews this time; a pool that no longer asks doesn't block the
+//! others for long.
 
 use {
     crate::{
@@ -19,19 +20,19 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long a pool is waited for that found no member free.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// How long other pools yield to a pool that found no free member.
+const TURN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often calls count whose step finds no room yet: it needs its tickets all the same, for when there
-/// is.
-const BARE: u32 = 2;
+/// Factor for the calls of a pool whose step finds no room yet. It still needs its tickets, for
+/// when there is room.
+const NO_ROOM_FACTOR: u32 = 2;
 
-/// The long calls that are out, and the pools that wait for a member.
+/// The long calls in progress, and the pools that wait for a member.
 #[derive(Clone, Debug, Default)]
 pub struct Turns {
-    out: Vec<Call>,
-    /// When each pool last found no member free, and whether its step finds room.
-    wants: BTreeMap<PoolId, (Time, bool)>,
+    calls: Vec<Call>,
+    /// When each pool last found no free member, and whether its step finds room.
+    waiting: BTreeMap<PoolId, (Time, bool)>,
 }
 
 #[derive(Clone, Debug)]
@@ -43,41 +44,42 @@
 }
 
 impl Turns {
-    /// No calls yet.
+    /// Creates an instance without calls.
     pub fn new() -> Self {
         Turns::default()
     }
 
-    /// Whether a pool may call for a step now; `roomy` says whether the step finds room.
-    pub fn may(&self, pool: &PoolId, roomy: bool, now: Time) -> bool {
-        let mine = self.weight(pool, roomy);
-        let before = |(other, (at, roomy)): (&PoolId, &(Time, bool))| {
-            other != pool && now < *at + PATIENCE && self.weight(other, *roomy) < mine
+    /// Returns whether a pool may call for a step now; `has_room` says whether the step finds room.
+    pub fn may(&self, pool: &PoolId, has_room: bool, now: Time) -> bool {
+        let own_weight = self.weight(pool, has_room);
+        let goes_first = |(other, (at, has_room)): (&PoolId, &(Time, bool))| {
+            other != pool && now < *at + TURN_TIMEOUT && self.weight(other, *has_room) < own_weight
         };
-        !self.wants.iter().any(before)
+        !self.waiting.iter().any(goes_first)
     }
 
-    /// Records that a pool found no member free for a step.
-    pub fn wait(&mut self, pool: &PoolId, roomy: bool, now: Time) {
-        self.wants.insert(pool.clone(), (now, roomy));
+    /// Records that a pool found no free member for a step.
+    pub fn wait(&mut self, pool: &PoolId, has_room: bool, now: Time) {
+        self.waiting.insert(pool.clone(), (now, has_room));
     }
 
     /// Records a call, which counts until [`Turns::done`].
     pub fn sent(&mut self, pool: &PoolId, via: Incarnation, cost: Duration, now: Time) {
-        self.wants.remove(pool);
-        self.out.push(Call { via, sent: now, pool: pool.clone(), cost });
+        self.waiting.remove(pool);
+        self.calls.push(Call { via, sent: now, pool: pool.clone(), cost });
     }
 
-    /// Records that a call which was sent then has its answer, or that none is expected any more.
+    /// Records that the call sent at `sent` was answered, or that no answer is expected any more.
     pub fn done(&mut self, via: Incarnation, sent: Time) {
-        if let Some(at) = self.out.iter().position(|c| c.via == via && c.sent == sent) {
-            self.out.swap_remove(at);
+        if let Some(at) = self.calls.iter().position(|c| c.via == via && c.sent == sent) {
+            self.calls.swap_remove(at);
         }
     }
 
-    /// What a pool's calls that are out count against its next one.
-    fn weight(&self, pool: &PoolId, roomy: bool) -> Duration {
-        let taken: Duration = self.out.iter().filter(|c| c.pool == *pool).map(|c| c.cost).sum();
-        if roomy { taken } else { taken * BARE }
+    /// Returns the weight of a pool's calls in progress, by which pools are compared for the next
+    /// call.
+    fn weight(&self, pool: &PoolId, has_room: bool) -> Duration {
+        let total: Duration = self.calls.iter().filter(|c| c.pool == *pool).map(|c| c.cost).sum();
+        if has_room { total } else { total * NO_ROOM_FACTOR }
     }
 }
--- a/src/decide/upkeep.rs
+++ b/src/decide/upkeep.rs
@@ -1,79 +1,79 @@
-//! Waves of upkeep: which VM is emptied next, when what runs there is stopped, and which
-//! lasting tasks may be moved.
+//! Plans a maintenance wave: which VM is drained next, when the tasks that still run there are
+//! stopped, and which long-running tasks may be moved.
 //!
-//! *Load pattern:* the operators want upkeep of some VMs within some seconds, a few at once, while
-//! the workload goes on: tasks of seconds that are lost or go on from a checkpoint when they are
-//! stopped, and lasting tasks of which only a few of a step may be away. *Without it:* all VMs
-//! emptied at once take the room of the others' work and too many tasks of a step away; one after the
-//! other, each waited for until its longest task ends, makes the wave late; and a lasting task moves
-//! from VM to VM of the same wave.
+//! *Load pattern:* operators want maintenance of some VMs within some seconds, a few at a time,
+//! while the workload continues: tasks of seconds, which are lost or continue from a checkpoint
+//! when they are stopped, and long-running tasks, of which a step may miss only a few. *Without
+//! it:* draining all VMs at once takes the room of other work and stops too many tasks of a step.
+//! Draining one VM after the other, and waiting for the longest task on each, makes the wave late.
+//! A long-running task moves from one VM of the wave to another.
 //!
-//! *Thresholds:* a seventh of the time is kept in hand, for a takeover or an order without an answer.
-//! What is left is shared among the rounds that are left, so that the first VMs wait for their
-//! tasks' ends no longer than the last. A round needs the upkeep itself, up to a second until the list
-//! of VMs shows its end, and `EMPTY` for lasting tasks to start elsewhere. Where a round has
-//! less than twice that, the next VMs are emptied while the ones before are down; that takes
-//! twice the room away, so it is not done where there is time.
+//! *Thresholds:* a seventh of the time is reserved for a takeover or an order without an answer.
+//! The rest is divided among the remaining rounds, so that the first VMs wait no longer for the end
+//! of their tasks than the last. A round needs the maintenance itself, up to a second until the VM
+//! list shows its end, and `DRAIN_TIME` for long-running tasks to start elsewhere. If a round has
+//! less than twice that time, the next VMs are drained while the previous ones are down. That
+//! removes twice as much room, so it is not done if there is enough time.
 
 use std::time::Duration;
 
-/// How far the list of VMs is behind, at most.
+/// Maximum delay of the VM list.
 pub const LAG: Duration = Duration::from_secs(1);
-/// About how long it takes to move what lasts: a stop, a start elsewhere, and to be at work there.
-const EMPTY: Duration = Duration::from_secs(3);
-/// The part of the time that is planned with.
-const PLANNED: f64 = 6.0 / 7.0;
-/// How many tasks may be away of a step that doesn't say.
-const UNSAID: u32 = 1;
+/// Approximate time to move long-running tasks: a stop, and a start elsewhere until they run.
+const DRAIN_TIME: Duration = Duration::from_secs(3);
+/// Share of the time that is divided among the rounds.
+const PLANNED_SHARE: f64 = 6.0 / 7.0;
+/// Number of tasks that may be missing from a step that does not specify it.
+const DEFAULT_MAY_MISS: u32 = 1;
 
-/// A VM of a wave, as the plan sees it.
+/// State of a VM of a wave.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Facts {
-    /// How far it is.
+    /// The stage of its maintenance.
     pub stage: Stage,
-    /// Whether its worker is there and not leaving.
+    /// Whether its worker is present and not leaving.
     pub able: bool,
-    /// How many tasks run there that end by themselves.
+    /// Number of tasks there that end by themselves.
     pub brief: u32,
-    /// How many that don't.
+    /// Number of long-running tasks there.
     pub lasting: u32,
 }
 
-/// How far a VM of a wave is.
+/// Stage of the maintenance of a VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Stage {
-    /// Its turn is yet to come.
+    /// The VM is waiting for its turn.
     #[default]
     Due,
-    /// It is being emptied, for so long already.
+    /// The VM has been draining for this long.
     Closing(Duration),
-    /// It is down, or may go down at any moment.
+    /// The VM is down, or may go down at any moment.
     Down,
-    /// It has had its upkeep, or is not there any more.
+    /// The VM has had its maintenance, or no longer exists.
     Over,
 }
 
-/// What a wave allows.
+/// Limits of a wave.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowed {
-    /// The time that is left.
+    /// The remaining time.
     pub left: Duration,
-    /// How many VMs may be down at once.
+    /// Maximum number of VMs that are down at once.
     pub cap: u32,
-    /// How long one is down.
+    /// How long a VM is down.
     pub down: Duration,
 }
 
-/// What follows now, by the places of the VMs.
+/// Next actions of a wave, as indexes of its VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// To be emptied from now on.
+    /// VMs to drain from now on.
     pub close: Vec<usize>,
-    /// Where the tasks that end by themselves are waited for no longer.
+    /// VMs on which tasks that end by themselves are no longer waited for, but stopped.
     pub force: Vec<usize>,
 }
 
-/// What follows now for the VMs of a wave.
+/// Returns the next actions for the VMs of a wave.
 pub fn plan(vms: &[Facts], allowed: Allowed) -> Plan {
     let cap = allowed.cap.max(1) as usize;
     let count = |is: fn(&Stage) -> bool| vms.iter().filter(|m| is(&m.stage)).count();
@@ -83,29 +83,31 @@
         return Plan::default();
     }
     let rounds = u32::try_from(open.div_ceil(cap)).unwrap_or(u32::MAX);
-    let turn = allowed.left.mul_f64(PLANNED) / rounds;
+    let round_time = allowed.left.mul_f64(PLANNED_SHARE) / rounds;
     let down = allowed.down + LAG;
-    let short = turn < (down + EMPTY) * 2;
-    let most = if short { cap * 2 } else { cap };
-    let patience = (turn * if short { 2 } else { 1 }).saturating_sub(down + EMPTY);
-    // One that can't be emptied, since its steps may miss no more, must not keep the others back.
-    let moving = |m: &&Facts| matches!(m.stage, Stage::Closing(d) if d < patience + EMPTY * 2);
-    let moving = vms.iter().filter(moving).count();
-    let slots = most.saturating_sub(moving + count(|s| matches!(s, Stage::Down)));
+    let short = round_time < (down + DRAIN_TIME) * 2;
+    let max_active = if short { cap * 2 } else { cap };
+    let max_wait = (round_time * if short { 2 } else { 1 }).saturating_sub(down + DRAIN_TIME);
+    // A VM that can't be drained, since its steps may not miss more tasks, must not block the others.
+    let draining =
+        |m: &&Facts| matches!(m.stage, Stage::Closing(d) if d < max_wait + DRAIN_TIME * 2);
+    let draining = vms.iter().filter(draining).count();
+    let free_slots = max_active.saturating_sub(draining + count(|s| matches!(s, Stage::Down)));
     let mut due: Vec<usize> =
         (0..vms.len()).filter(|i| vms[*i].stage == Stage::Due && vms[*i].able).collect();
-    // What is nearly empty costs the least, and its room is back by the time that others need it.
+    // Nearly empty VMs cost the least, and their room is available again when others need it.
     due.sort_by_key(|i| (vms[*i].lasting, vms[*i].brief, *i));
-    due.truncate(slots);
-    let waited = |m: &Facts| matches!(m.stage, Stage::Closing(since) if since >= patience);
-    let force = (0..vms.len()).filter(|i| waited(&vms[*i])).collect();
+    due.truncate(free_slots);
+    let overdue = |m: &Facts| matches!(m.stage, Stage::Closing(since) if since >= max_wait);
+    let force = (0..vms.len()).filter(|i| overdue(&vms[*i])).collect();
     Plan { close: due, force }
 }
 
-/// How many tasks of a lasting step may be stopped now, of which so many are not at work.
+/// Returns how many tasks of a long-running step may be stopped now if `away` of them are not
+/// running.
 ///
-/// Guards against a step that is away for its users: a task that was stopped counts as away until
-/// another run of it is at work, so the next one waits for that, however late the wave is.
+/// Without this, a step may become unavailable to its users. A stopped task counts as away until
+/// another run of it has started, so the next one waits for that, however late the wave is.
 pub fn may_stop(may_miss: Option<u32>, away: u32) -> u32 {
-    may_miss.unwrap_or(UNSAID).saturating_sub(away)
+    may_miss.unwrap_or(DEFAULT_MAY_MISS).saturating_sub(away)
 }
