--- a/tests/place.rs
+++ b/tests/place.rs
@@ -1,4 +1,4 @@
-//! Which worker a task goes to.
+//! Tests of the placement of tasks on workers.
 
 use {
     arbtest::{arbitrary, arbtest},
@@ -35,25 +35,25 @@
 
 fn occupy(index: &mut Index, worker: &WorkerId, size: &Size) {
     let left = index.free(worker).and_then(|f| f.checked_sub(size));
-    index.set(worker, left.expect("the room was proposed"), true);
+    index.set(worker, left.expect("the index proposed a worker without room"), true);
 }
 
-struct Spot {
+struct WorkerState {
     rack: usize,
     size: Size,
     free: Size,
     open: bool,
 }
 
-impl Spot {
+impl WorkerState {
     fn accel(&self) -> bool {
         self.size.accels.0 > 0
     }
 }
 
-/// All workers in a plain map, scanned anew for every question.
+/// All workers in a plain map, which is scanned for every query.
 #[derive(Default)]
-struct Scan(BTreeMap<WorkerId, Spot>);
+struct Scan(BTreeMap<WorkerId, WorkerState>);
 
 fn amounts(s: &Size) -> [u64; 3] {
     [s.cores.0, s.memory.0, s.accels.0]
@@ -61,24 +61,24 @@
 
 impl Scan {
     fn fit(&self, need: &Size, avoid: &WorkerId) -> impl Iterator<Item = &WorkerId> {
-        let ok = move |(w, s): &(&WorkerId, &Spot)| {
-            let kind = need.accels.0 == 0 || s.accel();
-            s.open && kind && need.fits(&s.free) && *w != avoid
+        let fits = move |(w, s): &(&WorkerId, &WorkerState)| {
+            let suitable = need.accels.0 == 0 || s.accel();
+            s.open && suitable && need.fits(&s.free) && *w != avoid
         };
-        self.0.iter().filter(ok).map(|(w, _)| w)
+        self.0.iter().filter(fits).map(|(w, _)| w)
     }
 
     fn emptiness(&self, worker: &WorkerId) -> u64 {
-        let spot = &self.0[worker];
-        let pairs = amounts(&spot.free).into_iter().zip(amounts(&spot.size));
+        let state = &self.0[worker];
+        let pairs = amounts(&state.free).into_iter().zip(amounts(&state.size));
         let share = |(free, size): (u64, u64)| (free << 32) / size.max(1);
         pairs.map(share).sum()
     }
 
     fn pack_key(&self, worker: &WorkerId, need: &Size) -> (bool, u64) {
-        let spot = &self.0[worker];
-        if spot.accel() && need.accels.0 == 0 {
-            return (true, spot.free.accels.0);
+        let state = &self.0[worker];
+        if state.accel() && need.accels.0 == 0 {
+            return (true, state.free.accels.0);
         }
         (false, self.emptiness(worker))
     }
@@ -89,15 +89,15 @@
         need: &Size,
         replicas: &[WorkerId],
     ) -> impl Ord + Debug + use<> {
-        let spot = &self.0[worker];
+        let state = &self.0[worker];
         let known = replicas.iter().filter_map(|r| self.0.get(r));
-        let racked = known.filter(|r| r.rack == spot.rack).count();
+        let in_rack = known.filter(|r| r.rack == state.rack).count();
         let own = replicas.iter().filter(|r| *r == worker).count();
-        (spot.accel() && need.accels.0 == 0, racked, own, Reverse(self.emptiness(worker)))
+        (state.accel() && need.accels.0 == 0, in_rack, own, Reverse(self.emptiness(worker)))
     }
 }
 
-fn change(
+fn random_change(
     u: &mut arbitrary::Unstructured<'_>,
     index: &mut Index,
     scan: &mut Scan,
@@ -114,13 +114,13 @@
         }
         1..=3 => {
             index.add(&w, &rack(n / 3), whole);
-            scan.0.insert(w, Spot { rack: n / 3, size: whole, free: whole, open: true });
+            scan.0.insert(w, WorkerState { rack: n / 3, size: whole, free: whole, open: true });
         }
         _ => {
             let open = u.ratio(9, 10)?;
             index.set(&w, part, open);
-            if let Some(spot) = scan.0.get_mut(&w) {
-                (spot.free, spot.open) = (part, open);
+            if let Some(state) = scan.0.get_mut(&w) {
+                (state.free, state.open) = (part, open);
             }
         }
     }
@@ -133,7 +133,7 @@
         arbtest(|u| {
             let (mut index, mut scan) = (Index::new(), Scan::default());
             while !u.is_empty() {
-                change(u, &mut index, &mut scan)?;
+                random_change(u, &mut index, &mut scan)?;
                 let accels = u.int_in_range(0..=6u64)?.saturating_sub(4);
                 let need = Size::new(u.int_in_range(0..=8)?, u.int_in_range(0..=32)?, accels);
                 let avoid = worker(u.int_in_range(0..=29)?);
@@ -155,7 +155,7 @@
     }
 }
 
-/// A branch's batch: many small assessments, some that need much memory, a few large ones.
+/// A branch's batch: many small assessments, some that need much memory, and a few large ones.
 fn branch(rng: &mut fastrand::Rng) -> Vec<Size> {
     let one = |_| match rng.u32(0..10) {
         0..=4 => Size::new(rng.u64(1..=3), 1024 * rng.u64(2..=6), 0),
@@ -165,23 +165,24 @@
     (0..80).map(one).collect()
 }
 
-/// One way of choosing among the workers with room, by their place and free room.
+/// A function that chooses a worker by the free room of each, and returns its index.
 type Choose<'a> = &'a dyn Fn(&[Size], &Size) -> Option<usize>;
 
 fn first_fit(free: &[Size], need: &Size) -> Option<usize> {
     free.iter().position(|f| need.fits(f))
 }
 
-/// The least left in the dimension of which the task takes the largest share; in use before idle.
+/// Best fit in the dimension of which the task takes the largest share; workers in use before idle
+/// ones.
 fn scarcest_fit(free: &[Size], need: &Size) -> Option<usize> {
-    let all: Size = free.iter().copied().sum();
-    let share = |d: &usize| (amounts(need)[*d] << 32) / amounts(&all)[*d].max(1);
-    let by = (0..3).rev().max_by_key(share).unwrap_or_default();
+    let total: Size = free.iter().copied().sum();
+    let share = |d: &usize| (amounts(need)[*d] << 32) / amounts(&total)[*d].max(1);
+    let dimension = (0..3).rev().max_by_key(share).unwrap_or_default();
     let fit = (0..free.len()).filter(|n| need.fits(&free[*n]));
-    fit.min_by_key(|n| (free[*n] == WHOLE, amounts(&free[*n])[by]))
+    fit.min_by_key(|n| (free[*n] == WHOLE, amounts(&free[*n])[dimension]))
 }
 
-fn packed(free: &[Size], need: &Size, index: &mut Index) -> Option<usize> {
+fn pack_with_index(free: &[Size], need: &Size, index: &mut Index) -> Option<usize> {
     for (n, f) in free.iter().enumerate() {
         if index.free(&worker(n)) != Some(*f) {
             index.set(&worker(n), *f, true);
@@ -191,7 +192,7 @@
     (0..free.len()).find(|n| worker(*n) == *found)
 }
 
-/// VMs in use, on average over a run in which tasks of branches' batches come and go.
+/// Mean number of VMs in use during a run in which tasks of branches' batches come and go.
 fn in_use(choose: Choose<'_>, seed: u64) -> usize {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut free, mut ends, mut waiting) =
@@ -208,8 +209,8 @@
         let Some(need) = waiting.pop() else { continue };
         let n = choose(&free, &need).expect("100 workers are enough for this load");
         free[n] = free[n].saturating_sub(&need);
-        let long = if rng.u32(0..10) == 0 { 800 } else { 110 };
-        ends.insert((now + rng.u32(1..2 * long), now), (n, need));
+        let mean_time = if rng.u32(0..10) == 0 { 800 } else { 110 };
+        ends.insert((now + rng.u32(1..2 * mean_time), now), (n, need));
         if now >= 1000 {
             sum += free.iter().filter(|f| **f != WHOLE).count();
         }
@@ -217,14 +218,14 @@
     sum / 2000
 }
 
-// More VMs than needed stay in use all night: tasks of mixed sizes come and go, and new ones keep
-// going to VMs that would otherwise have become idle.
+// Guards against VMs that stay in use although they are not needed: tasks of mixed sizes come and go,
+// and new ones are placed on VMs that would otherwise become idle.
 #[test]
 fn tasks_that_come_and_go_keep_fewer_workers_in_use_than_first_fit() {
     let (mut pack, mut first, mut scarcest) = (0, 0, 0);
     for seed in 0..5 {
         let cell = RefCell::new(index(100, 5, WHOLE));
-        pack += in_use(&|free, need| packed(free, need, &mut cell.borrow_mut()), seed);
+        pack += in_use(&|free, need| pack_with_index(free, need, &mut cell.borrow_mut()), seed);
         first += in_use(&first_fit, seed);
         scarcest += in_use(&scarcest_fit, seed);
     }
@@ -232,15 +233,15 @@
     assert!(pack < first && pack < scarcest);
 }
 
-// A branch's batch occupies more VMs than it needs: its tasks of mixed sizes go first-fit in the
-// order of the text, and the large ones that come late find room only on further VMs.
+// Guards against a batch that occupies more VMs than it needs: with first-fit in the order of
+// submission, large tasks that come late find room only on further VMs.
 #[test]
 fn a_branch_batch_takes_fewer_workers_packed_than_first_fit() {
     let (mut pack, mut first, mut bound) = (0, 0, 0);
     for seed in 0..100 {
         let batch = branch(&mut fastrand::Rng::with_seed(seed));
-        let all: Size = batch.iter().copied().sum();
-        let ratio = |d: usize| amounts(&all)[d].div_ceil(amounts(&WHOLE)[d]);
+        let total: Size = batch.iter().copied().sum();
+        let ratio = |d: usize| amounts(&total)[d].div_ceil(amounts(&WHOLE)[d]);
         bound += ratio(0).max(ratio(1));
         let mut index = index(100, 5, WHOLE);
         let mut used = BTreeSet::new();
@@ -262,8 +263,8 @@
     assert!(pack * 100 <= bound * 108);
 }
 
-// A service loses half of its replicas at once: a rack's switch fails, and chance had put them
-// there together.
+// Guards against a service that loses half of its replicas when a rack's switch fails, because random
+// placement had put them into the same rack.
 #[test]
 fn a_rack_failure_takes_no_more_replicas_than_must_be() {
     let need = Size::new(2, 4096, 0);
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Team quotas: lending, return, and what is refused.
+//! Tests of team quotas: lending, return of borrowed room, and refusals.
 
 use dogwoodreach::{
     Time,
@@ -16,7 +16,7 @@
     Size::new(n, n * 1024, 0)
 }
 
-/// Teams `a` and `b` with 50 cores each, of which `a` runs as many of 200 tasks as it may.
+/// Creates teams `a` and `b` with 50 cores each; `a` starts as many of its 200 tasks as it may.
 fn a_alone(back: Back) -> (Quotas, u32) {
     let mut q = Quotas::default();
     q.set(&"a".into(), cores(50), 1);
@@ -26,21 +26,24 @@
     (q, ran as u32)
 }
 
-// Team b is idle while a has work for the whole cell. Under hard quotas (what may never be given back
-// stands for them) half of the cell idles. When b comes with work, it has its quota back in seconds;
-// under free borrowing it would wait until tasks of a end, hours later.
+// Team b is idle while a has work for the whole cell. With hard quotas, which tasks that can't be
+// reclaimed stand for, half of the cell idles. When b submits work, it gets its quota back in
+// seconds; with unrestricted borrowing, it would wait for hours until tasks of a end.
 #[test]
 fn idle_quota_is_lent_and_goes_back_at_a_bounded_rate() {
     let (_, hard) = a_alone(Back::Never);
     let (mut q, lent) = a_alone(Back::Checkpoint);
     assert_eq!((hard, lent), (50, 100));
-    assert!(q.returns(Time::from_millis(10_000)).is_empty(), "nobody wants it yet");
+    assert!(q.returns(Time::from_millis(10_000)).is_empty(), "no lender needs its quota yet");
     q.wait(&"b".into(), cores(1), 50);
     let (mut running, mut seconds) = (0, 0);
     while running < 50 {
         let back = q.returns(Time::from_millis(10_000 + seconds * 1000));
         assert!((1..=20).contains(&back.len()) && back.iter().all(|t| q.borrows(t)));
-        assert!(q.returns(Time::from_millis(10_000 + seconds * 1000)).is_empty(), "named once");
+        assert!(
+            q.returns(Time::from_millis(10_000 + seconds * 1000)).is_empty(),
+            "a task was returned twice"
+        );
         for task in &back {
             q.ended(task);
             assert_eq!(q.start(&ask("b", running, Back::Never)), Grant::Own);
@@ -52,17 +55,17 @@
     assert!(q.returns(Time::from_millis(60_000)).is_empty());
 }
 
-// A service in borrowed room would never give it back.
+// A service in borrowed room would never return it.
 #[test]
 fn only_work_that_can_be_given_back_may_borrow() {
     let (mut q, _) = a_alone(Back::Never);
     assert_eq!(q.start(&ask("a", 300, Back::Never)), Grant::Wait);
     assert_eq!(q.start(&ask("a", 301, Back::Brief)), Grant::Borrowed);
     q.wait(&"b".into(), cores(1), 50);
-    assert!(q.returns(Time::from_millis(10_000)).is_empty(), "brief work is waited for");
+    assert!(q.returns(Time::from_millis(10_000)).is_empty(), "brief tasks must not be stopped");
 }
 
-// A gang larger than its team's quota waits for ever, and its team sees no reason.
+// A gang larger than its team's quota would wait for ever, and the team would not learn why.
 #[test]
 fn a_gang_over_its_quota_is_refused_with_the_figures() {
     let (q, _) = a_alone(Back::Never);
@@ -74,8 +77,9 @@
     assert_eq!(q.check(&"c".into(), cores(1)), Err(Refusal::Unknown));
 }
 
-// Two teams have borrowed, one much more. The one that has most gives first, its newest task; and a
-// loan becomes its team's own when own room frees, so that it is not preempted without need.
+// Two teams have borrowed, one of them much more. That one returns room first, starting with its
+// newest task. A loan becomes the team's own when own room becomes free, so that it is not
+// preempted needlessly.
 #[test]
 fn the_greatest_borrower_gives_back_first_and_loans_become_own() {
     let mut q = Quotas::default();
@@ -92,5 +96,5 @@
     q.wait(&"b".into(), cores(1), 5);
     let back = q.returns(Time::from_millis(10_000));
     let newest: Vec<_> = (56..60).rev().map(|i| ask("a", i, Back::Never).task).collect();
-    assert_eq!(back, newest, "one of the five cores is idle already");
+    assert_eq!(back, newest, "one of the five cores is already idle");
 }
--- a/tests/reads.rs
+++ b/tests/reads.rs
@@ -1,16 +1,18 @@
-//! What states that owners don't tell leave of the store's reads, in virtual time.
+//! Tests of how much of the store's capacity is left when members answer queries of states, in
+//! virtual time.
 
 use dogwoodreach::{Time, decide::reads::Reads};
 
-/// The reads a second that the store serves.
+/// Reads per second that the store serves.
 const RATE: f64 = 6_000.0;
 const MEMBERS: usize = 41;
 
-/// A second of questions at each member: how many the store was asked, by `ours` or all of them.
-fn play(reads: &mut [Reads], second: u64, questions: u64, ours: bool) -> u64 {
+/// Simulates one second of queries at each member. Returns how many of them read the store: those
+/// admitted if `ours`, otherwise all.
+fn simulate(reads: &mut [Reads], second: u64, queries: u64, ours: bool) -> u64 {
     let mut asked = 0;
-    for n in 0..questions {
-        let now = Time::from_millis(second * 1_000 + n * 1_000 / questions);
+    for n in 0..queries {
+        let now = Time::from_millis(second * 1_000 + n * 1_000 / queries);
         let admitted = reads.iter_mut().filter_map(|r| r.admit(RATE, MEMBERS, now).then_some(()));
         asked += if ours { admitted.count() } else { MEMBERS } as u64;
     }
@@ -19,10 +21,10 @@
 
 #[test]
 fn questions_without_an_owner_leave_the_store_to_its_renewals() {
-    // 70 questions a second at each member, three reads each: more than the store serves.
+    // 70 queries a second at each member, with three reads each, are more than the store serves.
     for ours in [false, true] {
         let mut reads = vec![Reads::default(); MEMBERS];
-        let taken: Vec<u64> = (0..10).map(|s| 3 * play(&mut reads, s, 70, ours)).collect();
+        let taken: Vec<u64> = (0..10).map(|s| 3 * simulate(&mut reads, s, 70, ours)).collect();
         let over = taken.iter().filter(|t| **t as f64 > RATE).count();
         assert_eq!(over, if ours { 0 } else { 10 }, "{taken:?}");
         if ours {
@@ -34,10 +36,10 @@
 
 #[test]
 fn a_few_questions_are_all_settled_by_the_store() {
-    // An owner is taken over at ordinary load.
+    // A shard is taken over under normal load.
     let mut reads = vec![Reads::default(); MEMBERS];
     for second in 0..10 {
-        assert_eq!(play(&mut reads, second, 6, true), 6 * MEMBERS as u64);
+        assert_eq!(simulate(&mut reads, second, 6, true), 6 * MEMBERS as u64);
     }
 }
 
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,4 +1,4 @@
-//! When a member's calls of the store are relayed, in virtual time.
+//! Tests of when a member's calls to the store are relayed, in virtual time.
 
 use dogwoodreach::{
     Time,
@@ -9,18 +9,19 @@
 const ME: Incarnation = Incarnation(5);
 const ALL: [Incarnation; 4] = [Incarnation(2), ME, Incarnation(7), Incarnation(9)];
 
-/// What 100 calls a second come to over ten seconds, of which the store turns this member away, and
-/// the others too, for some: calls served, and calls that reached a store that refused them.
-fn play(away: impl Fn(u64) -> bool, down: impl Fn(u64) -> bool, relays: bool) -> (u32, u32) {
+/// Simulates 100 calls a second for ten seconds. The store is unreachable from this member while
+/// `away` holds, and from all members while `down` holds. Returns the number of calls served, and
+/// of calls that reached a store that refused them.
+fn simulate(away: impl Fn(u64) -> bool, down: impl Fn(u64) -> bool, relays: bool) -> (u32, u32) {
     let (mut relay, mut served, mut refused) = (Relay::default(), 0, 0);
     for ms in (0..10_000).step_by(10) {
         let now = Time::from_millis(ms);
         let repeats = ms % 50 == 0;
         let way = if relays { relay.way(repeats, now) } else { Way::Direct };
         if way != Way::Relayed {
-            let good = !away(ms) && !down(ms);
-            relay.direct(good, now);
-            if good {
+            let ok = !away(ms) && !down(ms);
+            relay.direct(ok, now);
+            if ok {
                 served += 1;
                 continue;
             }
@@ -44,26 +45,26 @@
 #[test]
 fn a_member_that_is_turned_away_is_served_all_the_same() {
     let away = |ms| (2000..8000).contains(&ms);
-    let (plain, _) = play(away, |_| false, false);
-    let (ours, refused) = play(away, |_| false, true);
+    let (plain, _) = simulate(away, |_| false, false);
+    let (ours, refused) = simulate(away, |_| false, true);
     assert_eq!(plain, 400);
     assert_eq!(ours, 1000);
-    // Two at its beginning, then two a second.
-    assert!(refused <= 2 + 12, "{refused} calls in vain");
+    // Two when the outage begins, then two a second.
+    assert!(refused <= 2 + 12, "{refused} calls were refused");
 }
 
 #[test]
 fn a_store_that_is_down_gets_few_calls_more() {
     let down = |ms| (2000..8000).contains(&ms);
-    let (plain, before) = play(|_| false, down, false);
-    let (ours, refused) = play(|_| false, down, true);
-    assert_eq!((plain, before), (400, 600));
+    let (plain, baseline) = simulate(|_| false, down, false);
+    let (ours, refused) = simulate(|_| false, down, true);
+    assert_eq!((plain, baseline), (400, 600));
     assert!(ours >= plain);
-    assert!(refused <= before + 7, "{refused} calls against {before}");
+    assert!(refused <= baseline + 7, "{refused} calls against {baseline}");
 }
 
 #[test]
-fn one_lost_answer_is_no_lost_way() {
+fn a_single_failed_call_does_not_lose_the_direct_path() {
     let mut relay = Relay::default();
     for ms in 0..1000 {
         relay.direct(ms % 2 == 0, Time::from_millis(ms));
@@ -73,14 +74,15 @@
 }
 
 #[test]
-fn calls_that_had_no_time_are_no_lost_way() {
-    // Callers' last moments were taken for a store that is gone, and the watch was cut by it.
+fn calls_too_short_for_an_answer_do_not_lose_the_direct_path() {
+    // Guards against calls shortly before a caller's deadline that are taken for a lost store, so that
+    // the watch is cut.
     let (mut relay, ms) = (Relay::default(), Time::from_millis);
     for at in (0..1000).step_by(50) {
         relay.unanswered(ms(at), ms(at + 30));
         assert!(!relay.lost());
     }
-    // Neither is one that waited while others were served.
+    // A call that waited while others were served is no evidence either.
     relay.unanswered(ms(1000), ms(1600));
     relay.direct(true, ms(1650));
     relay.unanswered(ms(1100), ms(1700));
@@ -115,7 +117,8 @@
 
 #[test]
 fn members_that_are_cut_off_together_do_not_stop_the_relays() {
-    // Six of seventeen are cut off: each asks those behind it, several of which can't help either.
+    // Six of seventeen are cut off. Each of them asks the members that follow it, several of which are
+    // cut off as well.
     let all: Vec<Incarnation> = (0..17).map(Incarnation).collect();
     let cut = |m: &Incarnation| m.0 < 6;
     for me in all.iter().copied().filter(cut) {
@@ -138,7 +141,7 @@
                 unserved += 1;
             }
         }
-        // A call that meets four of them, and the pause after it.
+        // One call that tries four members that are cut off, and the pause after it.
         assert!(unserved <= 101, "{me}: {unserved} of 600 calls were not served");
     }
 }
@@ -152,7 +155,7 @@
     assert!(!relay.yields(ms(900)), "the store is down for all");
     relay.relayed(Incarnation(7), true, ms(1300));
     assert!(relay.yields(ms(1300)));
-    // It stays so until the store serves it, and says nothing of the next loss.
+    // The decision lasts until the store serves this member, and does not carry over to the next loss.
     relay.relayed(Incarnation(7), false, ms(1400));
     relay.unrelayed(ms(1400));
     assert!(relay.yields(ms(1400)));
@@ -161,7 +164,7 @@
     relay.relayed(Incarnation(9), true, ms(3000));
     relay.direct(false, ms(4000));
     relay.direct(false, ms(4100));
-    assert!(!relay.yields(ms(4800)), "nobody has relayed a call since");
+    assert!(!relay.yields(ms(4800)), "no call has been relayed since the loss");
     relay.relayed(Incarnation(9), true, ms(4900));
     assert!(relay.yields(ms(4900)));
 }
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget: an outage, a few bad endpoints, and which refusals may be tried again.
+//! Tests of the retry budget: an outage, a few bad endpoints, and which refusals may be retried.
 
 use {
     dogwoodreach::{
@@ -11,9 +11,9 @@
 
 const MEMBERS: usize = 5;
 
-/// Plays 20,000 requests at five members over 20 s, each try refused with this chance; the tries
-/// in all, and the requests that were served.
-fn play(budget: bool, refused: f64) -> (u32, u32) {
+/// Simulates 20,000 requests at five members over 20 s, in which each try is refused with
+/// probability `refused`. Returns the total number of tries and the number of requests served.
+fn simulate(budget: bool, refused: f64) -> (u32, u32) {
     let mut rng = fastrand::Rng::with_seed(5);
     let mut budgets: Vec<_> = (0..MEMBERS).map(|_| Budget::new(Time::ZERO)).collect();
     let (mut sum, mut served) = (0, 0);
@@ -32,63 +32,64 @@
             if budget && budgets[member].retry(&caller, error, tries + 1, now).is_err() {
                 break;
             }
-            // The next try is forwarded, and asks another member's budget.
+            // The next try is forwarded and uses another member's budget.
             member = (member + 1) % MEMBERS;
         }
     }
     (sum, served)
 }
 
-// All endpoints refuse, as they do when a dependency is down or they are overloaded. Each request
-// tried four times makes four times the load, at the worst moment. Over all members and with
-// forwarded tries, a tenth more than the first tries is the bound.
+// All endpoints refuse, as when a dependency is down or they are overloaded. If each request were
+// tried four times, the load would be four times as high at the worst moment. Over all members,
+// including forwarded tries, retries may add only a tenth to the first tries.
 #[test]
 fn outage_is_not_made_worse() {
-    let (ours, _) = play(true, 1.0);
-    let (always, _) = play(false, 1.0);
+    let (ours, _) = simulate(true, 1.0);
+    let (always, _) = simulate(false, 1.0);
     println!("tries for 20000 requests: {ours}, retry always {always}");
-    // The kept ones: five at the start and one a second at each of five members.
-    let kept = 5 * (5 + 20);
-    assert!(ours <= 22_000 + kept, "{ours}");
+    // Reserved retries: five at the start and one a second, at each of five members.
+    let reserved = 5 * (5 + 20);
+    assert!(ours <= 22_000 + reserved, "{ours}");
     assert!(ours > 21_000);
     assert_eq!(always, 80_000);
 }
 
 #[test]
 fn few_refusals_are_all_tried_again() {
-    let (sum, served) = play(true, 0.05);
+    let (sum, served) = simulate(true, 0.05);
     println!("one refusal in twenty: {served} of 20000 served by {sum} tries");
     assert!(served > 19_980);
 }
 
-// One caller sends nearly everything and is refused nearly always; another sends a request now and
-// then. The first uses up whatever has been earned when the second's single request is refused.
+// One caller sends nearly all requests, and nearly all of them are refused; another sends a request
+// from time to time. The first must not use up the retry that the second needs when its request is
+// refused.
 #[test]
 fn small_caller_has_a_retry_left() {
     let mut budget = Budget::new(Time::ZERO);
     let refused = || Error::from(Kind::EndpointRefused);
     let (heavy, small) = (CallerId::from("heavy"), CallerId::from("small"));
-    let (mut heavies, mut smalls) = (0, 0);
+    let (mut heavy_retries, mut small_retries) = (0, 0);
     for i in 0..60_000 {
         let now = Time::from_millis(i);
         budget.tried(0);
-        heavies += u32::from(budget.retry(&heavy, refused(), 1, now).is_ok());
+        heavy_retries += u32::from(budget.retry(&heavy, refused(), 1, now).is_ok());
         if i % 15_000 == 14_999 {
-            smalls += u32::from(budget.retry(&small, refused(), 1, now).is_ok());
+            small_retries += u32::from(budget.retry(&small, refused(), 1, now).is_ok());
         }
     }
-    println!("retries: heavy {heavies}, small {smalls} of 4");
-    assert_eq!(smalls, 4);
-    assert!(heavies <= 6005);
+    println!("retries: heavy {heavy_retries}, small {small_retries} of 4");
+    assert_eq!(small_retries, 4);
+    assert!(heavy_retries <= 6005);
     let spent = budget.retry(&heavy, refused(), 1, Time::from_millis(60_000));
-    let spent = spent.expect_err("spent");
+    let spent = spent.expect_err("the budget is exhausted");
     assert_eq!((spent.kind(), spent.kind().answer().ran), (Kind::RetryBudget, Ran::No));
     assert_eq!(spent.back(), Some(Duration::from_secs(1)));
 }
 
-// A connection breaks after the request was written: it may have run. Tried again, cover would be
-// bound twice. A refusal by admission did not run, but another try adds load where there is too
-// much.
+// A connection breaks after the request was written: it may have run, and a retry would bind the
+// insurance cover twice. A request refused by admission did not run, but a retry would add load
+// where there is already too much.
 #[test]
 fn only_what_did_not_run_is_tried_again() {
     let mut budget = Budget::new(Time::ZERO);
--- a/tests/shift.rs
+++ b/tests/shift.rs
@@ -1,4 +1,4 @@
-//! Load between members: stale reports, and availability zones without oscillation.
+//! Tests of forwarding between members: stale reports, and availability zones without oscillation.
 
 mod fake;
 
@@ -14,9 +14,9 @@
 };
 
 const RUN: Duration = ms(50);
-/// The slots of all owners.
+/// Total slots of all owners.
 const SLOTS: usize = 96;
-/// Between a member's reports, which are as old when they come.
+/// Interval between reports, and their age on arrival.
 const REPORT: Duration = ms(400);
 
 fn zone(owner: usize, owners: usize) -> Zone {
@@ -41,32 +41,33 @@
     Report(Vec<ServiceLoad>),
 }
 
-struct Played {
-    /// The waits at the owners.
+struct Outcome {
+    /// Waits at the owners.
     waits: Vec<Duration>,
-    /// The requests for which no owner was expected to have room.
-    lost: usize,
-    /// The part sent to the other availability zone, in each 400 ms.
+    /// Number of requests for which no owner was expected to have room.
+    without_room: usize,
+    /// Share sent to the other availability zone in each 400 ms.
     far: Vec<f64>,
 }
 
-impl Played {
+impl Outcome {
     fn p95(&self) -> Duration {
         let mut waits = self.waits.clone();
         waits.sort();
         waits[waits.len() * 95 / 100]
     }
 
-    /// The mean change of the far part from one span to the next, after the first two seconds.
+    /// Mean change of the far share between consecutive intervals, after the first two seconds.
     fn swing(&self) -> f64 {
         let pairs = || self.far[5..].windows(2);
         pairs().map(|p| (p[1] - p[0]).abs()).sum::<f64>() / pairs().count() as f64
     }
 }
 
-/// Plays 20 s at `rate` parts of the capacity, sent by so many members to so many owners, the first
-/// half of them near; `ours`, or the least loaded by the report, near ones first.
-fn play(ours: bool, senders: usize, owners: usize, rate: f64) -> Played {
+/// Simulates 20 s of load at `rate` times the capacity, sent by `senders` members to `owners`
+/// owners, the first half of which are in the near zone. Uses `Spread` if `ours`, otherwise the
+/// owner that was least loaded by its report, near ones first.
+fn simulate(ours: bool, senders: usize, owners: usize, rate: f64) -> Outcome {
     let slots = SLOTS / owners;
     let mut rng = fastrand::Rng::with_seed(11);
     let new = |seed| Spread::new("near".into(), fastrand::Rng::with_seed(seed));
@@ -82,7 +83,7 @@
     for i in 0..50 {
         agenda.add(Time::ZERO + REPORT * i, Event::Measure);
     }
-    let mut played = Played { waits: Vec::new(), lost: 0, far: Vec::new() };
+    let mut outcome = Outcome { waits: Vec::new(), without_room: 0, far: Vec::new() };
     let mut sent = [0; 2];
     while let Some((now, event)) = agenda.next() {
         match event {
@@ -92,7 +93,7 @@
                     true => sender.pick(Duration::MAX, RUN, now).map(|i| i.0 as usize),
                     false => least(&known),
                 };
-                played.lost += usize::from(owner.is_none());
+                outcome.without_room += usize::from(owner.is_none());
                 let owner = owner.unwrap_or_else(|| rng.usize(..owners));
                 sent[owner / (owners / 2)] += 1;
                 queues[owner].push_back(now);
@@ -100,7 +101,7 @@
             Event::End(owner) => busy[owner] -= 1,
             Event::Measure => {
                 let far = f64::from(sent[1]) / f64::from((sent[0] + sent[1]).max(1));
-                played.far.push(far);
+                outcome.far.push(far);
                 sent = [0; 2];
                 let loads =
                     (0..owners).map(|o| load(slots, slots - busy[o], queues[o].len())).collect();
@@ -121,15 +122,15 @@
                 && let Some(born) = queues[owner].pop_front()
             {
                 busy[owner] += 1;
-                played.waits.push(now.since(born));
+                outcome.waits.push(now.since(born));
                 agenda.add(now + exp(&mut rng, RUN), Event::End(owner));
             }
         }
     }
-    played
+    outcome
 }
 
-/// The first near owner with the most free slots, a far one where none near has any.
+/// Returns the near owner with the most free slots, or a far one if no near owner has any.
 fn least(known: &[ServiceLoad]) -> Option<usize> {
     let best = |side: std::ops::Range<usize>| {
         side.min_by_key(|&o| (known[o].waiting as i64) - i64::from(known[o].free))
@@ -138,47 +139,52 @@
     if known[near].free > 0 { Some(near) } else { best(known.len() / 2..known.len()) }
 }
 
-// Reports are 400 to 800 ms old, and a request runs 50 ms. By the last report each member sends all
-// to the least loaded peer; it fills up and the others run dry, until the next report names
-// another.
+// Reports are 400 to 800 ms old, and a request runs for 50 ms. If each member sent everything to
+// the peer that was least loaded by the last report, that peer would fill up while the others
+// idled, until the next report named another.
 #[test]
 fn stale_reports_do_not_draw_a_crowd() {
-    let (ours, base) = (play(true, 3, 6, 0.7), play(false, 3, 6, 0.7));
-    println!("p95 wait {:?}, least loaded {:?}", ours.p95(), base.p95());
+    let (ours, baseline) = (simulate(true, 3, 6, 0.7), simulate(false, 3, 6, 0.7));
+    println!("p95 wait {:?}, least loaded {:?}", ours.p95(), baseline.p95());
     assert!(ours.p95() < ms(50));
-    assert!(base.p95() > ms(500));
+    assert!(baseline.p95() > ms(500));
 }
 
-// The near half can't serve all, so a part must go to the other availability zone. That part is to
-// be steady: switched at a threshold by old reports, it swings between none and all.
+// The near half can't serve the whole load, so a share must go to the other availability zone. This
+// share must be steady: if it were switched at a threshold by old reports, it would swing between
+// nothing and everything.
 #[test]
 fn zones_share_without_swinging() {
     for owners in [2, 6] {
-        let (ours, base) = (play(true, 3, owners, 0.7), play(false, 3, owners, 0.7));
-        println!("{owners} owners: swing {:.3}, least loaded {:.3}", ours.swing(), base.swing());
+        let (ours, baseline) = (simulate(true, 3, owners, 0.7), simulate(false, 3, owners, 0.7));
+        println!(
+            "{owners} owners: swing {:.3}, least loaded {:.3}",
+            ours.swing(),
+            baseline.swing()
+        );
         println!("far part {:.2?}", &ours.far[5..15]);
         assert!(ours.swing() < 0.1);
-        assert!(base.swing() > 0.2);
+        assert!(baseline.swing() > 0.2);
     }
 }
 
 #[test]
 fn light_load_stays_in_the_zone() {
-    let far = play(true, 3, 6, 0.15).far;
+    let far = simulate(true, 3, 6, 0.15).far;
     let mean = far[5..].iter().sum::<f64>() / (far.len() - 5) as f64;
     println!("far part at 15% load {mean:.3}");
     assert!(mean < 0.02);
 }
 
-// A broker's connections all fall on one member. It takes the others to send as much as itself, as
-// they mostly do, and so finds the peers full when they are not.
+// All connections of a broker are to one member. This member assumes that the others send as much
+// as it does, which is usually true, and could wrongly find all peers full.
 #[test]
 fn single_sender_finds_room() {
     for senders in [1, 6] {
-        let ours = play(true, senders, 6, 0.7);
-        println!("{senders} senders: lost {} of {}", ours.lost, ours.waits.len());
+        let ours = simulate(true, senders, 6, 0.7);
+        println!("{senders} senders: lost {} of {}", ours.without_room, ours.waits.len());
         println!("p95 wait {:?}", ours.p95());
-        assert!(ours.lost * 10 < ours.waits.len());
+        assert!(ours.without_room * 10 < ours.waits.len());
         assert!(ours.p95() < ms(50));
     }
 }
@@ -194,11 +200,11 @@
     report(&mut spread, 2, 0, at(0));
     assert_eq!(spread.pick(long, long, at(1)), Some(peer));
     spread.refused(peer);
-    assert_eq!(spread.pick(long, RUN, at(1)), None, "it said that it has no slot");
+    assert_eq!(spread.pick(long, RUN, at(1)), None, "the peer refused a request");
     report(&mut spread, 2, 0, at(100));
     assert_eq!(spread.pick(long, RUN, at(101)), Some(peer));
-    assert_eq!(spread.pick(long, RUN, at(3101)), None, "its report is too old");
-    // It would wait 100 ms there.
+    assert_eq!(spread.pick(long, RUN, at(3101)), None, "the report is too old");
+    // The request would wait for 100 ms at the peer.
     report(&mut spread, 0, 32, at(4000));
     assert_eq!(spread.pick(ms(150), RUN, at(4000)), None);
     assert_eq!(spread.pick(ms(300), RUN, at(4000)), Some(peer));
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -1,4 +1,4 @@
-//! VMs that stand by: when they are lent, and how they go back.
+//! Tests of when VMs of a standby pool are lent, and how they are returned.
 
 mod wave;
 
@@ -8,21 +8,21 @@
     wave::{Luck, Yard, store::Fate, unit::SPARE, wave},
 };
 
-/// The longest that a holder's death goes unnoticed.
-const DEATH: u64 = 3_500;
+/// Maximum time in milliseconds until the death of a holder is noticed.
+const DETECTION_MS: u64 = 3_500;
 
-/// A yard with so many VMs of which the last stand by.
+/// Creates a yard with `count` VMs, the last `spare` of which belong to the standby pool.
 fn yard(count: usize, spare: usize) -> Yard {
     let mut yard = Yard::new(count);
     yard.stand_by(spare);
     yard
 }
 
-/// Another holder takes over from the last one.
-fn succeed(yard: &mut Yard) {
+/// Replaces the last holder, which dies, by a new one.
+fn replace_holder(yard: &mut Yard) {
     let last = yard.holders.len() - 1;
     yard.holders[last].gone = true;
-    yard.run(DEATH);
+    yard.run(DETECTION_MS);
     yard.take_over();
     yard.hear_pools();
 }
@@ -36,7 +36,10 @@
     let lent = yard.until("lent", 3_000, |y| y.lent() == 1);
     yard.waits(0);
     let back = yard.until("given back", 30_000, |y| y.lent() == 0);
-    assert!(back - lent >= Duration::from_secs(10), "no sooner than it is sure");
+    assert!(
+        back - lent >= Duration::from_secs(10),
+        "the VM was returned before the quiet period had passed"
+    );
     yard.run(30_000);
     assert_eq!(yard.orders.len(), 2);
     assert!(yard.closing().turns.is_empty());
@@ -47,7 +50,7 @@
     let mut yard = yard(5, 3);
     yard.waits(4_000);
     yard.run(4_000);
-    assert_eq!(yard.lent(), 1, "the first has to arrive before what waits says anything");
+    assert_eq!(yard.lent(), 1, "a second VM was lent before the first had arrived");
     yard.run(20_000);
     assert_eq!(yard.lent(), 3);
 }
@@ -67,8 +70,8 @@
 
 #[test]
 fn a_task_that_starts_just_then_keeps_its_vm() {
-    // Story: the VM was empty for long enough. Between the owner's word and the order a task starts;
-    // moved now, the VM takes it along.
+    // The VM has been empty for long enough, but a task starts between the owner's report and the
+    // order. If the VM were moved now, the task would move with it.
     let mut yard = yard(2, 1);
     yard.waits(4_000);
     yard.until("lent", 3_000, |y| y.lent() == 1);
@@ -82,15 +85,15 @@
 
 #[test]
 fn a_holder_that_dies_at_any_moment_forgets_no_loan() {
-    // Story: the holder dies while a VM is on its way, at work or on its way back. Forgotten, it is
-    // never given back, and paid for until somebody looks.
+    // The holder dies while a VM is being lent, in use or being returned. If the loan were forgotten,
+    // the VM would never be returned, and cost money until an operator noticed.
     for at in (0..22_000).step_by(500) {
         let mut yard = yard(3, 1);
         yard.waits(4_000);
         yard.run(1_500);
         yard.waits(0);
         yard.run(at);
-        succeed(&mut yard);
+        replace_holder(&mut yard);
         yard.run(45_000);
         assert_eq!(yard.lent(), 0, "death at {at}: {:?}", yard.orders);
         assert_eq!(yard.vms[2].moves.len(), 2, "death at {at}");
@@ -162,7 +165,7 @@
 
 #[test]
 fn with_vms_that_stand_by_and_nothing_to_do_no_list_is_read() {
-    // Story: each list of VMs is paid for, and a site with VMs that stand by has them all day.
+    // Each call for the VM list costs money, and a site has standby VMs all day.
     let mut yard = yard(4, 2);
     yard.run(2_000);
     let calls = yard.store.writes;
@@ -171,35 +174,36 @@
     assert_eq!(yard.lists, 0);
 }
 
-/// How many moves a pool makes whose oldest work waits as long as `waits` says, second by second, under
-/// the policy and where each wait borrows and each second without one gives back.
+/// Returns the number of moves of a VM over `seconds` seconds, for a pool whose oldest work has
+/// waited for `waits(second)` milliseconds: under the policy, and without hysteresis, when each
+/// wait borrows a VM and each second without one returns it.
 fn moves(seconds: u64, waits: impl Fn(u64) -> u64) -> (u32, u32) {
-    let (mut tide, mut lent, mut made) = (Tide::default(), false, 0);
-    let (mut plain, mut plain_made) = (false, 0);
+    let (mut demand, mut lent, mut moves_made) = (Tide::default(), false, 0);
+    let (mut baseline, mut baseline_moves) = (false, 0);
     let mut empty = Time::ZERO;
     for s in 0..seconds {
         let now = Time::from_millis(s * 1_000);
         let ms = waits(s);
-        tide.seen(Duration::from_millis(ms), now);
+        demand.seen(Duration::from_millis(ms), now);
         empty = if ms > 0 { now } else { empty };
-        let change = if lent { tide.give_back(empty, now) } else { tide.borrow(now) };
+        let change = if lent { demand.give_back(empty, now) } else { demand.borrow(now) };
         if change {
-            (lent, made) = (!lent, made + 1);
+            (lent, moves_made) = (!lent, moves_made + 1);
         }
-        if plain != (ms > 0) {
-            (plain, plain_made) = (!plain, plain_made + 1);
+        if baseline != (ms > 0) {
+            (baseline, baseline_moves) = (!baseline, baseline_moves + 1);
         }
     }
-    (made, plain_made)
+    (moves_made, baseline_moves)
 }
 
 #[test]
 fn short_waits_move_nothing_and_waits_by_turns_move_once() {
-    // A second of waiting in four: the end of a task is due any moment.
+    // Work waits for one second in four, as tasks end every few seconds.
     assert_eq!(moves(600, |s| if s % 4 == 0 { 1_000 } else { 0 }).0, 0);
-    // Four seconds of waiting in eight, for five minutes, then none.
-    let tidal = |s| if s < 300 && s % 8 < 4 { 1_000 * (s % 8 + 1) } else { 0 };
-    let (made, plain) = moves(600, tidal);
-    assert_eq!(made, 2, "there and back");
-    assert!(plain > 70, "without hysteresis {plain}");
+    // Work waits for four seconds in eight, for five minutes, and then not at all.
+    let alternating = |s| if s < 300 && s % 8 < 4 { 1_000 * (s % 8 + 1) } else { 0 };
+    let (moves_made, baseline) = moves(600, alternating);
+    assert_eq!(moves_made, 2, "one move there and one back");
+    assert!(baseline > 70, "without hysteresis {baseline}");
 }
--- a/tests/suspect.rs
+++ b/tests/suspect.rs
@@ -1,4 +1,5 @@
-//! Bad workers told apart from bad jobs, against a baseline that retries for ever.
+//! Tests that bad workers are distinguished from bad jobs, compared with a baseline that retries
+//! for ever.
 
 use {
     dogwoodreach::{
@@ -14,11 +15,11 @@
     },
 };
 
-/// Slots of a worker in the fake.
+/// Number of slots of a worker in the simulation.
 const SLOTS: u32 = 4;
 
-/// A pool that plays tasks in virtual time: a task runs 10 s, a failing one ends after 100 ms.
-struct Fake {
+/// A pool that simulates tasks in virtual time: a task runs for 10 s, a failing one for 100 ms.
+struct Simulation {
     suspects: Suspects,
     judged: bool,
     workers: Vec<(WorkerId, bool, u32)>,
@@ -27,8 +28,8 @@
     ends: BinaryHeap<Reverse<(Time, u32, u32, usize)>>,
     waits: BinaryHeap<Reverse<(Time, u32, u32)>>,
     bad_jobs: Vec<u32>,
-    /// When the bad jobs mend.
-    mended: Time,
+    /// When the bad jobs start to succeed.
+    recovered_at: Time,
     failures: u32,
     done: u32,
     given_up: BTreeMap<u32, Fault>,
@@ -38,7 +39,7 @@
     TaskId { job: format!("job{job}").as_str().into(), index: TaskIndex(index) }
 }
 
-impl Fake {
+impl Simulation {
     fn new(workers: usize, bad: &[usize], judged: bool) -> Self {
         let mut suspects = Suspects::new(7);
         let name = |i: usize| WorkerId::from(format!("w{i:03}").as_str());
@@ -46,7 +47,7 @@
             suspects.join(&name(i), &"pool".into(), &format!("rack{}", i / 5).as_str().into());
         }
         let workers = (0..workers).map(|i| (name(i), bad.contains(&i), 0)).collect();
-        Fake {
+        Simulation {
             suspects,
             judged,
             workers,
@@ -55,7 +56,7 @@
             ends: BinaryHeap::new(),
             waits: BinaryHeap::new(),
             bad_jobs: Vec::new(),
-            mended: Time::NEVER,
+            recovered_at: Time::NEVER,
             failures: 0,
             done: 0,
             given_up: BTreeMap::new(),
@@ -67,7 +68,7 @@
     }
 
     fn fails(&self, job: u32, i: usize) -> bool {
-        self.workers[i].1 || (self.bad_jobs.contains(&job) && self.now < self.mended)
+        self.workers[i].1 || (self.bad_jobs.contains(&job) && self.now < self.recovered_at)
     }
 
     fn free(&self, job: u32, index: u32) -> Vec<usize> {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Plays until nothing is left, or until `end`.
+    /// Runs until nothing is left, or until `end`.
     fn play(&mut self, end: Time) {
         while self.now < end {
             self.start_waiting();
@@ -150,13 +151,14 @@
     }
 }
 
-// One worker of 35 fails all that it starts, in a tenth of a second, so its slots are free first and
-// it draws most of the starts. Users see their batches fail or crawl. Retried for ever, the tasks go
-// back to it again and again; judged against its peers, it is out after a few.
+// One worker of 35 fails every task within 100 ms, so its slots are the first to be free and it
+// gets most of the starts. If its tasks were retried for ever, they would return to it again and
+// again, and batches would fail or crawl. Compared with its peers, it is quarantined after a few
+// failures.
 #[test]
 fn a_black_hole_worker_is_quarantined_and_no_job_is_blamed() {
     let play = |judged| {
-        let mut f = Fake::new(35, &[3], judged);
+        let mut f = Simulation::new(35, &[3], judged);
         (0..8).for_each(|job| f.submit(job, 100));
         f.play(Time::from_millis(3_600_000));
         f
@@ -165,16 +167,16 @@
     println!("failures: judged {}, retried for ever {}", judged.failures, plain.failures);
     assert_eq!((judged.done, judged.given_up.len()), (800, 0));
     assert_eq!(judged.suspects.quarantined(), [&WorkerId::from("w003")]);
-    // Peers end nothing for 10 s; without the space between starts it fails 400 tasks until then.
+    // No task ends on its peers for 10 s; without spacing of starts it would fail 400 tasks until then.
     assert!(judged.failures < 20 && judged.failures * 50 < plain.failures);
 }
 
-// One job of eight fails wherever it runs; each worker has its failures. Counted alone, they would
-// put all the workers under suspicion; retried for ever, the job takes starts from the others.
+// One job of eight fails wherever it runs, so each worker has failures. Counted alone, these would
+// make every worker suspect. Retried for ever, the job would take starts from the others.
 #[test]
 fn a_bad_job_is_given_up_and_no_worker_is_blamed() {
     let play = |judged| {
-        let mut f = Fake::new(35, &[], judged);
+        let mut f = Simulation::new(35, &[], judged);
         f.bad_jobs = vec![5];
         (0..8).for_each(|job| f.submit(job, 100));
         f.play(Time::from_millis(if judged { 900_000 } else { 60_000 }));
@@ -189,26 +191,27 @@
     assert!(judged.failures * 5 < plain.failures);
 }
 
-// A job's database restarts for two minutes, in which each of its tasks fails on good workers. It must
-// not be given up for good, nor may its tasks take the cell's starts meanwhile.
+// The database of a job restarts for two minutes, during which each of its tasks fails on good
+// workers. The job must not be given up for good, and its tasks must not use up the starts of the
+// cell meanwhile.
 #[test]
 fn a_job_whose_database_is_back_in_minutes_is_not_given_up() {
-    let mut f = Fake::new(35, &[], true);
-    (f.bad_jobs, f.mended) = (vec![5], Time::from_millis(120_000));
+    let mut f = Simulation::new(35, &[], true);
+    (f.bad_jobs, f.recovered_at) = (vec![5], Time::from_millis(120_000));
     (0..8).for_each(|job| f.submit(job, 100));
     f.play(Time::from_millis(3_600_000));
     println!("failures {}, over at {} s", f.failures, f.now.0 / 1_000_000);
     assert_eq!((f.done, f.given_up.len(), f.suspects.quarantined().len()), (800, 0, 0));
     assert!(
         f.failures < 100 && f.now < Time::from_millis(200_000),
-        "its trial ends with a success"
+        "the trial did not end with the first success"
     );
 }
 
-// Both at once: a black hole that draws most starts, and a job that fails everywhere.
+// Black holes that attract most starts, and jobs that fail on every worker, at the same time.
 #[test]
 fn a_bad_worker_and_a_bad_job_at_once_are_told_apart() {
-    let mut f = Fake::new(35, &[0, 17], true);
+    let mut f = Simulation::new(35, &[0, 17], true);
     f.bad_jobs = vec![2, 6];
     (0..8).for_each(|job| f.submit(job, 200));
     f.play(Time::from_millis(3_600_000));
@@ -219,11 +222,11 @@
     assert_eq!(f.suspects.trust(f.now, &"w001".into()), Trust::Full);
 }
 
-// On a cell that runs nothing else, no worker can be shown to be good. The job is given up all the
-// same, and the reason says what is not known.
+// In a cell that runs nothing else, no worker can be shown to be good. The job is still given up,
+// and the reason says what is not known.
 #[test]
 fn a_bad_job_alone_on_the_cell_is_given_up_too() {
-    let mut f = Fake::new(35, &[], true);
+    let mut f = Simulation::new(35, &[], true);
     f.bad_jobs = vec![0];
     f.submit(0, 1);
     f.play(Time::from_millis(7_200_000));
@@ -235,7 +238,7 @@
     let w = WorkerId::from("w0");
     assert_eq!(s.trust(at, &w), Trust::Probe);
     s.started(at, &id(0, index), &w);
-    assert_eq!(s.trust(at, &w), Trust::Held(Time::NEVER), "one probe at a time");
+    assert_eq!(s.trust(at, &w), Trust::Held(Time::NEVER), "a second probe was allowed");
     s.ended(at, &id(0, index), &w, outcome);
 }
 
@@ -255,8 +258,8 @@
     s
 }
 
-// A worker is mended while it is in quarantine. It must come back, by probes; while it is broken, the
-// probes must grow rare.
+// A worker is repaired while it is quarantined. Probes must return it to service; while it is
+// broken, the probes must become less frequent.
 #[test]
 fn probes_bring_a_mended_worker_back_and_grow_rare_for_a_broken_one() {
     let mut s = pool_with_bad(10, 1);
@@ -276,8 +279,8 @@
     assert_eq!(s.trust(at, &w), Trust::Full);
 }
 
-// A mount that half of the pool needs is gone. Quarantine of all that fail would leave too few
-// workers for the work that still runs.
+// A mount that half of the pool needs is gone. Quarantining all failing workers would leave too few
+// for the work that still runs.
 #[test]
 fn no_more_than_a_fifth_of_a_pool_is_quarantined() {
     let s = pool_with_bad(20, 6);
@@ -286,8 +289,8 @@
     assert_eq!(pool_with_bad(5, 1).quarantined().len(), 1);
 }
 
-// A rack's switch fails and its five workers fail at once what they start, before any is judged. The
-// first job to meet them must not be blamed for the rack.
+// A rack's switch fails, and its five workers fail everything they start before any of them is
+// judged. The first job that starts there must not be blamed.
 #[test]
 fn failures_in_one_rack_alone_do_not_blame_a_job() {
     let mut s = pool_with_bad(10, 0);
@@ -301,8 +304,8 @@
     assert_eq!(last, Verdict::GiveUp(Fault::Task(6)));
 }
 
-// Four broken workers in quarantine each pass one probe by luck and then fail a sound new job. It must
-// not be blamed for them.
+// Four broken workers in quarantine each pass one probe by chance and then fail a good new job,
+// which must not be blamed for them.
 #[test]
 fn failures_on_quarantined_workers_do_not_blame_a_job() {
     let mut s = pool_with_bad(20, 4);
@@ -316,22 +319,23 @@
     }
 }
 
-// A task that fails in a tenth of a second is tried again at once, and takes starts from all others.
+// Without a back-off, a task that fails within 100 ms is retried at once and takes starts from all
+// others.
 #[test]
 fn the_wait_between_attempts_doubles_with_jitter_up_to_five_minutes() {
     let mut s = pool_with_bad(10, 0);
     for full in [2, 4, 8, 16, 32, 64, 128, 256, 300, 300, 300] {
         let Verdict::Retry(at) = s.ended(Time::ZERO, &id(1, 0), &"w1".into(), Outcome::Failed)
         else {
-            panic!("one worker proves nothing");
+            panic!("a single worker does not prove a fault of the job");
         };
         let wait = at - Time::ZERO;
         assert!(wait * 2 >= Duration::from_secs(full) && wait <= Duration::from_secs(full));
     }
 }
 
-// A worker mended at once passes its probes within the minute. The next failure must not send it back
-// on what it did before.
+// A worker that was repaired at once passes its probes within a minute. The next failure must not
+// quarantine it because of its old failures.
 #[test]
 fn a_returned_worker_is_judged_by_new_evidence() {
     let mut s = pool_with_bad(10, 1);
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -1,4 +1,4 @@
-//! Pools that want more long calls for advice than their members can make.
+//! Tests of pools that want more long calls for advice than their members can make.
 
 use {
     dogwoodreach::{
@@ -19,17 +19,17 @@
     for member in 0..3 {
         turns.sent(&pools[0], Incarnation(member), CALL, now);
     }
-    assert!(turns.may(&pools[0], true, now), "nobody else waits");
+    assert!(turns.may(&pools[0], true, now), "no other pool waits");
     turns.wait(&pools[1], true, now);
     assert!(!turns.may(&pools[0], true, now) && turns.may(&pools[1], true, now));
     for member in 3..6 {
         turns.sent(&pools[1], Incarnation(member), CALL, now);
         turns.wait(&pools[1], true, now);
     }
-    assert!(turns.may(&pools[0], true, now), "both have as much");
+    assert!(turns.may(&pools[0], true, now), "both pools have calls of the same weight");
     turns.done(Incarnation(0), now);
     turns.wait(&pools[0], true, now);
-    assert!(!turns.may(&pools[1], true, now), "the other has less");
+    assert!(!turns.may(&pools[1], true, now), "the other pool's calls weigh less");
 }
 
 #[test]
@@ -39,10 +39,10 @@
     turns.sent(&pools[0], Incarnation(1), CALL, now);
     turns.sent(&pools[1], Incarnation(2), CALL, now);
     turns.wait(&pools[1], true, now);
-    assert!(turns.may(&pools[0], true, now), "both have as much");
+    assert!(turns.may(&pools[0], true, now), "both pools have calls of the same weight");
     assert!(!turns.may(&pools[0], false, now));
     turns.wait(&pools[1], false, now);
-    assert!(turns.may(&pools[0], false, now), "nor does the other's");
+    assert!(turns.may(&pools[0], false, now), "the other pool's step finds no room either");
 }
 
 #[test]
--- a/tests/upkeep_plan.rs
+++ b/tests/upkeep_plan.rs
@@ -1,4 +1,4 @@
-//! Which VMs of a wave are emptied, and when what runs there is stopped.
+//! Tests of which VMs of a wave are drained, and when their tasks are stopped.
 
 use {
     dogwoodreach::decide::upkeep::{Allowed, Facts, Plan, Stage, may_stop, plan},
@@ -34,7 +34,7 @@
 
 #[test]
 fn where_there_is_little_time_the_next_are_emptied_while_the_ones_before_are_down() {
-    // Without it each round takes the upkeep and the emptying one after the other.
+    // Otherwise each round would need the time of the maintenance and of the draining in sequence.
     let vms = [at(Stage::Down), due(0, 0), due(0, 0), due(0, 0)];
     assert_eq!(plan(&vms, allowed(20, 1)).close, [1]);
     assert!(plan(&vms, allowed(200, 1)).close.is_empty());
@@ -42,13 +42,13 @@
 
 #[test]
 fn the_time_that_is_left_is_shared_among_the_rounds() {
-    // Ten rounds in 140 s are 12 s each; 6 s of these are the upkeep and the moves.
+    // Ten rounds in 140 s have 12 s each, of which maintenance and moves take 6 s.
     let mut vms = vec![due(0, 0); 9];
     vms.push(at(Stage::Closing(secs(5))));
     assert!(plan(&vms, allowed(140, 1)).force.is_empty());
     vms[9] = at(Stage::Closing(secs(6)));
     assert_eq!(plan(&vms, allowed(140, 1)).force, [9]);
-    // A wave that is late waits for nothing.
+    // A late wave does not wait for tasks.
     vms[9] = at(Stage::Closing(Duration::ZERO));
     assert_eq!(plan(&vms, allowed(0, 1)).force, [9]);
 }
@@ -62,8 +62,8 @@
 
 #[test]
 fn a_vm_that_cannot_be_emptied_keeps_no_other_back() {
-    // Story: a step that may miss none has its only task on the first VM. As long as that one
-    // takes the wave's only turn, the others wait for ever.
+    // The only task of a step that may not miss any runs on the first VM. If this VM kept the only
+    // slot of the wave, the others would wait for ever.
     let vms = [at(Stage::Closing(secs(120))), due(0, 0), due(0, 0)];
     assert_eq!(plan(&vms, allowed(0, 1)).close, [1, 2]);
     let fresh = [at(Stage::Closing(secs(1))), due(0, 0), due(0, 0)];
@@ -75,7 +75,7 @@
     for away in 0..4 {
         assert_eq!(may_stop(Some(2), away), 2u32.saturating_sub(away));
         assert_eq!(may_stop(Some(0), away), 0);
-        // A step that doesn't say moves one by one.
+        // Without a setting, the tasks of a step move one at a time.
         assert_eq!(may_stop(None, away), u32::from(away == 0));
     }
 }
