--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -7,14 +7,14 @@
 //! load leaves for a decision.
 //!
 //! - *Pack* takes the fullest worker that has room: the one with the smallest sum of free shares of
-//! its processors, memory and accelerators. So the emptiest workers get no new work and become
-//! idle. Best-fit on the scarcest dimension alone keeps more VMs in use than first-fit, because it
-//! ignores what is left in the other dimensions; the packing test compares all three.
+//!   its processors, memory and accelerators. So the emptiest workers get no new work and become
+//!   idle. Best-fit on the scarcest dimension alone keeps more VMs in use than first-fit, because
+//!   it ignores what is left in the other dimensions; the packing test compares all three.
 //! - *Spread* takes the rack with the fewest replicas of the job, then the worker with the fewest,
-//! then the emptiest.
+//!   then the emptiest.
 //! - Work without accelerators avoids workers that have some as long as any other worker has room.
-//! Otherwise it takes the one with the fewest free accelerators, since the rest of that worker is
-//! the least useful to other tasks.
+//!   Otherwise it takes the one with the fewest free accelerators, since the rest of that worker is
+//!   the least useful to other tasks.
 //!
 //! There are no thresholds. The index proposes a worker; the ledger makes the final decision. One
 //! index covers the workers that a task may choose from: keep one for each pool.
--- a/src/decide/reads.rs
+++ b/src/decide/reads.rs
@@ -44,7 +44,7 @@
         admitted
     }
 
-    /// Returns the unused part of the allowance of a query that took `reads` reads.
+    /// Makes the unused reads of a query that took `reads` reads available again.
     pub fn settled(&mut self, reads: u32) {
         self.available += (READS_PER_QUERY - f64::from(reads)).max(0.0);
     }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -98,8 +98,8 @@
         let passed = now.since(self.refilled_at);
         self.reserved =
             (self.reserved + RESERVED_PER_SECOND * passed.as_secs_f64()).min(MAX_RESERVED);
-        // Entries are removed once per period, so the map holds only callers with a retry in the last
-        // two periods, whose number the budget limits.
+        // Entries are removed once per period, so the map holds only callers with a retry in the
+        // last two periods, whose number the budget limits.
         if self.refilled_at.0 / RECENT_PERIOD.as_micros() as u64
             != now.0 / RECENT_PERIOD.as_micros() as u64
         {
--- a/src/decide/shift.rs
+++ b/src/decide/shift.rs
@@ -35,7 +35,7 @@
 /// Load up to which a peer in the same availability zone is preferred whatever the load of others:
 /// with 16 slots at 60%, one request in twenty finds none free.
 const LOCAL_LOAD: f64 = 0.6;
-/// Excess load over which requests gradually move to other availability zones.
+/// Range of excess load over which requests gradually move to other availability zones.
 const SPILL_RANGE: f64 = 0.3;
 /// Maximum age of a report. A peer reports a few times a second, so an older report means that
 /// several in a row were lost, and the peer is probably gone.
--- a/src/decide/sound.rs
+++ b/src/decide/sound.rs
@@ -248,9 +248,9 @@
         };
     }
 
-    /// Restarts the quarantine after a failed probe. An inconclusive probe doesn't double the length,
-    /// since there may be no other task to probe with. A run that started before the quarantine is
-    /// not a probe.
+    /// Restarts the quarantine after a failed probe. An inconclusive probe doesn't double the
+    /// length, since there may be no other task to probe with. A run that started before the
+    /// quarantine is not a probe.
     fn probe_failed(&mut self, now: Time, conclusive: bool) {
         if self.probe.is_some() {
             self.count -= u32::from(!conclusive && self.count > 0);
--- a/src/decide/suspect.rs
+++ b/src/decide/suspect.rs
@@ -136,6 +136,7 @@
     fault: Option<Fault>,
 }
 
+/// The period in which a job may start one task at a time, before it is given up.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     since: Time,
@@ -284,9 +285,9 @@
 
     fn record_outcome(&mut self, task: &TaskId, worker: &WorkerId, outcome: Outcome) {
         let sound = self.jobs.get(&task.job).is_some_and(|j| j.succeeded);
-        // The failure of a job that has never succeeded says nothing about the worker. Otherwise two bad
-        // jobs that are retried at the same time would each make the other's workers look bad, so
-        // that both would be retried for long.
+        // The failure of a job that has never succeeded says nothing about the worker. Otherwise
+        // two bad jobs that are retried at the same time would each make the other's workers look
+        // bad, so that both would be retried for long.
         if outcome == Outcome::Stopped || (outcome == Outcome::Failed && !sound) {
             return;
         }
--- a/src/decide/upkeep.rs
+++ b/src/decide/upkeep.rs
@@ -88,7 +88,8 @@
     let short = round_time < (down + DRAIN_TIME) * 2;
     let max_active = if short { cap * 2 } else { cap };
     let max_wait = (round_time * if short { 2 } else { 1 }).saturating_sub(down + DRAIN_TIME);
-    // A VM that can't be drained, since its steps may not miss more tasks, must not block the others.
+    // A VM that can't be drained, since its steps may not miss more tasks, must not block the
+    // others.
     let draining =
         |m: &&Facts| matches!(m.stage, Stage::Closing(d) if d < max_wait + DRAIN_TIME * 2);
     let draining = vms.iter().filter(draining).count();
--- a/src/decide/urgent.rs
+++ b/src/decide/urgent.rs
@@ -26,7 +26,7 @@
 /// Maximum time that a victim's checkpoint may take. Of the 1.1 s, 0.2 s are used by the decision,
 /// the commit of intent and two messages, and 0.2 s are reserved for a late message.
 const MAX_CHECKPOINT: Duration = Duration::from_millis(700);
-/// Maximum number of tasks stopped for one start; each may fail to checkpoint in time.
+/// Maximum number of tasks stopped for one start, as each may fail to checkpoint in time.
 const MAX_VICTIMS: usize = 4;
 /// Cost of each victim besides the work it loses, in core-seconds: a restart loads its image and
 /// inputs again, which takes about half a minute of one core.
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -15,9 +15,9 @@
     std::{cmp::Reverse, collections::BTreeSet, time::Duration},
 };
 
-/// Maximum time for which a job without a deadline is passed by later jobs of its team: four hours,
-/// half of the night in which batches run, so that a job submitted in the evening is done in the
-/// morning.
+/// Maximum time for which later jobs of its team can go before a job without a deadline: four
+/// hours, half of the night in which batches run, so that a job submitted in the evening is done in
+/// the morning.
 const MAX_DELAY: Duration = Duration::from_secs(4 * 3600);
 /// Latest start times within the same interval of this length, in microseconds, count as equal, so
 /// that priority decides: estimates are not more precise than a minute.
@@ -60,7 +60,7 @@
     pub(super) parked: bool,
 }
 
-/// A job's place within its team.
+/// A job's place within its team; the lowest goes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Key {
     grain: u64,
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -218,8 +218,8 @@
     sum / 2000
 }
 
-// Guards against VMs that stay in use although they are not needed: tasks of mixed sizes come and go,
-// and new ones are placed on VMs that would otherwise become idle.
+// Guards against VMs that stay in use although they are not needed: tasks of mixed sizes come and
+// go, and new ones are placed on VMs that would otherwise become idle.
 #[test]
 fn tasks_that_come_and_go_keep_fewer_workers_in_use_than_first_fit() {
     let (mut pack, mut first, mut scarcest) = (0, 0, 0);
@@ -263,8 +263,8 @@
     assert!(pack * 100 <= bound * 108);
 }
 
-// Guards against a service that loses half of its replicas when a rack's switch fails, because random
-// placement had put them into the same rack.
+// Guards against a service that loses half of its replicas when a rack's switch fails, because
+// random placement had put them into the same rack.
 #[test]
 fn a_rack_failure_takes_no_more_replicas_than_must_be() {
     let need = Size::new(2, 4096, 0);
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -75,8 +75,8 @@
 
 #[test]
 fn calls_too_short_for_an_answer_do_not_lose_the_direct_path() {
-    // Guards against calls shortly before a caller's deadline that are taken for a lost store, so that
-    // the watch is cut.
+    // Guards against calls shortly before a caller's deadline that are taken for a lost store, so
+    // that the watch is cut.
     let (mut relay, ms) = (Relay::default(), Time::from_millis);
     for at in (0..1000).step_by(50) {
         relay.unanswered(ms(at), ms(at + 30));
@@ -117,8 +117,8 @@
 
 #[test]
 fn members_that_are_cut_off_together_do_not_stop_the_relays() {
-    // Six of seventeen are cut off. Each of them asks the members that follow it, several of which are
-    // cut off as well.
+    // Six of seventeen are cut off. Each of them asks the members that follow it, several of which
+    // are cut off as well.
     let all: Vec<Incarnation> = (0..17).map(Incarnation).collect();
     let cut = |m: &Incarnation| m.0 < 6;
     for me in all.iter().copied().filter(cut) {
@@ -155,7 +155,8 @@
     assert!(!relay.yields(ms(900)), "the store is down for all");
     relay.relayed(Incarnation(7), true, ms(1300));
     assert!(relay.yields(ms(1300)));
-    // The decision lasts until the store serves this member, and does not carry over to the next loss.
+    // The decision lasts until the store serves this member, and does not carry over to the next
+    // loss.
     relay.relayed(Incarnation(7), false, ms(1400));
     relay.unrelayed(ms(1400));
     assert!(relay.yields(ms(1400)));
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -85,8 +85,8 @@
 
 #[test]
 fn a_holder_that_dies_at_any_moment_forgets_no_loan() {
-    // The holder dies while a VM is being lent, in use or being returned. If the loan were forgotten,
-    // the VM would never be returned, and cost money until an operator noticed.
+    // The holder dies while a VM is being lent, in use or being returned. If the loan were
+    // forgotten, the VM would never be returned, and cost money until an operator noticed.
     for at in (0..22_000).step_by(500) {
         let mut yard = yard(3, 1);
         yard.waits(4_000);
--- a/tests/suspect.rs
+++ b/tests/suspect.rs
@@ -167,7 +167,8 @@
     println!("failures: judged {}, retried for ever {}", judged.failures, plain.failures);
     assert_eq!((judged.done, judged.given_up.len()), (800, 0));
     assert_eq!(judged.suspects.quarantined(), [&WorkerId::from("w003")]);
-    // No task ends on its peers for 10 s; without spacing of starts it would fail 400 tasks until then.
+    // No task ends on its peers for 10 s; without spacing of starts it would fail 400 tasks until
+    // then.
     assert!(judged.failures < 20 && judged.failures * 50 < plain.failures);
 }
 
