--- a/src/shard.rs
+++ b/src/shard.rs
@@ -1,8 +1,8 @@
-//! Shards: a part of the jobs and of the workers, scheduled by one member.
+//! Shards: each holds a part of the jobs and of the workers and is scheduled by one member.
 //!
-//! A job is in one of its pool's shards, by its number; a worker in the one that the layout has for its
-//! address, so that all that decides where a task runs is in one place and in memory. The state machine has no
-//! clock and does no I/O; `docs/PLATFORM.md` has the reasons.
+//! The number of a job selects one of its pool's shards; the layout assigns each worker to a shard
+//! by its address. All data that placement decisions need is therefore in one place and in memory.
+//! The state machine has no clock and does no I/O; `docs/PLATFORM.md` has the reasons.
 
 mod ahead;
 mod ask;
--- a/src/shard/ahead.rs
+++ b/src/shard/ahead.rs
@@ -1,4 +1,4 @@
-//! Workers whose room is expected soon, for which a step asks for its tickets ahead.
+//! Requests tickets in advance for workers that are expected to have room soon.
 
 use crate::{
     decide::{
@@ -15,12 +15,12 @@
     work::{AdviceCost, TaskKey},
 };
 
-/// How many workers a call ahead names, by guess.
-const NAMED: u32 = 5;
+/// The number of workers that the estimated cost of an advance call is based on.
+const ASSUMED_WORKERS: u32 = 5;
 
 impl Shard {
-    /// Workers that will soon have room for a task of this step, if a ticket for one of them has to
-    /// be asked for now.
+    /// Returns the workers that will soon have room for a task of this step, if at least one of
+    /// their tickets has to be requested now; otherwise returns none.
     pub(super) fn coming(
         &self,
         turn: &Turn,
@@ -30,28 +30,29 @@
         now: Time,
     ) -> Vec<WorkerNo> {
         let size = turn.step.counted();
-        let takes = cost.base + cost.each * NAMED;
-        let by = ahead::horizon(takes, now);
-        let mut all = vec![];
+        let duration = cost.base + cost.each * ASSUMED_WORKERS;
+        let by = ahead::horizon(duration, now);
+        let mut coming = vec![];
         let apart = turn.step.apart;
         let full = |r: &&Room| !size.fits(&r.free) && (apart == 0 || r.same < apart);
         for room in good.iter().filter(full) {
             let no = WorkerNo(room.index);
-            if self.frees(no, &size, by, now) && round.line.join(no) {
-                all.push(no);
+            if self.frees_by(no, &size, by, now) && round.line.join(no) {
+                coming.push(no);
             }
         }
         let ends = |no: &WorkerNo| {
-            self.valid_until(turn.key, *no).is_none_or(|u| ahead::ends(u, takes, now))
+            self.valid_until(turn.key, *no).is_none_or(|until| ahead::ends(until, duration, now))
         };
-        if !all.iter().any(ends) || !ahead::may(self.lanes.idle(), self.lanes.len()) {
-            all.clear();
+        if !coming.iter().any(ends) || !ahead::may(self.lanes.idle(), self.lanes.len()) {
+            coming.clear();
         }
-        all
+        coming
     }
 
-    /// Whether a worker is expected to have this much room by then. What lasts leaves none.
-    fn frees(&self, no: WorkerNo, size: &Size, by: Time, now: Time) -> bool {
+    /// Whether a worker is expected to have room for `size` by the time `by`. Long-running tasks
+    /// are assumed to stay.
+    fn frees_by(&self, no: WorkerNo, size: &Size, by: Time, now: Time) -> bool {
         let worker = &self.workers[no.0];
         let lasts = |t: &TaskKey| {
             let step = self.jobs.get(&t.step.job).and_then(|j| j.step(&t.step));
@@ -62,7 +63,7 @@
     }
 }
 
-/// When a run is expected to end.
+/// The time at which a run is expected to end.
 pub(super) fn end(run: &Run, now: Time) -> Time {
     if run.phase == Phase::Stopping {
         return now;
--- a/src/shard/ask.rs
+++ b/src/shard/ask.rs
@@ -1,8 +1,10 @@
-//! Advice: which workers a step may run on, asked in time and no oftener than needed.
+//! Calls for advice: requests in time, and no more often than needed, which workers a step may run
+//! on.
 //!
-//! What may run a step never changes, but tickets are valid for two seconds or so and a call takes
-//! up to a second: so a step's first call names all workers, is made while the step before still
-//! runs, and later calls name only workers that have room now.
+//! The set of workers that may run a step never changes, but tickets are valid for about two
+//! seconds and a call takes up to one second. A step's first call is therefore made while the
+//! previous step still runs and names workers widely. Later calls name only workers that have room
+//! now.
 
 use {
     crate::{
@@ -26,18 +28,19 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// The most workers that one call names.
+/// The maximum number of workers that one call names.
 pub(super) const MOST: usize = 100;
-/// The most workers that a later call names.
+/// The maximum number of workers that a call to renew tickets names.
 pub(super) const AGAIN: usize = 10;
-/// How much earlier than a ticket ends it is no longer used: the start's way, and the answer's.
-const EARLY: Duration = Duration::from_millis(100);
-/// The pause after a call without an answer.
-const PAUSE: Duration = Duration::from_millis(150);
+/// A ticket is no longer used when it has less than this time left: the margin covers the transit
+/// of the advice reply and of the start order.
+const TICKET_MARGIN: Duration = Duration::from_millis(100);
+/// The pause after a call that failed.
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 impl Shard {
-    /// Asks about all workers that were not asked about yet.
-    pub(super) fn ask_all(
+    /// Requests advice on all workers that no earlier call of this step has named.
+    pub(super) fn ask_unnamed(
         &mut self,
         key: &StepKey,
         usable: &[WorkerNo],
@@ -47,15 +50,16 @@
         if self.part(key).is_none_or(|p| p.tickets.asking()) {
             return;
         }
-        let workers = self.unasked(key, usable, MOST);
-        self.ask(key, workers, cost, now);
+        let workers = self.unnamed(key, usable, MOST);
+        self.request(key, workers, cost, now);
     }
 
-    /// Asks about workers for the tasks that would find no room on those that are known: those with the
-    /// most room first, and no more than are needed.
+    /// Requests advice for the tasks that would find no room on the workers already known to be
+    /// permitted. Names the workers with the most room first, and no more workers than are needed.
     ///
-    /// Guards against an owner that spends its processor on calls that can't be made: after the loss of
-    /// all members thousands of steps wait for their first, and each of them looks at each worker.
+    /// Guards against an owner that spends its CPU time preparing calls that cannot be made: after
+    /// the loss of all members, thousands of steps wait for their first call, and each of them
+    /// examines every worker.
     pub(super) fn ask_wide(&mut self, turn: &Turn, round: &mut Round, now: Time) {
         let Turn { key, ref step, advice, .. } = *turn;
         let (Some(cost), Some(part)) = (advice, self.part(key)) else { return };
@@ -63,15 +67,16 @@
             return;
         }
         let chunk = chunk(cost.base, cost.each);
-        let takes = cost.base + cost.each * u32::try_from(chunk).unwrap_or(u32::MAX);
-        // Gangs have room made for them; others take what is free or will be.
+        let duration = cost.base + cost.each * u32::try_from(chunk).unwrap_or(u32::MAX);
+        // For gangs, room can be made by preemption; other steps use only what is free or will
+        // become free.
         let (stops, by) = match step.gang {
-            true => (Some(turn.priority), now + takes + self.setup.bounds.stop),
-            false => (None, now + takes),
+            true => (Some(turn.priority), now + duration + self.setup.bounds.stop),
+            false => (None, now + duration),
         };
         let size = step.counted();
         let slots = |no: WorkerNo| {
-            let free = self.room_by(no, stops, by, now);
+            let free = self.free_by(no, stops, by, now);
             let slots = size.count(&free.saturating_sub(&round.all_claims(no)));
             let most = if step.apart > 0 { slots.min(step.apart.into()) } else { slots };
             u32::try_from(most).unwrap_or(u32::MAX)
@@ -80,26 +85,29 @@
         let asked = &part.tickets.asked;
         let new = turn.usable.iter().copied().filter(|n| !asked.contains(n));
         let mut new: Vec<(u32, WorkerNo)> = new.map(|n| (slots(n), n)).collect();
-        // Steps begin with different ones where one worker is as good as another.
-        let mix = |n: &WorkerNo| (n.0 as u64 ^ key.job.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        new.sort_by_key(|(slots, n)| (Reverse(*slots), mix(n)));
+        // Varies by job which of several equally suitable workers is named first, so that steps
+        // spread over the workers.
+        let spread = |n: &WorkerNo| (n.0 as u64 ^ key.job.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        new.sort_by_key(|(slots, n)| (Reverse(*slots), spread(n)));
         let missing = u32::try_from(turn.waiting.len()).unwrap_or(u32::MAX).saturating_sub(known);
         let share = self.shares.get(&turn.queue).copied().unwrap_or_default();
-        let wide = new.iter().map(|n| n.0).take_while(|s| *s > 0);
-        // Up to here further ones cost little, and those without room are learnt of for later.
-        let count = share.named(wide, missing.max(1)).max(chunk);
+        let slots_each = new.iter().map(|n| n.0).take_while(|s| *s > 0);
+        // Naming up to `chunk` workers adds little cost, and advice on workers without room is
+        // useful later.
+        let count = share.named(slots_each, missing.max(1)).max(chunk);
         let workers = new.into_iter().take(count).map(|n| n.1).collect();
-        if !self.ask_many(key, workers, cost, now) {
+        if !self.ask_parallel(key, workers, cost, now) {
             round.busy.insert(turn.queue.clone());
         }
     }
 
-    /// Asks about these workers in calls that go side by side, as long as members are free for them.
+    /// Requests advice on these workers in parallel calls, as long as members are available to make
+    /// them.
     ///
-    /// Returns whether there were enough of them.
+    /// Returns whether enough members were available.
     ///
-    /// Guards against a gang whose first tickets are over before its last have come.
-    pub(super) fn ask_many(
+    /// Guards against a gang whose first tickets expire before its last tickets arrive.
+    pub(super) fn ask_parallel(
         &mut self,
         key: &StepKey,
         workers: Vec<WorkerNo>,
@@ -111,13 +119,14 @@
             workers.into_iter().filter(|n| !part.tickets.out.contains(n)).collect();
         let calls = new.len().div_ceil(chunk(cost.base, cost.each)).max(1);
         new.chunks(new.len().div_ceil(calls).max(1))
-            .all(|some| self.ask(key, some.to_vec(), cost, now))
+            .all(|some| self.request(key, some.to_vec(), cost, now))
     }
 
-    /// Workers that were not asked about yet.
-    fn unasked(&self, key: &StepKey, usable: &[WorkerNo], most: usize) -> Vec<WorkerNo> {
+    /// Up to `most` workers that no earlier call of this step has named.
+    fn unnamed(&self, key: &StepKey, usable: &[WorkerNo], most: usize) -> Vec<WorkerNo> {
         let Some(part) = self.part(key) else { return vec![] };
-        // Where not all can be named at once, steps begin with different ones.
+        // If one call cannot name all workers, steps of different jobs begin at different
+        // positions.
         let first = usize::try_from(key.job.0).unwrap_or(0) % usable.len().max(1);
         let (before, after) = usable.split_at(first);
         let asked = &part.tickets.asked;
@@ -125,7 +134,8 @@
         new.take(most).copied().collect()
     }
 
-    /// Asks for new tickets where there is room, or about workers that have come since.
+    /// Renews the expired tickets of workers that have room; if there are none, requests advice on
+    /// workers that have joined since.
     pub(super) fn ask_again(
         &mut self,
         key: &StepKey,
@@ -136,13 +146,14 @@
     ) {
         if stale.is_empty() {
             let Some(part) = self.part(key) else { return };
-            // Guards against a step that waits for ever though a worker has come that may run it: those
-            // that it knows of may be full, or have as many of its tasks as they may.
+            // Guards against a step that waits forever although a worker that may run it has
+            // joined: the workers known so far may be full or at the step's limit of tasks per
+            // worker.
             let known = |n: &WorkerNo| part.tickets.asked.contains(n);
             if usable.iter().all(known) {
                 return;
             }
-            return self.ask_all(key, usable, cost, now);
+            return self.ask_unnamed(key, usable, cost, now);
         }
         let mut all: Vec<WorkerNo> = stale.to_vec();
         all.sort_by_key(|n| Reverse(self.workers[n.0].free().cores));
@@ -150,66 +161,75 @@
             return;
         }
         all.truncate(AGAIN);
-        let more = self.unasked(key, usable, AGAIN - all.len());
+        let more = self.unnamed(key, usable, AGAIN - all.len());
         all.extend(more);
-        self.ask(key, all, cost, now);
+        self.request(key, all, cost, now);
     }
 
-    /// When the ticket of a step for a worker ends.
+    /// The expiry of a step's ticket for a worker.
     pub(super) fn valid_until(&self, key: &StepKey, no: WorkerNo) -> Option<Time> {
         self.part(key).and_then(|p| p.tickets.good.get(&no)).map(|t| t.1)
     }
 
-    /// Makes a call; returns whether a member was free for it, where one is to be made.
-    fn ask(&mut self, key: &StepKey, workers: Vec<WorkerNo>, cost: AdviceCost, now: Time) -> bool {
-        let takes = cost.base + cost.each * u32::try_from(workers.len()).unwrap_or(u32::MAX);
+    /// Makes a call. Returns false if a call is needed but no member is available for it, or
+    /// another pool has precedence.
+    fn request(
+        &mut self,
+        key: &StepKey,
+        workers: Vec<WorkerNo>,
+        cost: AdviceCost,
+        now: Time,
+    ) -> bool {
+        let duration = cost.base + cost.each * u32::try_from(workers.len()).unwrap_or(u32::MAX);
         let unix = self.unix(now);
-        let roomy = self.roomy(key, &workers, now + takes, now);
+        let roomy = self.has_room_by(key, &workers, now + duration, now);
         let Some(job) = self.jobs.get_mut(&key.job) else { return true };
         let Some(queue) = self.known.get(&job.queue) else { return true };
         let due = job.came.max(job.due(key.time))
             + super::workers::millis(objective(queue, job.allowed(key.time)));
-        // A lasting task that is away waits for no other pool.
-        let shares = takes > LONG && !job.step(key).is_some_and(|s| s.lasts);
+        // A long-running task that is not running does not give precedence to other pools.
+        let takes_turns = duration > LONG && !job.step(key).is_some_and(|s| s.lasts);
         let Some(part) = job.parts.get_mut(&(key.time, key.step)) else { return true };
         if workers.is_empty() || part.tickets.next > now {
             return true;
         }
         let left = Duration::from_millis(due.saturating_sub(unix));
-        let ours = !shares || self.lanes.spare(now) || self.turns.may(&queue.pool, roomy, now);
+        let may_call =
+            !takes_turns || self.lanes.spare(now) || self.turns.may(&queue.pool, roomy, now);
         let by = now + left;
-        let Some((via, end)) = ours.then(|| self.lanes.pick(takes, by, now)).flatten() else {
-            if shares {
+        let Some((via, end)) = may_call.then(|| self.lanes.pick(duration, by, now)).flatten()
+        else {
+            if takes_turns {
                 self.turns.wait(&queue.pool, roomy, now);
             }
             return false;
         };
-        if takes > LONG {
-            self.turns.sent(&queue.pool, via, takes, now);
+        if duration > LONG {
+            self.turns.sent(&queue.pool, via, duration, now);
         }
         part.tickets.out.extend(&workers);
         part.tickets.calls.push(now);
         let asked = self.asked.entry(job.queue.clone()).or_default();
         asked.calls += 1;
         asked.named += workers.len() as u64;
-        asked.takes += takes;
+        asked.takes += duration;
         asked.bare += u64::from(!roomy);
         let workers = workers.iter().map(|n| self.workers[n.0].id.clone()).collect();
         let call = Box::new(AdviceCall { step: *key, workers });
         let limit = (end - now) + SLACK;
-        self.out.push(Order::Advise { via, call, sent: now, takes, limit });
+        self.out.push(Order::Advise { via, call, sent: now, takes: duration, limit });
         true
     }
 
-    /// Whether one of these workers is expected to have room for a task of a step by then; a gang has
-    /// room made for it.
-    fn roomy(&self, key: &StepKey, workers: &[WorkerNo], by: Time, now: Time) -> bool {
+    /// Whether one of these workers is expected to have room for a task of the step at the time
+    /// `by`. Always true for a gang, since room is made for it.
+    fn has_room_by(&self, key: &StepKey, workers: &[WorkerNo], by: Time, now: Time) -> bool {
         let Some(step) = self.jobs.get(&key.job).and_then(|j| j.step(key)) else { return false };
         let size = step.counted();
-        step.gang || workers.iter().any(|no| size.fits(&self.room_by(*no, None, by, now)))
+        step.gang || workers.iter().any(|no| size.fits(&self.free_by(*no, None, by, now)))
     }
 
-    /// Takes in advice, or that none came.
+    /// Processes the reply to a call for advice, or its failure.
     pub(super) fn advised(
         &mut self,
         call: AdviceCall,
@@ -243,7 +263,7 @@
                     share.learn(new, advice.good.len());
                 }
                 let valid = advice.valid.or(valid).unwrap_or(Duration::from_secs(1));
-                let until = now + valid.saturating_sub(EARLY);
+                let until = now + valid.saturating_sub(TICKET_MARGIN);
                 part.tickets.heard = Some(now);
                 part.advised = part.advised.or((!advice.good.is_empty()).then_some(now));
                 let good = advice.good.into_iter();
@@ -252,16 +272,17 @@
                 part.tickets.asked.extend(named);
             }
             Err(fault) => {
-                log::info!(target: "shard", did = "unadvised", job:% = key.job, step:% = key, via:% = via, fault = crate::store::fault_name(&fault), after_ms = super::workers::millis(now - sent); "Advice has not come.");
-                // A member that is busy says so at once, and there are others: the pause would be lost.
+                log::info!(target: "shard", did = "unadvised", job:% = key.job, step:% = key, via:% = via, fault = crate::store::fault_name(&fault), after_ms = super::workers::millis(now - sent); "Call for advice failed.");
+                // A busy member refuses at once and other members are available, so a pause would
+                // only lose time.
                 if fault != Fault::Refused {
-                    part.tickets.next = now + PAUSE;
+                    part.tickets.next = now + RETRY_PAUSE;
                 }
             }
         }
     }
 
-    /// Asks for steps whose turn comes soon.
+    /// Requests advice for steps that are expected to become ready soon.
     pub(super) fn foresee(&mut self, now: Time) {
         let mut soon = vec![];
         for (no, job) in &self.jobs {
@@ -275,7 +296,7 @@
                 let fresh = part.tickets.asked.is_empty() && !part.tickets.asking();
                 if fresh && part.waiting > 0 && !job.free(*time, *step) {
                     let lead = cost.base + cost.each * 40 + Duration::from_millis(50);
-                    if self.ends_within(&key, lead, now) {
+                    if self.predecessors_end_within(&key, lead, now) {
                         soon.push(key);
                     }
                 }
@@ -291,8 +312,8 @@
         }
     }
 
-    /// Whether all that a step waits for is placed and should be done within a time.
-    fn ends_within(&self, key: &StepKey, lead: Duration, now: Time) -> bool {
+    /// Whether all predecessors of a step are placed and expected to finish within `lead`.
+    fn predecessors_end_within(&self, key: &StepKey, lead: Duration, now: Time) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let Some(step) = job.step(key) else { return false };
         step.after.iter().all(|a| {
--- a/src/shard/authority.rs
+++ b/src/shard/authority.rs
@@ -1,4 +1,5 @@
-//! Whether this owner may act: answers while the store is silent, and former owners' runs.
+//! Decides whether this owner may act: while the store does not answer, and while runs that former
+//! owners started may still exist.
 
 use {
     crate::{
@@ -12,10 +13,11 @@
     std::time::Duration,
 };
 
-/// For how long a confirmed renewal counts, from when it was sent: shorter than the shortest lease.
-const FRESH: Duration = Duration::from_millis(1900);
-/// For how long an answer of a worker counts, from when it was given.
-const HEARD: Duration = Duration::from_millis(2600);
+/// The time for which a confirmed lease renewal counts, from when it was sent: shorter than the
+/// shortest lease.
+const RENEWAL_VALID: Duration = Duration::from_millis(1900);
+/// The time for which a worker's reply counts, from when it was given.
+const REPLY_VALID: Duration = Duration::from_millis(2600);
 
 impl Shard {
     /// Whether this owner may start work and renew leases.
@@ -23,13 +25,16 @@
         self.acts_from(now).is_some()
     }
 
-    /// From when the leases count that this owner gives now; nothing where it may give none.
+    /// The time from which leases that this owner grants now are counted, or `None` if it may grant
+    /// none.
     ///
-    /// Guards against an owner that is cut off from the store and goes on beside its successor:
-    /// while the store is silent it needs answers from most of its workers, and a successor needs
-    /// the same before it counts others' leases as ended, so that at least one worker has seen both
-    /// and refuses the older one. Its leases count from when most had answered, which was before
-    /// any successor had heard most: so the successor need not wait for longer than a lease.
+    /// Guards against an owner that is cut off from the store and continues beside its successor.
+    /// While the store does not answer, an owner needs replies from more than half of its workers.
+    /// A successor needs the same before it treats leases of others as expired, so at least one
+    /// worker has seen both owners and rejects the older one. The owner's leases are counted from
+    /// the time at which more than half of its workers had replied. That was before any successor
+    /// had heard from more than half, so the successor need not wait longer than the length of one
+    /// lease.
     pub(super) fn acts_from(&self, now: Time) -> Option<Time> {
         if self.fresh(now) {
             return Some(now);
@@ -37,64 +42,73 @@
         let listed = self.workers.iter().filter(|w| w.listed.is_some() && !w.gone);
         let mut heard: Vec<Option<Time>> = listed.map(|w| w.heard).collect();
         heard.sort_unstable();
-        // More than half of them have answered since then.
-        let most = heard.len().checked_sub(1)? / 2;
-        heard[most].filter(|at| now - *at <= HEARD)
+        // More than half of the workers have replied since then.
+        let majority = heard.len().checked_sub(1)? / 2;
+        heard[majority].filter(|at| now - *at <= REPLY_VALID)
     }
 
-    /// Whether what this owner knows may be told to others.
+    /// Whether this owner may report its state to others.
     ///
-    /// Guards against an owner that stood still or is cut off, and has a successor: callers who were
-    /// told that a job is completed were told by it that the job is queued, and the duty of upkeep
-    /// that a worker is empty. Nobody takes a shard over before its owner's lease has ended, and the
-    /// lease lasts for longer than this from the renewal that the store has confirmed. Answers of
-    /// workers are not enough: a successor may have completed a job between two of them.
+    /// Guards against an owner that was paused or is cut off and already has a successor: it
+    /// reported jobs as queued to callers who had been told that they were completed, and told the
+    /// upkeep duty that a worker was empty. Nobody takes a shard over before its owner's lease has
+    /// expired, and the lease lasts longer than `RENEWAL_VALID` from a renewal that the store has
+    /// confirmed. Replies of workers are not sufficient: a successor may have completed a job
+    /// between two of them.
     pub fn may_tell(&self, now: Time) -> bool {
         self.fresh(now)
     }
 
-    /// Whether the store has confirmed this member's lease so lately that it has not ended.
+    /// Whether the store has confirmed this member's lease recently enough that it cannot have
+    /// expired.
     pub(super) fn fresh(&self, now: Time) -> bool {
-        now - self.confirmed <= FRESH
+        now - self.confirmed <= RENEWAL_VALID
     }
 
-    /// Whether no other owner can have started anything of a job that is not known here.
+    /// Whether no other owner can have started anything of a job without this owner knowing of it.
     ///
-    /// Guards against a task that is started by an owner that was taken over and by its successor. What
-    /// was there at the takeover the successor finds in the store, and starts none of it before the
-    /// shard is settled. What has come since it starts at once, so that a former owner, who may hear of
-    /// it as well, must not: it waits for a renewal that shows that the shard was still its own when it
-    /// heard of the job.
+    /// Guards against a task that is started both by a former owner and by its successor. For jobs
+    /// that existed at the takeover, the successor finds them in the store and starts none of them
+    /// before the shard is settled. It starts jobs that arrived later at once, so a former owner
+    /// that also hears of such a job must not start it. The former owner therefore waits for a
+    /// renewal which shows that it still owned the shard when it heard of the job.
     pub(super) fn is_sole(&self, no: &JobNo) -> bool {
         let Some(job) = self.jobs.get(no) else { return false };
-        if job.old { self.unsettled.is_empty() } else { job.heard <= self.confirmed + FRESH }
+        if job.old {
+            self.unsettled.is_empty()
+        } else {
+            job.heard <= self.confirmed + RENEWAL_VALID
+        }
     }
 
-    /// Takes in that the store has confirmed this member's lease by a renewal that was sent then.
+    /// Processes the store's confirmation of a lease renewal that was sent at `sent`.
     pub(super) fn confirm(&mut self, sent: Time, now: Time) {
         self.stir |= !self.fresh(now);
         self.confirmed = self.confirmed.max(sent);
     }
 
-    /// Whether what former owners have started is known.
+    /// Removes workers from `unsettled` once it is known what former owners started there; the
+    /// shard is settled when none is left.
     ///
-    /// Guards against a second run of what goes on at a worker that can't be asked: until all that
-    /// may run something have answered, or their leases have ended, no job from before starts. No
-    /// former owner gives a lease that counts from later than when most have answered this one.
+    /// Guards against a second run of a task that still runs at an unreachable worker: no job from
+    /// before the takeover starts until every worker that may run something has replied, or until
+    /// all leases of former owners have expired. No former owner grants a lease that counts from
+    /// later than the time at which more than half of the workers have replied to this owner.
     pub(super) fn settle(&mut self, now: Time) {
         if self.unsettled.is_empty() {
             return;
         }
         let fenced = |w: &Worker| w.fenced || w.gone;
         let rostered = || self.workers.iter().filter(|w| w.rostered);
-        let most = rostered().filter(|w| fenced(w)).count() * 2 > rostered().count();
-        if most && self.most.is_none() {
+        let majority = rostered().filter(|w| fenced(w)).count() * 2 > rostered().count();
+        if majority && self.most.is_none() {
             self.most = Some(now);
         }
         let lease = self.setup.bounds.hold.div_f64(SLOW) + MARGIN;
-        // A former owner of whose lease nothing is known may have been confirmed until now.
-        let former = if self.lapsed { self.begun } else { self.begun + FRESH };
-        let since = self.most.map(|t| t.max(former));
+        // If the end of the former owner's lease is not known, the store may have confirmed it
+        // until the takeover.
+        let former_until = if self.lapsed { self.begun } else { self.begun + RENEWAL_VALID };
+        let since = self.most.map(|t| t.max(former_until));
         let lapsed = since.is_some_and(|t| t + lease <= now);
         let workers = &self.workers;
         self.unsettled.retain(|n| !lapsed && !fenced(&workers[n.0]));
@@ -102,7 +116,7 @@
             self.told.settled = Some(now);
             log::info!(target: "shard", did = "settled", shard:% = self.setup.shard, token = self.setup.token, after_ms = millis(now - self.begun), by_lapse = lapsed; "Shard is settled.");
             if !lapsed {
-                self.count_former(now);
+                self.count_former_crashes(now);
             }
             self.stir = true;
             self.note(now);
--- a/src/shard/cause.rs
+++ b/src/shard/cause.rs
@@ -1,4 +1,5 @@
-//! What a waiting step waits for, and what decides that; [`super::sight`] finds it out.
+//! The reasons why a step waits, and the data from which they are derived; [`super::sight`]
+//! collects the data.
 
 use {
     crate::work::StepKey,
@@ -6,212 +7,216 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Why a worker gets no starts.
+/// The reason why a worker is excluded from starts.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Bar {
-    /// It is not in the list.
+    /// The list of workers does not contain it.
     #[display("unlisted")]
     Unlisted,
-    /// It has not answered to this owner.
+    /// It has not replied to this owner's token.
     #[display("unfenced")]
     Unfenced,
-    /// The store does not know yet that something may run there.
+    /// The store does not record yet that something of this shard may run there.
     #[display("unrostered")]
     Unrostered,
     /// It is leaving.
     #[display("leaving")]
     Leaving,
-    /// It is being emptied.
+    /// It is being emptied for upkeep.
     #[display("closing")]
     Closing,
     /// It does not answer.
     #[display("silent")]
     Silent,
-    /// What it runs is not known in full.
+    /// It has runs whose resource usage is unknown.
     #[display("blind")]
     Blind,
-    /// It was not well of late.
+    /// It recently reported that it is unwell.
     #[display("unwell")]
     Unwell,
     /// It is in quarantine.
     #[display("quarantined")]
     Quarantined,
-    /// It is in quarantine beyond what a pool may hold, or out of it, and no probe may go there now.
+    /// Its quarantine has ended or exceeds the share of the pool that may be in quarantine, and no
+    /// trial task may start there now.
     #[display("unproven")]
     Unproven,
 }
 
-/// What a step waits for.
+/// The reason why a step waits.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Cause {
     /// The owner is cut off and may start nothing.
     #[display("the owner's lease")]
     Lease,
-    /// Its queue is not known.
+    /// Its queue is unknown.
     #[display("its queue")]
     Queue,
-    /// Its pool has no workers here.
+    /// Its pool has no workers in this shard.
     #[display("its pool")]
     Pool,
-    /// Former owners may have started something at workers that have not answered.
+    /// Former owners may have started something at workers that have not replied.
     #[display("workers of a former owner")]
     Unsettled,
-    /// Its start has had no answer.
+    /// A start order has not been answered.
     #[display("the answer to a start")]
     Start,
-    /// It is being stopped where it is.
+    /// A run of it is being stopped.
     #[display("the end of a stop")]
     Stop,
-    /// It is at a worker that does not answer.
+    /// Its task is at a worker that does not answer.
     #[display("a silent worker")]
     Silent,
-    /// Another run of its tasks is being stopped.
+    /// An extra run of its tasks is being stopped.
     #[display("the end of another run")]
     Stray,
-    /// So many steps are before it that a round does not come to it.
+    /// So many steps precede it that a round does not reach it.
     #[display("its place in the order")]
     Order,
-    /// Room is kept for it until there is enough.
+    /// Room is reserved for it until there is enough.
     #[display("room that is kept for it")]
     Gathers,
-    /// Its first call is out.
+    /// Its first call for advice is in progress.
     #[display("its first advice")]
     First,
-    /// Calls for its tickets are out.
+    /// Calls for its tickets are in progress.
     #[display("new tickets")]
     Tickets,
     /// A call has failed, and the next one has to wait.
     #[display("advice that has failed")]
     Failed,
-    /// No member is free for its call.
+    /// No member is available to make its call.
     #[display("a member for its call")]
     Member,
-    /// Tickets are old, and nothing was asked.
+    /// Its tickets have expired, and no call is in progress.
     #[display("a call for old tickets")]
     Old,
-    /// There are workers that it was never asked about.
+    /// Some workers were never named in its calls.
     #[display("workers never asked about")]
     Unasked,
     /// No worker may run it.
     #[display("a worker that may run it")]
     Nobody,
-    /// Too few may run it, or too small ones.
+    /// Too few workers may run it, or they are too small.
     #[display("more workers that may run it")]
     Few,
-    /// The room is kept for gangs.
+    /// The room is reserved for gangs.
     #[display("room kept for gangs")]
     Gangs,
-    /// The room is kept for, or goes to, the steps before it.
+    /// The room is reserved for, or goes to, steps that precede it.
     #[display("steps before it")]
     Before,
-    /// The workers with room get no starts.
+    /// The workers with room are excluded from starts.
     #[display("{_0} workers")]
     Bar(Bar),
-    /// The workers with room have as many of its tasks as they may.
+    /// The workers with room already have as many of its tasks as the step allows per worker.
     #[display("workers at its bound")]
     Bound,
     /// The workers are full.
     #[display("room")]
     Room,
-    /// There is room, and no round yet.
+    /// There is room, and the next round has not run yet.
     #[display("the next round")]
     Round,
-    /// There is room, and it was not taken.
+    /// There is room, but the last round did not use it.
     #[display("its turn")]
     Turn,
 }
 
-/// Counts of workers by why they get no starts.
+/// Number of workers by the reason why they are excluded.
 pub type Bars = BTreeMap<Bar, usize>;
 
-/// What decides when a step's tasks start.
+/// The data that decides when a step's tasks start. The fields from `valid` to `barred` count
+/// workers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sight {
-    /// What holds it up before any worker is looked at.
+    /// The reason that blocks it regardless of any worker.
     pub gate: Option<Cause>,
-    /// How many tasks have to start at once: one, or all of a gang.
+    /// How many tasks have to start together: one, or all members of a gang.
     pub wanted: u64,
-    /// Workers of its pool that may get starts.
+    /// Workers of its pool that may receive starts.
     pub usable: usize,
     /// All workers of its pool.
     pub all: usize,
-    /// The others, by why.
+    /// The other workers of the pool, by the reason for their exclusion.
     pub out: Bars,
-    /// Workers that it was asked about.
+    /// Workers that calls of this step have named.
     pub asked: usize,
     /// Workers that may run it.
     pub good: usize,
-    /// Of these: with room and a valid ticket.
+    /// Permitted workers with room and a valid ticket.
     pub valid: usize,
-    /// With room and an old ticket.
+    /// Permitted workers with room and an expired ticket.
     pub old: usize,
-    /// With room that is kept for gangs.
+    /// Workers with room that is reserved for gangs.
     pub gangs: usize,
-    /// With room that is kept for, or goes to, steps before it.
+    /// Workers with room that is reserved for, or goes to, preceding steps.
     pub before: usize,
-    /// With as many of its tasks as they may have.
+    /// Workers that have as many of its tasks as they may have.
     pub bound: usize,
-    /// Without room.
+    /// Workers without room.
     pub full: usize,
-    /// Without its label, or too small.
+    /// Workers that lack the required label or are too small.
     pub unfit: usize,
-    /// That get no starts.
+    /// Workers that are excluded from starts.
     pub barred: usize,
-    /// Those of them which would have room, by why.
+    /// Excluded workers that would have room, by the reason for their exclusion.
     pub bars: Bars,
-    /// Usable workers that it was never asked about.
+    /// Usable workers that no call has named.
     pub unasked: usize,
-    /// Those of them which have room, for all that is known.
+    /// Those of the `unasked` workers that appear to have room.
     pub roomy: usize,
-    /// How many of its tasks would find room where tickets are valid, and wherever they may run.
+    /// How many of its tasks would fit on workers with valid tickets, and on all workers that may
+    /// run it.
     pub slots: (u64, u64),
-    /// How many would if all workers that may run it were empty.
+    /// How many of its tasks would fit if all workers that may run it were empty.
     pub empty: u64,
-    /// Calls that are out.
+    /// Calls in progress.
     pub calls: usize,
-    /// How old the oldest of them is.
+    /// The age of the oldest call in progress.
     pub oldest: Option<Duration>,
-    /// The age of the last answer.
+    /// The time since the last reply to a call.
     pub heard: Option<Duration>,
-    /// Whether no call may be made yet, as one has failed.
+    /// Whether a failed call prevents the next call for now.
     pub failed: bool,
-    /// Members without a call, and all.
+    /// Members without a call, and all members.
     pub lanes: (usize, usize),
-    /// Whether one of them would take the call that it would need.
+    /// Whether a member would accept the call that the step needs.
     pub member: bool,
-    /// Whether a round is yet to come.
+    /// Whether a round is pending.
     pub round: bool,
     /// The age of the list of workers.
     pub listed: Duration,
-    /// Workers of former owners that have not answered.
+    /// Workers of former owners that have not replied.
     pub unsettled: usize,
 }
 
-/// A lasting step of which tasks are away.
+/// A long-running step with tasks that are not running.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Away {
     /// The step.
     pub key: StepKey,
     /// How many of its tasks wait.
     pub tasks: usize,
-    /// How many are counted at a worker, and not seen to run there.
+    /// How many are assigned to a worker but were not seen running there.
     pub held: usize,
-    /// The one that is away longest.
+    /// The index of the task that has been away the longest.
     pub first: u32,
-    /// How long it is, since it ran or could first run, as far as this owner knows.
+    /// How long that task has been away: since it last ran or could first run, as far as this owner
+    /// knows.
     pub away: Duration,
-    /// Its class in the order.
+    /// The class of its rank.
     pub class: usize,
-    /// How many steps come before it.
+    /// How many steps precede it.
     pub behind: usize,
-    /// What it waits for.
+    /// The reason why it waits.
     pub cause: Cause,
-    /// What decides that.
+    /// The data from which the reason is derived.
     pub sight: Sight,
 }
 
 impl Sight {
-    /// What the step waits for.
+    /// The reason why the step waits.
     pub fn cause(&self) -> Cause {
         let advice = |otherwise| match () {
             () if self.calls > 0 && self.asked == 0 => Cause::First,
--- a/src/shard/closing.rs
+++ b/src/shard/closing.rs
@@ -1,4 +1,4 @@
-//! Workers that are emptied for their VMs' upkeep.
+//! Empties workers whose VMs are due for upkeep.
 
 use {
     crate::{
@@ -18,51 +18,51 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// What is at a worker that is to be emptied.
+/// What is still running at a worker that is to be emptied.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Held {
     /// The worker.
     pub worker: WorkerId,
-    /// Whether its owner starts nothing there any more.
+    /// Whether its owner no longer starts anything there.
     pub closed: bool,
-    /// Whether its owner knows all that runs there.
+    /// Whether its owner knows everything that runs there.
     pub known: bool,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// How many tasks there end by themselves.
+    /// The number of tasks there that end by themselves.
     pub brief: u32,
-    /// How many don't.
+    /// The number of long-running tasks there.
     pub lasting: u32,
 }
 
-/// How long a pool's work waits.
+/// How long the work of a pool has been waiting.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Need {
     /// The pool.
     pub pool: PoolId,
-    /// How long the oldest that could start does so, in milliseconds.
+    /// The waiting time of the oldest work that could start, in milliseconds.
     pub waits: u64,
 }
 
 impl Held {
-    /// Whether nothing runs there, and nothing will.
+    /// Whether nothing runs there and nothing will start.
     pub fn clear(&self) -> bool {
         self.closed && self.known && self.brief + self.lasting == 0
     }
 }
 
-/// Room at a worker that a task is to move to.
-pub(super) struct Taken {
+/// Room at a worker that is allocated to a task which is to move there.
+pub(super) struct Allocation {
     no: WorkerNo,
     step: StepKey,
     size: Size,
 }
 
 impl Shard {
-    /// Takes in which workers are to be emptied; nothing goes back.
+    /// Sets which workers are to be emptied; an older list never replaces a newer one.
     ///
-    /// Guards against an older word that was still on its way when the shard began with a newer one:
-    /// it would open a worker that was just found clear, and what starts there ends with its VM.
+    /// Guards against an older list that arrives after the shard began with a newer one: it would
+    /// reopen a worker that was just reported as clear, and whatever starts there ends with its VM.
     pub(super) fn close_workers(&mut self, closing: &Arc<Closing>) {
         if closing.place < self.closing.place {
             return;
@@ -74,25 +74,27 @@
         self.stir = true;
     }
 
-    /// What is at the workers of this shard among these.
+    /// What is running at those of the given workers that belong to this shard.
     pub fn held_at(&self, workers: &[WorkerId]) -> Vec<Held> {
         let known = workers.iter().filter_map(|id| self.ids.get(id));
         let listed = known.map(|n| &self.workers[n.0]).filter(|w| !w.gone && w.listed.is_some());
-        listed.map(|w| self.held_of(w)).collect()
+        listed.map(|w| self.occupancy_of(w)).collect()
     }
 
-    /// How long the work of each pool waits that any of its workers could run.
+    /// How long the work of each pool has been waiting, counting only work that any worker of the
+    /// pool could run.
     ///
-    /// What waits for advice or for one label is no need: another VM would stay empty beside it.
+    /// Work that waits for advice or needs a label is excluded: another VM kept open would stay
+    /// empty beside it.
     pub fn needs(&self, now: Time) -> Vec<Need> {
         let mut needs: BTreeMap<&PoolId, u64> = BTreeMap::new();
         for (_, key) in &self.ready {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let Some(queue) = self.known.get(&job.queue) else { continue };
             let Some(part) = job.parts.get(&(key.time, key.step)) else { continue };
-            let free = job.step(key).is_some_and(|s| s.needs.is_none() && !s.fills);
+            let unrestricted = job.step(key).is_some_and(|s| s.needs.is_none() && !s.fills);
             let advised = queue.advice.is_none() || !part.tickets.good.is_empty();
-            if let (true, true, Some(since)) = (free, advised, part.ready) {
+            if let (true, true, Some(since)) = (unrestricted, advised, part.ready) {
                 let waits = needs.entry(&queue.pool).or_default();
                 *waits = (*waits).max(millis(now - since));
             }
@@ -101,7 +103,7 @@
         needs.into_iter().map(need).collect()
     }
 
-    fn held_of(&self, w: &Worker) -> Held {
+    fn occupancy_of(&self, w: &Worker) -> Held {
         let count = |lasts: bool| w.runs.keys().filter(|t| self.lasts(t) == lasts).count() as u32;
         Held {
             worker: w.id.clone(),
@@ -118,10 +120,10 @@
         step.is_some_and(|s| s.lasts)
     }
 
-    /// Stops what has to leave workers that are emptied: lasting tasks as far as their steps allow,
-    /// and, where it is waited for no longer, all else.
+    /// Stops tasks at workers that are being emptied: long-running tasks as far as their steps
+    /// allow, and all others once the turn is forced.
     pub(super) fn empty(&mut self, now: Time) {
-        let mut taken = vec![];
+        let mut allocated = vec![];
         for no in (0..self.workers.len()).map(WorkerNo) {
             let w = &self.workers[no.0];
             if w.gone || !w.closed() {
@@ -132,10 +134,10 @@
             let tasks: Vec<TaskKey> = running.map(|(t, _)| *t).collect();
             for task in tasks {
                 let go = match self.lasts(&task) {
-                    true => self.may_go(&task, forced, &mut taken, now),
+                    true => self.may_stop_now(&task, forced, &mut allocated, now),
                     false => forced,
                 };
-                // One before may have taken this one along, as a member of its gang.
+                // An earlier iteration may already have stopped this task as a member of its gang.
                 let there = self.workers[no.0].runs.get(&task);
                 if go && there.is_some_and(|r| r.phase == Phase::Running) {
                     self.tell_stop(no, &task, "upkeep");
@@ -145,33 +147,39 @@
         }
     }
 
-    /// Whether a lasting task may be stopped now to start elsewhere.
+    /// Whether a long-running task may be stopped now to start elsewhere.
     ///
-    /// Without a room that is known to be free it stays until its worker is waited for no longer:
-    /// the room that is sought may come meanwhile, and a task that was stopped without one is away.
-    fn may_go(&self, task: &TaskKey, forced: bool, taken: &mut Vec<Taken>, now: Time) -> bool {
+    /// Unless room for it is known to be free, the task stays until the turn is forced: room may
+    /// become free meanwhile, and a task that is stopped without room elsewhere serves nobody.
+    fn may_stop_now(
+        &self,
+        task: &TaskKey,
+        forced: bool,
+        allocated: &mut Vec<Allocation>,
+        now: Time,
+    ) -> bool {
         let key = &task.step;
         let Some(job) = self.jobs.get(&key.job) else { return true };
         let Some(step) = job.step(key) else { return true };
-        if may_stop(step.may_miss, self.away(key, now)) == 0 {
+        if may_stop(step.may_miss, self.absent_count(key, now)) == 0 {
             return false;
         }
         if forced {
             return true;
         }
-        self.take_room(key, 1, taken, now)
+        self.allocate_room(key, 1, allocated, now)
     }
 
-    /// Whether there is room that is known to be free for so many tasks of a step, beside what is kept for
-    /// gangs and what is taken already; takes it.
+    /// Whether room is known to be free for `count` tasks of a step, not counting room that is
+    /// reserved for gangs or already allocated; if so, allocates it.
     ///
-    /// Guards against tasks of several steps that are stopped for one room, and against one that is
-    /// stopped for room which it doesn't get.
-    pub(super) fn take_room(
+    /// Guards against tasks of several steps being stopped for the same room, and against a task
+    /// being stopped for room that it does not get.
+    pub(super) fn allocate_room(
         &self,
         key: &StepKey,
         count: u32,
-        taken: &mut Vec<Taken>,
+        allocated: &mut Vec<Allocation>,
         now: Time,
     ) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return false };
@@ -187,24 +195,24 @@
         });
         let mut rooms: Vec<_> = open.filter_map(|n| self.room(*n, key, step, now)).collect();
         for room in &mut rooms {
-            let kept = self.reserved.values().flat_map(|r| r.each.iter().map(|e| (e, r.size)));
-            let kept = kept.filter(|((no, _), _)| no.0 == room.index);
-            let kept = kept.map(|((_, n), size)| size.times((*n).into()));
-            let here = taken.iter().filter(|t| t.no.0 == room.index);
+            let reserved = self.reserved.values().flat_map(|r| r.each.iter().map(|e| (e, r.size)));
+            let reserved = reserved.filter(|((no, _), _)| no.0 == room.index);
+            let reserved = reserved.map(|((_, n), size)| size.times((*n).into()));
+            let here = allocated.iter().filter(|t| t.no.0 == room.index);
             room.same += here.clone().filter(|t| t.step == *key).count() as u32;
-            room.free = room.free.saturating_sub(&kept.chain(here.map(|t| t.size)).sum());
+            room.free = room.free.saturating_sub(&reserved.chain(here.map(|t| t.size)).sum());
         }
         let tasks: Vec<u32> = (0..count).collect();
         let chosen = choose(step, &tasks, &mut rooms);
         let all = chosen.len() == tasks.len();
         if all {
             let size = step.counted();
-            taken.extend(chosen.into_iter().map(|(_, no)| Taken { no, step: *key, size }));
+            allocated.extend(chosen.into_iter().map(|(_, no)| Allocation { no, step: *key, size }));
         }
         all
     }
 
-    /// How many tasks of a step wait, or are being stopped.
+    /// How many tasks of a step are waiting or being stopped.
     pub(super) fn unplaced(&self, key: &StepKey) -> u32 {
         let placed = |(index, t): (u32, &Task)| match t.at {
             At::Waiting => false,
@@ -219,8 +227,8 @@
         u32::try_from(unplaced).unwrap_or(u32::MAX)
     }
 
-    /// How many tasks of a step are not at work.
-    fn away(&self, key: &StepKey, now: Time) -> u32 {
+    /// How many tasks of a step are not serving.
+    fn absent_count(&self, key: &StepKey, now: Time) -> u32 {
         let part = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
         let Some(part) = part else { return 0 };
         let at_work = |index: u32, at: At| {
--- a/src/shard/commit.rs
+++ b/src/shard/commit.rs
@@ -1,8 +1,8 @@
-//! The group commit of a shard: what has changed goes to the store, one write at a time.
+//! The group commit of a shard: writes all pending changes to the store, one transaction at a time.
 //!
-//! Every write expects the commit row as the last one left it and changes it, so that a write whose
-//! answer was lost either has taken effect before the next one or never will. After an unclear
-//! answer the row is read: its number says whether the write was done.
+//! Every write expects the commit row as the previous write left it and changes it. A write whose
+//! reply was lost has therefore either taken effect before the next write or never will. After an
+//! unclear reply the commit row is read: its number shows whether the write took effect.
 
 use {
     crate::{
@@ -13,34 +13,34 @@
     std::time::Duration,
 };
 
-/// Between the beginnings of two writes, at least: a quiet store answers in 4 ms, and each call is
-/// paid for, so that what ends within this time goes along.
-const GAP: Duration = Duration::from_millis(20);
-/// The same, where nobody waits for what is written: ends of tasks of jobs that go on. A hold comes
-/// back for unwritten ends after 120 ms, so that this may not be longer.
-const LAZY: Duration = Duration::from_millis(100);
-/// The pause after a refusal, doubled up to the second.
+/// The minimum interval between the starts of two writes. A store without load replies in 4 ms and
+/// each call is charged for, so changes within this interval share a write.
+const MIN_INTERVAL: Duration = Duration::from_millis(20);
+/// The minimum interval before a write that nobody waits for: ends of tasks whose jobs continue.
+/// Must not exceed 120 ms, the time after which a worker is asked again while ends are unwritten.
+const LAZY_INTERVAL: Duration = Duration::from_millis(100);
+/// The first and the longest pause after a refused write; the pause doubles with each refusal.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
 
-/// The rows that a write may have besides the commit row's own two.
+/// The number of rows that a write may have besides the two of the commit row.
 pub const FREE: usize = ROWS - 2;
 
-/// What has to be done after an answer.
+/// The action that follows from a reply of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum After {
-    /// Nothing.
+    /// Nothing to do.
     Nothing,
-    /// The write is done.
+    /// The write has taken effect.
     Done,
-    /// The write was not done: what it held has to be written again.
+    /// The write has not taken effect: its contents have to be written again.
     Again,
     /// Read the commit row.
     Reread,
-    /// Another owner has written.
+    /// Another owner has written to the shard.
     Deposed,
 }
 
-/// How the write stands.
+/// The stage of the current write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Idle,
@@ -52,52 +52,53 @@
 /// The state of the group commit.
 #[derive(Clone, Debug)]
 pub struct Commit {
-    rev: u64,
+    revision: u64,
     number: u64,
     stage: Stage,
     next: Time,
-    /// When a write may begin that nobody waits for.
-    lazy: Time,
-    pause: Duration,
+    /// The earliest time for a write that nobody waits for.
+    next_lazy: Time,
+    backoff: Duration,
 }
 
 impl Commit {
-    /// The commit of an owner that has written the commit row at `rev`.
-    pub fn new(rev: u64) -> Self {
-        let (next, lazy) = (Time::ZERO, Time::ZERO);
-        Commit { rev, number: 0, stage: Stage::Idle, next, lazy, pause: BACKOFF.0 }
+    /// Creates the commit state of an owner that has written the commit row at `revision`.
+    pub fn new(revision: u64) -> Self {
+        let (next, next_lazy) = (Time::ZERO, Time::ZERO);
+        Commit { revision, number: 0, stage: Stage::Idle, next, next_lazy, backoff: BACKOFF.0 }
     }
 
-    /// Whether a write may begin, which somebody waits for or not.
+    /// Whether a write may begin now. With `urgent`, somebody waits for it.
     pub fn open(&self, urgent: bool, now: Time) -> bool {
-        let from = if urgent { self.next } else { self.next.max(self.lazy) };
+        let from = if urgent { self.next } else { self.next.max(self.next_lazy) };
         self.stage == Stage::Idle && from <= now
     }
 
-    /// Whether a write is out.
+    /// Whether a write is in progress or unclear.
     pub fn busy(&self) -> bool {
         self.stage != Stage::Idle
     }
 
-    /// Begins a write; returns its number and the revision that it must expect of the commit row.
+    /// Begins a write; returns its number and the revision of the commit row that it must expect.
     pub fn begin(&mut self, now: Time) -> (u64, u64) {
         self.number += 1;
         self.stage = Stage::Writing;
-        (self.next, self.lazy) = (now + GAP, now + LAZY);
-        (self.number, self.rev)
+        (self.next, self.next_lazy) = (now + MIN_INTERVAL, now + LAZY_INTERVAL);
+        (self.number, self.revision)
     }
 
-    /// Takes in the store's answer to a write.
+    /// Processes the store's reply to a write.
     pub fn stored(&mut self, number: u64, reply: &Result<StoreReply, Fault>, now: Time) -> After {
         if number != self.number || self.stage != Stage::Writing {
             return After::Nothing;
         }
         match reply {
-            Ok(StoreReply::Done(rev)) => {
-                self.done(*rev);
+            Ok(StoreReply::Done(revision)) => {
+                self.done(*revision);
                 After::Done
             }
-            // Its own earlier write may have taken effect after it was given up: read before judging.
+            // An earlier write of this owner may have taken effect after it was considered failed,
+            // so the row is read before the conflict is judged.
             Ok(StoreReply::Conflict(_)) | Err(Fault::Unknown) => {
                 self.stage = Stage::Reading;
                 After::Reread
@@ -109,19 +110,19 @@
         }
     }
 
-    /// Takes in the commit row, as it was read: its revision and number.
+    /// Processes the commit row that was read: its revision and its number.
     pub fn reread(&mut self, row: Result<(u64, CommitRow), Fault>, token: u64, now: Time) -> After {
         if self.stage != Stage::Reading {
             return After::Nothing;
         }
         match row {
             Ok((_, row)) if row.token != token => After::Deposed,
-            Ok((rev, row)) if row.number == self.number => {
-                self.done(rev);
+            Ok((revision, row)) if row.number == self.number => {
+                self.done(revision);
                 After::Done
             }
-            Ok((rev, ..)) => {
-                self.rev = rev;
+            Ok((revision, ..)) => {
+                self.revision = revision;
                 self.back_off(now);
                 After::Again
             }
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Whether the row has to be read again now.
+    /// Whether the commit row has to be read again now; if so, records that the read has begun.
     pub fn unclear(&mut self, now: Time) -> bool {
         let due = self.stage == Stage::Unclear && self.next <= now;
         if due {
@@ -142,20 +143,20 @@
         due
     }
 
-    fn done(&mut self, rev: u64) {
-        self.rev = rev;
+    fn done(&mut self, revision: u64) {
+        self.revision = revision;
         self.stage = Stage::Idle;
-        self.pause = BACKOFF.0;
+        self.backoff = BACKOFF.0;
     }
 
     fn back_off(&mut self, now: Time) {
         self.stage = Stage::Idle;
-        self.next = now + self.pause;
-        self.pause = (self.pause * 2).min(BACKOFF.1);
+        self.next = now + self.backoff;
+        self.backoff = (self.backoff * 2).min(BACKOFF.1);
     }
 }
 
-/// How many rows a transaction has.
+/// The number of rows in a transaction.
 pub fn rows(txn: &Txn) -> usize {
     txn.expect.len() + txn.puts.len() + txn.remove.len()
 }
--- a/src/shard/copy.rs
+++ b/src/shard/copy.rs
@@ -1,4 +1,5 @@
-//! Second runs of tasks that are far slower than their siblings, where their steps allow copies.
+//! Speculative copies: second runs of tasks that are far slower than their siblings, for steps that
+//! allow them.
 
 use {
     crate::{
@@ -18,36 +19,38 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// How many times as long as its siblings a copy may take before both runs are taken for hanging.
-const PATIENCE: u32 = 3;
+/// A copy that takes more than this multiple of its siblings' duration is considered hung, and so
+/// is the first run.
+const MAX_COPY_FACTOR: u32 = 3;
 
 impl Shard {
-    /// Starts copies of what is slow, where there is room that nothing waits for.
+    /// Starts copies of slow tasks on room that nothing waits for.
     pub(super) fn copy(&mut self, now: Time) {
         if !self.may_act(now) {
             return;
         }
-        let copied = |s: &Step| s.copies && !s.gang && !s.lasts && !s.fills;
+        let copyable = |s: &Step| s.copies && !s.gang && !s.lasts && !s.fills;
         let mut all = vec![];
         for (no, job) in self.jobs.iter().filter(|(_, j)| !j.state.over()) {
             for (time, step) in job.parts.keys() {
                 let key = StepKey { job: *no, time: *time, step: *step };
-                if job.step(&key).is_some_and(copied) {
+                if job.step(&key).is_some_and(copyable) {
                     all.push(key);
                 }
             }
         }
         all.sort_unstable();
         for key in all {
-            self.copy_step(&key, now);
+            self.start_step_copies(&key, now);
         }
     }
 
-    /// Whether a run that stands still may be left to a copy, which is there or about to be.
+    /// Whether a run without progress may continue because a copy of its task runs or can start at
+    /// once.
     ///
-    /// A copy that stands still is stopped like any run, and where a copy has taken too long as well,
-    /// both are: two that hang would never end.
-    pub(super) fn copied_instead(&self, no: WorkerNo, task: &TaskKey, now: Time) -> bool {
+    /// A copy without progress is stopped like any other run. If the copy has taken too long as
+    /// well, both runs are stopped, since two hung runs would never end.
+    pub(super) fn copy_may_replace(&self, no: WorkerNo, task: &TaskKey, now: Time) -> bool {
         let key = &task.step;
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let Some(step) = job.step(key).filter(|s| s.copies) else { return false };
@@ -58,17 +61,17 @@
             Some((at, _)) if at == no => false,
             Some((at, _)) => {
                 let began = self.workers[at.0].runs.get(task).map(|r| r.began);
-                began.is_some_and(|b| now - b < expected * PATIENCE)
+                began.is_some_and(|b| now - b < expected * MAX_COPY_FACTOR)
             }
             None => {
                 let copies = part.tasks.iter().filter(|t| t.copy.is_some()).count();
                 let few = copies < most(step.count) as usize;
-                part.waiting == 0 && few && self.spare(task, step, no, now).is_some()
+                part.waiting == 0 && few && self.spare_worker(task, step, no, now).is_some()
             }
         }
     }
 
-    fn copy_step(&mut self, key: &StepKey, now: Time) {
+    fn start_step_copies(&mut self, key: &StepKey, now: Time) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key).cloned() else { return };
         let Some(part) = job.parts.get(&(key.time, key.step)) else { return };
@@ -78,23 +81,23 @@
         let mut slow: Vec<(Duration, TaskKey, WorkerNo)> = vec![];
         for (index, task) in (0..).zip(&part.tasks) {
             let key = TaskKey { step: *key, index };
-            // A copy of what crashes its worker would crash another.
+            // A copy of a task that has crashed its worker could crash another worker.
             if let (At::There(at), None, []) = (task.at, task.copy, &task.crashes[..])
-                && let Some(needs) = self.slow(&key, at, expected, now)
+                && let Some(needs) = self.remaining_if_slow(&key, at, expected, now)
             {
                 slow.push((needs, key, at));
             }
         }
         slow.sort_by_key(|s| (Reverse(s.0), s.1));
         for (needs, task, at) in slow.into_iter().take(room as usize) {
-            let Some(to) = self.spare(&task, &step, at, now) else { return };
-            log::info!(target: "shard", did = "copy", job:% = key.job, task:% = task, worker:% = self.workers[to.0].id, beside:% = self.workers[at.0].id, needs_ms = millis(needs), expected_ms = millis(expected); "Task gets a copy.");
+            let Some(to) = self.spare_worker(&task, &step, at, now) else { return };
+            log::info!(target: "shard", did = "copy", job:% = key.job, task:% = task, worker:% = self.workers[to.0].id, beside:% = self.workers[at.0].id, needs_ms = millis(needs), expected_ms = millis(expected); "Speculative copy starts.");
             self.start_copy(task, at, to, &step, now);
         }
     }
 
-    /// What a run still needs, if it is so slow that a copy is worth its price.
-    fn slow(
+    /// The time that a run still needs, if it is so slow that a copy is worth its cost.
+    fn remaining_if_slow(
         &self,
         task: &TaskKey,
         at: WorkerNo,
@@ -107,8 +110,14 @@
         worth(Runner { ran: now - run.began, from, done, saved }, expected)
     }
 
-    /// A sound worker with room that nothing waits for, other than that of the task's first run.
-    fn spare(&self, task: &TaskKey, step: &Step, beside: WorkerNo, now: Time) -> Option<WorkerNo> {
+    /// A sound worker with room that nothing waits for, other than the worker of the first run.
+    fn spare_worker(
+        &self,
+        task: &TaskKey,
+        step: &Step,
+        beside: WorkerNo,
+        now: Time,
+    ) -> Option<WorkerNo> {
         let key = &task.step;
         let job = self.jobs.get(&key.job)?;
         let queue = self.known.get(&job.queue)?;
@@ -150,8 +159,8 @@
         }
     }
 
-    /// Stops all runs of a task that is done: the first to end counts.
-    pub(super) fn stop_copies(&mut self, task: &TaskKey, now: Time) {
+    /// Stops all runs of a task that is done: the first run to finish counts.
+    pub(super) fn stop_all_runs(&mut self, task: &TaskKey, now: Time) {
         let there = |n: &usize| {
             let run = self.workers[*n].runs.get(task);
             run.is_some_and(|r| r.phase != Phase::Stopping)
--- a/src/shard/course.rs
+++ b/src/shard/course.rs
@@ -1,4 +1,4 @@
-//! The course of a job: admitted, unfolded, cancelled, ended.
+//! The life cycle of a job: admission, creation of its occurrences, cancellation and end.
 
 use crate::{
     shard::{
@@ -24,7 +24,7 @@
         {
             self.terms.insert(record.queue.clone(), (record.came, terms.clone()));
         }
-        self.adopt_terms();
+        self.restore_queues();
         let active = Active::new(record, progress, old, now);
         if active.job.times.is_some() {
             self.timed.insert(no);
@@ -38,7 +38,7 @@
         self.finish_if_done(no, now);
     }
 
-    /// Makes the steps of the occurrences that are due.
+    /// Creates the steps of the occurrences that are due.
     pub(super) fn unfold(&mut self, no: JobNo, now: Time) {
         let unix = self.unix(now);
         let Some(job) = self.jobs.get_mut(&no) else { return };
@@ -59,11 +59,11 @@
         self.review(no, now);
     }
 
-    /// Cancels a job, also one that is heard of only later.
+    /// Cancels a job, even if the job itself becomes known only later.
     ///
-    /// Guards against a cancel that is read before its job, as happens when a range is read again
-    /// after the store has lost its history: the job would run although its caller was told that it
-    /// does not.
+    /// Guards against a cancel that is read before its job, which happens when a range is read
+    /// again after the store has lost its history: the job would run although its caller was told
+    /// that it was cancelled.
     pub(super) fn cancel(&mut self, no: JobNo, now: Time) {
         match self.jobs.get(&no) {
             Some(job) if !job.state.over() => self.end(no, State::Cancelled, now),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Ends a job: nothing of it starts any more, and what runs is stopped.
+    /// Ends a job: none of its tasks starts any more, and its runs are stopped.
     pub(super) fn end(&mut self, no: JobNo, state: State, now: Time) {
         let Some(job) = self.jobs.get_mut(&no) else { return };
         job.state = state;
@@ -95,7 +95,7 @@
         self.touch(no);
     }
 
-    /// Ends a job of which all tasks are done.
+    /// Ends a job whose tasks are all done.
     pub(super) fn finish_if_done(&mut self, no: JobNo, now: Time) {
         if self.jobs.get(&no).is_some_and(|j| !j.state.over() && j.done()) {
             self.end(no, State::Done, now);
--- a/src/shard/ends.rs
+++ b/src/shard/ends.rs
@@ -1,4 +1,4 @@
-//! The ends of runs, and what they mean for their tasks.
+//! Processes the ends of runs and their consequences for tasks.
 
 use crate::{
     ports::{End, How},
@@ -12,8 +12,8 @@
 };
 
 impl Shard {
-    /// Takes in the end of a run.
-    pub(super) fn ended(&mut self, no: WorkerNo, end: &End, now: Time) {
+    /// Processes the end of a run that its worker reported.
+    pub(super) fn on_run_end(&mut self, no: WorkerNo, end: &End, now: Time) {
         self.tell_end(no, end, now);
         let run = self.workers[no.0].take(&end.task, end.run);
         self.stir = true;
@@ -21,53 +21,53 @@
             (Some(r), "") => r.saved.clone(),
             _ => end.saved.clone(),
         };
-        let mine = self.at(&end.task, no, end.run);
+        let current = self.at(&end.task, no, end.run);
         if let Some(run) = &run {
-            self.judge(no, end, run, now);
+            self.record_outcome(no, end, run, now);
         }
-        self.close(&end.task, end.run, end.how, saved, mine, now);
-        if mine {
-            self.note_left(&end.task, now);
+        self.apply_end(&end.task, end.run, end.how, saved, current, now);
+        if current {
+            self.record_left_at(&end.task, now);
         }
         let place = self.touch(end.task.step.job);
         self.workers[no.0].pending.push_back((end.number, end.task.step.job, place));
         self.finish_if_done(end.task.step.job, now);
     }
 
-    /// A run is gone without a word of its end.
+    /// Processes the disappearance of a run whose end was not reported.
     pub(super) fn lost(&mut self, no: WorkerNo, task: &TaskKey, run: u32, now: Time) {
         self.tell_lost(no, task, run, now);
         let Some(old) = self.workers[no.0].take(task, run) else { return };
         self.stir = true;
-        let mine = self.at(task, no, run);
-        if mine {
-            self.close(task, run, How::Stopped, old.saved, true, now);
+        let current = self.at(task, no, run);
+        if current {
+            self.apply_end(task, run, How::Stopped, old.saved, true, now);
         }
-        if mine && old.ran {
-            self.note_left(task, now);
+        if current && old.ran {
+            self.record_left_at(task, now);
         }
         if old.tried {
-            // A successor would count a run that it doesn't find for a crash.
+            // A successor that does not find this run would count it as a crash.
             self.touch(task.step.job);
         }
     }
 
-    /// Notes when a task's run has ended, if none goes on.
-    fn note_left(&mut self, task: &TaskKey, now: Time) {
+    /// Records when a task's run has ended, unless another run of the task continues.
+    fn record_left_at(&mut self, task: &TaskKey, now: Time) {
         let task = self.jobs.get_mut(&task.step.job).and_then(|j| j.task(task));
         if let Some(task) = task.filter(|t| t.at == At::Waiting) {
             task.left = Some(now);
         }
     }
 
-    /// What a run's end means for its task.
-    fn close(
+    /// Applies the end of a run to its task.
+    fn apply_end(
         &mut self,
         task: &TaskKey,
         run: u32,
         how: How,
         saved: Box<str>,
-        mine: bool,
+        current: bool,
         now: Time,
     ) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
@@ -80,39 +80,40 @@
         if t.former == run {
             t.former = 0;
         }
-        let over = t.at == At::Done;
-        // Of copies, that of another run must not be taken for that which is there.
-        let there = step.copies && matches!(t.at, At::There(_));
-        let highest = if there { &mut t.top } else { &mut t.run };
+        let was_done = t.at == At::Done;
+        // With speculative copies, another run must not be confused with the one that is present.
+        let running = step.copies && matches!(t.at, At::There(_));
+        let highest = if running { &mut t.top } else { &mut t.run };
         *highest = run.max(*highest);
-        // An end that its owner has given up counts while nothing else has begun; of copies, the first.
-        let counts = mine || t.at == At::Waiting || there;
+        // The end of a run that its owner had given up counts as long as no other run has begun;
+        // with copies, the first end counts.
+        let counts = current || t.at == At::Waiting || running;
         if counts && !saved.is_empty() {
             job.keep(task, &saved);
         }
-        // A copy that fails after another run was done fails nothing.
-        let late = step.copies && over;
-        if mine {
+        // A copy that fails after another run has finished does not count as a failure.
+        let after_done = step.copies && was_done;
+        if current {
             job.leave(task, run);
         }
         match how {
             How::Done if counts && !step.lasts => {
-                self.done(task, step.gang, run);
+                self.mark_done(task, step.gang, run);
                 if step.copies {
-                    self.stop_copies(task, now);
+                    self.stop_all_runs(task, now);
                 }
             }
-            How::Failed if !late => self.failed(task, run, now),
+            How::Failed if !after_done => self.failed(task, run, now),
             _ => {}
         }
-        if mine && how != How::Done && step.gang {
-            self.gather(task, run, now);
+        if current && how != How::Done && step.gang {
+            self.stop_gang(task, run, now);
         }
         self.review(task.step.job, now);
     }
 
-    /// A task's work is done; of a gang, that of all its members.
-    fn done(&mut self, task: &TaskKey, gang: bool, run: u32) {
+    /// Marks a task as done; for a gang, all of its members.
+    fn mark_done(&mut self, task: &TaskKey, gang: bool, run: u32) {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return };
         if !gang {
             if let Some(t) = job.task(task) {
@@ -130,10 +131,11 @@
         }
     }
 
-    /// A run has failed; counts once, for all members of a gang as well.
+    /// Counts a failed run, once for all members of a gang.
     ///
-    /// Guards against an end that is told twice: a new owner hears of ends again that the store has
-    /// and the worker was not told so, and a job would be called failed before its time.
+    /// Guards against an end that is reported twice: a new owner receives ends again that are
+    /// already stored but were not acknowledged to the worker. Without this the job would fail too
+    /// early.
     pub(super) fn failed(&mut self, task: &TaskKey, run: u32, now: Time) {
         let no = task.step.job;
         let Some(job) = self.jobs.get_mut(&no) else { return };
@@ -150,19 +152,20 @@
         }
     }
 
-    /// One member of a gang has ended: the others of its run are stopped, so that none waits alone.
-    fn gather(&mut self, task: &TaskKey, run: u32, now: Time) {
+    /// Stops the other members of a gang's run after one member has ended, so that none of them
+    /// waits in vain.
+    fn stop_gang(&mut self, task: &TaskKey, run: u32, now: Time) {
         let Some(job) = self.jobs.get(&task.step.job) else { return };
         let Some(part) = job.parts.get(&(task.step.time, task.step.step)) else { return };
-        let mut there = vec![];
+        let mut members = vec![];
         for (index, t) in (0..).zip(&part.tasks) {
             if let At::There(at) = t.at
                 && t.run == run
             {
-                there.push((at, TaskKey { step: task.step, index }));
+                members.push((at, TaskKey { step: task.step, index }));
             }
         }
-        for (at, key) in there {
+        for (at, key) in members {
             if self.workers[at.0].runs.get(&key).is_some_and(|r| r.phase != Phase::Stopping) {
                 self.tell_stop(at, &key, "gang member ended");
                 self.stop(at, &key, now);
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -1,4 +1,4 @@
-//! What a shard is told, and what it orders.
+//! The input events of a shard and the orders that it issues.
 
 use {
     crate::{
@@ -12,47 +12,47 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// What the store holds of a shard when its new owner begins.
+/// The stored state of a shard that its new owner begins with.
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    /// Jobs that are not over.
+    /// Jobs that have not ended.
     pub jobs: Vec<(JobNo, JobRecord)>,
-    /// Jobs whose callers have cancelled them.
+    /// Jobs that their callers have cancelled.
     pub cancels: Vec<JobNo>,
-    /// How jobs stand, those over as well.
+    /// The progress of jobs, including those that have ended.
     pub progress: Vec<(JobNo, Progress)>,
-    /// The workers that earlier owners may have given work.
+    /// The workers to which earlier owners may have given work.
     pub roster: Roster,
-    /// The revision of the commit row, as this owner has just written it.
+    /// The revision of the commit row that this owner has just written.
     pub commit: u64,
-    /// Whether the former owner can't take itself for confirmed any more: its lease had ended, or it
-    /// gave the shard back.
+    /// Whether the former owner can no longer consider itself confirmed: its lease had expired, or
+    /// it released the shard.
     pub lapsed: bool,
 }
 
-/// What a shard is told.
+/// An input of the shard's state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A job was stored.
     Job(JobNo, Box<JobRecord>),
-    /// A job's cancel was stored.
+    /// A cancel of a job was stored.
     Cancel(JobNo),
-    /// The whole list of workers of this shard.
+    /// The complete list of this shard's workers.
     Listed(Vec<Listed>),
     /// A version of the configuration.
     Queues(Arc<Queues>),
-    /// A worker's answer, or that none came, to what was sent then.
+    /// A worker's reply to a call, or its failure.
     Worker {
         /// The worker.
         worker: WorkerId,
-        /// When the call went out.
+        /// When the call was sent.
         sent: Time,
         /// The call.
         call: Box<WorkerCall>,
-        /// The answer.
+        /// The reply.
         reply: Result<WorkerReply, Fault>,
     },
-    /// Advice, or that none came.
+    /// The reply to a call for advice, or its failure.
     Advised {
         /// The call.
         call: Box<AdviceCall>,
@@ -60,43 +60,42 @@
         via: Incarnation,
         /// When it was ordered.
         sent: Time,
-        /// The answer.
+        /// The reply.
         reply: Result<Advice, Fault>,
     },
-    /// The store's answer to the transaction of this number.
+    /// The store's reply to the transaction with this number.
     Stored(u64, Result<StoreReply, Fault>),
-    /// The commit row and its revision, read after an unclear answer, or that it could not be read.
+    /// The commit row and its revision, read after an unclear reply, or the failure to read it.
     Reread(Result<(u64, CommitRow), Fault>),
-    /// Which lives of workers are there by the list of machines, asked for then; or that the list
-    /// could not be read.
+    /// The worker incarnations that the list of machines shows, or the failure to read the list.
     Lives {
-        /// When the list was asked for.
+        /// When the list was requested.
         sent: Time,
-        /// The lives.
+        /// The worker incarnations.
         reply: Result<Vec<WorkerId>, Fault>,
     },
-    /// The store has confirmed this member's lease, asked then.
+    /// The store has confirmed the renewal of this member's lease that was sent at this time.
     Confirmed(Time),
-    /// The members that may be asked to call for advice, this one among them.
+    /// The members that may be asked to make calls for advice, including this one.
     Peers(Peers),
-    /// The workers that are to be emptied.
+    /// The workers that are to be emptied for upkeep.
     Closing(Arc<Closing>),
     /// Time has passed.
     Tick,
 }
 
-/// What a shard orders.
+/// An action that the shard's state machine requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Call a worker.
     Worker {
         /// The worker.
         worker: WorkerId,
-        /// Where it is.
+        /// Its address.
         addr: SocketAddr,
         /// The call.
         call: Box<WorkerCall>,
-        /// How long its answer is waited for.
+        /// The time limit for its reply.
         limit: Duration,
     },
     /// Call for advice.
@@ -105,19 +104,19 @@
         via: Incarnation,
         /// The call.
         call: Box<AdviceCall>,
-        /// When it was ordered; its event says so again.
+        /// When it was ordered; its event repeats this time.
         sent: Time,
-        /// How long the service should take for it.
+        /// The expected duration of the call at the service.
         takes: Duration,
-        /// How long its answer is waited for.
+        /// The time limit for its reply.
         limit: Duration,
     },
-    /// Write to the store.
+    /// Write this transaction, which has the given number, to the store.
     Store(u64, Txn),
-    /// Read the commit row, to settle an unclear answer.
+    /// Read the commit row to resolve an unclear reply.
     Reread,
     /// Read the list of machines.
     Lives,
-    /// Another member owns the shard: forget it.
+    /// Another member owns the shard: drop it.
     Deposed,
 }
--- a/src/shard/evict.rs
+++ b/src/shard/evict.rs
@@ -1,7 +1,8 @@
-//! Room made by stopping less urgent work, which goes on elsewhere from its checkpoint.
+//! Preemption: makes room by stopping less urgent work, which resumes elsewhere from its
+//! checkpoint.
 //!
-//! Load: urgent jobs come while long, less urgent ones take all the room. Without it the urgent ones
-//! wait for ends and are late, though the others have time to spare.
+//! Load: urgent jobs arrive while long, less urgent ones occupy all the room. Without preemption
+//! the urgent jobs wait for runs to end and are late, although the others have time to spare.
 
 use {
     crate::{
@@ -18,22 +19,23 @@
     std::time::Duration,
 };
 
-/// How long a gang waits for room before room is kept for it.
+/// How long a step waits for room before room is made or reserved for it.
 pub(super) const PATIENCE: Duration = Duration::from_millis(300);
 
-/// What stopping less urgent runs of a worker would bring.
-struct Eviction {
+/// The effect of stopping less urgent runs of one worker.
+struct Preemption {
     no: WorkerNo,
-    /// What is free, or will be without more stops.
+    /// The room that is free now or will be free without further stops.
     free: Size,
-    /// How many tasks would have room in all.
+    /// How many tasks would have room if all victims were stopped.
     slots: u64,
-    /// The runs that could be stopped, and what each takes.
+    /// The runs that may be stopped, with the room that each frees.
     victims: Vec<(TaskKey, Size)>,
 }
 
 impl Shard {
-    /// Makes room for tasks that could be in time, by stopping less urgent work.
+    /// Makes room for tasks that can still be in time by stopping less urgent work; returns their
+    /// places.
     pub(super) fn evict(
         &mut self,
         turn: &Turn,
@@ -53,17 +55,18 @@
         waiting.iter().copied().zip(places).collect()
     }
 
-    /// The priority under which a run of a step may be stopped for more urgent work, if it may.
+    /// The priority at which runs of a step may be preempted by more urgent work, or `None` if they
+    /// may not be.
     pub(super) fn yields(&self, key: &StepKey, step: &Step) -> Option<u8> {
         let plain = step.saves && !step.gang && !step.lasts && !step.fills;
         let queue = self.jobs.get(&key.job).and_then(|j| self.known.get(&j.queue));
         queue.filter(|_| plain).map(|q| q.priority)
     }
 
-    /// Stops runs of less urgent queues, so that so many tasks find room; returns where.
+    /// Stops runs of less urgent queues so that up to `count` tasks find room; returns the workers.
     ///
-    /// What is stopped goes on elsewhere from its checkpoint. Room that is coming already, from runs
-    /// that are being stopped, is counted first.
+    /// Stopped runs resume elsewhere from their checkpoints. Room that runs already being stopped
+    /// will free is used first.
     fn make_room(
         &mut self,
         step: &Step,
@@ -73,8 +76,8 @@
         now: Time,
     ) -> Vec<WorkerNo> {
         let size = step.counted();
-        let mut plans: Vec<Eviction> =
-            good.iter().filter_map(|r| self.eviction(r, &size, step.apart, priority)).collect();
+        let mut plans: Vec<Preemption> =
+            good.iter().filter_map(|r| self.preemption(r, &size, step.apart, priority)).collect();
         plans.sort_by_key(|p| (p.victims.len(), std::cmp::Reverse(p.slots)));
         let slots: u64 = plans.iter().map(|p| p.slots).sum();
         if slots == 0 || (step.gang && slots < count as u64) {
@@ -101,10 +104,10 @@
         places
     }
 
-    /// What stopping less urgent runs of a worker would bring.
-    fn eviction(&self, room: &Room, size: &Size, apart: u32, priority: u8) -> Option<Eviction> {
+    /// The effect of stopping less urgent runs of the worker of `room`.
+    fn preemption(&self, room: &Room, size: &Size, apart: u32, priority: u8) -> Option<Preemption> {
         let worker = &self.workers[room.index];
-        // It would be emptied of what keeps it from going down.
+        // Preemption would stop the work that keeps this worker from going down for upkeep.
         if worker.closed() {
             return None;
         }
@@ -119,12 +122,12 @@
                 _ => {}
             }
         }
-        // Those that have done least first: the others end soon anyway.
+        // Runs that have done the least come first, since the others end soon anyway.
         victims.sort_unstable_by_key(|v| (v.0, v.1));
         let all = victims.iter().fold(free, |sum, v| sum + v.2);
         let most = if apart > 0 { apart.saturating_sub(room.same).into() } else { u64::MAX };
         let slots = size.count(&all).min(most).min(room.most.into());
         let victims = victims.into_iter().map(|v| (v.1, v.2)).collect();
-        (slots > 0).then_some(Eviction { no: WorkerNo(room.index), free, slots, victims })
+        (slots > 0).then_some(Preemption { no: WorkerNo(room.index), free, slots, victims })
     }
 }
--- a/src/shard/explain.rs
+++ b/src/shard/explain.rs
@@ -1,4 +1,4 @@
-//! Why a job stands as it does, in words for who asks.
+//! Describes in text why jobs are in their present state, for operators.
 
 use {
     crate::{
@@ -10,7 +10,7 @@
 };
 
 impl Shard {
-    /// How much waits for what, and how full the pools are.
+    /// Summarizes what the waiting steps wait for and how full the pools are.
     pub(super) fn sum_up(&self, now: Time) -> Box<str> {
         let (mut steps, mut tasks, mut unasked, mut stale) = ([0; 3], 0, 0, 0);
         let mut without: BTreeMap<&str, u32> = BTreeMap::new();
@@ -33,7 +33,7 @@
             stale += u32::from(advised && !part.tickets.good.is_empty() && !valid);
         }
         let mut text = format!(
-            "jobs {}, ready steps {steps:?} with {tasks} tasks, {unasked} without advice, {stale} with old tickets, lanes {}",
+            "jobs {}, ready steps {steps:?} with {tasks} tasks, {unasked} without advice, {stale} with expired tickets, lanes {}",
             self.jobs.len(),
             self.lanes.total(),
         );
@@ -53,10 +53,10 @@
             );
         }
         for (queue, asked) in &self.asked {
-            let took = asked.takes.as_secs_f64();
+            let total = asked.takes.as_secs_f64();
             let _ = write!(
                 text,
-                "; advice {queue}: {} calls, {} named, {took:.1} s, {} without room, {} tasks started, {} steps without",
+                "; advice {queue}: {} calls, {} named, {total:.1} s, {} without room, {} tasks started, {} steps without",
                 asked.calls,
                 asked.named,
                 asked.bare,
@@ -64,17 +64,24 @@
                 without.get(&**queue).copied().unwrap_or_default(),
             );
         }
-        let kept: u32 = self.reserved.values().flat_map(|r| &r.each).map(|e| e.1).sum();
-        let _ = write!(text, "; room kept for {} gangs of {kept} tasks", self.reserved.len());
+        let reserved: u32 = self.reserved.values().flat_map(|r| &r.each).map(|e| e.1).sum();
+        let _ =
+            write!(text, "; room reserved for {} gangs of {reserved} tasks", self.reserved.len());
         text.into()
     }
 
-    /// What each step of a job that is not over waits for, and where its tasks are.
+    /// Describes what each step of a job that has not ended waits for, and where its tasks are.
     pub fn explain(&self, no: JobNo, now: Time) -> Box<str> {
-        let Some(job) = self.jobs.get(&no) else { return "not known here, or over".into() };
+        let Some(job) = self.jobs.get(&no) else {
+            return "not known in this shard, or over".into();
+        };
         let mut text = format!("job {no} of queue {} is {}", job.queue, job.state);
         if job.old && !self.unsettled.is_empty() {
-            let _ = write!(text, "; {} workers of former owners are silent", self.unsettled.len());
+            let _ = write!(
+                text,
+                "; {} workers of former owners have not replied",
+                self.unsettled.len()
+            );
         }
         if !self.known.contains_key(&job.queue) {
             text.push_str("; its queue is not known");
--- a/src/shard/flight.rs
+++ b/src/shard/flight.rs
@@ -1,17 +1,18 @@
-//! What the write of a shard that is out holds.
+//! The contents of a shard's write that is in progress.
 
 use crate::{
     shard::{record::Progress, workers::WorkerNo},
     work::JobNo,
 };
 
-/// What the write that is out holds.
+/// The contents of the write that is in progress.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Flight {
-    /// Jobs, the places in the journal up to which they are held, and what stays of those over.
+    /// The jobs in the write, the journal position up to which each is covered, and the progress
+    /// that stays stored for those that have ended.
     pub jobs: Vec<(JobNo, u64, Option<Progress>)>,
-    /// Jobs that are forgotten, and since when they could be.
+    /// The jobs whose records are removed, with the time from which they could be.
     pub purged: Vec<(u64, JobNo)>,
-    /// The roster, where it is written.
+    /// The workers of the roster, if the write contains it.
     pub roster: Option<Vec<WorkerNo>>,
 }
--- a/src/shard/gangs.rs
+++ b/src/shard/gangs.rs
@@ -1,9 +1,9 @@
-//! Gangs: all members start at once or none.
+//! Starts gangs: either all members start together or none does.
 //!
-//! Load: wide gangs among small tasks that take each bit of room as it comes, on workers of which few
-//! may run them. A gang is given its workers once and keeps them until it starts
-//! ([`crate::decide::gather`]); what runs there ends or is stopped, and the tickets that it lacks are
-//! fetched side by side for the moment at which the room is there.
+//! Load: wide gangs compete with small tasks that take each bit of room as it becomes free, and few
+//! workers may run a gang. A gang is assigned its workers once and keeps them until it starts
+//! ([`crate::decide::gather`]). Runs on these workers end or are stopped, and missing tickets are
+//! requested in parallel so that they are valid when the room is free.
 
 use {
     crate::{
@@ -23,17 +23,18 @@
     std::time::Duration,
 };
 
-/// What a call takes beyond its own time, and a start after it.
-const WAY: Duration = Duration::from_millis(150);
-/// The pause between two looks for the places of a gang, so that those behind it have their turn.
-const LOOK: Duration = Duration::from_millis(100);
-/// The pause between two looks at the room that is kept for a gang; starts wait for none.
-const TEND: Duration = Duration::from_millis(50);
-/// The soonest at which a run that should be over is expected to be.
-const SOON: Duration = Duration::from_millis(50);
+/// The overhead of a call beyond its own duration, plus the time for the start after it.
+const CALL_OVERHEAD: Duration = Duration::from_millis(150);
+/// The interval between two searches for a gang's places, so that the gangs behind it also get
+/// searches.
+const SEARCH_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval between two checks of the room reserved for a gang. Starts do not wait for it.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The minimum remaining time that is assumed for a run that should already be over.
+const MIN_REMAINING: Duration = Duration::from_millis(50);
 
 impl Shard {
-    /// Starts a gang if there is room for all of it at once, and keeps room for it if not.
+    /// Starts a gang if there is room for all members now; otherwise reserves room for it.
     pub(super) fn place_gang(&mut self, turn: &Turn, round: &mut Round, now: Time) {
         let Turn { key, ref step, ref waiting, .. } = *turn;
         let mut valid = self.rooms(turn, round, now).0;
@@ -44,37 +45,38 @@
         }
         let long = |r: &Reserve| r.since + LONGEST <= now;
         if self.reserved.get(key).is_some_and(long) {
-            log::info!(target: "shard", did = "released", job:% = key.job, step:% = key, cause = "too long"; "Room is no longer kept.");
+            log::info!(target: "shard", did = "released", job:% = key.job, step:% = key, cause = "too long"; "Reservation is released.");
             self.reserved.remove(key);
         }
-        // What it asked about meanwhile may have room sooner.
+        // Workers on which advice was requested meanwhile may have room sooner.
         let look = self.part(key).is_some_and(|p| p.look <= now);
         let far = |r: &Reserve| look && r.at > now + gather::NEAR;
         if round.quiet.contains(&turn.pool) && self.reserved.get(key).is_some_and(far) {
             self.reserved.remove(key);
         }
-        let old = self.reserved.get(key).map(|r| r.tended);
-        if old.is_some_and(|t| t + TEND > now) {
+        let checked = self.reserved.get(key).map(|r| r.tended);
+        if checked.is_some_and(|t| t + CHECK_INTERVAL > now) {
             return;
         }
-        if old.is_some() || self.reserve(turn, round, now) {
-            self.tend(turn, round, now);
+        if checked.is_some() || self.reserve_room(turn, round, now) {
+            self.check_reservation(turn, round, now);
         }
     }
 
-    /// Keeps the workers for a gang at which it has room soonest; returns whether there are any.
-    fn reserve(&mut self, turn: &Turn, round: &mut Round, now: Time) -> bool {
+    /// Reserves the workers on which the gang has room soonest; returns whether room was reserved.
+    fn reserve_room(&mut self, turn: &Turn, round: &mut Round, now: Time) -> bool {
         let Turn { key, ref step, .. } = *turn;
         if self.part(key).is_none_or(|p| p.look > now) || !round.try_more(false) {
             return false;
         }
         let part = self.jobs.get_mut(&key.job).and_then(|j| j.part(key.time, key.step));
         if let Some(part) = part {
-            part.look = now + LOOK;
+            part.look = now + SEARCH_INTERVAL;
         }
         let offers = self.offers(turn, round, now);
         let Some(places) = soonest(offers, step.count) else {
-            // Where they are merely busy, further ones cost others their calls.
+            // If the permitted workers are merely busy, asking about more of them would take calls
+            // from other steps.
             let few = self.ever_slots(turn) < u64::from(step.count) * CHOICE;
             if few || round.quiet.contains(&turn.pool) {
                 self.ask_wide(turn, round, now);
@@ -83,19 +85,19 @@
         };
         let size = step.counted();
         let far = now + gather::NEAR;
-        // In a pool with room to spare others may have it at once.
+        // In a pool with spare room, other workers may have room at once.
         if places.at > far && round.quiet.contains(&turn.pool) {
             self.ask_wide(turn, round, now);
         }
-        let fars = self.reserved.values().filter(|r| r.at > far).count();
-        if places.at > far && fars >= gather::FAR && !round.starving.contains(key) {
+        let far_count = self.reserved.values().filter(|r| r.at > far).count();
+        if places.at > far && far_count >= gather::FAR && !round.starving.contains(key) {
             return false;
         }
         if !self.may_reserve(turn, round, size.times(step.count.into())) {
             return false;
         }
         let (workers, in_ms) = (places.each.len(), millis(places.at - now));
-        log::debug!(target: "shard", did = "reserved", job:% = key.job, step:% = key, workers, in_ms; "Room is kept for a gang.");
+        log::debug!(target: "shard", did = "reserved", job:% = key.job, step:% = key, workers, in_ms; "Room is reserved for a gang.");
         let priority = turn.priority;
         self.reserved.insert(
             *key,
@@ -104,10 +106,10 @@
         true
     }
 
-    /// Whether so much more of the pool may be kept.
+    /// Whether `more` room of the pool may be reserved.
     ///
-    /// Guards against a pool that stands idle for gangs that come together: each keeps room that it
-    /// can't use yet.
+    /// Guards against a pool that stands idle while several gangs arrive together: each reserves
+    /// room that it cannot use yet.
     fn may_reserve(&self, turn: &Turn, round: &Round, more: Size) -> bool {
         let quiet = round.quiet.contains(&turn.pool);
         let late = self.ranks.get(turn.key).is_none_or(|r| r.class() > 0);
@@ -122,11 +124,11 @@
         first || (kept + more).times(part).fits(&total)
     }
 
-    /// From when on each worker that may run the step has room for how many of its members.
+    /// For each worker that may run the step, the times at which it gains room for more members.
     fn offers(&self, turn: &Turn, round: &Round, now: Time) -> Vec<Offer<WorkerNo>> {
         let Turn { key, ref step, .. } = *turn;
         let size = step.counted();
-        let stops = self.stops_for(key, now).then_some(turn.priority);
+        let stops = self.may_preempt_for(key, now).then_some(turn.priority);
         let asker = self.asker(turn, round, false, now);
         let mut offers = vec![];
         for no in self.good(turn) {
@@ -147,7 +149,7 @@
                 }
             };
             offer(now, &have);
-            for (at, freed) in self.frees_at(no, stops, now) {
+            for (at, freed) in self.expected_releases(no, stops, now) {
                 have += freed;
                 offer(at, &have);
             }
@@ -155,7 +157,7 @@
         offers
     }
 
-    /// The workers that may run a step and may get starts.
+    /// The workers that may run a step and may receive starts.
     pub(super) fn good(&self, turn: &Turn) -> Vec<WorkerNo> {
         let part = self.part(turn.key);
         let may = |n: &WorkerNo| {
@@ -164,15 +166,22 @@
         turn.usable.iter().copied().filter(may).collect()
     }
 
-    /// When what runs at a worker is expected to leave, and what it frees; where `stops` is given, with
-    /// what may be stopped for work of that priority.
-    pub(super) fn frees_at(&self, no: WorkerNo, stops: Option<u8>, now: Time) -> Vec<(Time, Size)> {
+    /// The times at which runs of a worker are expected to end, with the room that each frees. With
+    /// `stops`, includes runs that may be stopped for work of that priority.
+    pub(super) fn expected_releases(
+        &self,
+        no: WorkerNo,
+        stops: Option<u8>,
+        now: Time,
+    ) -> Vec<(Time, Size)> {
         let stopped = now + self.setup.bounds.stop;
         let leaves = |(task, run): (&TaskKey, &Run)| {
             let by_itself = match run.phase {
-                Phase::Stopping => Some((run.sent + self.setup.bounds.stop).max(now + SOON)),
+                Phase::Stopping => {
+                    Some((run.sent + self.setup.bounds.stop).max(now + MIN_REMAINING))
+                }
                 _ if self.lasts(task) => None,
-                _ => Some(super::ahead::end(run, now).max(now + SOON)),
+                _ => Some(super::ahead::end(run, now).max(now + MIN_REMAINING)),
             };
             let may = run.phase == Phase::Running
                 && stops.is_some_and(|p| run.yields.is_some_and(|y| y > p));
@@ -188,9 +197,9 @@
         all
     }
 
-    /// What room a worker will have by a time; where `stops` is given, with what may be stopped for
-    /// work of that priority.
-    pub(super) fn room_by(&self, no: WorkerNo, stops: Option<u8>, by: Time, now: Time) -> Size {
+    /// The free room that a worker will have at the time `by`. With `stops`, includes runs that may
+    /// be stopped for work of that priority.
+    pub(super) fn free_by(&self, no: WorkerNo, stops: Option<u8>, by: Time, now: Time) -> Size {
         let worker = &self.workers[no.0];
         let leaves = |task: &TaskKey, run: &Run| match run.phase {
             Phase::Stopping => true,
@@ -201,8 +210,9 @@
         ending.fold(worker.free(), |sum, (_, r)| sum + r.size)
     }
 
-    /// When a worker has so much room beside what is kept for steps that come first.
-    fn there(
+    /// The time at which a worker has room for `need` in addition to what is reserved for preceding
+    /// steps.
+    fn fits_at(
         &self,
         key: &StepKey,
         (no, need): (WorkerNo, Size),
@@ -215,7 +225,7 @@
         if wanted.fits(&have) {
             return Some(now);
         }
-        for (at, freed) in self.frees_at(no, stops, now) {
+        for (at, freed) in self.expected_releases(no, stops, now) {
             have += freed;
             if wanted.fits(&have) {
                 return Some(at);
@@ -224,13 +234,14 @@
         None
     }
 
-    /// Sees to it that a gang's room gets free, and that its tickets are valid then.
-    fn tend(&mut self, turn: &Turn, round: &Round, now: Time) {
+    /// Works towards the start of a gang with reserved room: stops less urgent runs if needed and
+    /// renews tickets so that they are valid when the room is free.
+    fn check_reservation(&mut self, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, advice, .. } = *turn;
         let Some(reserve) = self.reserved.get(key).cloned() else { return };
         let good = self.good(turn);
         if reserve.each.iter().any(|(no, _)| !good.contains(no)) {
-            log::info!(target: "shard", did = "released", job:% = key.job, step:% = key, cause = "a worker is out of use"; "Room is no longer kept.");
+            log::info!(target: "shard", did = "released", job:% = key.job, step:% = key, cause = "a worker is out of use"; "Reservation is released.");
             self.reserved.remove(key);
             return;
         }
@@ -238,22 +249,22 @@
             let each = reserve.each.iter();
             each.map(|(no, n)| {
                 let need = reserve.size.times((*n).into());
-                self.there(key, (*no, need), stops, round, now)
+                self.fits_at(key, (*no, need), stops, round, now)
             })
             .collect()
         };
         let last = |all: &Option<Vec<Time>>| all.as_ref().and_then(|a| a.iter().max().copied());
-        let alone = all(None);
-        let mut at = last(&alone);
-        if at.is_none_or(|t| t > now + PATIENCE) && self.stops_for(key, now) {
-            let with = last(&all(Some(reserve.priority)));
+        let without_stops = all(None);
+        let mut at = last(&without_stops);
+        if at.is_none_or(|t| t > now + PATIENCE) && self.may_preempt_for(key, now) {
+            let with_stops = last(&all(Some(reserve.priority)));
             let soon = now + self.setup.bounds.stop + PATIENCE;
-            if with.is_some_and(|w| w <= soon && at.is_none_or(|t| w + PATIENCE < t)) {
-                at = with;
+            if with_stops.is_some_and(|w| w <= soon && at.is_none_or(|t| w + PATIENCE < t)) {
+                at = with_stops;
                 for (i, (no, n)) in reserve.each.iter().enumerate() {
-                    if alone.as_ref().is_none_or(|a| a[i] > now + self.setup.bounds.stop) {
+                    if without_stops.as_ref().is_none_or(|a| a[i] > now + self.setup.bounds.stop) {
                         let need = reserve.size.times((*n).into()) + round.before(*no, key);
-                        self.clear(*no, need, reserve.priority, now);
+                        self.preempt_at(*no, need, reserve.priority, now);
                     }
                 }
             }
@@ -266,22 +277,22 @@
             (reserve.at, reserve.tended) = (at, now);
         }
         let Some(cost) = advice else { return };
-        let takes = cost.base
+        let duration = cost.base
             + cost.each * u32::try_from(gather::chunk(cost.base, cost.each)).unwrap_or(u32::MAX);
-        if at > now + takes + WAY {
+        if at > now + duration + CALL_OVERHEAD {
             return;
         }
-        let old = |by: Time| -> Vec<WorkerNo> {
+        let expired = |by: Time| -> Vec<WorkerNo> {
             let each = reserve.each.iter().map(|e| e.0);
             each.filter(|no| self.valid_until(key, *no).is_none_or(|until| until <= by)).collect()
         };
-        if !old(at).is_empty() {
-            self.ask_many(key, old(at.max(now + takes + WAY)), cost, now);
+        if !expired(at).is_empty() {
+            self.ask_parallel(key, expired(at.max(now + duration + CALL_OVERHEAD)), cost, now);
         }
     }
 
-    /// Stops what less urgent work a worker has, until there is so much room.
-    fn clear(&mut self, no: WorkerNo, wanted: Size, priority: u8, now: Time) {
+    /// Stops less urgent runs of a worker until `wanted` will be free.
+    fn preempt_at(&mut self, no: WorkerNo, wanted: Size, priority: u8, now: Time) {
         let worker = &self.workers[no.0];
         let soon = now + self.setup.bounds.stop;
         let (mut have, mut victims) = (worker.free(), vec![]);
@@ -294,7 +305,7 @@
                 victims.push((run.percent.1, *task, run.size));
             }
         }
-        // Those that have done least first: the others end soon anyway.
+        // Runs that have done the least come first, since the others end soon anyway.
         victims.sort_unstable_by_key(|v| (v.0, v.1));
         for (_, task, size) in victims {
             if wanted.fits(&have) {
@@ -306,8 +317,8 @@
         }
     }
 
-    /// Whether less urgent work may be stopped for a step: if it is in time then.
-    fn stops_for(&self, key: &StepKey, now: Time) -> bool {
+    /// Whether less urgent work may be stopped for a step: only if the step would then be in time.
+    fn may_preempt_for(&self, key: &StepKey, now: Time) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let left = job.tails.get(usize::from(key.step)).copied().unwrap_or_default();
         let begin = self.unix(now + self.setup.bounds.stop);
--- a/src/shard/hear.rs
+++ b/src/shard/hear.rs
@@ -1,4 +1,4 @@
-//! What workers answer, and what it says of the runs that are there.
+//! Processes the replies of workers and what they show about runs.
 
 use {
     crate::{
@@ -16,13 +16,13 @@
     std::time::Duration,
 };
 
-/// How soon a hold follows while ends wait to be stored.
-const UNSTORED: Duration = Duration::from_millis(120);
-/// The pause between calls of a silent worker, for each call it has missed, and the longest.
-const SILENT: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(900));
+/// The interval between holds while ends wait to be stored.
+const UNSTORED_INTERVAL: Duration = Duration::from_millis(120);
+/// The pause between calls to a silent worker per missed call, and the longest pause.
+const SILENT_PAUSE: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(900));
 
 impl Shard {
-    /// Takes in a worker's answer.
+    /// Processes a worker's reply.
     pub(super) fn hear(
         &mut self,
         id: &WorkerId,
@@ -37,7 +37,7 @@
             return;
         }
         match &reply {
-            Ok(WorkerReply::Other) => return self.over_with(no, now),
+            Ok(WorkerReply::Other) => return self.end_worker(no, now),
             Ok(WorkerReply::Refused(_, Refusal::Fence)) => return self.depose(),
             Ok(WorkerReply::Done(clock) | WorkerReply::Refused(clock, _)) => {
                 worker.answered(*clock, sent, now);
@@ -51,13 +51,13 @@
             Err(_) => {
                 worker.unsure += 1;
                 let hold = matches!(call, WorkerCall::Hold { .. });
-                // One order without an answer is an order that comes late; two, or a look without
-                // one, are a worker that may be gone.
+                // A single unanswered order may merely be slow. Two unanswered orders or an
+                // unanswered hold suggest that the worker is gone.
                 worker.silent += u32::from(hold || worker.unsure > 1);
             }
         }
         match call {
-            WorkerCall::Hold { .. } => self.held(no, sent, reply, now),
+            WorkerCall::Hold { .. } => self.on_hold_reply(no, sent, reply, now),
             WorkerCall::Start(start) => self.started(no, &start, reply, now),
             WorkerCall::Stop { task, run, .. } => self.stopped(no, &task, run, &reply, now),
             WorkerCall::Pace { task, run, percent, .. } => {
@@ -71,58 +71,64 @@
         }
     }
 
-    fn held(&mut self, no: WorkerNo, sent: Time, reply: Result<WorkerReply, Fault>, now: Time) {
+    fn on_hold_reply(
+        &mut self,
+        no: WorkerNo,
+        sent: Time,
+        reply: Result<WorkerReply, Fault>,
+        now: Time,
+    ) {
         let worker = &mut self.workers[no.0];
         worker.holding = None;
         let Ok(WorkerReply::Held(held)) = reply else {
-            let pause = (SILENT.0 * worker.silent.max(1)).min(SILENT.1);
+            let pause = (SILENT_PAUSE.0 * worker.silent.max(1)).min(SILENT_PAUSE.1);
             worker.next = now + pause;
             return;
         };
         worker.next = now;
-        let whole = held.ended.len() < ENDS;
+        let complete = held.ended.len() < ENDS;
         if !worker.fenced {
             worker.inherit(held.clock, &self.setup.bounds);
         }
-        let first = !worker.fenced && whole;
-        worker.fenced |= whole;
+        let first = !worker.fenced && complete;
+        worker.fenced |= complete;
         for end in &held.ended {
             if end.number > self.workers[no.0].got {
                 self.workers[no.0].got = end.number;
-                self.ended(no, end, now);
+                self.on_run_end(no, end, now);
             }
         }
-        self.rows(no, &held, now);
-        self.missing(no, sent, &held, now);
-        self.temper(no, now);
+        self.observe_runs(no, &held, now);
+        self.drop_missing(no, sent, &held, now);
+        self.adjust_filler_pace(no, now);
         let worker = &mut self.workers[no.0];
         if !worker.pending.is_empty() {
-            worker.next = now + UNSTORED;
+            worker.next = now + UNSTORED_INTERVAL;
         }
         if first {
             self.stir = true;
         }
     }
 
-    /// Takes in what runs at a worker.
-    fn rows(&mut self, no: WorkerNo, held: &Held, now: Time) {
+    /// Processes the list of runs that a worker reports.
+    fn observe_runs(&mut self, no: WorkerNo, held: &Held, now: Time) {
         for row in &held.running {
             let worker = &mut self.workers[no.0];
             match worker.runs.get_mut(&row.task) {
                 Some(run) if run.run == row.run => {
-                    let fresh = matches!(run.phase, Phase::Starting | Phase::Unsure);
+                    let starting = matches!(run.phase, Phase::Starting | Phase::Unsure);
                     Worker::look(run, row, now);
-                    if fresh {
+                    if starting {
                         self.begun(&row.task);
                     }
-                    self.watch(no, &row.task, now);
+                    self.stop_if_stuck(no, &row.task, now);
                 }
                 _ => self.adopt(no, row, now),
             }
         }
     }
 
-    /// Takes in a run that a former owner has started, or stops one that must not be.
+    /// Adopts a run that a former owner has started, or stops it if it is not wanted.
     fn adopt(&mut self, no: WorkerNo, row: &crate::ports::Row, now: Time) {
         let job = self.jobs.get_mut(&row.task.step.job);
         let wanted = job.filter(|j| !j.state.over()).and_then(|j| {
@@ -151,7 +157,7 @@
             looked: now,
             saved: row.saved.clone(),
             load: row.load,
-            // Its former owner may have slowed it.
+            // The former owner may have slowed it down.
             pace: None,
             target: step.target,
             fills: step.fills,
@@ -177,8 +183,9 @@
         self.unready_if_placed(&row.task.step);
     }
 
-    /// A run that was known before the answer was asked for, and is in neither list, is gone.
-    fn missing(&mut self, no: WorkerNo, sent: Time, held: &Held, now: Time) {
+    /// Processes runs that were known before the request was sent and that the reply reports
+    /// neither as running nor as ended: they are gone.
+    fn drop_missing(&mut self, no: WorkerNo, sent: Time, held: &Held, now: Time) {
         let there =
             |t: &TaskKey, r: u32| held.running.iter().any(|row| row.task == *t && row.run == r);
         let gone: Vec<_> = self.workers[no.0]
@@ -192,7 +199,7 @@
         }
     }
 
-    /// A task's work has begun.
+    /// Records that work on a task has begun.
     pub(super) fn begun(&mut self, task: &TaskKey) {
         if let Some(job) = self.jobs.get_mut(&task.step.job)
             && job.state == State::Queued
--- a/src/shard/judge.rs
+++ b/src/shard/judge.rs
@@ -1,5 +1,5 @@
-//! What the runs of a worker say of it: failures, speed, runs that stand still, harm done to tasks
-//! that serve others.
+//! Derives the health of a worker from its runs: failures, speed, runs without progress, and the
+//! slowdown of serving tasks by fillers.
 
 use {
     crate::{
@@ -17,34 +17,35 @@
     std::time::Duration,
 };
 
-/// How far apart two looks are that are compared.
-const APART: Duration = Duration::from_millis(2200);
-/// How many peers make an expectation.
+/// The minimum time between two progress readings that are compared.
+const MIN_READING_GAP: Duration = Duration::from_millis(2200);
+/// The number of completed runs that is needed for an expected duration.
 pub(super) const PEERS: usize = 3;
-/// The shortest run whose speed says something: below, the way of the orders counts for too much.
-const SHORT: Duration = Duration::from_millis(200);
+/// The shortest run that is used to measure speed: in shorter runs, the transit time of orders
+/// distorts the result.
+const MIN_MEASURED: Duration = Duration::from_millis(200);
 
 impl Shard {
-    /// Draws from a run's own end what it says of its worker.
-    pub(super) fn judge(&mut self, no: WorkerNo, end: &End, run: &Run, now: Time) {
+    /// Updates a worker's health from the outcome of a run.
+    pub(super) fn record_outcome(&mut self, no: WorkerNo, end: &End, run: &Run, now: Time) {
         let key = end.task.step;
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let before = job.failures();
         let Some(step) = job.step(&key) else { return };
         let plain = !step.gang && !step.fills && !step.lasts && run.percent.0 == 0;
-        let whole = plain && run.saved.is_empty() && run.pace == Some(FULL);
+        let full_run = plain && run.saved.is_empty() && run.pace == Some(FULL);
         let sound = &mut self.workers[no.0].sound;
         match end.how {
             How::Failed => sound.ended(key.job, false, before, now),
             How::Done => {
                 sound.ended(key.job, true, before, now);
-                let took = now - run.began;
+                let duration = now - run.began;
                 if let (true, Some(part)) = (plain, job.parts.get_mut(&(key.time, key.step))) {
-                    if let Some(expected) = part.expected(PEERS).filter(|e| *e >= SHORT) {
-                        sound.moved(expected.as_secs_f64() / took.as_secs_f64().max(0.01), now);
+                    if let Some(expected) = part.expected(PEERS).filter(|e| *e >= MIN_MEASURED) {
+                        sound.moved(expected.as_secs_f64() / duration.as_secs_f64().max(0.01), now);
                     }
-                    if whole || run.percent.0 == 0 {
-                        part.took(took);
+                    if full_run || run.percent.0 == 0 {
+                        part.took(duration);
                     }
                 }
             }
@@ -52,13 +53,14 @@
         }
     }
 
-    /// Stops a run that stands still, or goes so slowly that another elsewhere ends sooner.
-    pub(super) fn watch(&mut self, no: WorkerNo, task: &TaskKey, now: Time) {
+    /// Stops a run that makes no progress, or is so slow that another run elsewhere would finish
+    /// sooner.
+    pub(super) fn stop_if_stuck(&mut self, no: WorkerNo, task: &TaskKey, now: Time) {
         let key = task.step;
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(&key) else { return };
         if step.lasts {
-            return self.stays(no, task, now);
+            return self.count_uptime(no, task, now);
         }
         if step.fills || step.gang {
             return;
@@ -66,16 +68,16 @@
         let peers = job.parts.get(&(key.time, key.step)).and_then(|p| p.expected(PEERS));
         let Some(run) = self.workers[no.0].runs.get_mut(task) else { return };
         let elapsed = now - run.mark.0;
-        if run.phase != Phase::Running || elapsed < APART {
+        if run.phase != Phase::Running || elapsed < MIN_READING_GAP {
             return;
         }
         let expected = peers.unwrap_or(run.estimate);
-        let (then, percent) = (run.mark.1, run.percent.1);
-        if percent > then {
+        let (previous, percent) = (run.mark.1, run.percent.1);
+        if percent > previous {
             run.mark = (now, percent);
         }
-        if stuck(then, percent, elapsed, expected, step.saves) {
-            if self.copied_instead(no, task, now) {
+        if stuck(previous, percent, elapsed, expected, step.saves) {
+            if self.copy_may_replace(no, task, now) {
                 return self.workers[no.0].sound.moved(0.0, now);
             }
             let Some(run) = self.workers[no.0].runs.get(task) else { return };
@@ -86,8 +88,8 @@
         }
     }
 
-    /// A task that lasts and is at work speaks for its worker.
-    fn stays(&mut self, no: WorkerNo, task: &TaskKey, now: Time) {
+    /// Counts the time that a long-running task has been at work as evidence of a healthy worker.
+    fn count_uptime(&mut self, no: WorkerNo, task: &TaskKey, now: Time) {
         let worker = &mut self.workers[no.0];
         let working = |r: &&Run| r.phase == Phase::Running && r.percent.1 >= AT_WORK;
         if let Some(began) = worker.runs.get(task).filter(working).map(|r| r.began) {
@@ -95,8 +97,8 @@
         }
     }
 
-    /// Sets the pace of a worker's fillers by the tails of the tasks that serve there.
-    pub(super) fn temper(&mut self, no: WorkerNo, now: Time) {
+    /// Sets the pace of a worker's fillers from the tail latency of the tasks that serve there.
+    pub(super) fn adjust_filler_pace(&mut self, no: WorkerNo, now: Time) {
         let worker = &mut self.workers[no.0];
         if !worker.runs.values().any(|r| r.fills) {
             return;
--- a/src/shard/lapse.rs
+++ b/src/shard/lapse.rs
@@ -1,4 +1,4 @@
-//! Workers that are over, silent or leaving, and what becomes of their runs.
+//! Handles workers that have ended, are silent or are leaving, and what happens to their runs.
 
 use {
     crate::{
@@ -17,21 +17,21 @@
     std::time::Duration,
 };
 
-/// The pause between two readings of the list of machines.
-const CENSUS: Duration = Duration::from_millis(500);
-/// How far the list of machines may be behind.
-const LAG: Duration = Duration::from_millis(900);
+/// The interval between two readings of the list of machines.
+const READ_INTERVAL: Duration = Duration::from_millis(500);
+/// How far the list of machines may lag behind.
+const MACHINE_LIST_LAG: Duration = Duration::from_millis(900);
 
 impl Shard {
-    /// A worker's life is over: all that ran there is free to start elsewhere.
-    pub(super) fn over_with(&mut self, no: WorkerNo, now: Time) {
+    /// Marks a worker incarnation as ended: its tasks may start elsewhere.
+    pub(super) fn end_worker(&mut self, no: WorkerNo, now: Time) {
         log::info!(target: "shard", worker:% = self.workers[no.0].id, runs = self.workers[no.0].runs.len(); "Worker is over.");
-        let blamed = self.blamed(no);
+        let suspects = self.suspect_runs(no);
         self.workers[no.0].gone = true;
         self.roster = true;
         self.forget_runs(no, now);
-        for (task, run) in blamed {
-            self.crashed(&task, run, now);
+        for (task, run) in suspects {
+            self.count_crash(&task, run, now);
         }
         self.workers[no.0].pending.clear();
     }
@@ -43,43 +43,43 @@
         }
     }
 
-    /// Asks for the list of machines while a worker is silent on which something may run.
+    /// Requests the list of machines while a worker on which something may run is silent.
     pub(super) fn doubt(&mut self, now: Time) {
         let (unsettled, workers) = (&self.unsettled, &self.workers);
-        let doubtful = |n: usize, w: &Worker| {
+        let unconfirmed = |n: usize, w: &Worker| {
             let counts = !w.runs.is_empty() || unsettled.contains(&WorkerNo(n));
             !w.gone && counts && w.silent > 0
         };
         let due = self.census.is_some_and(|t| t <= now);
-        if due && workers.iter().enumerate().any(|(n, w)| doubtful(n, w)) {
+        if due && workers.iter().enumerate().any(|(n, w)| unconfirmed(n, w)) {
             self.census = None;
             self.out.push(Order::Lives);
         }
     }
 
-    /// Takes in which lives are there by the list of machines.
+    /// Processes the worker incarnations that the list of machines shows.
     ///
-    /// A silent worker that the list lacks twice, a lag apart, is over: its tasks need not wait for
-    /// its lease. One that is cut off and works on is on the list; a new one may not be on it yet,
-    /// and is heard.
+    /// A silent worker has ended if two readings at least `MACHINE_LIST_LAG` apart lack it, and its
+    /// tasks need not wait for its lease to expire. A worker that is merely cut off and keeps
+    /// running is on the list. A new worker may not be on the list yet, but it answers.
     pub(super) fn lives(&mut self, sent: Time, reply: Result<Vec<WorkerId>, Fault>, now: Time) {
-        self.census = Some(now + CENSUS);
+        self.census = Some(now + READ_INTERVAL);
         let Ok(ids) = reply else { return };
-        let there: FxHashSet<&WorkerId> = ids.iter().collect();
+        let listed: FxHashSet<&WorkerId> = ids.iter().collect();
         for no in (0..self.workers.len()).map(WorkerNo) {
             let worker = &mut self.workers[no.0];
             if worker.gone {
                 continue;
             }
-            if there.contains(&worker.id) || worker.silent == 0 {
+            if listed.contains(&worker.id) || worker.silent == 0 {
                 worker.missed = None;
-            } else if sent - *worker.missed.get_or_insert(sent) >= LAG {
-                self.over_with(no, now);
+            } else if sent - *worker.missed.get_or_insert(sent) >= MACHINE_LIST_LAG {
+                self.end_worker(no, now);
             }
         }
     }
 
-    /// Forgets what ran where the lease has ended.
+    /// Forgets the runs of workers whose leases have expired.
     pub(super) fn expire(&mut self, now: Time) {
         for no in (0..self.workers.len()).map(WorkerNo) {
             let w = &self.workers[no.0];
@@ -99,29 +99,31 @@
         }
     }
 
-    /// Takes work from leaving workers: lasting tasks as soon as there is room for them, others when the
-    /// worker is about to end, so that they go on from a checkpoint in place of waiting for its lease.
+    /// Moves work from leaving workers: long-running tasks as soon as there is room for them, other
+    /// tasks shortly before the worker ends, so that they resume from a checkpoint instead of
+    /// waiting for its lease to expire.
     ///
-    /// Guards against lasting tasks that are away though their worker stays for half a minute: other
-    /// workers may be full or be emptied, and a task that was stopped serves nobody.
+    /// Guards against long-running tasks that are stopped although their worker stays for another
+    /// half minute: other workers may be full or being emptied, and a task that was stopped serves
+    /// nobody.
     pub(super) fn leave(&mut self, now: Time) {
-        let (mut all, mut taken) = (vec![], vec![]);
-        // Whether there was room for the last task of a step that was looked at.
-        let mut moves: FxHashMap<StepKey, bool> = FxHashMap::default();
+        let (mut all, mut allocated) = (vec![], vec![]);
+        // Whether there was room for the last task of each step that was examined.
+        let mut has_room: FxHashMap<StepKey, bool> = FxHashMap::default();
         for (n, w) in self.workers.iter().enumerate().filter(|(_, w)| !w.gone) {
             let Some(end) = w.leaving else { continue };
             let last = end - (self.setup.bounds.stop + ORDER);
             for (task, _) in w.runs.iter().filter(|(_, r)| r.phase == Phase::Running) {
                 let step = &task.step;
-                let more = match moves.get(step) {
+                let more = match has_room.get(step) {
                     None => self.unplaced(step) + 1,
                     Some(true) => 1,
                     Some(false) => 0,
                 };
                 if self.lasts(task) && more > 0 {
-                    moves.insert(*step, self.take_room(step, more, &mut taken, now));
+                    has_room.insert(*step, self.allocate_room(step, more, &mut allocated, now));
                 }
-                if last <= now || moves.get(step) == Some(&true) {
+                if last <= now || has_room.get(step) == Some(&true) {
                     all.push((WorkerNo(n), *task));
                 }
             }
--- a/src/shard/listing.rs
+++ b/src/shard/listing.rs
@@ -1,4 +1,4 @@
-//! The workers and the configuration as they are listed.
+//! Processes the list of workers and the configuration.
 
 use {
     crate::{
@@ -14,40 +14,42 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// How long a leaving worker stays that does not say how long.
-const LEAVE: Duration = Duration::from_secs(2);
-/// How old the list may be.
-const LIST: Duration = Duration::from_millis(700);
+/// How long a leaving worker is assumed to stay if it does not say.
+const DEFAULT_LEAVE: Duration = Duration::from_secs(2);
+/// The maximum age of the list of workers.
+const MAX_LIST_AGE: Duration = Duration::from_millis(700);
 
 impl Shard {
     pub(super) fn configure(&mut self, queues: Arc<Queues>, now: Time) {
         if queues.version < self.queues.version {
             return;
         }
-        let mut fewer = FxHashSet::default();
+        let mut reduced = FxHashSet::default();
         for queue in &queues.all {
             let old = self.known.insert(queue.name.clone(), queue.clone());
             if old.is_none_or(|o| o.attempts > queue.attempts) {
-                fewer.insert(queue.name.clone());
+                reduced.insert(queue.name.clone());
             }
         }
         self.queues = queues;
-        self.adopt_terms();
-        let all: Vec<_> = self.jobs.iter().map(|(no, j)| (*no, fewer.contains(&j.queue))).collect();
-        for (no, fewer) in all {
+        self.restore_queues();
+        let all: Vec<_> =
+            self.jobs.iter().map(|(no, j)| (*no, reduced.contains(&j.queue))).collect();
+        for (no, reduced) in all {
             self.review(no, now);
-            if fewer {
-                self.give_up(no, now);
+            if reduced {
+                self.fail_if_exhausted(no, now);
             }
         }
     }
 
-    /// Takes queues that the configuration lacks as they were when their jobs were taken in.
+    /// Restores queues that the configuration lacks as they were when their jobs were accepted.
     ///
-    /// Guards against jobs that are never begun: an owner that takes a shard over while their queue is
-    /// missing knows nothing of it, and a queue that was removed for good never comes back. Without
-    /// any configuration nothing starts, as a newer one may send the queue elsewhere.
-    pub(super) fn adopt_terms(&mut self) {
+    /// Guards against jobs that never start: an owner that takes over a shard while their queue is
+    /// missing from the configuration does not know the queue, and a queue that was removed
+    /// permanently never returns. As long as there is no configuration at all, nothing starts,
+    /// since a newer one may assign the queue to another pool.
+    pub(super) fn restore_queues(&mut self) {
         if self.queues.all.is_empty() {
             return;
         }
@@ -56,20 +58,20 @@
         }
     }
 
-    /// Ends a job of which a task has failed as often as its queue allows.
+    /// Fails a job if one of its tasks has failed as often as its queue allows.
     ///
-    /// Guards against a new owner that hears of failures before it hears of the queue: it can't tell
-    /// then that they are the last ones, and would start the task once more.
-    fn give_up(&mut self, no: JobNo, now: Time) {
+    /// Guards against a new owner that learns of failures before it knows the queue: at that time
+    /// it cannot tell that no attempts are left, and would start the task once more.
+    fn fail_if_exhausted(&mut self, no: JobNo, now: Time) {
         let Some(job) = self.jobs.get(&no).filter(|j| !j.state.over()) else { return };
         let most = self.known.get(&job.queue).map_or(u32::MAX, |q| q.attempts.max(1)) as usize;
         let lasts = |step: u16| job.job.steps.get(usize::from(step)).is_some_and(|s| s.lasts);
-        let spent = job
+        let exhausted = job
             .parts
             .iter()
             .filter(|((_, step), _)| !lasts(*step))
             .any(|(_, part)| part.tasks.iter().any(|t| t.fails.len() >= most));
-        if spent {
+        if exhausted {
             self.end(no, State::Failed, now);
         }
     }
@@ -81,8 +83,8 @@
             seen.insert(no);
             let worker = &mut self.workers[no.0];
             if listed.draining && worker.leaving.is_none() {
-                let left = listed.left.unwrap_or(LEAVE);
-                worker.leaving = Some(now + left.saturating_sub(LIST));
+                let left = listed.left.unwrap_or(DEFAULT_LEAVE);
+                worker.leaving = Some(now + left.saturating_sub(MAX_LIST_AGE));
                 log::info!(target: "shard", worker:% = listed.id, left_ms = millis(left), runs = worker.runs.len(); "Worker is leaving.");
             }
             worker.listed = Some(listed);
@@ -98,25 +100,26 @@
             }
         }
         self.tell_listed(seen.len(), now);
-        self.replaced(&seen, now);
+        self.end_replaced(&seen, now);
         self.roster |= self.workers.iter().any(|w| w.rostered != w.counts());
         self.stir = true;
     }
 
-    /// A worker whose address another life has taken is over.
-    fn replaced(&mut self, seen: &FxHashSet<WorkerNo>, now: Time) {
+    /// Ends workers whose address another worker incarnation has taken.
+    fn end_replaced(&mut self, seen: &FxHashSet<WorkerNo>, now: Time) {
         let addrs: FxHashSet<SocketAddr> = seen.iter().map(|n| self.workers[n.0].addr).collect();
         for no in (0..self.workers.len()).map(WorkerNo) {
             let worker = &self.workers[no.0];
             if !worker.gone && !seen.contains(&no) && addrs.contains(&worker.addr) {
-                self.over_with(no, now);
+                self.end_worker(no, now);
             }
         }
     }
 
-    /// The number of a worker's life, made if it is new.
+    /// The number of a worker incarnation; assigns one if the incarnation is new.
     pub(super) fn worker(&mut self, id: &WorkerId, addr: SocketAddr, now: Time) -> WorkerNo {
-        // One that was taken for gone and is there again begins anew, with nothing known.
+        // A worker that was considered gone and reappears gets a new number and starts without any
+        // known state.
         if let Some(no) = self.ids.get(id).filter(|n| !self.workers[n.0].gone) {
             return *no;
         }
--- a/src/shard/reserve.rs
+++ b/src/shard/reserve.rs
@@ -1,20 +1,20 @@
-//! Room that is kept for gangs until they start.
+//! Room that is reserved for gangs until they start.
 
 use crate::{shard::workers::WorkerNo, time::Time, units::Size};
 
-/// Room that is kept for a gang until it starts.
+/// Room that is reserved for a gang until it starts.
 #[derive(Clone, Debug)]
 pub struct Reserve {
-    /// How many members each worker gets.
+    /// The workers, with the number of members for each.
     pub each: Vec<(WorkerNo, u32)>,
-    /// What a member takes.
+    /// The resources that one member needs.
     pub size: Size,
-    /// The priority of its queue.
+    /// The priority of the gang's queue.
     pub priority: u8,
-    /// When it was made.
+    /// When the reservation was made.
     pub since: Time,
-    /// When all of it is expected to be there.
+    /// When all of the room is expected to be free.
     pub at: Time,
-    /// When it was last seen to.
+    /// When the reservation was last checked.
     pub tended: Time,
 }
