--- a/src/shard/explain.rs
+++ b/src/shard/explain.rs
@@ -73,7 +73,7 @@
     /// Describes what each step of a job that has not ended waits for, and where its tasks are.
     pub fn explain(&self, no: JobNo, now: Time) -> Box<str> {
         let Some(job) = self.jobs.get(&no) else {
-            return "not known in this shard, or over".into();
+            return "unknown here, or over".into();
         };
         let mut text = format!("job {no} of queue {} is {}", job.queue, job.state);
         if job.old && !self.unsettled.is_empty() {
