--- a/src/shard/ask.rs
+++ b/src/shard/ask.rs
@@ -325,9 +325,9 @@
                     let step = StepKey { job: key.job, time: key.time, step: *a };
                     let task = crate::work::TaskKey { step, index: i as u32 };
                     self.workers[no.0].runs.get(&task).is_some_and(|r| {
-                        let gone = now - r.began;
+                        let elapsed = now - r.began;
                         let left = r.estimate.mul_f64(1.0 - f64::from(r.percent.1) / 100.0);
-                        left.saturating_sub(gone.min(left)) <= lead
+                        left.saturating_sub(elapsed.min(left)) <= lead
                     })
                 }
             })
--- a/src/shard/copy.rs
+++ b/src/shard/copy.rs
@@ -77,7 +77,7 @@
         let Some(part) = job.parts.get(&(key.time, key.step)) else { return };
         let Some(expected) = part.expected(SIBLINGS).filter(|_| part.waiting == 0) else { return };
         let copies = part.tasks.iter().filter(|t| t.copy.is_some()).count();
-        let room = most(step.count).saturating_sub(u32::try_from(copies).unwrap_or(u32::MAX));
+        let allowed = most(step.count).saturating_sub(u32::try_from(copies).unwrap_or(u32::MAX));
         let mut slow: Vec<(Duration, TaskKey, WorkerNo)> = vec![];
         for (index, task) in (0..).zip(&part.tasks) {
             let key = TaskKey { step: *key, index };
@@ -89,7 +89,7 @@
             }
         }
         slow.sort_by_key(|s| (Reverse(s.0), s.1));
-        for (needs, task, at) in slow.into_iter().take(room as usize) {
+        for (needs, task, at) in slow.into_iter().take(allowed as usize) {
             let Some(to) = self.spare_worker(&task, &step, at, now) else { return };
             log::info!(target: "shard", did = "copy", job:% = key.job, task:% = task, worker:% = self.workers[to.0].id, beside:% = self.workers[at.0].id, needs_ms = millis(needs), expected_ms = millis(expected); "Speculative copy starts.");
             self.start_copy(task, at, to, &step, now);
@@ -161,11 +161,11 @@
 
     /// Stops all runs of a task that is done: the first run to finish counts.
     pub(super) fn stop_all_runs(&mut self, task: &TaskKey, now: Time) {
-        let there = |n: &usize| {
+        let running = |n: &usize| {
             let run = self.workers[*n].runs.get(task);
             run.is_some_and(|r| r.phase != Phase::Stopping)
         };
-        let all: Vec<usize> = (0..self.workers.len()).filter(there).collect();
+        let all: Vec<usize> = (0..self.workers.len()).filter(running).collect();
         for no in all.into_iter().map(WorkerNo) {
             self.tell_stop(no, task, "another run was first");
             self.stop(no, task, now);
--- a/src/shard/course.rs
+++ b/src/shard/course.rs
@@ -43,17 +43,17 @@
         let unix = self.unix(now);
         let Some(job) = self.jobs.get_mut(&no) else { return };
         let steps = u16::try_from(job.job.steps.len()).unwrap_or(u16::MAX);
-        let mut all = true;
+        let mut complete = true;
         for time in 0..job.times() {
             if job.due(time) > unix {
-                all = false;
+                complete = false;
                 break;
             }
             for step in 0..steps {
                 job.part(time, step);
             }
         }
-        if all {
+        if complete {
             self.timed.remove(&no);
         }
         self.review(no, now);
@@ -82,13 +82,13 @@
     pub(super) fn end(&mut self, no: JobNo, state: State, now: Time) {
         let Some(job) = self.jobs.get_mut(&no) else { return };
         job.state = state;
-        let there = job.there(no);
+        let runs = job.there(no);
         let parts: Vec<_> = job.parts.keys().copied().collect();
-        self.tell_over(no, state, there.len(), now);
+        self.tell_over(no, state, runs.len(), now);
         for (time, step) in parts {
             self.unready(&StepKey { job: no, time, step });
         }
-        for (task, at, _) in there {
+        for (task, at, _) in runs {
             self.stop(at, &task, now);
         }
         self.timed.remove(&no);
--- a/src/shard/gangs.rs
+++ b/src/shard/gangs.rs
@@ -43,15 +43,15 @@
             self.reserved.remove(key);
             return self.start_all(key, step, &chosen, now);
         }
-        let long = |r: &Reserve| r.since + LONGEST <= now;
-        if self.reserved.get(key).is_some_and(long) {
+        let overdue = |r: &Reserve| r.since + LONGEST <= now;
+        if self.reserved.get(key).is_some_and(overdue) {
             log::info!(target: "shard", did = "released", job:% = key.job, step:% = key, cause = "too long"; "Reservation is released.");
             self.reserved.remove(key);
         }
         // Workers on which advice was requested meanwhile may have room sooner.
-        let look = self.part(key).is_some_and(|p| p.look <= now);
-        let far = |r: &Reserve| look && r.at > now + gather::NEAR;
-        if round.quiet.contains(&turn.pool) && self.reserved.get(key).is_some_and(far) {
+        let may_search = self.part(key).is_some_and(|p| p.look <= now);
+        let distant = |r: &Reserve| may_search && r.at > now + gather::NEAR;
+        if round.quiet.contains(&turn.pool) && self.reserved.get(key).is_some_and(distant) {
             self.reserved.remove(key);
         }
         let checked = self.reserved.get(key).map(|r| r.tended);
@@ -77,8 +77,8 @@
         let Some(places) = soonest(offers, step.count) else {
             // If the permitted workers are merely busy, asking about more of them would take calls
             // from other steps.
-            let few = self.ever_slots(turn) < u64::from(step.count) * CHOICE;
-            if few || round.quiet.contains(&turn.pool) {
+            let too_few = self.ever_slots(turn) < u64::from(step.count) * CHOICE;
+            if too_few || round.quiet.contains(&turn.pool) {
                 self.ask_wide(turn, round, now);
             }
             return false;
@@ -138,20 +138,20 @@
             }
             let claims = round.claimed(no, &asker);
             let most = if step.apart > 0 { step.apart.into() } else { u64::MAX };
-            let mut have = self.workers[no.0].free();
+            let mut free = self.workers[no.0].free();
             let mut known = 0;
-            let mut offer = |at: Time, have: &Size| {
-                let slots = size.count(&have.saturating_sub(&claims)).min(most);
+            let mut offer = |at: Time, free: &Size| {
+                let slots = size.count(&free.saturating_sub(&claims)).min(most);
                 if slots > known {
                     let more = u32::try_from(slots - known).unwrap_or(u32::MAX);
                     offers.push(Offer { worker: no, at, slots: more });
                     known = slots;
                 }
             };
-            offer(now, &have);
+            offer(now, &free);
             for (at, freed) in self.expected_releases(no, stops, now) {
-                have += freed;
-                offer(at, &have);
+                free += freed;
+                offer(at, &free);
             }
         }
         offers
@@ -221,13 +221,13 @@
         now: Time,
     ) -> Option<Time> {
         let wanted = need + round.before(no, key);
-        let mut have = self.workers[no.0].free();
-        if wanted.fits(&have) {
+        let mut free = self.workers[no.0].free();
+        if wanted.fits(&free) {
             return Some(now);
         }
         for (at, freed) in self.expected_releases(no, stops, now) {
-            have += freed;
-            if wanted.fits(&have) {
+            free += freed;
+            if wanted.fits(&free) {
                 return Some(at);
             }
         }
@@ -245,7 +245,7 @@
             self.reserved.remove(key);
             return;
         }
-        let all = |stops| -> Option<Vec<Time>> {
+        let fit_times = |stops| -> Option<Vec<Time>> {
             let each = reserve.each.iter();
             each.map(|(no, n)| {
                 let need = reserve.size.times((*n).into());
@@ -254,10 +254,10 @@
             .collect()
         };
         let last = |all: &Option<Vec<Time>>| all.as_ref().and_then(|a| a.iter().max().copied());
-        let without_stops = all(None);
+        let without_stops = fit_times(None);
         let mut at = last(&without_stops);
         if at.is_none_or(|t| t > now + PATIENCE) && self.may_preempt_for(key, now) {
-            let with_stops = last(&all(Some(reserve.priority)));
+            let with_stops = last(&fit_times(Some(reserve.priority)));
             let soon = now + self.setup.bounds.stop + PATIENCE;
             if with_stops.is_some_and(|w| w <= soon && at.is_none_or(|t| w + PATIENCE < t)) {
                 at = with_stops;
@@ -295,12 +295,12 @@
     fn preempt_at(&mut self, no: WorkerNo, wanted: Size, priority: u8, now: Time) {
         let worker = &self.workers[no.0];
         let soon = now + self.setup.bounds.stop;
-        let (mut have, mut victims) = (worker.free(), vec![]);
+        let (mut free, mut victims) = (worker.free(), vec![]);
         for (task, run) in &worker.runs {
             let ends = run.phase == Phase::Stopping
                 || (!self.lasts(task) && super::ahead::end(run, now) <= soon);
             if ends {
-                have += run.size;
+                free += run.size;
             } else if run.phase == Phase::Running && run.yields.is_some_and(|y| y > priority) {
                 victims.push((run.percent.1, *task, run.size));
             }
@@ -308,10 +308,10 @@
         // Runs that have done the least come first, since the others end soon anyway.
         victims.sort_unstable_by_key(|v| (v.0, v.1));
         for (_, task, size) in victims {
-            if wanted.fits(&have) {
+            if wanted.fits(&free) {
                 return;
             }
-            have += size;
+            free += size;
             self.tell_stop(no, &task, "room for a gang");
             self.stop(no, &task, now);
         }
--- a/src/shard/lapse.rs
+++ b/src/shard/lapse.rs
@@ -107,7 +107,7 @@
     /// half minute: other workers may be full or being emptied, and a task that was stopped serves
     /// nobody.
     pub(super) fn leave(&mut self, now: Time) {
-        let (mut all, mut allocated) = (vec![], vec![]);
+        let (mut stops, mut allocated) = (vec![], vec![]);
         // Whether there was room for the last task of each step that was examined.
         let mut has_room: FxHashMap<StepKey, bool> = FxHashMap::default();
         for (n, w) in self.workers.iter().enumerate().filter(|(_, w)| !w.gone) {
@@ -124,11 +124,11 @@
                     has_room.insert(*step, self.allocate_room(step, more, &mut allocated, now));
                 }
                 if last <= now || has_room.get(step) == Some(&true) {
-                    all.push((WorkerNo(n), *task));
+                    stops.push((WorkerNo(n), *task));
                 }
             }
         }
-        for (no, task) in all {
+        for (no, task) in stops {
             self.tell_stop(no, &task, "worker leaves");
             self.stop(no, &task, now);
         }
