--- a/src/shard/ask.rs
+++ b/src/shard/ask.rs
@@ -3,8 +3,8 @@
 //!
 //! The set of workers that may run a step never changes, but tickets are valid for about two
 //! seconds and a call takes up to one second. A step's first call is therefore made while the
-//! previous step still runs and names workers widely. Later calls name only workers that have room
-//! now.
+//! previous step still runs, and it names many workers, including some without room. Later calls
+//! name only workers that have room now.
 
 use {
     crate::{
--- a/src/shard/authority.rs
+++ b/src/shard/authority.rs
@@ -105,8 +105,8 @@
             self.most = Some(now);
         }
         let lease = self.setup.bounds.hold.div_f64(SLOW) + MARGIN;
-        // If the end of the former owner's lease is not known, the store may have confirmed it
-        // until the takeover.
+        // If it is not certain that the former owner's lease had expired, the store may have
+        // confirmed it until the takeover, and a confirmation counts for `RENEWAL_VALID`.
         let former_until = if self.lapsed { self.begun } else { self.begun + RENEWAL_VALID };
         let since = self.most.map(|t| t.max(former_until));
         let lapsed = since.is_some_and(|t| t + lease <= now);
--- a/src/shard/cause.rs
+++ b/src/shard/cause.rs
@@ -126,7 +126,7 @@
 /// Number of workers by the reason why they are excluded.
 pub type Bars = BTreeMap<Bar, usize>;
 
-/// The data that decides when a step's tasks start. The fields from `valid` to `barred` count
+/// The data that decides when a step's tasks start. The fields from `usable` to `roomy` count
 /// workers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sight {
--- a/src/shard/explain.rs
+++ b/src/shard/explain.rs
@@ -72,9 +72,7 @@
 
     /// Describes what each step of a job that has not ended waits for, and where its tasks are.
     pub fn explain(&self, no: JobNo, now: Time) -> Box<str> {
-        let Some(job) = self.jobs.get(&no) else {
-            return "unknown here, or over".into();
-        };
+        let Some(job) = self.jobs.get(&no) else { return "unknown here, or over".into() };
         let mut text = format!("job {no} of queue {} is {}", job.queue, job.state);
         if job.old && !self.unsettled.is_empty() {
             let _ = write!(
