--- a/src/shard/jobs.rs
+++ b/src/shard/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of a shard: their steps, their tasks, and what each has come to.
+//! The jobs of a shard that are not over: the state of their steps, tasks and runs.
 
 use {
     crate::{
@@ -16,105 +16,107 @@
 /// Where a task is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum At {
-    /// Nowhere: it waits.
+    /// The task is at no worker and waits.
     #[default]
     Waiting,
-    /// At a worker.
+    /// The task is assigned to this worker.
     There(WorkerNo),
-    /// Its work is done.
+    /// The task is done.
     Done,
 }
 
-/// A task.
+/// The state of a task.
 #[derive(Clone, Debug, Default)]
 pub struct Task {
-    /// Where it is.
+    /// Where the task is.
     pub at: At,
-    /// Its last run; 0 before the first. Where a copy is beside it, the first of the two.
+    /// The number of its last run; 0 before the first. If a speculative copy runs too, the earlier
+    /// of the two.
     pub run: u32,
-    /// A copy: where, and its run.
+    /// The worker and the run of its speculative copy, if there is one.
     pub copy: Option<(WorkerNo, u32)>,
-    /// The highest run that a copy had.
+    /// The highest run number that a copy has had.
     pub top: u32,
     /// The runs that have failed.
     pub fails: Vec<u32>,
-    /// The runs to which a worker's crash is laid.
+    /// The runs that are blamed for a worker's crash.
     pub crashes: Vec<u32>,
-    /// The run that a former owner had begun, until it is known what became of it; 0 is none.
+    /// The run that a former owner had begun, until its fate is known; 0 if there is none.
     pub former: u32,
     /// Its last checkpoint.
     pub saved: Box<str>,
-    /// When its last run that was seen here ended.
+    /// When the last run that this owner has seen ended.
     pub left: Option<Time>,
 }
 
 impl Task {
-    /// The highest run that it had.
+    /// The highest run number that it has had.
     pub fn last(&self) -> u32 {
         self.run.max(self.top)
     }
 
-    /// Whether this run is one of its own that is there.
+    /// Whether this run is its current run, or that of its copy, at this worker.
     pub fn has(&self, at: WorkerNo, run: u32) -> bool {
         (self.at == At::There(at) && self.run == run) || self.copy == Some((at, run))
     }
 }
 
-/// What advice on a step has said.
+/// What advice has said about a step.
 #[derive(Clone, Debug, Default)]
 pub struct Tickets {
-    /// The workers that may run the step, and their tickets; what may run it does not change.
+    /// The workers that may run the step, each with its ticket and the end of the ticket's
+    /// validity. Whether a worker may run the step does not change.
     pub good: FxHashMap<WorkerNo, (Box<str>, Time)>,
     /// The workers that were asked about.
     pub asked: FxHashSet<WorkerNo>,
-    /// The workers that calls name which are out.
+    /// The workers that unanswered calls name.
     pub out: FxHashSet<WorkerNo>,
-    /// No call before.
+    /// No call before this time.
     pub next: Time,
-    /// When the calls were made which are out; for the log alone.
+    /// When the unanswered calls were made; for the log only.
     pub calls: Vec<Time>,
-    /// When the last answer came; for the log alone.
+    /// When the last answer arrived; for the log only.
     pub heard: Option<Time>,
 }
 
 impl Tickets {
-    /// Whether a call is out.
+    /// Whether a call is unanswered.
     pub fn asking(&self) -> bool {
         !self.out.is_empty()
     }
 }
 
-/// One step of one occurrence.
+/// The state of one step in one occurrence of a job.
 #[derive(Clone, Debug, Default)]
 pub struct Part {
     /// Its tasks.
     pub tasks: Vec<Task>,
-    /// How many are not done.
+    /// The number of tasks that are not done.
     pub left: u32,
-    /// How many wait.
+    /// The number of tasks that wait.
     pub waiting: u32,
-    /// What advice has said.
+    /// What advice has said about the step.
     pub tickets: Tickets,
-    /// Of a gang: no look for its places before.
+    /// For a gang: no search for workers before this time.
     pub look: Time,
-    /// Since when it could have begun.
+    /// When the step could first have started.
     pub ready: Option<Time>,
-    /// When advice first named a worker for it; for the log alone.
+    /// When advice first named a worker for it; for the log only.
     pub advised: Option<Time>,
-    /// Whether its first start was told; for the log alone.
+    /// Whether its first start was logged; for the log only.
     pub begun: bool,
-    /// How long runs took that went from the beginning to the end of their work, in order.
+    /// The durations of runs that did all of the work, in ascending order.
     pub took: Vec<Duration>,
 }
 
 impl Part {
-    /// Notes how long a whole run took.
+    /// Adds the duration of a complete run.
     pub fn took(&mut self, time: Duration) {
         let at = self.took.partition_point(|t| *t < time);
         self.took.insert(at, time);
     }
 
-    /// What a run of this step takes, by the median of at least `least` runs.
+    /// The expected duration of a run of this step: the median, if there are at least `least` runs.
     pub fn expected(&self, least: usize) -> Option<Duration> {
         (self.took.len() >= least).then(|| self.took[self.took.len() / 2])
     }
@@ -125,32 +127,33 @@
 pub struct Active {
     /// The name of its queue.
     pub queue: Box<str>,
-    /// When it came, in milliseconds of the Unix clock.
+    /// When it was submitted, in milliseconds of the Unix clock.
     pub came: u64,
-    /// What it says.
+    /// The specification of the job.
     pub job: Job,
-    /// Its state.
+    /// The state of the job.
     pub state: State,
-    /// Whether a former owner may have started something of it.
+    /// Whether a former owner may have started some of its tasks.
     pub old: bool,
-    /// When this owner heard of it.
+    /// When this owner learnt of it.
     pub heard: Time,
-    /// Its steps that have come up, by occurrence and step.
+    /// The steps of the occurrences that have come due, by occurrence and step.
     pub parts: BTreeMap<(u32, u16), Part>,
-    /// The longest chain of steps by their estimates, from each step on.
+    /// For each step, the length of the longest chain of steps that begins with it, by their
+    /// estimates.
     pub tails: Box<[Duration]>,
-    /// In how many waves each step runs; empty until the workers are known.
+    /// The number of waves in which the tasks of each step run; empty until the workers are known.
     pub waves: Box<[u32]>,
-    /// Whether its first start was told; for the log alone.
+    /// Whether its first start was counted; for the log only.
     pub begun: bool,
-    /// The place in the journal of its last change.
+    /// The sequence number of its last change.
     pub changed: u64,
-    /// The place in the journal up to which it is stored.
+    /// The sequence number of the last change that is stored, or being written.
     pub stored: u64,
 }
 
 impl Active {
-    /// A job as it was stored, with what is known of it.
+    /// Builds a job from its record and its stored progress.
     pub fn new(record: JobRecord, progress: Option<&Progress>, old: bool, heard: Time) -> Self {
         let mut active = Active {
             queue: record.queue,
@@ -190,7 +193,7 @@
         active
     }
 
-    /// The step of an occurrence, made if it is not there yet.
+    /// The state of a step in an occurrence; created if it does not exist.
     pub fn part(&mut self, time: u32, step: u16) -> Option<&mut Part> {
         let count = self.job.steps.get(usize::from(step))?.count;
         Some(self.parts.entry((time, step)).or_insert_with(|| Part {
@@ -201,21 +204,22 @@
         }))
     }
 
-    /// The step that a key names.
+    /// The specification of the step with this key.
     pub fn step(&self, key: &StepKey) -> Option<&Step> {
         self.job.steps.get(usize::from(key.step))
     }
 
-    /// A task.
+    /// The state of a task.
     pub fn task(&mut self, key: &TaskKey) -> Option<&mut Task> {
         let part = self.parts.get_mut(&(key.step.time, key.step.step))?;
         part.tasks.get_mut(key.index as usize)
     }
 
-    /// Notes a task's checkpoint; for a gang, that of all its members.
+    /// Records a task's checkpoint; in a gang, as the checkpoint of all members.
     ///
-    /// Guards against members that start from different checkpoints: ends that a former owner has not
-    /// heard of, or of a worker that was given up, come in one by one, each with its own.
+    /// All members of a gang must start from the same checkpoint. Their ends can arrive one by one,
+    /// each with a checkpoint of its own, if a former owner had not received them or their worker
+    /// had been given up.
     pub fn keep(&mut self, key: &TaskKey, saved: &str) {
         let gang = self.step(&key.step).is_some_and(|s| s.gang);
         let Some(part) = self.parts.get_mut(&(key.step.time, key.step.step)) else { return };
@@ -226,7 +230,7 @@
         }
     }
 
-    /// One of a task's own runs has ended: where there is another, that goes on alone.
+    /// Ends one of a task's runs. If the task has another run, that one continues alone.
     pub fn leave(&mut self, key: &TaskKey, run: u32) {
         let Some(task) = self.task(key) else { return };
         match task.copy.take() {
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Moves a task; the counts of its step go along.
+    /// Changes where a task is, and updates the counts of its step.
     pub fn put(&mut self, key: &TaskKey, at: At) {
         let Some(part) = self.parts.get_mut(&(key.step.time, key.step.step)) else { return };
         let Some(task) = part.tasks.get_mut(key.index as usize) else { return };
@@ -253,8 +257,8 @@
         task.at = at;
     }
 
-    /// The longest chain of an occurrence's steps as the objective counts it: each step takes its
-    /// waves, and as many runs more as one of its tasks has failed.
+    /// The longest chain of steps in an occurrence, as the objective counts it: a step takes its
+    /// estimate once for each wave, plus once for each failure of its most often failed task.
     pub fn allowed(&self, time: u32) -> Duration {
         let mut ends: Vec<Duration> = vec![];
         for (no, step) in (0_u16..).zip(&self.job.steps) {
@@ -268,7 +272,7 @@
         ends.into_iter().max().unwrap_or_default()
     }
 
-    /// How many occurrences it has.
+    /// The number of occurrences.
     pub fn times(&self) -> u32 {
         self.job.times.map_or(1, |t| t.count)
     }
@@ -278,7 +282,7 @@
         self.job.times.map_or(0, |t| t.first.saturating_add(t.every.saturating_mul(time.into())))
     }
 
-    /// Whether all that a step waits for is done.
+    /// Whether all steps that a step depends on are done.
     pub fn free(&self, time: u32, step: u16) -> bool {
         let Some(s) = self.job.steps.get(usize::from(step)) else { return false };
         s.after.iter().all(|a| self.parts.get(&(time, *a)).is_some_and(|p| p.left == 0))
@@ -290,7 +294,8 @@
         self.parts.len() == wanted && self.parts.values().all(|p| p.left == 0)
     }
 
-    /// What is stored of it.
+    /// The record of its progress for the store. `over` is when the job ended, in milliseconds of
+    /// the Unix clock, or 0.
     pub fn progress(&self, over: u64) -> Progress {
         let (mut tasks, mut crashes) = (vec![], vec![]);
         if !self.state.over() {
@@ -313,13 +318,13 @@
         Progress { state: self.state, over, queue: self.queue.clone(), tasks, crashes }
     }
 
-    /// How many runs have failed, in all its tasks.
+    /// The number of failed runs, over all tasks.
     pub fn failures(&self) -> u32 {
         let tasks = self.parts.values().flat_map(|p| &p.tasks);
         u32::try_from(tasks.map(|t| t.fails.len()).sum::<usize>()).unwrap_or(u32::MAX)
     }
 
-    /// All tasks that are at a worker.
+    /// All runs of tasks that are assigned to a worker, copies included.
     pub fn there(&self, no: JobNo) -> Vec<(TaskKey, WorkerNo, u32)> {
         let mut all = vec![];
         for ((time, step), part) in &self.parts {
@@ -335,7 +340,7 @@
     }
 }
 
-/// The longest chain of steps by their estimates, from each step on.
+/// For each step, the length of the longest chain of steps that begins with it, by their estimates.
 fn tails(steps: &[Step]) -> Box<[Duration]> {
     let mut tails: Vec<u64> = steps.iter().map(|s| s.estimate).collect();
     for (i, step) in steps.iter().enumerate().rev() {
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -1,4 +1,5 @@
-//! The state of a shard and its round: events in, orders out.
+//! The state machine of one shard: applies events to the shard's state and returns the orders to
+//! carry out.
 
 use {
     crate::{
@@ -27,65 +28,67 @@
     },
 };
 
-/// How often the order of what waits is made anew, as jobs get late while they wait.
+/// How often the waiting steps are ranked again, since jobs become late while they wait.
 const RANK: Duration = Duration::from_millis(250);
-/// How often the state is summed up in the log.
+/// How often a summary of the state is logged.
 const SUM: Duration = Duration::from_secs(1);
-/// How often occurrences that have come due are looked for.
+/// How often the periodic checks run, among them the one for occurrences that have come due.
 const DUE: Duration = Duration::from_millis(50);
-/// How much longer than its states must be shown a job that is over is remembered.
+/// A finished job is remembered for this many milliseconds beyond the time for which its state must
+/// be available.
 const LONGER: u64 = 10_000;
 
-/// What a shard's owner is given at its start.
+/// What a new owner of a shard starts with, apart from the stored records.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Which shard.
+    /// The shard.
     pub shard: ShardNo,
-    /// The owner.
+    /// The member that owns the shard.
     pub me: Incarnation,
-    /// Its token, higher than that of any owner before.
+    /// The owner's token, which is higher than that of any earlier owner.
     pub token: u64,
-    /// The deployment's bounds.
+    /// The time bounds of this deployment.
     pub bounds: Bounds,
-    /// The Unix clock at [`Time::ZERO`], in milliseconds.
+    /// The Unix time at [`Time::ZERO`], in milliseconds.
     pub unix: u64,
 }
 
-/// One shard at its owner.
+/// The state of one shard at the member that owns it.
 pub struct Shard {
     pub(super) setup: Setup,
     pub(super) queues: Arc<Queues>,
-    /// Each queue as the last version that had it said; jobs outlive their queue.
+    /// The latest configuration of each queue that ever existed, since jobs outlive their queue.
     pub(super) known: FxHashMap<Box<str>, Queue>,
-    /// Queues as they were when the last of their jobs came, and when that was.
+    /// For each queue, the settings stored with its most recent job, and the time at which that job
+    /// arrived (Unix milliseconds).
     pub(super) terms: FxHashMap<Box<str>, (u64, Box<Queue>)>,
     pub(super) jobs: FxHashMap<JobNo, Active>,
     pub(super) over: FxHashMap<JobNo, State>,
     pub(super) purge: VecDeque<(u64, JobNo)>,
     pub(super) timed: BTreeSet<JobNo>,
-    /// Cancels of jobs that were not heard of yet.
+    /// Cancelled jobs whose record has not arrived yet.
     pub(super) early: FxHashSet<JobNo>,
     pub(super) workers: Vec<Worker>,
     pub(super) ids: FxHashMap<WorkerId, WorkerNo>,
     pub(super) pools: FxHashMap<PoolId, Vec<WorkerNo>>,
     pub(super) unsettled: FxHashSet<WorkerNo>,
-    /// Tasks with a run besides the one that counts, which is being stopped.
+    /// Tasks that have an extra run, not the current one, which is being stopped.
     pub(super) strays: FxHashSet<TaskKey>,
     pub(super) begun: Time,
     pub(super) most: Option<Time>,
-    /// Whether the former owner can't have taken itself for confirmed since then.
+    /// Whether the former owner's lease had ended, or the shard had been released, when this owner
+    /// took over.
     pub(super) lapsed: bool,
     pub(super) ready: BTreeSet<(Rank, StepKey)>,
     pub(super) ranks: FxHashMap<StepKey, Rank>,
     pub(super) stir: bool,
-    /// Room that is kept for gangs until they start.
+    /// Resources reserved for gangs until they start.
     pub(super) reserved: BTreeMap<StepKey, Reserve>,
-    /// What was learnt of each queue's advice.
+    /// For each queue, the share of the named workers that advice has approved.
     pub(super) shares: FxHashMap<Box<str>, Share>,
-    /// How many calls for advice each queue has had, how many workers they named, and what they took;
-    /// for the log alone.
+    /// Advice calls per queue, for the log only.
     pub(super) asked: BTreeMap<Box<str>, Asked>,
-    /// No look at what waits before.
+    /// No dispatch before this time.
     pub(super) next: Time,
     pub(super) lanes: Lanes,
     pub(super) turns: Turns,
@@ -100,7 +103,7 @@
     pub(super) closing: Arc<Closing>,
     pub(super) tally: Tally,
     deposed: bool,
-    /// When the list of machines may be read again; nothing while it is being read.
+    /// When the platform's VM list may be read again; `None` while a read is in progress.
     pub(super) census: Option<Time>,
     rerank: Time,
     look: Time,
@@ -108,7 +111,7 @@
 }
 
 impl Shard {
-    /// The shard as its new owner finds it.
+    /// Builds the shard's state from the records that its new owner has read.
     pub fn new(setup: Setup, load: Load, now: Time) -> Self {
         let commit = Commit::new(load.commit);
         let mut shard = Shard {
@@ -143,7 +146,7 @@
             dirty: VecDeque::new(),
             roster: false,
             flight: Flight::default(),
-            // The store may have confirmed nothing since the shard was taken over.
+            // The store may not have confirmed the lease since the shard was taken over.
             confirmed: Time::ZERO,
             out: vec![],
             told: Told::new(now),
@@ -183,13 +186,13 @@
         }
     }
 
-    /// Takes in one event and returns the orders that follow.
+    /// Applies one event and returns the resulting orders.
     pub fn on(&mut self, event: Event, now: Time) -> Vec<Order> {
         self.take(event, now);
         self.round(now)
     }
 
-    /// Takes in one event; what follows comes with the next round.
+    /// Applies one event. Its orders are returned by the next [`Self::round`].
     pub fn take(&mut self, event: Event, now: Time) {
         if self.deposed {
             return;
@@ -221,7 +224,7 @@
             Event::Lives { sent, reply } => self.lives(sent, reply, now),
             Event::Confirmed(sent) => self.confirm(sent, now),
             Event::Peers(mut peers) => {
-                // This member first: its calls spare the way to another.
+                // This member comes first: its own calls need no hop to another member.
                 peers.own.sort_by_key(|p| *p != self.setup.me);
                 self.lanes.members(&peers);
             }
@@ -230,11 +233,11 @@
         }
     }
 
-    /// What follows from all that was taken in.
+    /// Runs one scheduling round and returns all pending orders.
     ///
-    /// Guards against an owner that never catches up: a round looks at each step that waits and at
-    /// each worker, and with one for each event hundreds of answers a second cost more than there is
-    /// the more work waits. Events that have gathered meanwhile cost one round together.
+    /// A round examines each waiting step and each worker. With one round per event, an owner that
+    /// receives hundreds of answers a second would fall behind as soon as much work waits. So all
+    /// events that have arrived since the last round share one round.
     pub fn round(&mut self, now: Time) -> Vec<Order> {
         if self.deposed {
             return mem::take(&mut self.out);
@@ -292,44 +295,45 @@
         }
     }
 
-    /// How a job stands, as far as the store has it; nothing where it is not known here, or where
-    /// another owner may know more of it.
+    /// The state of a job as far as it is stored. Returns `None` if the job is unknown here, or if
+    /// another owner may have a newer state.
     pub fn state(&self, no: JobNo, now: Time) -> Option<State> {
         self.known_state(no).filter(|s| s.over() || self.may_tell(now))
     }
 
-    /// As [`Shard::state`], for a member that knows by its own table that this one is the owner.
+    /// Like [`Shard::state`], for a member whose own table shows that it owns the shard.
     pub fn known_state(&self, no: JobNo) -> Option<State> {
         match (self.over.get(&no), self.jobs.get(&no)) {
-            // Stored, and so for any owner.
+            // This state is stored, so it holds under any owner.
             (Some(over), _) => Some(*over),
-            // Not stored yet: after a loss of power it would run again.
+            // The end is not stored yet: after a power failure the job would run again.
             (None, Some(job)) if job.state.over() => Some(State::Running),
             (None, job) => job.map(|j| j.state),
         }
     }
 
-    /// How many jobs of a queue have not begun.
+    /// Number of jobs of a queue that have not started.
     pub fn waiting(&self, queue: &str) -> u64 {
         let begun =
             |j: &&Active| *j.queue == *queue && j.state == State::Queued && j.job.times.is_none();
         self.jobs.values().filter(begun).count() as u64
     }
 
-    /// Whether nothing is left to be written.
+    /// Whether every change is stored.
     pub fn idle_commit(&self) -> bool {
         self.deposed || (self.dirty.is_empty() && !self.commit.busy())
     }
 
-    /// How many jobs stand otherwise here than in the store, as far as is known.
+    /// Number of jobs whose current state may not be stored yet.
     pub fn unwritten(&self) -> usize {
         self.dirty.len() + self.flight.jobs.len()
     }
 
-    /// Writes what is left, and decides nothing: the shard is about to be released.
+    /// Writes the remaining changes without making scheduling decisions, because the shard is about
+    /// to be released.
     ///
-    /// Guards against a release that waits in vain: between two writes lies a pause, and an answer
-    /// that comes within it begins no further one.
+    /// The release must call this repeatedly: writes are spaced by a minimum interval, and an
+    /// answer that arrives within that interval does not begin the next write.
     pub fn write_rest(&mut self, now: Time) -> Vec<Order> {
         if self.deposed {
             return vec![];
@@ -341,12 +345,12 @@
         mem::take(&mut self.out)
     }
 
-    /// A step of an occurrence, once it has come up.
+    /// The state of a step in one occurrence, once that occurrence is due.
     pub(super) fn part(&self, key: &StepKey) -> Option<&Part> {
         self.jobs.get(&key.job)?.parts.get(&(key.time, key.step))
     }
 
-    /// The present time in milliseconds of the Unix clock.
+    /// The given time in milliseconds of the Unix clock.
     pub(super) fn unix(&self, now: Time) -> u64 {
         self.setup.unix + millis(now - Time::ZERO)
     }
@@ -355,7 +359,7 @@
         millis(self.setup.bounds.keep) + LONGER
     }
 
-    /// Another owner has a higher token: nothing that is known here counts any more.
+    /// Stops this owner for good: another owner has a higher token, so this state no longer counts.
     pub(super) fn depose(&mut self) {
         log::warn!(target: "shard", did = "deposed", shard:% = self.setup.shard, token = self.setup.token; "Shard has another owner.");
         self.deposed = true;
@@ -363,7 +367,7 @@
         self.out.push(Order::Deposed);
     }
 
-    /// Notes that something of a job has to be stored; returns the place in the journal.
+    /// Marks a job as changed so that it is stored; returns the sequence number of the change.
     pub(super) fn touch(&mut self, no: JobNo) -> u64 {
         self.journal += 1;
         if let Some(job) = self.jobs.get_mut(&no) {
@@ -375,7 +379,7 @@
         self.journal
     }
 
-    /// Whether a task of a job that is not over is at this worker.
+    /// Whether this run is a current run of a task, at this worker, of a job that is not over.
     pub(super) fn at(&mut self, task: &crate::work::TaskKey, no: WorkerNo, run: u32) -> bool {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return false };
         job.task(task).is_some_and(|t| t.has(no, run))
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: their answers, their repeats, and the holds that renew leases.
+//! Calls to workers: handling of the answers, retries, and the holds that renew leases.
 
 use {
     crate::{
@@ -14,12 +14,12 @@
     std::time::Duration,
 };
 
-/// How long a start, a stop or a change of pace is waited for: workers answer within some
-/// milliseconds, and an order that has no answer by then is one of those carried out late.
+/// How long to wait for the answer to a start, a stop or a change of pace: workers answer within
+/// some milliseconds, and an order without an answer by then is one that will be carried out late.
 pub(super) const ORDER: Duration = Duration::from_millis(500);
-/// How often a start is sent before the run is given up and barred.
+/// How often a start is sent before the run is given up and blocked.
 const TRIES: u32 = 3;
-/// The pause after a worker that is unwell, or has less room than was thought.
+/// The pause after a worker has reported that it is unwell or has less capacity than expected.
 pub(super) const UNWELL: Duration = Duration::from_millis(700);
 
 impl Shard {
@@ -47,7 +47,7 @@
                 run.known = Some(now);
                 self.begun(&start.task);
             }
-            // It was there and has ended: the next hold says how.
+            // The run was there and has ended: the next hold reports how.
             Ok(WorkerReply::Refused(_, Refusal::Old)) => {
                 run.phase = Phase::Stopping;
                 run.known = Some(now);
@@ -58,7 +58,7 @@
                 run.tries += 1;
                 run.phase = Phase::Unsure;
                 run.sent = now;
-                // A silent worker gets no new lease, as with its holds.
+                // A silent worker gets no new lease, as in `holds`.
                 let from = from.filter(|_| worker.silent == 0);
                 let new = from.and_then(|f| worker.lease(&self.setup.bounds, f, now));
                 let until = new.unwrap_or(start.until);
@@ -79,14 +79,14 @@
                 if first {
                     self.lost(no, &start.task, start.run, now);
                 } else {
-                    // An earlier try may still be carried out.
+                    // An earlier start may still be carried out.
                     self.stop(no, &start.task, now);
                 }
             }
         }
     }
 
-    /// Draws what follows from a refused start for the next ones.
+    /// Applies the consequences of a refused start for later starts.
     fn refused(
         &mut self,
         no: WorkerNo,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Orders the end of a run; it counts until it has ended.
+    /// Orders a run to stop. Its resources count as used until it has ended.
     pub(super) fn stop(&mut self, no: WorkerNo, task: &TaskKey, now: Time) {
         let worker = &mut self.workers[no.0];
         let Some(run) = worker.runs.get_mut(task) else { return };
@@ -149,7 +149,7 @@
         });
     }
 
-    /// Sends stops again that had no answer, or an answer and no effect.
+    /// Repeats stops that had no answer, or that were answered and had no effect.
     pub(super) fn repeat(&mut self, now: Time) {
         let due = |r: &Run| {
             let again = if r.known.is_none() { ORDER * 2 } else { ORDER * 4 };
@@ -176,13 +176,14 @@
             if !wanted {
                 continue;
             }
-            // A silent worker gets no new lease: each one, as it may still arrive, would put off the
-            // time from which its work can start elsewhere, for ever.
+            // A silent worker gets no new lease: each lease may still arrive, so it would postpone
+            // the time from which the worker's tasks can start elsewhere, without end.
             let from = from.filter(|_| w.fenced && w.silent == 0);
             let until = from.and_then(|f| w.lease(&self.setup.bounds, f, now));
             let wait = match () {
                 () if !w.fenced || !w.pending.is_empty() || w.silent > 0 => Duration::ZERO,
-                // While the store is silent leases count from such answers, so that they have to come.
+                // While the store does not answer, leases count from the answers to holds, so these
+                // have to arrive.
                 () if w.runs.is_empty() && fresh => Duration::from_millis(1900),
                 () => Duration::from_millis(900),
             };
--- a/src/shard/plan.rs
+++ b/src/shard/plan.rs
@@ -1,4 +1,5 @@
-//! What starts next, and where: one round over the steps that wait.
+//! Dispatch: chooses which waiting steps start next, and on which workers, in rounds over the ready
+//! steps.
 
 use {
     crate::{
@@ -20,24 +21,25 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// The most steps that one round looks at.
+/// The maximum number of ready steps that a round takes from the head of the order.
 pub(super) const LOOK: usize = 400;
-/// The pause after a round for each step that waits, and the longest.
+/// The pause after a round, per waiting step, and its maximum.
 ///
-/// Guards against an owner that spends its processor on rounds: a look at a step costs some 10 µs, and
-/// the more work waits the more of them there are.
+/// Examining one step costs about 10 µs, so without a pause the owner would spend its processor on
+/// rounds when many steps wait.
 const PAUSE: (Duration, Duration) = (Duration::from_micros(200), Duration::from_millis(40));
-/// How long a step waits before it takes room that is kept for steps behind it.
+/// How long a step waits before it may use resources that are reserved for less urgent steps.
 const CLAIM: Duration = Duration::from_millis(100);
-/// How long a step waits in a pool with room to spare before it may start at a worker that is being
-/// emptied: a third of the time for which a job may wait beside room.
+/// How long a step waits in an underused pool before it may start on a worker that is being
+/// drained: a third of the time for which a job may wait beside free capacity.
 const SHELTER: Duration = Duration::from_secs(1);
-/// How much longer than expected a task may take: one part in so many.
+/// A task may run longer than expected by one part in this many.
 const OFF: u32 = 3;
-/// Up to how many hundredths of each dimension are in use in a pool with room to spare.
+/// A pool is underused while at most this percentage of each resource is in use.
 const QUIET: u64 = 55;
 
-/// Chooses a room for as many of these tasks as there is, and takes it from the rooms.
+/// Chooses workers for as many of these tasks as fit, and deducts the tasks from the workers' free
+/// resources.
 pub(super) fn choose(step: &Step, tasks: &[u32], rooms: &mut [Room]) -> Vec<(u32, WorkerNo)> {
     let mut chosen = vec![];
     for index in tasks {
@@ -52,13 +54,13 @@
     chosen
 }
 
-/// Keeps room for tasks that can't start yet from the steps behind.
+/// Withholds resources for tasks that cannot start yet from the steps that follow in the order.
 pub(super) fn keep(step: &Step, places: &[(u32, WorkerNo)], round: &mut Round) {
     places.iter().for_each(|(_, no)| round.keep(*no, step.counted()));
 }
 
 impl Shard {
-    /// Starts what has room, in order.
+    /// Runs a round: starts every task that has a worker, in the order of the steps.
     pub(super) fn dispatch(&mut self, now: Time) {
         if !self.stir || self.ready.is_empty() || self.next > now || !self.may_act(now) {
             return;
@@ -81,12 +83,12 @@
         }
     }
 
-    /// The steps that a round looks at, in order: those that starve, the first ones, and those for which
-    /// room is kept.
+    /// The steps that a round examines, in order: starving steps, then the first ready steps, then
+    /// steps with reservations.
     ///
-    /// Guards against room that stands empty: a gang kept it while it was among the first, later ones came
-    /// before it, and with no round that looked at it nobody asked for its tickets or gave the room
-    /// back. Jobs waited beside a pool that was a quarter in use.
+    /// Steps with reservations are included because a gang may reserve resources and then fall
+    /// behind later, more urgent steps. If no round examined it, nobody would request its tickets
+    /// or release the resources, and jobs would wait beside a pool that is only a quarter in use.
     pub(super) fn looked_at(&self, starving: &[StepKey]) -> Vec<StepKey> {
         let mut keys = starving.to_vec();
         let new = |k: &StepKey| !starving.contains(k);
@@ -98,14 +100,15 @@
         keys
     }
 
-    /// What a round begins with: the workers that may get starts, and what is kept for gangs.
+    /// Builds a new round: the workers that may receive starts, and the resources reserved for
+    /// gangs.
     pub(super) fn survey(&mut self, now: Time) -> Round {
         let ranks = &self.ranks;
         self.reserved.retain(|key, _| ranks.contains_key(key));
         self.view(now)
     }
 
-    /// As [`Self::survey`], where nothing may change.
+    /// Like [`Self::survey`], without changing the shard's state.
     pub(super) fn view(&self, now: Time) -> Round {
         let mut round = Round::new(self.workers.len());
         for (key, reserve) in self.reserved.iter().filter(|r| self.ranks.contains_key(r.0)) {
@@ -124,10 +127,10 @@
         round
     }
 
-    /// Forgets the runs besides those that count which have ended.
+    /// Forgets the extra runs that have ended.
     ///
-    /// Guards against a task that runs twice: one whose run is lost could start again while another
-    /// run of it, which a former owner has begun, is still stopping.
+    /// While an extra run, begun by a former owner, is still stopping, a task whose current run is
+    /// lost must not start again, or it would run twice.
     fn forget_strays(&mut self) {
         let workers = &self.workers;
         let stopping = |t: &TaskKey, w: &Worker| {
@@ -136,7 +139,7 @@
         self.strays.retain(|t| workers.iter().any(|w| stopping(t, w)));
     }
 
-    /// Whether a pool has room to spare in each dimension.
+    /// Whether the pool of these workers is underused in every resource.
     pub(super) fn quiet(&self, all: &[WorkerNo]) -> bool {
         let sum = |size: fn(&Worker) -> Size| {
             all.iter().fold(Size::default(), |sum, n| sum + size(&self.workers[n.0]))
@@ -146,11 +149,11 @@
         used.times(100).fits(&total.times(QUIET))
     }
 
-    /// The workers of a pool that are looked at for starts: those that are sound, and those in quarantine
-    /// that may be tried.
+    /// The workers that may receive starts: those not in quarantine, and quarantined ones that may
+    /// be probed.
     ///
-    /// Guards against a pool that holds most of its workers: where over a third looks bad, the cause
-    /// is something else, and the others are there for gangs all the same.
+    /// At most about a third of a pool is kept in quarantine. If more workers look faulty, the
+    /// cause is probably elsewhere, and the others are offered to gangs as well.
     fn sound_ones(&self, all: &[WorkerNo], lasts: bool, emptied: bool, now: Time) -> Vec<WorkerNo> {
         let usable = all.iter().copied().filter(|n| {
             let w = &self.workers[n.0];
@@ -170,10 +173,11 @@
         usable.filter(fine).collect()
     }
 
-    /// How many tasks of a step a worker may get now, whatever its room.
+    /// The maximum number of tasks of a step that a worker may receive now, regardless of its free
+    /// resources.
     ///
-    /// Guards against tasks that wait beside room: all of a step chose the one worker that was open
-    /// to a trial, all but one were refused there, and none went where there was room as well.
+    /// Without this limit all tasks of a step would choose the one worker that is open to a probe;
+    /// all but one would be refused there, and none would go to other workers that have capacity.
     fn most(&self, no: WorkerNo, step: &Step, now: Time) -> u32 {
         let sound = &self.workers[no.0].sound;
         match sound.verdict(now) {
@@ -182,7 +186,8 @@
         }
     }
 
-    /// Counts what waits of a step at each worker that may run it.
+    /// Adds the waiting tasks of a step to the demand of each worker that may run it; `sign` -1
+    /// subtracts them.
     pub(super) fn demand(&self, key: &StepKey, sign: i64, round: &mut Round) {
         let Some(part) = self.part(key) else { return };
         let count = part.tickets.good.len() as i64;
@@ -196,7 +201,7 @@
         }
     }
 
-    /// What a round needs to know of a step; nothing where its queue or its pool is not known.
+    /// The properties of a step that a round needs; `None` if its queue or its pool is unknown.
     pub(super) fn turn<'a>(&self, key: &'a StepKey, round: &Round, now: Time) -> Option<Turn<'a>> {
         let job = self.jobs.get(&key.job)?;
         let queue = self.known.get(&job.queue)?;
@@ -221,17 +226,17 @@
         })
     }
 
-    /// Whether a step may start at workers that are being emptied and aren't empty yet.
+    /// Whether a step may start on workers that are being drained and still run something.
     ///
-    /// Guards against small work that waits beside an idle worker: where most of a pool leaves, what
-    /// lasts has room nowhere but at the worker that is being emptied, so that it stays there and
-    /// nothing else starts until others have come. In a busy pool it waits, as the worker would never
-    /// be empty.
+    /// When most of a pool is draining, a long-running task may have no place except the draining
+    /// worker, so it stays there; short work would then wait beside an idle worker until new
+    /// workers arrive. In a busy pool the step waits instead, because the worker would otherwise
+    /// never become empty.
     fn sheltered(&self, part: &Part, step: &Step, now: Time) -> bool {
         !step.gang && !step.fills && part.ready.is_some_and(|t| t + SHELTER <= now)
     }
 
-    /// Starts what has room of one step.
+    /// Starts the tasks of one step that have a worker.
     fn place(&mut self, key: &StepKey, round: &mut Round, now: Time) {
         if !self.is_sole(&key.job) {
             return;
@@ -240,7 +245,7 @@
         if turn.advice.is_some() && self.part(key).is_none_or(|p| p.tickets.good.is_empty()) {
             return self.ask_wide(&turn, round, now);
         }
-        // Its own demand must not keep it away.
+        // The step's own demand must not count against a worker.
         self.demand(key, -1, round);
         let all = turn.waiting.len();
         turn.waiting.retain(|i| !self.strays.contains(&TaskKey { step: *key, index: *i }));
@@ -258,11 +263,11 @@
         }
     }
 
-    /// Starts what has room of a step whose tasks may start one by one.
+    /// Starts tasks of a step that need not start all at once.
     fn place_tasks(&mut self, turn: &Turn, round: &mut Round, now: Time) {
         let Turn { key, ref step, ref usable, advice, .. } = *turn;
         let (valid, mut stale) = self.rooms(turn, round, now);
-        // Where a sound worker has room as well, its ticket is worth waiting for.
+        // A healthy worker with capacity is worth the wait for its ticket.
         let poor = |r: &Room| {
             let w = &self.workers[r.index];
             w.closed()
@@ -302,8 +307,8 @@
         self.start_all(key, step, &chosen, now);
     }
 
-    /// The rooms that have place for a task of a step now: those for which it has a valid ticket, and
-    /// those for which it needs a new one.
+    /// The workers that can take a task of the step now: first those with a valid ticket, then
+    /// those whose ticket has expired.
     pub(super) fn rooms(&self, turn: &Turn, round: &Round, now: Time) -> (Vec<Room>, Vec<Room>) {
         let (mut valid, mut stale) = (vec![], vec![]);
         let Some(part) = self.part(turn.key) else { return (valid, stale) };
@@ -338,7 +343,7 @@
         (valid, stale)
     }
 
-    /// A step as it asks for room that may be kept for others.
+    /// Describes a step for comparison with resources that are reserved for others.
     pub(super) fn asker<'a>(
         &self,
         turn: &Turn<'a>,
@@ -357,7 +362,7 @@
         Asker { key: turn.key, priority: turn.priority, ends, first, absent }
     }
 
-    /// The rooms of all workers that may run a step, full ones too.
+    /// All workers that may run a step, including full ones.
     fn all_rooms(&self, turn: &Turn, round: &Round, now: Time) -> Vec<Room> {
         let Some(part) = self.part(turn.key) else { return vec![] };
         let may = |no: &&WorkerNo| turn.advice.is_none() || part.tickets.good.contains_key(no);
@@ -371,13 +376,13 @@
         turn.usable.iter().filter(may).filter_map(room).collect()
     }
 
-    /// How many tasks of a step are at a worker.
+    /// The number of tasks of a step at a worker.
     pub(super) fn same(&self, no: WorkerNo, key: &StepKey) -> u32 {
         let tasks = self.workers[no.0].runs.keys();
         u32::try_from(tasks.filter(|t| t.step == *key).count()).unwrap_or(u32::MAX)
     }
 
-    /// A worker's room as a task of this step sees it; nothing where it must not go.
+    /// The capacity of a worker for a task of this step; `None` if the task must not run there.
     pub(super) fn room(&self, no: WorkerNo, key: &StepKey, step: &Step, now: Time) -> Option<Room> {
         let w = &self.workers[no.0];
         let listed = w.listed.as_ref()?;
--- a/src/shard/queue.rs
+++ b/src/shard/queue.rs
@@ -1,8 +1,8 @@
-//! The steps that have something to be started, in order.
+//! The ready queue: the steps that have a task to start, in the order in which rounds examine them.
 //!
-//! Load: more steps wait than have room, some of them for long. The order is that of
-//! [`crate::decide::rank`], but for steps that would wait for ever by it: large tasks that only one or
-//! two workers may run.
+//! More steps may wait than fit, some of them for long. The order is that of
+//! [`crate::decide::rank`], except for steps that would never start by it, such as large tasks that
+//! only one or two workers may run. These starving steps come first.
 
 use {
     crate::{
@@ -26,20 +26,21 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// How long a step waits before it comes first: in a pool with room to spare, and in a busy one where
-/// it is too late for any worth.
+/// How long a step waits before it counts as starving: in an underused pool, and in a busy pool if
+/// it is too late to be worth anything.
 const STARVED: (Duration, Duration) = (Duration::from_secs(4), Duration::from_secs(30));
-/// How many such steps come first at once.
+/// The maximum number of such steps at a time.
 const STARVING: usize = 3;
-/// How long a task that lasts may be away before its step comes first: a third of the 6 s within which
-/// it is to run again, as a call for advice takes up to 2 s and its room as long to come.
+/// How long a long-running task may be away before its step comes first: a third of the 6 s within
+/// which it must run again, since an advice call takes up to 2 s and freeing capacity takes as
+/// long.
 const AWAY: Duration = Duration::from_secs(2);
-/// How many such steps come first at once: a quarter of those that a round looks at, as each costs a
-/// look at all that runs on the workers that may run it.
+/// The maximum number of such steps at a time: a quarter of those that a round examines, since each
+/// of them has to examine all runs on the workers that may run it.
 const ABSENT: usize = LOOK / 4;
 
 impl Shard {
-    /// Looks over which steps of a job are ready.
+    /// Updates which steps of a job are ready, and their ranks.
     pub(super) fn review(&mut self, no: JobNo, now: Time) {
         self.reckon_waves(no);
         let Some(job) = self.jobs.get(&no) else { return };
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Finds out in how many waves the steps of a job run, once it is known what room there is.
+    /// Computes in how many waves the tasks of each step run, once the workers are known.
     fn reckon_waves(&mut self, no: JobNo) {
         let Some(job) = self.jobs.get_mut(&no).filter(|j| j.waves.is_empty()) else { return };
         let Some(queue) = self.known.get(&job.queue) else { return };
@@ -96,14 +97,14 @@
         self.ready.insert((rank, key));
     }
 
-    /// A step has nothing to be started.
+    /// Removes a step from the ready queue.
     pub(super) fn unready(&mut self, key: &StepKey) {
         if let Some(rank) = self.ranks.remove(key) {
             self.ready.remove(&(rank, *key));
         }
     }
 
-    /// As [`Self::unready`], where all its tasks are placed.
+    /// Like [`Self::unready`], if all tasks of the step are placed.
     pub(super) fn unready_if_placed(&mut self, key: &StepKey) {
         let part = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
         if part.is_none_or(|p| p.waiting == 0) {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Makes the order anew.
+    /// Recomputes the rank of all ready steps.
     pub(super) fn rank_again(&mut self, now: Time) {
         let jobs: FxHashSet<JobNo> = self.ranks.keys().map(|k| k.job).collect();
         for no in jobs {
@@ -119,16 +120,16 @@
         }
     }
 
-    /// Steps that come first now: those of which a task that lasts is away, and behind them those that
-    /// have waited too long, in a pool with room to spare any, in a busy one those too late for any
-    /// worth.
+    /// The steps that come first in this round: those with a long-running task that is away, then
+    /// those that have waited too long. In an underused pool any step can be among the latter; in a
+    /// busy pool only those that are too late to be worth anything.
     ///
-    /// Guards against tasks that last and stay away for as long as more urgent work comes: each new
-    /// step of that could be in time and goes first, and takes each bit of room as it ends.
+    /// Without the former, a long-running task would stay away as long as more urgent work arrives:
+    /// each new step could still be on time, goes first, and takes all capacity that becomes free.
     ///
-    /// Guards against large tasks that only one or two workers may run: smaller ones with worth take
-    /// these again and again, and a job that was taken in would never end. As long as its pool is
-    /// busy that costs others their worth, so it waits longer then.
+    /// Without the latter, a large task that only one or two workers may run would never start,
+    /// because smaller tasks that are worth something take these workers again and again. In a busy
+    /// pool the exception costs those tasks their worth, so the step waits longer there.
     pub(super) fn starving(&self, round: &Round, now: Time) -> Vec<StepKey> {
         let (mut all, mut absent) = (vec![], vec![]);
         for (rank, key) in self.ready.iter().rev() {
@@ -157,9 +158,10 @@
         [first(absent, ABSENT, ABSENT), first(all, ABSENT, STARVING)].concat()
     }
 
-    /// Whether a step finds room once what ends has ended, as far as is known of its workers.
+    /// Whether a step will find capacity once the runs that end have ended, as far as its workers
+    /// are known.
     ///
-    /// Guards against steps that wait for workers which are yet to come, and stand before all others.
+    /// A step that waits for workers which do not exist yet must not come before all others.
     fn could_start(&self, key: &StepKey, round: &Round, now: Time) -> bool {
         let (Some(turn), Some(part)) = (self.turn(key, round, now), self.part(key)) else {
             return false;
@@ -170,7 +172,8 @@
         more || self.ever_slots(&turn) >= wanted
     }
 
-    /// For how many tasks of a step the workers that may run it have room once what ends has ended.
+    /// The number of tasks of a step that fit on the workers that may run it, once the runs that
+    /// end have ended.
     pub(super) fn ever_slots(&self, turn: &Turn) -> u64 {
         let step = &turn.step;
         let slots = |no: WorkerNo| {
@@ -187,14 +190,15 @@
         self.good(turn).into_iter().fold(0, |sum, no| slots(no).saturating_add(sum))
     }
 
-    /// Since when the first task of a step waits, counted from the end of its last run.
+    /// Since when the first task of a step has waited, counted from the end of its last run.
     fn away_since(&self, key: &StepKey) -> Option<Time> {
         let part = self.part(key)?;
         let waiting = part.tasks.iter().filter(|t| t.at == At::Waiting);
         waiting.filter_map(|t| t.left.or(part.ready)).min()
     }
 
-    /// Where a step that starves would best wait for room: the workers with the most of it.
+    /// The workers on which a starving step should wait for capacity: those with the most free
+    /// resources first.
     pub(super) fn wish(&self, turn: &Turn, good: &[Room], now: Time) -> Vec<(u32, WorkerNo)> {
         let Turn { key, ref step, .. } = *turn;
         if self.part(key).and_then(|p| p.ready).is_none_or(|t| t + PATIENCE > now) {
@@ -218,7 +222,7 @@
         wish
     }
 
-    /// What a worker has room for beside what lasts there.
+    /// The resources of a worker that long-running tasks do not use.
     pub(super) fn ever(&self, no: WorkerNo) -> Size {
         let worker = &self.workers[no.0];
         let stays = |(t, r): &(&TaskKey, &Run)| r.phase != Phase::Stopping && self.lasts(t);
--- a/src/shard/record.rs
+++ b/src/shard/record.rs
@@ -1,17 +1,17 @@
-//! What the store keeps of shards, and under which keys.
+//! The records that the store keeps for shards, and their keys.
 //!
-//! | key | who writes it | what for |
+//! | key | written by | contents |
 //! |---|---|---|
-//! | `dwr/in/SHARD/j/JOB` | any member, if absent; its removal the owner | a job that was taken in |
-//! | `dwr/in/SHARD/c/JOB` | any member | that its caller has cancelled it |
-//! | `dwr/p/SHARD/JOB` | the owner | how a job stands; stays for a while when it is over |
-//! | `dwr/r/SHARD` | the owner | the workers that may run something of this shard |
-//! | `dwr/c/SHARD` | the owner, with every write | fences: each write expects the last one's revision |
-//! | `dwr/t/o/SHARD` | who takes over | who owns the shard, and with which token |
-//! | `dwr/t/m/MEMBER` | each member, under its lease | that the member is alive, and where |
-//! | `dwr/t/closing` | who owns the first shard | the workers whose VMs are to have their upkeep |
-//! | `dwr/u` | the same | how far each wave of upkeep is |
-//! | `dwr/t/layout` | the first member | how many shards there are |
+//! | `dwr/in/SHARD/j/JOB` | any member, if absent; removed by the owner | a submitted job |
+//! | `dwr/in/SHARD/c/JOB` | any member | the request of the job's caller to cancel it |
+//! | `dwr/p/SHARD/JOB` | the owner | the progress of a job; kept for a while after its end |
+//! | `dwr/r/SHARD` | the owner | the workers that may run tasks of this shard |
+//! | `dwr/c/SHARD` | the owner, with every write | fence: each write expects the last one's revision |
+//! | `dwr/t/o/SHARD` | the member that takes over | the owner of the shard and its token |
+//! | `dwr/t/m/MEMBER` | each member, under its lease | that the member is alive, and its address |
+//! | `dwr/t/closing` | the owner of the first shard | the workers whose VMs are due for upkeep |
+//! | `dwr/u` | the owner of the first shard | the progress of each wave of upkeep |
+//! | `dwr/t/layout` | the first member | the layout: how many shards there are |
 
 use {
     crate::{
@@ -23,16 +23,17 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// What the keys begin with that every member watches.
+/// Prefix of the keys that every member watches.
 pub const TABLE: &str = "dwr/t/";
-/// What the keys of members begin with.
+/// Prefix of the keys of members.
 pub const MEMBERS: &str = "dwr/t/m/";
-/// What the keys of owners begin with.
+/// Prefix of the keys of shard owners.
 pub const OWNERS: &str = "dwr/t/o/";
-/// The key of the layout.
+/// Key of the layout.
 pub const LAYOUT: &str = "dwr/t/layout";
 
-/// A shard: a part of the jobs and of the workers, scheduled by one member.
+/// The number of a shard. A shard is a part of the jobs and of the workers, scheduled by one
+/// member.
 #[derive(
     Clone,
     Copy,
@@ -51,233 +52,234 @@
 pub struct ShardNo(pub u16);
 
 impl ShardNo {
-    /// What the keys of jobs and cancels begin with.
+    /// Prefix of the keys of jobs and their cancels.
     pub fn inbox(self) -> Box<str> {
         format!("dwr/in/{self}/").into()
     }
 
-    /// The key of a job.
+    /// Key of a job.
     pub fn job(self, job: JobNo) -> Box<str> {
         format!("dwr/in/{self}/j/{job}").into()
     }
 
-    /// The key of a cancel.
+    /// Key of a job's cancel.
     pub fn cancel(self, job: JobNo) -> Box<str> {
         format!("dwr/in/{self}/c/{job}").into()
     }
 
-    /// What the keys of progress begin with.
+    /// Prefix of the keys of progress records.
     pub fn all_progress(self) -> Box<str> {
         format!("dwr/p/{self}/").into()
     }
 
-    /// The key of a job's progress.
+    /// Key of a job's progress.
     pub fn progress(self, job: JobNo) -> Box<str> {
         format!("dwr/p/{self}/{job}").into()
     }
 
-    /// The key of the roster.
+    /// Key of the roster.
     pub fn roster(self) -> Box<str> {
         format!("dwr/r/{self}").into()
     }
 
-    /// The key of the commit row.
+    /// Key of the commit row.
     pub fn commit(self) -> Box<str> {
         format!("dwr/c/{self}").into()
     }
 
-    /// The key of the owner's row.
+    /// Key of the owner's row.
     pub fn owner(self) -> Box<str> {
         format!("{OWNERS}{self}").into()
     }
 }
 
-/// Shards that follow each other.
+/// A range of consecutive shards.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Span(
-    /// The first.
+    /// The first shard.
     pub u16,
-    /// How many.
+    /// The number of shards.
     pub u16,
 );
 
 impl Span {
-    /// Whether a shard is one of these.
+    /// Whether a shard is in the range.
     pub fn has(self, shard: ShardNo) -> bool {
         shard.0 >= self.0 && shard.0 - self.0 < self.1
     }
 
-    /// The one of these shards that a hash falls on.
+    /// The shard of the range that a hash maps to.
     pub fn of(self, hash: u64) -> ShardNo {
         ShardNo(self.0 + (hash % u64::from(self.1.max(1))) as u16)
     }
 }
 
-/// How many shards there are, and what members show each other.
+/// The division of a deployment into shards, and the secret that its members share. Never changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Layout {
-    /// Their number; above 0, and never changed.
+    /// The number of shards, above 0.
     pub shards: u16,
-    /// What a member shows to another: drawn by the first, known to who can read the store.
+    /// The secret by which members authenticate to each other. The first member generates it, and
+    /// whoever can read the store knows it.
     pub secret: Box<str>,
-    /// The shards of the workers that were listed when it was made, in order of their addresses.
+    /// The shards of the workers that were listed when the layout was made, sorted by address.
     #[serde(default)]
     pub homes: Vec<(SocketAddr, ShardNo)>,
-    /// The shards of each pool that had workers when it was made.
+    /// The shards of each pool that had workers when the layout was made.
     #[serde(default)]
     pub pools: BTreeMap<PoolId, Span>,
 }
 
-/// A member, as the table has it.
+/// A member, as the store's membership table describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Where it takes calls of other members.
+    /// The address for calls of other members.
     pub control: SocketAddr,
-    /// Its availability zone.
+    /// The member's availability zone.
     pub zone: Zone,
-    /// Whether it is stopping.
+    /// Whether the member is shutting down.
     pub draining: bool,
-    /// Its share of a processor, in cores.
+    /// The processor share of the member, in cores.
     #[serde(default)]
     pub cores: f64,
-    /// Whether the store serves it through other members only.
+    /// Whether the member reaches the store only through other members.
     #[serde(default)]
     pub relayed: bool,
 }
 
-/// Who owns a shard.
+/// The ownership of a shard.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OwnerRow {
-    /// The owner; none where it was released.
+    /// The owner; `None` if the shard was released.
     pub owner: Option<Incarnation>,
-    /// Counts the owners that the shard has had.
+    /// The number of owners that the shard has had.
     pub token: u64,
-    /// Where the owner takes calls of other members.
+    /// The owner's address for calls of other members.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub control: Option<SocketAddr>,
 }
 
-/// What each write of an owner changes, so that none of its earlier writes can take effect later.
+/// Changed by each write of an owner, so that none of its earlier writes can take effect later.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommitRow {
     /// The owner's token.
     pub token: u64,
-    /// Counts the owner's writes.
+    /// The number of writes of this owner.
     pub number: u64,
 }
 
-/// A job as it was taken in.
+/// A job as it was submitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// The name of its queue.
     pub queue: Box<str>,
-    /// When it came, in milliseconds of the Unix clock of the member that took it in.
+    /// When it was submitted, in milliseconds of the Unix clock of the member that received it.
     pub came: u64,
-    /// What it says.
+    /// The specification of the job.
     pub job: Job,
-    /// Its queue as it was then; nothing in a record of before.
+    /// The settings of its queue at that time; `None` in records of older versions.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub terms: Option<Box<Queue>>,
 }
 
-/// How a job stands.
+/// The stored progress of a job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Its state.
+    /// The state of the job.
     pub state: State,
-    /// When it was over, in milliseconds of the Unix clock; 0 before.
+    /// When the job ended, in milliseconds of the Unix clock; 0 until then.
     #[serde(default)]
     pub over: u64,
     /// The name of its queue.
     pub queue: Box<str>,
-    /// The tasks of which something has ended.
+    /// The tasks that have a run or are done.
     #[serde(default)]
     pub tasks: Vec<TaskRow>,
-    /// The tasks under which workers have crashed.
+    /// The tasks during whose runs workers have crashed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<CrashRow>,
 }
 
-/// What is stored of a task.
+/// The stored state of a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskRow(
     /// The occurrence.
     pub u32,
     /// The step.
     pub u16,
-    /// The task's number in its step.
+    /// The index of the task in its step.
     pub u32,
-    /// The last run that is known.
+    /// The last known run.
     pub u32,
     /// The runs that have failed.
     pub Vec<u32>,
-    /// Whether its work is done.
+    /// Whether the task is done.
     pub bool,
     /// Its last checkpoint.
     pub Box<str>,
 );
 
-/// The crashes of workers that are laid to a task.
+/// The worker crashes that are attributed to a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CrashRow(
     /// The occurrence.
     pub u32,
     /// The step.
     pub u16,
-    /// The task's number in its step.
+    /// The index of the task in its step.
     pub u32,
-    /// The runs under which workers have crashed.
+    /// The runs during which workers have crashed.
     pub Vec<u32>,
-    /// The run that has begun; 0 is none.
+    /// The run that is in progress; 0 if there is none.
     pub u32,
 );
 
-/// The workers that may run something of a shard.
+/// The workers that may run tasks of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Roster {
     /// Their ids and addresses.
     pub workers: Vec<(WorkerId, SocketAddr)>,
 }
 
-/// A record as the store keeps it.
+/// Encodes a record for the store.
 pub fn write<T: Serialize>(record: &T) -> Bytes {
     serde_json::to_vec(record).expect("records have plain keys and finite numbers").into()
 }
 
-/// Reads a record; nothing where it is not one.
+/// Decodes a record; `None` if the value is not one.
 pub fn read<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
     serde_json::from_slice(value).ok()
 }
 
-/// The key of the workers whose VMs are to have their upkeep; all members watch it.
+/// Key of the [`Closing`] record; all members watch it.
 pub const CLOSING: &str = "dwr/t/closing";
 
-/// Which turn a worker has in a wave of upkeep.
+/// The turn of a worker in a wave of upkeep.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Turn {
-    /// None.
+    /// The worker has no turn.
     #[default]
     Open,
-    /// Its turn is yet to come: what lasts had better go elsewhere.
+    /// Its turn is still to come; long-running tasks had better start elsewhere.
     Due,
-    /// It is emptied: nothing starts there, what lasts moves, the rest may end by itself.
+    /// It is being drained: nothing starts there, long-running tasks move, other tasks may finish.
     Closing,
-    /// As before, and the rest is waited for no longer.
+    /// As `Closing`, but the tasks that still run there are no longer waited for.
     Forced,
 }
 
-/// The workers whose VMs are to have their upkeep.
+/// The workers whose VMs are due for upkeep.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Closing {
-    /// The token of who wrote it, and how often that one wrote before: it only rises.
+    /// The token of the writer, and the number of its earlier writes; the pair only increases.
     pub place: (u64, u64),
-    /// The workers, and their turns.
+    /// The turn of each worker.
     pub turns: BTreeMap<WorkerId, Turn>,
 }
 
 impl Closing {
-    /// A worker's turn.
+    /// The turn of a worker; `Open` if it is not in the record.
     pub fn turn(&self, worker: &WorkerId) -> Turn {
         self.turns.get(worker).copied().unwrap_or_default()
     }
--- a/src/shard/round.rs
+++ b/src/shard/round.rs
@@ -1,4 +1,5 @@
-//! One round over the steps that wait: what it has found out, and what it keeps for whom.
+//! The working state of one scheduling round: the usable workers of each pool, and the resources
+//! withheld for steps that cannot start yet.
 
 use {
     crate::{
@@ -13,79 +14,81 @@
     std::rc::Rc,
 };
 
-/// How many steps of a round may look beyond the room that is free now: at what runs, at what could be
-/// stopped, and for other workers.
+/// The number of steps per round that may search beyond the free resources: for runs about to end,
+/// for runs to preempt, and for other workers.
 pub(super) const MORE: usize = 24;
 
-/// What a round has found out about the pools.
+/// The working state of a round.
 #[derive(Default)]
 pub(super) struct Round {
     pub(super) usable: FxHashMap<PoolId, Rc<[WorkerNo]>>,
-    /// The same for steps that last.
+    /// The workers for long-running steps.
     pub(super) lasting: FxHashMap<PoolId, Rc<[WorkerNo]>>,
-    /// The same, in pools with room to spare, for steps that have waited for it.
+    /// The workers of underused pools, with those being drained, for steps that have waited long
+    /// enough.
     pub(super) spare: FxHashMap<PoolId, Rc<[WorkerNo]>>,
-    /// Pools with room to spare.
+    /// The pools that are underused.
     pub(super) quiet: FxHashSet<PoolId>,
-    /// Steps that come first because they have waited too long.
+    /// The steps that come first because they have waited too long.
     pub(super) starving: Vec<StepKey>,
-    /// What is kept at each worker for steps that come first.
+    /// The resources of each worker that are withheld for steps earlier in the order.
     kept: Vec<Size>,
-    /// What is kept there for gangs until they start.
+    /// The resources of each worker that are reserved for gangs until they start.
     claims: Vec<Vec<Claim>>,
-    /// What waits for each worker, in hundredths of a task.
+    /// The demand for each worker, in hundredths of a waiting task.
     pub(super) demand: Vec<u32>,
-    /// The steps that will have room at a worker soon.
+    /// The steps that will soon have room at a worker.
     pub(super) line: Line<WorkerNo>,
-    /// How many steps have looked beyond the room that is free now, and of these those that last.
+    /// The number of steps that have searched beyond the free resources, and how many of those are
+    /// long-running.
     more: (usize, usize),
-    /// The queues for whose calls for advice no member is free.
+    /// The queues for whose advice calls no member is free.
     pub(super) busy: FxHashSet<Box<str>>,
 }
 
-/// What is kept at one worker for a gang.
+/// The resources of one worker that are reserved for a gang.
 struct Claim {
     gang: StepKey,
     size: Size,
-    /// The priority of its queue.
+    /// The priority of the gang's queue.
     priority: u8,
     /// When the gang is expected to start.
     at: Time,
-    /// Whether its turn in this round is over.
+    /// Whether the gang's turn in this round is over.
     passed: bool,
 }
 
-/// Who asks for room that may be kept for others.
+/// A step that asks for resources which may be reserved for others.
 pub(super) struct Asker<'a> {
     pub(super) key: &'a StepKey,
     pub(super) priority: u8,
-    /// When its tasks end that start now.
+    /// When tasks that start now are expected to end.
     pub(super) ends: Time,
-    /// Whether it takes room that is kept for less urgent steps behind it.
+    /// Whether the step may use resources reserved for less urgent gangs later in the order.
     pub(super) first: bool,
-    /// Whether a task of it that lasts has been away too long: it takes room that is kept for any gang
-    /// behind it.
+    /// Whether a long-running task of the step has been away too long. Such a step may use
+    /// resources reserved for any gang later in the order.
     pub(super) absent: bool,
 }
 
-/// One step's turn in a round.
+/// The turn of one step in a round, with the properties of the step.
 pub(super) struct Turn<'a> {
     pub(super) key: &'a StepKey,
     pub(super) step: Step,
-    /// The name and the priority of its queue.
+    /// The name and the priority of the step's queue.
     pub(super) queue: Box<str>,
     pub(super) priority: u8,
     pub(super) pool: PoolId,
-    /// Its tasks that wait.
+    /// The indices of its waiting tasks.
     pub(super) waiting: Vec<u32>,
-    /// The workers of its pool that may get starts.
+    /// The workers of its pool that may receive starts.
     pub(super) usable: Rc<[WorkerNo]>,
-    /// What advice on it costs, if it needs any.
+    /// The cost of advice on it, if it needs advice.
     pub(super) advice: Option<AdviceCost>,
 }
 
 impl Round {
-    /// A round in which nothing is kept yet, over so many workers.
+    /// Creates a round over this many workers, with nothing withheld.
     pub(super) fn new(workers: usize) -> Self {
         Round {
             kept: vec![Size::default(); workers],
@@ -95,16 +98,17 @@
         }
     }
 
-    /// What is kept at a worker for steps that come first in this round.
+    /// The resources of a worker that are withheld for steps earlier in this round.
     pub(super) fn before(&self, no: WorkerNo, key: &StepKey) -> Size {
         let passed = self.claims[no.0].iter().filter(|c| c.passed && c.gang != *key);
         passed.fold(self.kept[no.0], |sum, c| sum + c.size)
     }
 
-    /// What is kept at a worker from this step.
+    /// The resources of a worker that this step must not use.
     ///
-    /// Room that is kept for a gang is open to what ends before the gang can start: the last of its
-    /// workers may be seconds away, and the others would stand idle until then.
+    /// Resources reserved for a gang are open to tasks that end before the gang can start. The last
+    /// of the gang's workers may become available seconds later, and the others would be idle until
+    /// then.
     pub(super) fn claimed(&self, no: WorkerNo, asker: &Asker) -> Size {
         let holds = |c: &&Claim| {
             let mine = c.gang == *asker.key;
@@ -115,18 +119,18 @@
         self.claims[no.0].iter().filter(holds).fold(self.kept[no.0], |sum, c| sum + c.size)
     }
 
-    /// What is kept there for steps that come first, but for gangs.
+    /// The resources of a worker that are withheld for earlier steps other than gangs.
     pub(super) fn kept(&self, no: WorkerNo) -> Size {
         self.kept[no.0]
     }
 
-    /// What is kept at a worker for any step.
+    /// The resources of a worker that are withheld or reserved for any step.
     pub(super) fn all_claims(&self, no: WorkerNo) -> Size {
         self.claims[no.0].iter().fold(self.kept[no.0], |sum, c| sum + c.size)
     }
 
-    /// Whether one more step may look beyond the room that is free now; those that last have half of
-    /// the looks at the most.
+    /// Whether one more step may search beyond the free resources. Long-running steps get at most
+    /// half of the searches.
     pub(super) fn try_more(&mut self, lasts: bool) -> bool {
         if lasts && self.more.1 >= MORE / 2 {
             return false;
@@ -136,12 +140,12 @@
         self.more.0 <= MORE
     }
 
-    /// Keeps room at a worker from the steps behind.
+    /// Withholds resources of a worker from later steps.
     pub(super) fn keep(&mut self, no: WorkerNo, size: Size) {
         self.kept[no.0] += size;
     }
 
-    /// Counts what is kept for a gang.
+    /// Adds the reservation of a gang.
     pub(super) fn claim(&mut self, gang: &StepKey, reserve: &Reserve, passed: bool) {
         let Reserve { size, priority, at, .. } = *reserve;
         for (no, n) in &reserve.each {
@@ -152,7 +156,7 @@
         }
     }
 
-    /// A gang's turn is over, with the room that is kept for it before and now.
+    /// Ends a gang's turn, replacing its former reservation by the new one.
     pub(super) fn pass(&mut self, gang: &StepKey, old: Option<Reserve>, new: Option<&Reserve>) {
         for (no, _) in old.iter().flat_map(|r| &r.each) {
             self.claims[no.0].retain(|c| c.gang != *gang);
--- a/src/shard/sight.rs
+++ b/src/shard/sight.rs
@@ -1,7 +1,7 @@
-//! What a waiting step waits for, with all that decides it. Nothing here decides.
+//! Diagnosis: finds out why a waiting step does not start. It takes no scheduling decisions.
 //!
-//! A step is seen as the next round would find it: the steps before it in the order are gone through
-//! with the round's own means, and what they would take or keep is no room for it.
+//! The diagnosis rehearses the next round with the round's own functions: whatever the steps that
+//! come earlier would take or withhold is not available to the step in question.
 
 use {
     crate::{
@@ -22,15 +22,15 @@
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// From when on a lasting task is away: most are back by then, and a third of the time is left that
-/// one may be.
+/// After this time a long-running task counts as away. Most tasks run again by then, and a third of
+/// the time for which one may be away is left.
 const AWAY: Duration = Duration::from_secs(2);
-/// Of how many steps at most, those that are away longest, it is found out why: more than a round looks
-/// at.
+/// The maximum number of steps that are diagnosed, those that have been away longest. More than a
+/// round examines.
 const SEEN: usize = 500;
 
 impl Shard {
-    /// The lasting steps of which tasks are away, and why.
+    /// The long-running steps that have tasks away, longest first, each with its cause.
     pub fn absent(&self, now: Time) -> Vec<Away> {
         let mut all = vec![];
         for (no, job) in self.jobs.iter().filter(|(_, j)| !j.state.over()) {
@@ -56,7 +56,8 @@
         all
     }
 
-    /// Which tasks of a lasting step are away, if any; what waits is yet to be looked at.
+    /// The tasks of a long-running step that are away, if any. The cause for waiting tasks is
+    /// filled in later.
     fn look_for(&self, key: StepKey, part: &Part, now: Time) -> Option<Away> {
         let ready = self.ranks.contains_key(&key);
         let (mut waiting, mut held) = (vec![], vec![]);
@@ -88,7 +89,7 @@
         Some(Away { key, tasks, held, first, away: now - since, class: 0, behind: 0, cause, sight })
     }
 
-    /// Since when a task is not seen to run at the worker where it is counted, and why.
+    /// Since when a task has not been seen to run at the worker that it is assigned to, and why.
     fn unseen(&self, no: WorkerNo, task: &TaskKey, since: Time) -> Option<(Time, Cause)> {
         let worker = &self.workers[no.0];
         let run = worker.runs.get(task)?;
@@ -100,7 +101,8 @@
         }
     }
 
-    /// How many steps are before each of these, and what decides when their tasks start.
+    /// For each of these steps, the number of steps before it and the facts that decide when its
+    /// tasks start.
     pub(super) fn sights(
         &self,
         keys: &FxHashSet<StepKey>,
@@ -133,7 +135,7 @@
         sights
     }
 
-    /// Keeps what a step would take or keep in the next round from those behind it.
+    /// Withholds from later steps whatever a step would take or withhold in the next round.
     fn rehearse(&self, key: &StepKey, round: &mut Round, now: Time) {
         if !self.is_sole(&key.job) {
             return;
@@ -152,7 +154,7 @@
         keep(&turn.step, &places, round);
     }
 
-    /// What decides when a step's tasks start.
+    /// Collects the facts that decide when a step's tasks start.
     fn sight(&self, key: &StepKey, round: &Round, now: Time) -> Sight {
         let mut sight = Sight {
             wanted: 1,
@@ -183,7 +185,7 @@
         sight
     }
 
-    /// What holds up a step before any worker is looked at.
+    /// The cause that holds a step up regardless of the workers, if any.
     fn gate(&self, turn: &Turn, now: Time) -> Option<Cause> {
         let stray = |i: &u32| self.strays.contains(&TaskKey { step: *turn.key, index: *i });
         let strays = turn.waiting.iter().filter(|i| stray(i)).count();
@@ -201,7 +203,7 @@
         }
     }
 
-    /// Looks at a step's pool.
+    /// Counts the workers of a step's pool.
     fn see_pool(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, ref step, ref pool, .. } = *turn;
         let usable: FxHashSet<WorkerNo> = turn.usable.iter().copied().collect();
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Looks at the workers that may run a step.
+    /// Counts the workers that may run a step.
     fn see_good(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, ref step, ref pool, .. } = *turn;
         let usable: FxHashSet<WorkerNo> = turn.usable.iter().copied().collect();
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Why a worker gets no starts, if so.
+    /// Why a worker gets no starts, or `None` if it may get them.
     fn bar(
         &self,
         no: WorkerNo,
@@ -312,7 +314,7 @@
         }
     }
 
-    /// Whether a member is free for the call that a step would need.
+    /// Whether a member is free to make the advice call that a step would need.
     fn member(&self, sight: &Sight, turn: &Turn, now: Time) -> bool {
         let Some(cost) = turn.advice else { return true };
         let chunk = chunk(cost.base, cost.each);
--- a/src/shard/start.rs
+++ b/src/shard/start.rs
@@ -1,4 +1,4 @@
-//! Starts: runs are numbered, noted at their worker, and ordered.
+//! Starting of tasks: numbers the runs, adds them to their workers and orders the starts.
 
 use {
     crate::{
@@ -17,11 +17,12 @@
     std::time::Duration,
 };
 
-/// The runs of a job that former owners may have started are numbered from here on, for each owner.
+/// Each owner gets a block of this many run numbers for jobs of which former owners may have
+/// started tasks, so that its numbers are higher than theirs.
 const RUNS: u64 = 1000;
 
 impl Shard {
-    /// Starts tasks of one step; those of a gang share a run.
+    /// Starts tasks of one step; the members of a gang share one run number.
     pub(super) fn start_all(
         &mut self,
         key: &StepKey,
@@ -74,12 +75,13 @@
         let Some(t) = job.task(&task) else { return };
         t.run = run;
         if !t.crashes.is_empty() {
-            // A successor has to know of it.
+            // A successor must know that this run is in progress.
             self.touch(task.step.job);
         }
     }
 
-    /// Orders a run, and counts it at its worker; returns whether it could.
+    /// Adds a run to its worker and orders the start; returns false if the owner or the worker has
+    /// no valid lease.
     pub(super) fn launch(
         &mut self,
         task: TaskKey,
--- a/src/shard/store.rs
+++ b/src/shard/store.rs
@@ -1,4 +1,4 @@
-//! What a shard writes, and what follows once it is written.
+//! Writes of a shard's changes to the store, and the consequences of a stored change.
 
 use {
     crate::{
@@ -17,26 +17,28 @@
     std::mem,
 };
 
-/// The most jobs that are purged with one write.
+/// The maximum number of jobs that one write purges.
 const PURGE: usize = 12;
 
 impl Shard {
-    /// Begins a write, if there is something to write and none is out.
+    /// Begins a write if there is something to write and no write is in progress.
     ///
-    /// Callers wait for the ends of jobs, and starts for the roster; the ends of tasks gather longer,
-    /// as each write is paid for and has the workers asked again.
+    /// Callers wait for the ends of jobs, and starts wait for the roster, so these are written
+    /// soon. The ends of tasks are collected for longer, because each write has a cost and makes
+    /// the shard call the workers again.
     pub(super) fn flush(&mut self, now: Time) {
         let over = |no: &JobNo| self.jobs.get(no).is_some_and(|j| j.state.over());
         let urgent = self.roster || self.dirty.iter().any(over);
         self.flush_as(urgent, now);
     }
 
-    /// As [`Shard::flush`], whatever there is to write.
+    /// Like [`Shard::flush`]; `urgent` says whether somebody waits for the write.
     pub(super) fn flush_as(&mut self, urgent: bool, now: Time) {
         let unix = self.unix(now);
         let purge = self.purge.front().is_some_and(|(at, _)| *at <= unix);
         if self.dirty.is_empty() && !self.roster && !purge {
-            // An end of a job that is stored already has no write that would have it noted.
+            // The end of a run whose job is already stored triggers no write that would acknowledge
+            // it.
             return self.note(now);
         }
         if !self.commit.open(urgent, now) {
@@ -61,7 +63,7 @@
             self.purge.pop_front();
             flight.purged.push((at, no));
             txn.remove.push(shard.progress(no));
-            // A cancel that came when the job was over already.
+            // A cancel may have arrived after the job was over.
             txn.remove.push(shard.cancel(no));
         }
         self.flight = flight;
@@ -74,7 +76,7 @@
         let place = |n: &WorkerNo| (self.workers[n.0].id.clone(), self.workers[n.0].addr);
         let roster = Roster { workers: all.iter().map(place).collect() };
         txn.puts.push(Put { key: self.setup.shard.roster(), value: write(&roster), lease: 0 });
-        // Until it is stored, those that it leaves out may not be used.
+        // Workers that the new roster omits must not be used while it is being written.
         for (n, w) in self.workers.iter_mut().enumerate() {
             w.rostered &= all.binary_search(&WorkerNo(n)).is_ok();
         }
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The write is done: what it held counts from now on.
+    /// Applies a completed write: its contents are now stored.
     pub(super) fn stored(&mut self, now: Time) {
         let flight = mem::take(&mut self.flight);
         for (no, _, over) in flight.jobs {
@@ -119,7 +121,7 @@
         self.note(now);
     }
 
-    /// The write was not done: what it held has to be written again.
+    /// Returns the contents of a failed write to the queue, to be written again.
     pub(super) fn unstored(&mut self) {
         let flight = mem::take(&mut self.flight);
         for (no, ..) in flight.jobs.into_iter().rev() {
@@ -135,11 +137,12 @@
         self.roster |= flight.roster.is_some();
     }
 
-    /// Ends whose jobs are stored are noted with the next hold of their worker.
+    /// Marks the ends of runs whose jobs are stored, so that the worker's next hold acknowledges
+    /// them.
     ///
-    /// Guards against a task that runs again after its end was noted: as long as a worker of the
-    /// roster has not been heard, a former owner that doesn't know better may start it there, once
-    /// it has heard that the life where it ran is over.
+    /// This waits until the shard is settled. While a worker of the roster has not answered, a
+    /// former owner without newer knowledge may start the task there again, once it has heard that
+    /// the incarnation in which the task ended is over.
     pub(super) fn note(&mut self, now: Time) {
         if !self.unsettled.is_empty() {
             return;
@@ -161,7 +164,8 @@
         }
     }
 
-    /// Forgets jobs that have been over for long; the store's rows go with the next write.
+    /// Warns if the clean-up of finished jobs is late; the rows themselves are removed with the
+    /// next writes.
     pub(super) fn trim(&mut self, now: Time) {
         let unix = self.unix(now);
         let old = millis(self.setup.bounds.keep) * 2;
--- a/src/shard/tally.rs
+++ b/src/shard/tally.rs
@@ -1,67 +1,68 @@
-//! What is counted of a shard's decisions between two looks, and what was last told of it.
+//! Statistics of a shard's decisions for the metrics, and the values that were last reported.
 
 use {
     crate::{shard::cause::Cause, time::Time},
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// What has happened since the last look.
+/// Events since the statistics were last collected.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tally {
-    /// First starts of a step by the reason of their delay.
+    /// First starts of steps, by the reason for their delay.
     pub starts: BTreeMap<&'static str, u64>,
-    /// From a job's coming to its first start.
+    /// Times from a job's arrival to its first start.
     pub first: Vec<Duration>,
-    /// From a job's coming to its completion.
+    /// Times from a job's arrival to its completion.
     pub done: Vec<Duration>,
-    /// Runs that ended, by how.
+    /// Ended runs, by the way in which they ended.
     pub ends: BTreeMap<&'static str, u64>,
-    /// Ends that were noted once they were stored.
+    /// Stored ends of runs that were acknowledged to their workers.
     pub noted: u64,
 }
 
-/// The calls for advice of one queue.
+/// The advice calls of one queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Asked {
-    /// How many.
+    /// The number of calls.
     pub calls: u64,
-    /// How many workers they named.
+    /// The number of workers that the calls named.
     pub named: u64,
-    /// What they take, each by itself.
+    /// The sum of the expected durations of the calls.
     pub takes: Duration,
-    /// How many of them named no worker with room for a task by the time of the answer.
+    /// The number of calls of which no named worker was expected to have room for a task when the
+    /// answer arrives.
     pub bare: u64,
-    /// How many tasks were started with tickets.
+    /// The number of tasks that were started with tickets.
     pub starts: u64,
 }
 
-/// What was last told of a shard, and when.
+/// The values that were last reported of a shard.
 #[derive(Clone, Debug)]
 pub(super) struct Told {
-    /// When the list of workers was last taken in.
+    /// When the last worker list was received.
     pub listed: Time,
-    /// How many it had.
+    /// The number of workers in that list.
     pub count: usize,
-    /// When it was settled.
+    /// When the shard was settled.
     pub settled: Option<Time>,
-    /// The longest that a lasting task is away, by cause.
+    /// The longest time for which a long-running task has been away, by cause.
     pub away: BTreeMap<Cause, Duration>,
 }
 
 impl Told {
-    /// Nothing was told.
+    /// The values before any report.
     pub fn new(now: Time) -> Self {
         Told { listed: now, count: 0, settled: None, away: BTreeMap::new() }
     }
 }
 
-/// The levels of a shard.
+/// The gauges of a shard.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Levels {
-    /// Tasks that could start and wait, by the priority of their queue.
+    /// Waiting tasks that could start, by the priority of their queue.
     pub waiting: BTreeMap<u8, usize>,
-    /// The age of the workers' list.
+    /// The age of the worker list.
     pub list: Duration,
-    /// The longest that a lasting task is away, by cause.
+    /// The longest time for which a long-running task has been away, by cause.
     pub away: BTreeMap<Cause, Duration>,
 }
--- a/src/shard/tell.rs
+++ b/src/shard/tell.rs
@@ -1,4 +1,4 @@
-//! What a shard tells of its decisions: log lines, and counts for the metrics. Nothing here decides.
+//! Reports a shard's decisions as log records and as counts for the metrics. Takes no decisions.
 
 use {
     crate::{
@@ -16,22 +16,23 @@
     std::{collections::BTreeMap, mem, time::Duration},
 };
 
-/// A delay below this has no reason but the round itself.
+/// A delay below this is due to the round itself and has no other reason.
 const AT_ONCE: Duration = Duration::from_millis(60);
-/// From when on a waiting step is told of.
+/// Steps that wait for longer than this are logged.
 const LONG: Duration = Duration::from_secs(3);
-/// How many such steps are told of at once.
+/// The maximum number of waiting steps that are logged at once.
 const LONGEST: usize = 4;
-/// So many calls on end without an answer make a worker silent.
+/// A worker is logged as silent after this many consecutive unanswered calls.
 const SILENT: u32 = 3;
 
 impl Shard {
-    /// What has happened since the last call.
+    /// Returns the statistics since the last call and resets them.
     pub fn tally(&mut self) -> Tally {
         mem::take(&mut self.tally)
     }
 
-    /// How long the ready steps are, and how old the list is.
+    /// The number of waiting tasks by priority, the age of the worker list, and the longest
+    /// absences.
     pub fn levels(&self, now: Time) -> Levels {
         let mut levels = Levels {
             list: now - self.told.listed,
@@ -48,7 +49,7 @@
         levels
     }
 
-    /// Tells of a list with another number of workers.
+    /// Logs that the number of listed workers has changed.
     pub(super) fn tell_listed(&mut self, count: usize, now: Time) {
         let before_ms = millis(now - self.told.listed);
         self.told.listed = now;
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Tells how the shard stands, what its longest waiting steps wait for, and which lasting tasks
-    /// are away.
+    /// Logs a summary of the shard, the causes of its longest waiting steps, and the long-running
+    /// tasks that are away.
     pub(super) fn tell_waiting(&mut self, now: Time) {
         let away = self.absent(now);
         self.told.away = BTreeMap::new();
@@ -106,7 +107,8 @@
         }
     }
 
-    /// Tells of a lasting step of which tasks are away, and of all that decides when they are back.
+    /// Logs a long-running step that has tasks away, with all facts that decide when they run
+    /// again.
     fn tell_away(&self, a: &Away) {
         let s = &a.sight;
         let list = |bars: &Bars| -> Box<str> {
@@ -121,7 +123,7 @@
         log::info!(target: "shard", did = "away", job:% = a.key.job, step:% = a.key, tasks = a.tasks, held = a.held, first = a.first, away_ms = millis(a.away), class = a.class, behind = a.behind, cause:% = a.cause, usable = s.usable, pool = s.all, out = &*out, asked = s.asked, good = s.good, valid = s.valid, old = s.old, gangs = s.gangs, before = s.before, bound = s.bound, full = s.full, unfit = s.unfit, barred = s.barred, bars = &*bars, unasked = s.unasked, roomy = s.roomy, calls = s.calls, oldest_ms = &*oldest_ms, heard_ms = &*heard_ms, idle = s.lanes.0, members = s.lanes.1, member = s.member, listed_ms = millis(s.listed), unsettled = s.unsettled; "Lasting task is away.");
     }
 
-    /// Tells of a job that was read for the first time.
+    /// Logs a job whose record was read for the first time.
     pub(super) fn tell_known(&self, no: JobNo, now: Time) {
         let Some(job) = self.jobs.get(&no) else { return };
         let (after_ms, steps) = (self.unix(now).saturating_sub(job.came), job.job.steps.len());
@@ -129,7 +131,7 @@
         log::debug!(target: "shard", did = "known", job:% = no, shard:% = shard, token, queue = &*job.queue, steps, after_ms, old = job.old; "Job is known to its owner.");
     }
 
-    /// Tells of tasks that are started again, and of how their last runs are counted.
+    /// Logs tasks that start again, with the numbers of the last run and of the new one.
     fn tell_again(&self, key: &StepKey, starts: &[(TaskKey, WorkerNo, u32)]) {
         let part = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
         let Some(part) = part else { return };
@@ -140,7 +142,7 @@
         log::info!(target: "shard", did = "again", job:% = key.job, task:% = task, run, last, tasks, worker:% = worker; "Task starts again.");
     }
 
-    /// Tells of the first start of a step, and of what it has waited for.
+    /// Logs the first start of a step and the reason for its delay, and counts both.
     pub(super) fn tell_start(
         &mut self,
         key: &StepKey,
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Tells of a run's end.
+    /// Logs and counts the end of a run.
     pub(super) fn tell_end(&mut self, no: WorkerNo, end: &End, now: Time) {
         let how = match end.how {
             How::Done => "done",
@@ -199,7 +201,7 @@
         log::log!(target: "shard", level, did = "end", job:% = end.task.step.job, task:% = end.task, run = end.run, how, worker:% = worker.id, took_ms, asked, number = end.number; "Run has ended.");
     }
 
-    /// Tells of a run that is gone without a word of its end.
+    /// Logs a run that is gone without a reported end.
     pub(super) fn tell_lost(&self, no: WorkerNo, task: &TaskKey, run: u32, now: Time) {
         let worker = &self.workers[no.0];
         let Some(old) = worker.runs.get(task).filter(|r| r.run == run) else { return };
@@ -208,14 +210,14 @@
         log::info!(target: "shard", did = "lost", job:% = task.step.job, task:% = task, run, worker:% = worker.id, phase:? = old.phase, ran_ms, percent, heard_ms, silent = worker.silent; "Run is gone without an end.");
     }
 
-    /// Tells that a run is ordered to stop, and why.
+    /// Logs that a run was ordered to stop, and why.
     pub(super) fn tell_stop(&self, no: WorkerNo, task: &TaskKey, cause: &str) {
         let worker = &self.workers[no.0];
         let run = worker.runs.get(task).map_or(0, |r| r.run);
         log::info!(target: "shard", did = "stop", job:% = task.step.job, task:% = task, run, worker:% = worker.id, cause; "Run is stopped.");
     }
 
-    /// Tells that a job is over.
+    /// Logs that a job is over, and counts it if it is done.
     pub(super) fn tell_over(&mut self, no: JobNo, state: State, stopped: usize, now: Time) {
         let Some(job) = self.jobs.get(&no) else { return };
         let after_ms = self.unix(now).saturating_sub(job.came);
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Tells of workers that became silent or quarantined, or are no longer.
+    /// Logs workers that became silent or quarantined, or recovered.
     pub(super) fn tell_workers(&mut self, now: Time) {
         for w in self.workers.iter_mut().filter(|w| !w.gone) {
             let verdict = w.sound.verdict(now);
@@ -235,7 +237,7 @@
                 let said = if held { "quarantined" } else { "sound" };
                 log::info!(target: "shard", worker:% = w.id, verdict:? = verdict, now:% = now, runs = w.runs.len(); "Worker is {said}.");
             }
-            // Between the two bounds what was told last stands.
+            // A worker that was logged as silent stays so until its first answer.
             let silent = w.silent >= SILENT || (w.told.silent && w.silent > 0);
             if mem::replace(&mut w.told.silent, silent) != silent {
                 let heard_ms = w.heard.map_or(0, |h| millis(now - h));
--- a/src/shard/workers.rs
+++ b/src/shard/workers.rs
@@ -1,4 +1,4 @@
-//! The workers of a shard: what is known to run on each, what it has room for, and its lease.
+//! The workers of a shard: their runs, their free resources, their health and their leases.
 
 use {
     crate::{
@@ -14,152 +14,156 @@
     std::{collections::VecDeque, net::SocketAddr, time::Duration},
 };
 
-/// The slowest that a worker's clock runs.
+/// The lowest rate at which a worker's clock may run, relative to the owner's.
 pub const SLOW: f64 = 0.98;
-/// Added to a bound on another machine's clock, for the way and the rounding.
+/// Added to a bound on another machine's clock, for network delay and rounding.
 pub const MARGIN: Duration = Duration::from_millis(250);
-/// A run's percent from which on a lasting task is at work.
+/// From this percentage of its work on, a long-running task counts as running.
 pub const AT_WORK: u8 = 100;
-/// The pace at which a run begins, in hundredths.
+/// The pace at which a run begins, in percent.
 pub const FULL: u8 = 100;
-/// How much shorter than allowed a lease is asked for, so that it is never cut.
+/// Leases are requested shorter than the bound by this much, so that a worker never truncates them.
 const SHORTER: Duration = Duration::from_millis(200);
-/// The longest lease that is asked for: as long as a lasting task may be away. Where nothing says that
-/// a lost worker is over, what ran there waits for the end of its lease.
+/// The longest lease that is requested: the time for which a long-running task may be away. If
+/// nothing shows that a lost worker has ended, its tasks have to wait for the end of its lease.
 const LONGEST: Duration = Duration::from_secs(6);
 
-/// The number of a worker's life within one owner's reign; never used again.
+/// The index of one incarnation of a worker in `Shard::workers`; an owner never reuses one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, derive_more::Display)]
 pub struct WorkerNo(pub usize);
 
 /// What is known of a run at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Its start was sent.
+    /// The start has been sent.
     Starting,
-    /// Its start had no answer: it may be there, or come later.
+    /// The start had no answer: the run may be there, or begin later.
     Unsure,
-    /// It is there.
+    /// The run is there.
     Running,
-    /// It has to end, and counts until it has.
+    /// The run has to end; its resources count as used until it has.
     Stopping,
 }
 
 /// A run at a worker.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Its number.
+    /// The run's number.
     pub run: u32,
-    /// What it takes.
+    /// The resources that it uses.
     pub size: Size,
-    /// Whether what it takes is not known.
+    /// Whether the resources that it uses are unknown.
     pub blind: bool,
     /// What is known of it.
     pub phase: Phase,
-    /// When the last order on it went out.
+    /// When the last order for this run was sent.
     pub sent: Time,
-    /// Since when an answer without it shows that it is gone.
+    /// From this time on, an answer that does not list the run shows that it is gone.
     pub known: Option<Time>,
-    /// Whether it was seen to be there.
+    /// Whether the worker has reported it as running.
     pub ran: bool,
-    /// Whether it was seen long enough after its start not to have crashed its worker by that.
+    /// Whether the worker has reported it so long after its start that the start cannot have
+    /// crashed the worker.
     pub settled: bool,
-    /// Whether another worker has crashed under its task.
+    /// Whether another worker has crashed while it ran this task.
     pub tried: bool,
-    /// When it was started.
+    /// When the run was started.
     pub began: Time,
     /// How often its start was sent.
     pub tries: u32,
-    /// How much of its work was done at its start and at the last look, in hundredths.
+    /// Its progress at the start and at the last report, in percent.
     pub percent: (u8, u8),
-    /// When it was last looked at.
+    /// When the worker last reported it.
     pub looked: Time,
     /// Its last checkpoint.
     pub saved: Box<str>,
-    /// Of a serving task, its tail in milliseconds.
+    /// The tail latency of a serving task, in milliseconds.
     pub load: u64,
-    /// Its pace, in hundredths, as far as it is known.
+    /// Its pace in percent, if known.
     pub pace: Option<u8>,
-    /// Whether it serves others under a target, in milliseconds.
+    /// The latency target of a serving task, in milliseconds; 0 if it has none.
     pub target: u64,
-    /// Whether it lives on what others leave.
+    /// Whether it is a filler: it uses only what other tasks leave free.
     pub fills: bool,
-    /// Its queue's priority, if it may be stopped for work of a lower number: it loses little.
+    /// The priority of its queue, if it may be preempted by work of a lower number because it loses
+    /// little.
     pub yields: Option<u8>,
-    /// What its work is expected to take.
+    /// The expected duration of its work.
     pub estimate: Duration,
-    /// A look some seconds ago: when, and how much was done.
+    /// An earlier report, some seconds old: its time, and the progress in percent.
     pub mark: (Time, u8),
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Its id.
+    /// The worker's id.
     pub id: WorkerId,
-    /// Where it takes orders.
+    /// The address that takes its orders.
     pub addr: SocketAddr,
-    /// As the list has it; nothing once it has left the list.
+    /// Its entry in the worker list; `None` once it has left the list.
     pub listed: Option<Listed>,
     /// Whether it has answered to this owner's token.
     pub fenced: bool,
-    /// Whether the store knows that something of this shard may run there.
+    /// Whether the stored roster includes it, so that it may receive starts.
     pub rostered: bool,
     /// Whether nothing can run there any more.
     pub gone: bool,
-    /// When it was first heard of.
+    /// When this owner first learnt of it.
     pub since: Time,
-    /// When it ends, if it is leaving.
+    /// When it shuts down, if it is leaving.
     pub leaving: Option<Time>,
     /// Its turn in a wave of upkeep.
     pub turn: Turn,
-    /// What runs or may run there.
+    /// The runs that are there, or may be.
     pub runs: FxHashMap<TaskKey, Run>,
-    /// The sum of what runs there.
+    /// The sum of the resources of its runs.
     pub used: Size,
-    /// How many of its runs live on what others leave.
+    /// The number of its runs that are fillers.
     pub fillers: u32,
-    /// How many of its runs serve others under a target.
+    /// The number of its runs that serve requests under a latency target.
     pub servers: u32,
-    /// How many runs there are of which it isn't known what they take.
+    /// The number of its runs whose resources are unknown.
     pub blind: usize,
-    /// The number of the last end that was taken in.
+    /// The number of the last end of a run that was received.
     pub got: u64,
-    /// The number of the last end that is stored.
+    /// The number of the last end of a run that is stored.
     pub seen: u64,
-    /// Ends that are taken in and not stored yet: their numbers, jobs and places in the journal.
+    /// Ends that were received and are not stored yet: number, job and sequence number of the
+    /// change.
     pub pending: VecDeque<(u64, JobNo, u64)>,
-    /// When the hold that is out was sent.
+    /// When the hold without an answer so far was sent.
     pub holding: Option<Time>,
-    /// When the next hold is due, if none is out.
+    /// When the next hold is due, if there is no unanswered one.
     pub next: Time,
-    /// When the last answer was given.
+    /// When the worker gave its last answer.
     pub heard: Option<Time>,
-    /// Calls without an answer since then.
+    /// The number of unanswered calls since that answer.
     pub silent: u32,
-    /// Orders without an answer since the last one.
+    /// The number of unanswered orders since the last answered call.
     pub unsure: u32,
-    /// Its clock in milliseconds, and when that was read at the latest.
+    /// The worker's clock in milliseconds, and the latest time at which it can have been read.
     clock: Option<(u64, Time)>,
-    /// Its clock at the last answer, and when that was given.
+    /// The worker's clock at its last answer, and when that answer was given.
     dated: Option<(u64, Time)>,
-    /// The longest lease that was asked for, on its clock.
+    /// The end of the longest lease that was requested, on the worker's clock.
     until: u64,
-    /// When the list of machines, asked for then, first lacked it.
+    /// When the platform's VM list was requested that first lacked this worker.
     pub missed: Option<Time>,
-    /// No start before.
+    /// No starts before this time.
     pub unwell: Time,
-    /// No start before, as a task has just begun there under which another worker has crashed.
+    /// No starts before this time, because a task has just begun there under which another worker
+    /// has crashed.
     pub alone: Time,
-    /// What its failures and its speed say of it.
+    /// Its health, judged by failures and speed.
     pub sound: Sound,
-    /// How fast fillers may work there.
+    /// The pace for fillers on this worker.
     pub pace: Pace,
-    /// What was last told of it.
+    /// What was last logged about it.
     pub told: Told,
 }
 
-/// What was last told of a worker, so that it is told once.
+/// What was last logged about a worker, so that each change is logged once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Told {
     /// Whether it is in quarantine.
@@ -169,7 +173,7 @@
 }
 
 impl Worker {
-    /// A worker of which nothing but its place is known.
+    /// A worker of which only the id and the address are known.
     pub fn new(id: WorkerId, addr: SocketAddr, now: Time) -> Self {
         Worker {
             id,
@@ -206,18 +210,19 @@
         }
     }
 
-    /// Whether it may get starts.
+    /// Whether it may receive starts.
     ///
-    /// Guards against a worker that is given more than it has room for by a new owner: runs of jobs
-    /// that are over go on until they are stopped, and what these take is known to nobody.
+    /// A worker with runs of unknown size may not. A new owner finds runs of jobs that are over,
+    /// which go on until they are stopped and use an unknown amount of resources; a start could
+    /// exceed the worker's capacity.
     pub fn usable(&self, now: Time) -> bool {
         self.able(now) && !self.closed()
     }
 
-    /// Whether a task that lasts and has room nowhere else may start there while it is emptied.
+    /// Whether a task without a place elsewhere may start there while the worker is being drained.
     ///
-    /// Guards against a start where the VM goes down at once: one where nothing ran may have been found
-    /// clear, and as nothing else starts there, one where something runs never was.
+    /// Only if something runs there: a worker without runs may already have been reported empty,
+    /// and its VM may go down at any moment. A worker with runs has never been reported empty.
     pub fn shelters(&self, now: Time) -> bool {
         self.able(now) && self.turn == Turn::Closing && !self.runs.is_empty()
     }
@@ -233,38 +238,38 @@
             && self.unwell <= now
     }
 
-    /// Whether its turn in a wave of upkeep is yet to come.
+    /// Whether its turn in a wave of upkeep is still to come.
     pub fn due(&self) -> bool {
         self.turn == Turn::Due
     }
 
-    /// Whether it is being emptied.
+    /// Whether it is being drained.
     pub fn closed(&self) -> bool {
         matches!(self.turn, Turn::Closing | Turn::Forced)
     }
 
-    /// Whether the store has to know that something may run there.
+    /// Whether the stored roster has to include it, because something may run there.
     pub fn counts(&self) -> bool {
         let live = self.listed.is_some() && self.leaving.is_none() && self.silent < 3;
         !self.gone && (live || !self.runs.is_empty() || !self.fenced)
     }
 
-    /// Its pool.
+    /// The pool of the worker, if it is listed.
     pub fn pool(&self) -> Option<&PoolId> {
         self.listed.as_ref().map(|l| &l.pool)
     }
 
-    /// What is left of its room.
+    /// Its free resources.
     pub fn free(&self) -> Size {
         self.listed.as_ref().map_or(Size::default(), |l| l.size.saturating_sub(&self.used))
     }
 
-    /// Takes in an answer to a call that was sent then; `clock` is what its clock showed, 0 where the
-    /// answer didn't say.
+    /// Records an answer to a call that was sent at `sent`. `clock` is the worker's clock in the
+    /// answer, 0 if the answer has none.
     ///
-    /// Guards against an owner that stood still and takes what its workers answered before for fresh:
-    /// it would act as one that most of them heed, beside its successor. What an answer shows of the
-    /// worker's clock tells how old the answer is, and a call is not answered before it is sent.
+    /// An owner that was suspended must not take old answers for fresh ones: it would act as if
+    /// most of its workers still obeyed it, beside its successor. The worker's clock shows how old
+    /// an answer is, and no call is answered before it is sent.
     pub fn answered(&mut self, clock: u64, sent: Time, now: Time) {
         self.unsure = 0;
         let given = match self.dated {
@@ -283,7 +288,8 @@
         }
     }
 
-    /// A lease that counts from a time on, on its clock; nothing before its clock is known.
+    /// Extends the lease so that it counts from `from`; returns its end on the worker's clock, or
+    /// `None` before that clock is known.
     pub fn lease(&mut self, bounds: &Bounds, from: Time, now: Time) -> Option<u64> {
         let (clock, at) = self.clock?;
         let length = bounds.hold.saturating_sub(SHORTER).min(LONGEST).saturating_sub(now - from);
@@ -292,20 +298,21 @@
         Some(self.until)
     }
 
-    /// Counts the lease that a former owner may have given until its clock showed this.
+    /// Records the lease that a former owner may have given while the worker's clock showed
+    /// `clock`.
     ///
-    /// Guards against a new owner that stands still before it has renewed the lease itself: with no
-    /// lease known it would take what runs there for lapsed, and start it a second time. Later than
-    /// this no former owner's order is heeded, as the worker has seen the new token.
+    /// A new owner that is suspended before it renews the lease would otherwise know of no lease,
+    /// take the worker's runs for lapsed and start them a second time. From then on no order of a
+    /// former owner counts, since the worker has seen the new token.
     pub fn inherit(&mut self, clock: u64, bounds: &Bounds) {
         self.until = self.until.max(clock + millis(bounds.hold));
     }
 
-    /// When the lease of all that runs there has certainly ended.
+    /// When the lease of all runs there has certainly ended.
     ///
-    /// Guards against a second run beside one that is cut off and goes on: leases are times on the
-    /// worker's own clock, which may be slow, so the bound counts from when its clock was last read
-    /// and holds whenever the renewals that had no answer arrive.
+    /// A run on a worker that is cut off may go on until then and must not start elsewhere before.
+    /// Leases are times on the worker's own clock, which may be slow. So the bound counts from the
+    /// last reading of that clock, and it holds whenever unanswered renewals arrive.
     pub fn lapse(&self, bounds: &Bounds) -> Time {
         let Some((clock, at)) = self.clock else {
             return self.since + bounds.hold.div_f64(SLOW) + MARGIN;
@@ -314,7 +321,7 @@
         at + left.div_f64(SLOW) + MARGIN
     }
 
-    /// Counts a run.
+    /// Adds a run and its resources.
     pub fn add(&mut self, task: TaskKey, run: Run) {
         self.used += run.size;
         self.blind += usize::from(run.blind);
@@ -325,7 +332,7 @@
         }
     }
 
-    /// Forgets a run; returns it.
+    /// Removes a run and returns it, if it has this number.
     pub fn take(&mut self, task: &TaskKey, run: u32) -> Option<Run> {
         if self.runs.get(task)?.run != run {
             return None;
@@ -342,12 +349,12 @@
         self.servers -= u32::from(run.target > 0);
     }
 
-    /// Whether a serving task is there.
+    /// Whether a serving task runs there.
     pub fn serves(&self) -> bool {
         self.servers > 0
     }
 
-    /// Takes in what a look at a run has shown.
+    /// Updates a run from the worker's report.
     pub fn look(run: &mut Run, row: &Row, now: Time) {
         if matches!(run.phase, Phase::Starting | Phase::Unsure) {
             run.phase = Phase::Running;
@@ -364,7 +371,7 @@
     }
 }
 
-/// Whole milliseconds of a duration.
+/// Whole milliseconds of a duration; `u64::MAX` if they do not fit.
 pub fn millis(d: Duration) -> u64 {
     u64::try_from(d.as_millis()).unwrap_or(u64::MAX)
 }
