--- a/src/shard/jobs.rs
+++ b/src/shard/jobs.rs
@@ -172,21 +172,21 @@
         for row in progress.map_or(&[][..], |p| &p.tasks) {
             let TaskRow(time, step, index, run, ref fails, done, ref saved) = *row;
             active.part(time, step);
-            let Some(part) = active.parts.get_mut(&(time, step)) else { continue };
-            let Some(task) = part.tasks.get_mut(index as usize) else { continue };
+            let Some(step_state) = active.parts.get_mut(&(time, step)) else { continue };
+            let Some(task) = step_state.tasks.get_mut(index as usize) else { continue };
             (task.run, task.fails, task.saved) = (run, fails.clone(), saved.clone());
             if done && task.at != At::Done {
                 task.at = At::Done;
-                part.left -= 1;
-                part.waiting -= 1;
+                step_state.left -= 1;
+                step_state.waiting -= 1;
             }
             active.state = State::Running;
             active.begun = true;
         }
         for row in progress.map_or(&[][..], |p| &p.crashes) {
             let CrashRow(time, step, index, ref runs, former) = *row;
-            let part = active.parts.get_mut(&(time, step));
-            if let Some(task) = part.and_then(|p| p.tasks.get_mut(index as usize)) {
+            let step_state = active.parts.get_mut(&(time, step));
+            if let Some(task) = step_state.and_then(|p| p.tasks.get_mut(index as usize)) {
                 (task.crashes, task.former) = (runs.clone(), former);
             }
         }
@@ -211,8 +211,8 @@
 
     /// The state of a task.
     pub fn task(&mut self, key: &TaskKey) -> Option<&mut Task> {
-        let part = self.parts.get_mut(&(key.step.time, key.step.step))?;
-        part.tasks.get_mut(key.index as usize)
+        let step_state = self.parts.get_mut(&(key.step.time, key.step.step))?;
+        step_state.tasks.get_mut(key.index as usize)
     }
 
     /// Records a task's checkpoint; in a gang, as the checkpoint of all members.
@@ -222,8 +222,8 @@
     /// had been given up.
     pub fn keep(&mut self, key: &TaskKey, saved: &str) {
         let gang = self.step(&key.step).is_some_and(|s| s.gang);
-        let Some(part) = self.parts.get_mut(&(key.step.time, key.step.step)) else { return };
-        for (index, task) in (0..).zip(&mut part.tasks) {
+        let Some(step_state) = self.parts.get_mut(&(key.step.time, key.step.step)) else { return };
+        for (index, task) in (0..).zip(&mut step_state.tasks) {
             if gang || index == key.index {
                 task.saved = saved.into();
             }
@@ -242,16 +242,16 @@
 
     /// Changes where a task is, and updates the counts of its step.
     pub fn put(&mut self, key: &TaskKey, at: At) {
-        let Some(part) = self.parts.get_mut(&(key.step.time, key.step.step)) else { return };
-        let Some(task) = part.tasks.get_mut(key.index as usize) else { return };
+        let Some(step_state) = self.parts.get_mut(&(key.step.time, key.step.step)) else { return };
+        let Some(task) = step_state.tasks.get_mut(key.index as usize) else { return };
         match task.at {
-            At::Waiting => part.waiting -= 1,
-            At::Done => part.left += 1,
+            At::Waiting => step_state.waiting -= 1,
+            At::Done => step_state.left += 1,
             At::There(_) => {}
         }
         match at {
-            At::Waiting => part.waiting += 1,
-            At::Done => part.left -= 1,
+            At::Waiting => step_state.waiting += 1,
+            At::Done => step_state.left -= 1,
             At::There(_) => {}
         }
         task.at = at;
@@ -263,8 +263,9 @@
         let mut ends: Vec<Duration> = vec![];
         for (no, step) in (0_u16..).zip(&self.job.steps) {
             let waves = self.waves.get(usize::from(no)).copied().unwrap_or(1);
-            let part = self.parts.get(&(time, no));
-            let fails = part.and_then(|p| p.tasks.iter().map(|t| t.fails.len()).max()).unwrap_or(0);
+            let step_state = self.parts.get(&(time, no));
+            let fails =
+                step_state.and_then(|p| p.tasks.iter().map(|t| t.fails.len()).max()).unwrap_or(0);
             let runs = waves.saturating_add(u32::try_from(fails).unwrap_or(u32::MAX));
             let begin = step.after.iter().map(|a| ends[usize::from(*a)]).max().unwrap_or_default();
             ends.push(begin + Duration::from_millis(step.estimate).saturating_mul(runs));
@@ -299,8 +300,8 @@
     pub fn progress(&self, over: u64) -> Progress {
         let (mut tasks, mut crashes) = (vec![], vec![]);
         if !self.state.over() {
-            for ((time, step), part) in &self.parts {
-                for (index, t) in (0..).zip(&part.tasks) {
+            for ((time, step), step_state) in &self.parts {
+                for (index, t) in (0..).zip(&step_state.tasks) {
                     let done = t.at == At::Done;
                     let run = t.last();
                     if done || run > 0 {
@@ -327,9 +328,9 @@
     /// All runs of tasks that are assigned to a worker, copies included.
     pub fn there(&self, no: JobNo) -> Vec<(TaskKey, WorkerNo, u32)> {
         let mut all = vec![];
-        for ((time, step), part) in &self.parts {
+        for ((time, step), step_state) in &self.parts {
             let step = StepKey { job: no, time: *time, step: *step };
-            for (index, task) in (0..).zip(&part.tasks) {
+            for (index, task) in (0..).zip(&step_state.tasks) {
                 if let At::There(at) = task.at {
                     all.push((TaskKey { step, index }, at, task.run));
                     all.extend(task.copy.map(|(at, run)| (TaskKey { step, index }, at, run)));
--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -13,7 +13,7 @@
             jobs::{Active, Part},
             record::{Closing, Progress, ShardNo},
             reserve::Reserve,
-            tally::{Asked, Tally, Told},
+            tally::{AdviceStats, Reported, Tally},
             workers::{Worker, WorkerNo, millis},
         },
         time::Time,
@@ -29,14 +29,14 @@
 };
 
 /// How often the waiting steps are ranked again, since jobs become late while they wait.
-const RANK: Duration = Duration::from_millis(250);
+const RERANK_INTERVAL: Duration = Duration::from_millis(250);
 /// How often a summary of the state is logged.
-const SUM: Duration = Duration::from_secs(1);
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
 /// How often the periodic checks run, among them the one for occurrences that have come due.
-const DUE: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// A finished job is remembered for this many milliseconds beyond the time for which its state must
 /// be available.
-const LONGER: u64 = 10_000;
+const EXTRA_KEEP_MS: u64 = 10_000;
 
 /// What a new owner of a shard starts with, apart from the stored records.
 #[derive(Clone, Debug)]
@@ -87,27 +87,27 @@
     /// For each queue, the share of the named workers that advice has approved.
     pub(super) shares: FxHashMap<Box<str>, Share>,
     /// Advice calls per queue, for the log only.
-    pub(super) asked: BTreeMap<Box<str>, Asked>,
+    pub(super) asked: BTreeMap<Box<str>, AdviceStats>,
     /// No dispatch before this time.
     pub(super) next: Time,
     pub(super) lanes: Lanes,
     pub(super) turns: Turns,
     pub(super) commit: Commit,
-    pub(super) journal: u64,
-    pub(super) dirty: VecDeque<JobNo>,
+    pub(super) last_change: u64,
+    pub(super) dirty_jobs: VecDeque<JobNo>,
     pub(super) roster: bool,
-    pub(super) flight: Flight,
+    pub(super) in_flight: Flight,
     pub(super) confirmed: Time,
     pub(super) out: Vec<Order>,
-    pub(super) told: Told,
+    pub(super) told: Reported,
     pub(super) closing: Arc<Closing>,
     pub(super) tally: Tally,
     deposed: bool,
     /// When the platform's VM list may be read again; `None` while a read is in progress.
     pub(super) census: Option<Time>,
-    rerank: Time,
-    look: Time,
-    summed: Time,
+    next_rerank: Time,
+    next_check: Time,
+    next_summary: Time,
 }
 
 impl Shard {
@@ -142,21 +142,21 @@
             lanes: Lanes::new(),
             turns: Turns::new(),
             commit,
-            journal: 0,
-            dirty: VecDeque::new(),
+            last_change: 0,
+            dirty_jobs: VecDeque::new(),
             roster: false,
-            flight: Flight::default(),
+            in_flight: Flight::default(),
             // The store may not have confirmed the lease since the shard was taken over.
             confirmed: Time::ZERO,
             out: vec![],
-            told: Told::new(now),
+            told: Reported::new(now),
             closing: Arc::default(),
             tally: Tally::default(),
             deposed: false,
             census: Some(now),
-            rerank: now,
-            look: now,
-            summed: now,
+            next_rerank: now,
+            next_check: now,
+            next_summary: now,
         };
         shard.load(load, now);
         shard
@@ -204,7 +204,7 @@
                 }
             }
             Event::Cancel(no) => {
-                log::info!(target: "shard", did = "cancelled", job:% = no, known = self.jobs.contains_key(&no); "Cancel has come.");
+                log::info!(target: "shard", did = "cancelled", job:% = no, known = self.jobs.contains_key(&no); "Cancel of a job was received.");
                 self.cancel(no, now);
             }
             Event::Listed(list) => self.list(list, now),
@@ -215,11 +215,11 @@
             Event::Advised { call, via, sent, reply } => self.advised(*call, via, sent, reply, now),
             Event::Stored(number, reply) => {
                 let after = self.commit.stored(number, &reply, now);
-                self.written(after, now);
+                self.after_write(after, now);
             }
             Event::Reread(row) => {
                 let after = self.commit.reread(row, self.setup.token, now);
-                self.written(after, now);
+                self.after_write(after, now);
             }
             Event::Lives { sent, reply } => self.lives(sent, reply, now),
             Event::Confirmed(sent) => self.confirm(sent, now),
@@ -244,33 +244,33 @@
         }
         self.dispatch(now);
         self.flush(now);
-        self.holds(now);
+        self.send_holds(now);
         mem::take(&mut self.out)
     }
 
     fn tick(&mut self, now: Time) {
-        if self.look <= now {
-            self.look = now + DUE;
+        if self.next_check <= now {
+            self.next_check = now + CHECK_INTERVAL;
             for no in self.timed.clone() {
                 self.unfold(no, now);
             }
             self.expire(now);
-            self.repeat(now);
+            self.repeat_stops(now);
             self.leave(now);
             self.empty(now);
             self.settle(now);
             self.doubt(now);
             self.foresee(now);
-            self.trim(now);
-            self.tell_workers(now);
+            self.check_purge(now);
+            self.log_workers(now);
         }
-        if self.summed <= now {
-            self.summed = now + SUM;
-            self.tell_waiting(now);
+        if self.next_summary <= now {
+            self.next_summary = now + SUMMARY_INTERVAL;
+            self.log_summary(now);
         }
-        if self.rerank <= now {
-            self.rerank = now + RANK;
-            self.rank_again(now);
+        if self.next_rerank <= now {
+            self.next_rerank = now + RERANK_INTERVAL;
+            self.rerank_ready(now);
             self.copy(now);
             self.stir = true;
         }
@@ -279,16 +279,16 @@
         }
     }
 
-    fn written(&mut self, after: After, now: Time) {
+    fn after_write(&mut self, after: After, now: Time) {
         match after {
             After::Nothing => {}
-            After::Done => self.stored(now),
+            After::Done => self.on_stored(now),
             After::Again => {
                 log::info!(target: "shard", shard:% = self.setup.shard; "Write was not done; it is made again.");
-                self.unstored();
+                self.on_write_failed();
             }
             After::Reread => {
-                log::info!(target: "shard", shard:% = self.setup.shard; "Write has no clear answer; it is read.");
+                log::info!(target: "shard", shard:% = self.setup.shard; "Write has an unclear outcome; the commit row is read.");
                 self.out.push(Order::Reread);
             }
             After::Deposed => self.depose(),
@@ -321,12 +321,12 @@
 
     /// Whether every change is stored.
     pub fn idle_commit(&self) -> bool {
-        self.deposed || (self.dirty.is_empty() && !self.commit.busy())
+        self.deposed || (self.dirty_jobs.is_empty() && !self.commit.busy())
     }
 
     /// Number of jobs whose current state may not be stored yet.
     pub fn unwritten(&self) -> usize {
-        self.dirty.len() + self.flight.jobs.len()
+        self.dirty_jobs.len() + self.in_flight.jobs.len()
     }
 
     /// Writes the remaining changes without making scheduling decisions, because the shard is about
@@ -341,7 +341,7 @@
         if self.commit.unclear(now) {
             self.out.push(Order::Reread);
         }
-        self.flush_as(true, now);
+        self.begin_write(true, now);
         mem::take(&mut self.out)
     }
 
@@ -356,7 +356,7 @@
     }
 
     pub(super) fn kept(&self) -> u64 {
-        millis(self.setup.bounds.keep) + LONGER
+        millis(self.setup.bounds.keep) + EXTRA_KEEP_MS
     }
 
     /// Stops this owner for good: another owner has a higher token, so this state no longer counts.
@@ -369,14 +369,14 @@
 
     /// Marks a job as changed so that it is stored; returns the sequence number of the change.
     pub(super) fn touch(&mut self, no: JobNo) -> u64 {
-        self.journal += 1;
+        self.last_change += 1;
         if let Some(job) = self.jobs.get_mut(&no) {
             if job.changed <= job.stored {
-                self.dirty.push_back(no);
+                self.dirty_jobs.push_back(no);
             }
-            job.changed = self.journal;
+            job.changed = self.last_change;
         }
-        self.journal
+        self.last_change
     }
 
     /// Whether this run is a current run of a task, at this worker, of a job that is not over.
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -18,7 +18,7 @@
 /// some milliseconds, and an order without an answer by then is one that will be carried out late.
 pub(super) const ORDER: Duration = Duration::from_millis(500);
 /// How often a start is sent before the run is given up and blocked.
-const TRIES: u32 = 3;
+const MAX_STARTS: u32 = 3;
 /// The pause after a worker has reported that it is unwell or has less capacity than expected.
 pub(super) const UNWELL: Duration = Duration::from_millis(700);
 
@@ -40,7 +40,7 @@
             return;
         }
         let first = run.tries == 1;
-        let more = run.tries < TRIES && from.is_some() && worker.leaving.is_none();
+        let more = run.tries < MAX_STARTS && from.is_some() && worker.leaving.is_none();
         match reply {
             Ok(WorkerReply::Done(_)) => {
                 run.phase = Phase::Running;
@@ -58,9 +58,9 @@
                 run.tries += 1;
                 run.phase = Phase::Unsure;
                 run.sent = now;
-                // A silent worker gets no new lease, as in `holds`.
+                // A silent worker gets no new lease, as in `send_holds`.
                 let from = from.filter(|_| worker.silent == 0);
-                let new = from.and_then(|f| worker.lease(&self.setup.bounds, f, now));
+                let new = from.and_then(|f| worker.extend_lease(&self.setup.bounds, f, now));
                 let until = new.unwrap_or(start.until);
                 let again = Start { until, ..start.clone() };
                 self.out.push(Order::Worker {
@@ -75,7 +75,7 @@
                 self.stop(no, &start.task, now);
             }
             reply => {
-                self.refused(no, start, &reply, now);
+                self.on_refused_start(no, start, &reply, now);
                 if first {
                     self.lost(no, &start.task, start.run, now);
                 } else {
@@ -87,7 +87,7 @@
     }
 
     /// Applies the consequences of a refused start for later starts.
-    fn refused(
+    fn on_refused_start(
         &mut self,
         no: WorkerNo,
         start: &Start,
@@ -99,9 +99,9 @@
         match reply {
             Ok(WorkerReply::Refused(_, Refusal::Ticket)) => {
                 let key = start.task.step;
-                if let Some(part) =
+                if let Some(step_state) =
                     self.jobs.get_mut(&key.job).and_then(|j| j.parts.get_mut(&(key.time, key.step)))
-                    && let Some(ticket) = part.tickets.good.get_mut(&no)
+                    && let Some(ticket) = step_state.tickets.good.get_mut(&no)
                 {
                     ticket.1 = Time::ZERO;
                 }
@@ -150,7 +150,7 @@
     }
 
     /// Repeats stops that had no answer, or that were answered and had no effect.
-    pub(super) fn repeat(&mut self, now: Time) {
+    pub(super) fn repeat_stops(&mut self, now: Time) {
         let due = |r: &Run| {
             let again = if r.known.is_none() { ORDER * 2 } else { ORDER * 4 };
             r.phase == Phase::Stopping && r.sent + again <= now
@@ -165,7 +165,7 @@
     }
 
     /// Sends the holds that are due.
-    pub(super) fn holds(&mut self, now: Time) {
+    pub(super) fn send_holds(&mut self, now: Time) {
         let (from, fresh) = (self.acts_from(now), self.fresh(now));
         for no in 0..self.workers.len() {
             let w = &mut self.workers[no];
@@ -179,7 +179,7 @@
             // A silent worker gets no new lease: each lease may still arrive, so it would postpone
             // the time from which the worker's tasks can start elsewhere, without end.
             let from = from.filter(|_| w.fenced && w.silent == 0);
-            let until = from.and_then(|f| w.lease(&self.setup.bounds, f, now));
+            let until = from.and_then(|f| w.extend_lease(&self.setup.bounds, f, now));
             let wait = match () {
                 () if !w.fenced || !w.pending.is_empty() || w.silent > 0 => Duration::ZERO,
                 // While the store does not answer, leases count from the answers to holds, so these
--- a/src/shard/plan.rs
+++ b/src/shard/plan.rs
@@ -11,7 +11,7 @@
             jobs::{At, Part},
             judge::PEERS,
             machine::Shard,
-            round::{Asker, Round, Turn},
+            round::{Requester, Round, Turn},
             workers::{Phase, Worker, WorkerNo},
         },
         time::Time,
@@ -22,21 +22,21 @@
 };
 
 /// The maximum number of ready steps that a round takes from the head of the order.
-pub(super) const LOOK: usize = 400;
+pub(super) const MAX_ROUND_STEPS: usize = 400;
 /// The pause after a round, per waiting step, and its maximum.
 ///
 /// Examining one step costs about 10 µs, so without a pause the owner would spend its processor on
 /// rounds when many steps wait.
-const PAUSE: (Duration, Duration) = (Duration::from_micros(200), Duration::from_millis(40));
+const ROUND_PAUSE: (Duration, Duration) = (Duration::from_micros(200), Duration::from_millis(40));
 /// How long a step waits before it may use resources that are reserved for less urgent steps.
-const CLAIM: Duration = Duration::from_millis(100);
+const RESERVED_USE_DELAY: Duration = Duration::from_millis(100);
 /// How long a step waits in an underused pool before it may start on a worker that is being
 /// drained: a third of the time for which a job may wait beside free capacity.
-const SHELTER: Duration = Duration::from_secs(1);
+const DRAINING_USE_DELAY: Duration = Duration::from_secs(1);
 /// A task may run longer than expected by one part in this many.
-const OFF: u32 = 3;
+const OVERRUN_DIVISOR: u32 = 3;
 /// A pool is underused while at most this percentage of each resource is in use.
-const QUIET: u64 = 55;
+const UNDERUSED_PERCENT: u64 = 55;
 
 /// Chooses workers for as many of these tasks as fit, and deducts the tasks from the workers' free
 /// resources.
@@ -55,8 +55,8 @@
 }
 
 /// Withholds resources for tasks that cannot start yet from the steps that follow in the order.
-pub(super) fn keep(step: &Step, places: &[(u32, WorkerNo)], round: &mut Round) {
-    places.iter().for_each(|(_, no)| round.keep(*no, step.counted()));
+pub(super) fn withhold(step: &Step, places: &[(u32, WorkerNo)], round: &mut Round) {
+    places.iter().for_each(|(_, no)| round.withhold(*no, step.counted()));
 }
 
 impl Shard {
@@ -67,19 +67,19 @@
         }
         self.stir = false;
         let waiting = u32::try_from(self.ready.len()).unwrap_or(u32::MAX);
-        self.next = now + PAUSE.0.saturating_mul(waiting).min(PAUSE.1);
+        self.next = now + ROUND_PAUSE.0.saturating_mul(waiting).min(ROUND_PAUSE.1);
         self.forget_strays();
         let mut round = self.survey(now);
         let starving = self.starving(&round, now);
-        let keys = self.looked_at(&starving);
+        let keys = self.round_steps(&starving);
         round.starving = starving;
         for key in &keys {
-            self.demand(key, 1, &mut round);
+            self.add_demand(key, 1, &mut round);
         }
         for key in &keys {
             let old = self.reserved.get(key).cloned();
-            self.place(key, &mut round, now);
-            round.pass(key, old, self.reserved.get(key));
+            self.place_step(key, &mut round, now);
+            round.end_turn(key, old, self.reserved.get(key));
         }
     }
 
@@ -89,11 +89,11 @@
     /// Steps with reservations are included because a gang may reserve resources and then fall
     /// behind later, more urgent steps. If no round examined it, nobody would request its tickets
     /// or release the resources, and jobs would wait beside a pool that is only a quarter in use.
-    pub(super) fn looked_at(&self, starving: &[StepKey]) -> Vec<StepKey> {
+    pub(super) fn round_steps(&self, starving: &[StepKey]) -> Vec<StepKey> {
         let mut keys = starving.to_vec();
         let new = |k: &StepKey| !starving.contains(k);
-        keys.extend(self.ready.iter().take(LOOK).map(|r| r.1).filter(new));
-        let Some(last) = self.ready.iter().nth(LOOK - 1) else { return keys };
+        keys.extend(self.ready.iter().take(MAX_ROUND_STEPS).map(|r| r.1).filter(new));
+        let Some(last) = self.ready.iter().nth(MAX_ROUND_STEPS - 1) else { return keys };
         let place = |k: &StepKey| Some((*self.ranks.get(k)?, *k));
         let kept = self.reserved.keys().filter_map(place).filter(|p| p > last && new(&p.1));
         keys.extend(kept.collect::<BTreeSet<_>>().into_iter().map(|p| p.1));
@@ -105,22 +105,26 @@
     pub(super) fn survey(&mut self, now: Time) -> Round {
         let ranks = &self.ranks;
         self.reserved.retain(|key, _| ranks.contains_key(key));
-        self.view(now)
+        self.read_round(now)
     }
 
     /// Like [`Self::survey`], without changing the shard's state.
-    pub(super) fn view(&self, now: Time) -> Round {
+    pub(super) fn read_round(&self, now: Time) -> Round {
         let mut round = Round::new(self.workers.len());
         for (key, reserve) in self.reserved.iter().filter(|r| self.ranks.contains_key(r.0)) {
-            round.claim(key, reserve, false);
+            round.add_reservation(key, reserve, false);
         }
         for (pool, all) in &self.pools {
-            round.usable.insert(pool.clone(), self.sound_ones(all, false, false, now).into());
-            round.lasting.insert(pool.clone(), self.sound_ones(all, true, true, now).into());
+            round.usable.insert(pool.clone(), self.usable_workers(all, false, false, now).into());
+            round
+                .long_running
+                .insert(pool.clone(), self.usable_workers(all, true, true, now).into());
             if self.quiet(all) {
                 round.quiet.insert(pool.clone());
                 if all.iter().any(|n| self.workers[n.0].closed()) {
-                    round.spare.insert(pool.clone(), self.sound_ones(all, false, true, now).into());
+                    round
+                        .with_draining
+                        .insert(pool.clone(), self.usable_workers(all, false, true, now).into());
                 }
             }
         }
@@ -146,7 +150,7 @@
         };
         let used = sum(|w| w.used);
         let total = sum(|w| w.listed.as_ref().map_or(Size::default(), |l| l.size));
-        used.times(100).fits(&total.times(QUIET))
+        used.times(100).fits(&total.times(UNDERUSED_PERCENT))
     }
 
     /// The workers that may receive starts: those not in quarantine, and quarantined ones that may
@@ -154,13 +158,19 @@
     ///
     /// At most about a third of a pool is kept in quarantine. If more workers look faulty, the
     /// cause is probably elsewhere, and the others are offered to gangs as well.
-    fn sound_ones(&self, all: &[WorkerNo], lasts: bool, emptied: bool, now: Time) -> Vec<WorkerNo> {
+    fn usable_workers(
+        &self,
+        all: &[WorkerNo],
+        lasts: bool,
+        with_draining: bool,
+        now: Time,
+    ) -> Vec<WorkerNo> {
         let usable = all.iter().copied().filter(|n| {
             let w = &self.workers[n.0];
-            w.usable(now) || (emptied && w.shelters(now))
+            w.usable(now) || (with_draining && w.usable_draining(now))
         });
         let mut held = most_held(all.len());
-        let fine = |n: &WorkerNo| match self.workers[n.0].sound.verdict(now) {
+        let not_held = |n: &WorkerNo| match self.workers[n.0].sound.verdict(now) {
             Verdict::Quarantined { .. } if lasts && self.workers[n.0].sound.tries(lasts, now) => {
                 true
             }
@@ -170,7 +180,7 @@
             }
             _ => true,
         };
-        usable.filter(fine).collect()
+        usable.filter(not_held).collect()
     }
 
     /// The maximum number of tasks of a step that a worker may receive now, regardless of its free
@@ -178,7 +188,7 @@
     ///
     /// Without this limit all tasks of a step would choose the one worker that is open to a probe;
     /// all but one would be refused there, and none would go to other workers that have capacity.
-    fn most(&self, no: WorkerNo, step: &Step, now: Time) -> u32 {
+    fn start_limit(&self, no: WorkerNo, step: &Step, now: Time) -> u32 {
         let sound = &self.workers[no.0].sound;
         match sound.verdict(now) {
             Verdict::Quarantined { .. } if !step.gang => u32::from(sound.tries(step.lasts, now)),
@@ -188,14 +198,14 @@
 
     /// Adds the waiting tasks of a step to the demand of each worker that may run it; `sign` -1
     /// subtracts them.
-    pub(super) fn demand(&self, key: &StepKey, sign: i64, round: &mut Round) {
-        let Some(part) = self.part(key) else { return };
-        let count = part.tickets.good.len() as i64;
+    pub(super) fn add_demand(&self, key: &StepKey, sign: i64, round: &mut Round) {
+        let Some(step_state) = self.part(key) else { return };
+        let count = step_state.tickets.good.len() as i64;
         if count == 0 {
             return;
         }
-        let each = sign * 100 * i64::from(part.waiting.min(8)) / count;
-        for no in part.tickets.good.keys() {
+        let each = sign * 100 * i64::from(step_state.waiting.min(8)) / count;
+        for no in step_state.tickets.good.keys() {
             let known = &mut round.demand[no.0];
             *known = (i64::from(*known) + each).max(0) as u32;
         }
@@ -205,12 +215,12 @@
     pub(super) fn turn<'a>(&self, key: &'a StepKey, round: &Round, now: Time) -> Option<Turn<'a>> {
         let job = self.jobs.get(&key.job)?;
         let queue = self.known.get(&job.queue)?;
-        let part = job.parts.get(&(key.time, key.step))?;
-        let waiting = (0..).zip(&part.tasks).filter(|(_, t)| t.at == At::Waiting);
+        let step_state = job.parts.get(&(key.time, key.step))?;
+        let waiting = (0..).zip(&step_state.tasks).filter(|(_, t)| t.at == At::Waiting);
         let step = job.step(key)?.clone();
         let usable = match () {
-            () if step.lasts => &round.lasting,
-            () if self.sheltered(part, &step, now) => &round.spare,
+            () if step.lasts => &round.long_running,
+            () if self.may_use_draining(step_state, &step, now) => &round.with_draining,
             () => &round.usable,
         };
         let usable = usable.get(&queue.pool).or(round.usable.get(&queue.pool))?.clone();
@@ -232,12 +242,12 @@
     /// worker, so it stays there; short work would then wait beside an idle worker until new
     /// workers arrive. In a busy pool the step waits instead, because the worker would otherwise
     /// never become empty.
-    fn sheltered(&self, part: &Part, step: &Step, now: Time) -> bool {
-        !step.gang && !step.fills && part.ready.is_some_and(|t| t + SHELTER <= now)
+    fn may_use_draining(&self, step_state: &Part, step: &Step, now: Time) -> bool {
+        !step.gang && !step.fills && step_state.ready.is_some_and(|t| t + DRAINING_USE_DELAY <= now)
     }
 
     /// Starts the tasks of one step that have a worker.
-    fn place(&mut self, key: &StepKey, round: &mut Round, now: Time) {
+    fn place_step(&mut self, key: &StepKey, round: &mut Round, now: Time) {
         if !self.is_sole(&key.job) {
             return;
         }
@@ -246,7 +256,7 @@
             return self.ask_wide(&turn, round, now);
         }
         // The step's own demand must not count against a worker.
-        self.demand(key, -1, round);
+        self.add_demand(key, -1, round);
         let all = turn.waiting.len();
         turn.waiting.retain(|i| !self.strays.contains(&TaskKey { step: *key, index: *i }));
         if turn.waiting.is_empty() || (turn.step.gang && turn.waiting.len() < all) {
@@ -268,14 +278,14 @@
         let Turn { key, ref step, ref usable, advice, .. } = *turn;
         let (valid, mut stale) = self.rooms(turn, round, now);
         // A healthy worker with capacity is worth the wait for its ticket.
-        let poor = |r: &Room| {
+        let unfavourable = |r: &Room| {
             let w = &self.workers[r.index];
             w.closed()
                 || (step.lasts && matches!(w.sound.verdict(now), Verdict::Quarantined { .. }))
         };
-        let (mut last, mut valid): (Vec<_>, Vec<_>) = valid.into_iter().partition(poor);
+        let (mut last, mut valid): (Vec<_>, Vec<_>) = valid.into_iter().partition(unfavourable);
         let mut chosen = choose(step, &turn.waiting, &mut valid);
-        if stale.iter().all(poor) {
+        if stale.iter().all(unfavourable) {
             chosen.extend(choose(step, &turn.waiting[chosen.len()..], &mut last));
         }
         let rest = &turn.waiting[chosen.len()..];
@@ -288,11 +298,11 @@
                 let taken = |r: &Room| chosen.iter().any(|c| c.1.0 == r.index);
                 let good: Vec<Room> = good.iter().filter(|r| !taken(r)).copied().collect();
                 let places = self.evict(turn, rest, &good, now);
-                keep(step, &places, round);
+                withhold(step, &places, round);
             }
             if let Some(cost) = advice {
                 let later = choose(step, rest, &mut stale);
-                keep(step, &later, round);
+                withhold(step, &later, round);
                 let mut wanted: Vec<WorkerNo> = later.iter().map(|c| c.1).collect();
                 wanted.extend(self.coming(turn, &good, cost, round, now));
                 wanted.sort_unstable();
@@ -300,8 +310,8 @@
                 self.ask_again(key, &wanted, usable, cost, now);
             }
             if chosen.is_empty() && round.starving.contains(key) {
-                let wish = self.wish(turn, &good, now);
-                keep(step, &wish, round);
+                let preferred = self.preferred_workers(turn, &good, now);
+                withhold(step, &preferred, round);
             }
         }
         self.start_all(key, step, &chosen, now);
@@ -311,17 +321,17 @@
     /// those whose ticket has expired.
     pub(super) fn rooms(&self, turn: &Turn, round: &Round, now: Time) -> (Vec<Room>, Vec<Room>) {
         let (mut valid, mut stale) = (vec![], vec![]);
-        let Some(part) = self.part(turn.key) else { return (valid, stale) };
+        let Some(step_state) = self.part(turn.key) else { return (valid, stale) };
         let size = turn.step.counted();
         let own = self.reserved.get(turn.key);
-        let waited = part.ready.is_some_and(|t| t + CLAIM <= now);
-        let asker = self.asker(turn, round, waited && own.is_none(), now);
+        let waited = step_state.ready.is_some_and(|t| t + RESERVED_USE_DELAY <= now);
+        let requester = self.asker(turn, round, waited && own.is_none(), now);
         for no in turn.usable.iter() {
             let free = self.workers[no.0].free();
             if !size.fits(&free) {
                 continue;
             }
-            let mut left = free.saturating_sub(&round.claimed(*no, &asker));
+            let mut left = free.saturating_sub(&round.claimed(*no, &requester));
             if let Some(n) = own.and_then(|r| r.each.iter().find(|e| e.0 == *no)) {
                 let mine = free.saturating_sub(&round.before(*no, turn.key));
                 left = left.max(&size.times(size.count(&mine).min(n.1.into())));
@@ -329,7 +339,7 @@
             if !size.fits(&left) {
                 continue;
             }
-            let ticket = part.tickets.good.get(no);
+            let ticket = step_state.tickets.good.get(no);
             if turn.advice.is_some() && ticket.is_none() {
                 continue;
             }
@@ -350,26 +360,33 @@
         round: &Round,
         first: bool,
         now: Time,
-    ) -> Asker<'a> {
-        let part = self.part(turn.key);
+    ) -> Requester<'a> {
+        let step_state = self.part(turn.key);
         let estimate = Duration::from_millis(turn.step.estimate);
-        let takes = part.and_then(|p| p.expected(PEERS)).unwrap_or(estimate);
+        let takes = step_state.and_then(|p| p.expected(PEERS)).unwrap_or(estimate);
         let ends = match turn.step.lasts {
             true => Time::NEVER,
-            false => now + takes + takes / OFF,
+            false => now + takes + takes / OVERRUN_DIVISOR,
         };
         let absent = turn.step.lasts && round.starving.contains(turn.key);
-        Asker { key: turn.key, priority: turn.priority, ends, first, absent }
+        Requester {
+            key: turn.key,
+            priority: turn.priority,
+            ends_at: ends,
+            may_outrank: first,
+            overdue: absent,
+        }
     }
 
     /// All workers that may run a step, including full ones.
     fn all_rooms(&self, turn: &Turn, round: &Round, now: Time) -> Vec<Room> {
-        let Some(part) = self.part(turn.key) else { return vec![] };
-        let may = |no: &&WorkerNo| turn.advice.is_none() || part.tickets.good.contains_key(no);
-        let asker = self.asker(turn, round, false, now);
+        let Some(step_state) = self.part(turn.key) else { return vec![] };
+        let may =
+            |no: &&WorkerNo| turn.advice.is_none() || step_state.tickets.good.contains_key(no);
+        let requester = self.asker(turn, round, false, now);
         let room = |no: &WorkerNo| {
             let mut room = self.room(*no, turn.key, &turn.step, now)?;
-            room.free = room.free.saturating_sub(&round.claimed(*no, &asker));
+            room.free = room.free.saturating_sub(&round.claimed(*no, &requester));
             room.demand = round.demand[no.0];
             Some(room)
         };
@@ -401,7 +418,7 @@
             serves: step.fills && w.serves(),
             fillers: w.fillers,
             same,
-            most: self.most(no, step, now),
+            most: self.start_limit(no, step, now),
             suspect: w.sound.verdict(now) != Verdict::Sound
                 || (step.lasts && (w.due() || w.closed())),
             demand: 0,
--- a/src/shard/queue.rs
+++ b/src/shard/queue.rs
@@ -14,7 +14,7 @@
             evict::PATIENCE,
             jobs::At,
             machine::Shard,
-            plan::LOOK,
+            plan::MAX_ROUND_STEPS,
             round::{Round, Turn},
             workers::{Phase, Run, WorkerNo},
         },
@@ -28,30 +28,31 @@
 
 /// How long a step waits before it counts as starving: in an underused pool, and in a busy pool if
 /// it is too late to be worth anything.
-const STARVED: (Duration, Duration) = (Duration::from_secs(4), Duration::from_secs(30));
+const STARVING_AFTER: (Duration, Duration) = (Duration::from_secs(4), Duration::from_secs(30));
 /// The maximum number of such steps at a time.
-const STARVING: usize = 3;
+const MAX_STARVING: usize = 3;
 /// How long a long-running task may be away before its step comes first: a third of the 6 s within
 /// which it must run again, since an advice call takes up to 2 s and freeing capacity takes as
 /// long.
-const AWAY: Duration = Duration::from_secs(2);
+const AWAY_LIMIT: Duration = Duration::from_secs(2);
 /// The maximum number of such steps at a time: a quarter of those that a round examines, since each
 /// of them has to examine all runs on the workers that may run it.
-const ABSENT: usize = LOOK / 4;
+const MAX_AWAY: usize = MAX_ROUND_STEPS / 4;
 
 impl Shard {
     /// Updates which steps of a job are ready, and their ranks.
     pub(super) fn review(&mut self, no: JobNo, now: Time) {
-        self.reckon_waves(no);
+        self.compute_waves(no);
         let Some(job) = self.jobs.get(&no) else { return };
         let Some(queue) = self.known.get(&job.queue) else { return };
         let unix = self.unix(now);
         let mut ranks: Vec<(StepKey, Option<Rank>)> = vec![];
-        for ((time, step), part) in &job.parts {
+        for ((time, step), step_state) in &job.parts {
             let key = StepKey { job: no, time: *time, step: *step };
             let Some(s) = job.step(&key) else { continue };
-            let whole = !s.gang || part.waiting == s.count;
-            let open = part.waiting > 0 && whole && !job.state.over() && job.free(*time, *step);
+            let whole = !s.gang || step_state.waiting == s.count;
+            let open =
+                step_state.waiting > 0 && whole && !job.state.over() && job.free(*time, *step);
             let facts = Facts {
                 came: job.came.max(job.due(*time)),
                 chain: job.allowed(*time),
@@ -69,7 +70,7 @@
     }
 
     /// Computes in how many waves the tasks of each step run, once the workers are known.
-    fn reckon_waves(&mut self, no: JobNo) {
+    fn compute_waves(&mut self, no: JobNo) {
         let Some(job) = self.jobs.get_mut(&no).filter(|j| j.waves.is_empty()) else { return };
         let Some(queue) = self.known.get(&job.queue) else { return };
         let Some(pool) = self.pools.get(&queue.pool) else { return };
@@ -86,10 +87,10 @@
             Some(old) if old == rank => return,
             Some(old) => drop(self.ready.remove(&(old, key))),
             None => {
-                if let Some(part) =
+                if let Some(step_state) =
                     self.jobs.get_mut(&key.job).and_then(|j| j.parts.get_mut(&(key.time, key.step)))
                 {
-                    part.ready.get_or_insert(now);
+                    step_state.ready.get_or_insert(now);
                 }
                 self.stir = true;
             }
@@ -106,14 +107,14 @@
 
     /// Like [`Self::unready`], if all tasks of the step are placed.
     pub(super) fn unready_if_placed(&mut self, key: &StepKey) {
-        let part = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
-        if part.is_none_or(|p| p.waiting == 0) {
+        let step_state = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
+        if step_state.is_none_or(|p| p.waiting == 0) {
             self.unready(key);
         }
     }
 
     /// Recomputes the rank of all ready steps.
-    pub(super) fn rank_again(&mut self, now: Time) {
+    pub(super) fn rerank_ready(&mut self, now: Time) {
         let jobs: FxHashSet<JobNo> = self.ranks.keys().map(|k| k.job).collect();
         for no in jobs {
             self.review(no, now);
@@ -137,36 +138,36 @@
             let Some(queue) = self.known.get(&job.queue) else { continue };
             if job.step(key).is_some_and(|s| s.lasts) {
                 let since = self.away_since(key);
-                absent.extend(since.filter(|t| *t + AWAY <= now).map(|t| (t, *key)));
+                absent.extend(since.filter(|t| *t + AWAY_LIMIT <= now).map(|t| (t, *key)));
                 continue;
             }
             let quiet = round.quiet.contains(&queue.pool);
             if !quiet && rank.class() < 2 {
                 continue;
             }
-            let patience = if quiet { STARVED.0 } else { STARVED.1 };
-            let part = job.parts.get(&(key.time, key.step));
-            if let Some(since) = part.and_then(|p| p.ready).filter(|t| *t + patience <= now) {
+            let patience = if quiet { STARVING_AFTER.0 } else { STARVING_AFTER.1 };
+            let step_state = job.parts.get(&(key.time, key.step));
+            if let Some(since) = step_state.and_then(|p| p.ready).filter(|t| *t + patience <= now) {
                 all.push((since, *key));
             }
         }
         let first = |mut steps: Vec<(Time, StepKey)>, looks: usize, most: usize| {
             steps.sort_unstable();
             let keys = steps.into_iter().take(looks).map(|(_, key)| key);
-            keys.filter(|key| self.could_start(key, round, now)).take(most).collect::<Vec<_>>()
+            keys.filter(|key| self.can_ever_start(key, round, now)).take(most).collect::<Vec<_>>()
         };
-        [first(absent, ABSENT, ABSENT), first(all, ABSENT, STARVING)].concat()
+        [first(absent, MAX_AWAY, MAX_AWAY), first(all, MAX_AWAY, MAX_STARVING)].concat()
     }
 
     /// Whether a step will find capacity once the runs that end have ended, as far as its workers
     /// are known.
     ///
     /// A step that waits for workers which do not exist yet must not come before all others.
-    fn could_start(&self, key: &StepKey, round: &Round, now: Time) -> bool {
-        let (Some(turn), Some(part)) = (self.turn(key, round, now), self.part(key)) else {
+    fn can_ever_start(&self, key: &StepKey, round: &Round, now: Time) -> bool {
+        let (Some(turn), Some(step_state)) = (self.turn(key, round, now), self.part(key)) else {
             return false;
         };
-        let asked = &part.tickets.asked;
+        let asked = &step_state.tickets.asked;
         let wanted = if turn.step.gang { u64::from(turn.step.count) } else { 1 };
         let more = turn.advice.is_some() && turn.usable.iter().any(|n| !asked.contains(n));
         more || self.ever_slots(&turn) >= wanted
@@ -181,7 +182,7 @@
             if step.needs.as_ref().is_some_and(|label| !listed.has(label)) {
                 return 0;
             }
-            let all = step.counted().count(&self.ever(no));
+            let all = step.counted().count(&self.eventual_free(no));
             match step.apart {
                 0 => all,
                 apart => all.min(apart.saturating_sub(self.same(no, turn.key)).into()),
@@ -192,14 +193,19 @@
 
     /// Since when the first task of a step has waited, counted from the end of its last run.
     fn away_since(&self, key: &StepKey) -> Option<Time> {
-        let part = self.part(key)?;
-        let waiting = part.tasks.iter().filter(|t| t.at == At::Waiting);
-        waiting.filter_map(|t| t.left.or(part.ready)).min()
+        let step_state = self.part(key)?;
+        let waiting = step_state.tasks.iter().filter(|t| t.at == At::Waiting);
+        waiting.filter_map(|t| t.left.or(step_state.ready)).min()
     }
 
     /// The workers on which a starving step should wait for capacity: those with the most free
     /// resources first.
-    pub(super) fn wish(&self, turn: &Turn, good: &[Room], now: Time) -> Vec<(u32, WorkerNo)> {
+    pub(super) fn preferred_workers(
+        &self,
+        turn: &Turn,
+        good: &[Room],
+        now: Time,
+    ) -> Vec<(u32, WorkerNo)> {
         let Turn { key, ref step, .. } = *turn;
         if self.part(key).and_then(|p| p.ready).is_none_or(|t| t + PATIENCE > now) {
             return vec![];
@@ -207,23 +213,23 @@
         let size = step.counted();
         let mut all: Vec<&Room> = good.iter().collect();
         all.sort_by_key(|r| Reverse((r.free.accels, r.free.cores)));
-        let mut wish = vec![];
+        let mut preferred = vec![];
         for room in all {
-            let most = size.count(&self.ever(WorkerNo(room.index))).min(room.most.into());
+            let most = size.count(&self.eventual_free(WorkerNo(room.index))).min(room.most.into());
             let cap = match step.apart {
                 0 => most,
                 apart => most.min(apart.saturating_sub(room.same).into()),
             };
             for _ in 0..cap {
-                let Some(index) = turn.waiting.get(wish.len()) else { return wish };
-                wish.push((*index, WorkerNo(room.index)));
+                let Some(index) = turn.waiting.get(preferred.len()) else { return preferred };
+                preferred.push((*index, WorkerNo(room.index)));
             }
         }
-        wish
+        preferred
     }
 
     /// The resources of a worker that long-running tasks do not use.
-    pub(super) fn ever(&self, no: WorkerNo) -> Size {
+    pub(super) fn eventual_free(&self, no: WorkerNo) -> Size {
         let worker = &self.workers[no.0];
         let stays = |(t, r): &(&TaskKey, &Run)| r.phase != Phase::Stopping && self.lasts(t);
         let stay = worker.runs.iter().filter(stays).map(|(_, r)| r.size).sum();
--- a/src/shard/round.rs
+++ b/src/shard/round.rs
@@ -16,17 +16,17 @@
 
 /// The number of steps per round that may search beyond the free resources: for runs about to end,
 /// for runs to preempt, and for other workers.
-pub(super) const MORE: usize = 24;
+pub(super) const MAX_DEEP_SEARCHES: usize = 24;
 
 /// The working state of a round.
 #[derive(Default)]
 pub(super) struct Round {
     pub(super) usable: FxHashMap<PoolId, Rc<[WorkerNo]>>,
     /// The workers for long-running steps.
-    pub(super) lasting: FxHashMap<PoolId, Rc<[WorkerNo]>>,
+    pub(super) long_running: FxHashMap<PoolId, Rc<[WorkerNo]>>,
     /// The workers of underused pools, with those being drained, for steps that have waited long
     /// enough.
-    pub(super) spare: FxHashMap<PoolId, Rc<[WorkerNo]>>,
+    pub(super) with_draining: FxHashMap<PoolId, Rc<[WorkerNo]>>,
     /// The pools that are underused.
     pub(super) quiet: FxHashSet<PoolId>,
     /// The steps that come first because they have waited too long.
@@ -34,20 +34,20 @@
     /// The resources of each worker that are withheld for steps earlier in the order.
     kept: Vec<Size>,
     /// The resources of each worker that are reserved for gangs until they start.
-    claims: Vec<Vec<Claim>>,
+    reservations: Vec<Vec<Reservation>>,
     /// The demand for each worker, in hundredths of a waiting task.
     pub(super) demand: Vec<u32>,
     /// The steps that will soon have room at a worker.
     pub(super) line: Line<WorkerNo>,
     /// The number of steps that have searched beyond the free resources, and how many of those are
     /// long-running.
-    more: (usize, usize),
+    deep_searches: (usize, usize),
     /// The queues for whose advice calls no member is free.
     pub(super) busy: FxHashSet<Box<str>>,
 }
 
 /// The resources of one worker that are reserved for a gang.
-struct Claim {
+struct Reservation {
     gang: StepKey,
     size: Size,
     /// The priority of the gang's queue.
@@ -59,16 +59,16 @@
 }
 
 /// A step that asks for resources which may be reserved for others.
-pub(super) struct Asker<'a> {
+pub(super) struct Requester<'a> {
     pub(super) key: &'a StepKey,
     pub(super) priority: u8,
     /// When tasks that start now are expected to end.
-    pub(super) ends: Time,
+    pub(super) ends_at: Time,
     /// Whether the step may use resources reserved for less urgent gangs later in the order.
-    pub(super) first: bool,
+    pub(super) may_outrank: bool,
     /// Whether a long-running task of the step has been away too long. Such a step may use
     /// resources reserved for any gang later in the order.
-    pub(super) absent: bool,
+    pub(super) overdue: bool,
 }
 
 /// The turn of one step in a round, with the properties of the step.
@@ -92,7 +92,7 @@
     pub(super) fn new(workers: usize) -> Self {
         Round {
             kept: vec![Size::default(); workers],
-            claims: (0..workers).map(|_| vec![]).collect(),
+            reservations: (0..workers).map(|_| vec![]).collect(),
             demand: vec![0; workers],
             ..Round::default()
         }
@@ -100,7 +100,7 @@
 
     /// The resources of a worker that are withheld for steps earlier in this round.
     pub(super) fn before(&self, no: WorkerNo, key: &StepKey) -> Size {
-        let passed = self.claims[no.0].iter().filter(|c| c.passed && c.gang != *key);
+        let passed = self.reservations[no.0].iter().filter(|c| c.passed && c.gang != *key);
         passed.fold(self.kept[no.0], |sum, c| sum + c.size)
     }
 
@@ -109,14 +109,15 @@
     /// Resources reserved for a gang are open to tasks that end before the gang can start. The last
     /// of the gang's workers may become available seconds later, and the others would be idle until
     /// then.
-    pub(super) fn claimed(&self, no: WorkerNo, asker: &Asker) -> Size {
-        let holds = |c: &&Claim| {
-            let mine = c.gang == *asker.key;
-            let behind = asker.absent || (asker.first && c.priority > asker.priority);
+    pub(super) fn claimed(&self, no: WorkerNo, requester: &Requester) -> Size {
+        let holds = |c: &&Reservation| {
+            let mine = c.gang == *requester.key;
+            let behind =
+                requester.overdue || (requester.may_outrank && c.priority > requester.priority);
             let later = behind && !c.passed;
-            !mine && !later && asker.ends > c.at
+            !mine && !later && requester.ends_at > c.at
         };
-        self.claims[no.0].iter().filter(holds).fold(self.kept[no.0], |sum, c| sum + c.size)
+        self.reservations[no.0].iter().filter(holds).fold(self.kept[no.0], |sum, c| sum + c.size)
     }
 
     /// The resources of a worker that are withheld for earlier steps other than gangs.
@@ -126,43 +127,43 @@
 
     /// The resources of a worker that are withheld or reserved for any step.
     pub(super) fn all_claims(&self, no: WorkerNo) -> Size {
-        self.claims[no.0].iter().fold(self.kept[no.0], |sum, c| sum + c.size)
+        self.reservations[no.0].iter().fold(self.kept[no.0], |sum, c| sum + c.size)
     }
 
     /// Whether one more step may search beyond the free resources. Long-running steps get at most
     /// half of the searches.
     pub(super) fn try_more(&mut self, lasts: bool) -> bool {
-        if lasts && self.more.1 >= MORE / 2 {
+        if lasts && self.deep_searches.1 >= MAX_DEEP_SEARCHES / 2 {
             return false;
         }
-        self.more.0 += 1;
-        self.more.1 += usize::from(lasts);
-        self.more.0 <= MORE
+        self.deep_searches.0 += 1;
+        self.deep_searches.1 += usize::from(lasts);
+        self.deep_searches.0 <= MAX_DEEP_SEARCHES
     }
 
     /// Withholds resources of a worker from later steps.
-    pub(super) fn keep(&mut self, no: WorkerNo, size: Size) {
+    pub(super) fn withhold(&mut self, no: WorkerNo, size: Size) {
         self.kept[no.0] += size;
     }
 
     /// Adds the reservation of a gang.
-    pub(super) fn claim(&mut self, gang: &StepKey, reserve: &Reserve, passed: bool) {
+    pub(super) fn add_reservation(&mut self, gang: &StepKey, reserve: &Reserve, passed: bool) {
         let Reserve { size, priority, at, .. } = *reserve;
         for (no, n) in &reserve.each {
-            let claims = &mut self.claims[no.0];
+            let claims = &mut self.reservations[no.0];
             claims.retain(|c| c.gang != *gang);
             let size = size.times((*n).into());
-            claims.push(Claim { gang: *gang, size, priority, at, passed });
+            claims.push(Reservation { gang: *gang, size, priority, at, passed });
         }
     }
 
     /// Ends a gang's turn, replacing its former reservation by the new one.
-    pub(super) fn pass(&mut self, gang: &StepKey, old: Option<Reserve>, new: Option<&Reserve>) {
+    pub(super) fn end_turn(&mut self, gang: &StepKey, old: Option<Reserve>, new: Option<&Reserve>) {
         for (no, _) in old.iter().flat_map(|r| &r.each) {
-            self.claims[no.0].retain(|c| c.gang != *gang);
+            self.reservations[no.0].retain(|c| c.gang != *gang);
         }
         if let Some(new) = new {
-            self.claim(gang, new, true);
+            self.add_reservation(gang, new, true);
         }
     }
 }
--- a/src/shard/sight.rs
+++ b/src/shard/sight.rs
@@ -11,7 +11,7 @@
             cause::{Away, Bar, Cause, Sight},
             jobs::{At, Part},
             machine::Shard,
-            plan::{LOOK, choose, keep},
+            plan::{MAX_ROUND_STEPS, choose, withhold},
             round::{Round, Turn},
             workers::{Phase, WorkerNo},
         },
@@ -24,10 +24,10 @@
 
 /// After this time a long-running task counts as away. Most tasks run again by then, and a third of
 /// the time for which one may be away is left.
-const AWAY: Duration = Duration::from_secs(2);
+const AWAY_AFTER: Duration = Duration::from_secs(2);
 /// The maximum number of steps that are diagnosed, those that have been away longest. More than a
 /// round examines.
-const SEEN: usize = 500;
+const MAX_DIAGNOSED: usize = 500;
 
 impl Shard {
     /// The long-running steps that have tasks away, longest first, each with its cause.
@@ -35,13 +35,13 @@
         let mut all = vec![];
         for (no, job) in self.jobs.iter().filter(|(_, j)| !j.state.over()) {
             let lasts = |s: u16| job.job.steps.get(usize::from(s)).is_some_and(|s| s.lasts);
-            for ((time, step), part) in job.parts.iter().filter(|p| lasts(p.0.1)) {
+            for ((time, step), step_state) in job.parts.iter().filter(|p| lasts(p.0.1)) {
                 let key = StepKey { job: *no, time: *time, step: *step };
-                all.extend(self.look_for(key, part, now));
+                all.extend(self.find_away(key, step_state, now));
             }
         }
         all.sort_unstable_by_key(|a| (Reverse(a.away), a.key));
-        let waiting = all.iter().filter(|a| a.tasks > 0).take(SEEN);
+        let waiting = all.iter().filter(|a| a.tasks > 0).take(MAX_DIAGNOSED);
         let keys: FxHashSet<StepKey> = waiting.map(|a| a.key).collect();
         let mut sights = match keys.is_empty() {
             true => BTreeMap::new(),
@@ -58,30 +58,32 @@
 
     /// The tasks of a long-running step that are away, if any. The cause for waiting tasks is
     /// filled in later.
-    fn look_for(&self, key: StepKey, part: &Part, now: Time) -> Option<Away> {
+    fn find_away(&self, key: StepKey, step_state: &Part, now: Time) -> Option<Away> {
         let ready = self.ranks.contains_key(&key);
         let (mut waiting, mut held) = (vec![], vec![]);
-        for (index, task) in (0..).zip(&part.tasks) {
-            let since = task.left.or(part.ready);
+        for (index, task) in (0..).zip(&step_state.tasks) {
+            let since = task.left.or(step_state.ready);
             match task.at {
                 At::Waiting if ready => waiting.extend(since.map(|t| (t, index))),
                 At::There(no) => {
                     let task = TaskKey { step: key, index };
                     let lost = self.unseen(no, &task, since.unwrap_or(now));
-                    held.extend(lost.filter(|l| l.0 + AWAY <= now).map(|l| (l.0, index, l.1)));
+                    held.extend(
+                        lost.filter(|l| l.0 + AWAY_AFTER <= now).map(|l| (l.0, index, l.1)),
+                    );
                 }
                 _ => {}
             }
         }
         held.sort_unstable();
-        let first = waiting.iter().min().filter(|w| w.0 + AWAY <= now);
+        let first = waiting.iter().min().filter(|w| w.0 + AWAY_AFTER <= now);
         let (since, first, cause) = match (first, held.first()) {
             (Some((since, index)), _) => (*since, *index, Cause::Turn),
             (None, Some(first)) => *first,
             (None, None) => return None,
         };
         let sight = Sight {
-            listed: now - self.told.listed,
+            listed: now - self.told.listed_at,
             unsettled: self.unsettled.len(),
             ..Sight::default()
         };
@@ -108,18 +110,20 @@
         keys: &FxHashSet<StepKey>,
         now: Time,
     ) -> BTreeMap<StepKey, (usize, Sight)> {
-        let mut round = self.view(now);
+        let mut round = self.read_round(now);
         let starving = self.starving(&round, now);
-        let mut order = self.looked_at(&starving);
+        let mut order = self.round_steps(&starving);
         let look = order.len();
         let seen: FxHashSet<StepKey> = order.iter().copied().collect();
-        order.extend(self.ready.iter().skip(LOOK).map(|r| r.1).filter(|k| !seen.contains(k)));
+        order.extend(
+            self.ready.iter().skip(MAX_ROUND_STEPS).map(|r| r.1).filter(|k| !seen.contains(k)),
+        );
         round.starving = starving;
-        order.iter().take(look).for_each(|key| self.demand(key, 1, &mut round));
+        order.iter().take(look).for_each(|key| self.add_demand(key, 1, &mut round));
         let mut sights = BTreeMap::new();
         for (behind, key) in order.iter().enumerate() {
             if keys.contains(key) {
-                let mut sight = self.sight(key, &round, now);
+                let mut sight = self.diagnose(key, &round, now);
                 if behind >= look {
                     sight.gate = sight.gate.or(Some(Cause::Order));
                 }
@@ -144,27 +148,27 @@
         if turn.advice.is_some() && self.part(key).is_none_or(|p| p.tickets.good.is_empty()) {
             return;
         }
-        self.demand(key, -1, round);
+        self.add_demand(key, -1, round);
         if turn.step.gang {
-            return round.pass(key, self.reserved.get(key).cloned(), self.reserved.get(key));
+            return round.end_turn(key, self.reserved.get(key).cloned(), self.reserved.get(key));
         }
         let (mut valid, mut stale) = self.rooms(&turn, round, now);
         let mut places = choose(&turn.step, &turn.waiting, &mut valid);
         places.extend(choose(&turn.step, &turn.waiting[places.len()..], &mut stale));
-        keep(&turn.step, &places, round);
+        withhold(&turn.step, &places, round);
     }
 
     /// Collects the facts that decide when a step's tasks start.
-    fn sight(&self, key: &StepKey, round: &Round, now: Time) -> Sight {
+    fn diagnose(&self, key: &StepKey, round: &Round, now: Time) -> Sight {
         let mut sight = Sight {
             wanted: 1,
             lanes: (self.lanes.idle(), self.lanes.len()),
             round: self.next > now,
-            listed: now - self.told.listed,
+            listed: now - self.told.listed_at,
             unsettled: self.unsettled.len(),
             ..Sight::default()
         };
-        let (Some(turn), Some(part)) = (self.turn(key, round, now), self.part(key)) else {
+        let (Some(turn), Some(step_state)) = (self.turn(key, round, now), self.part(key)) else {
             let queue = self.jobs.get(&key.job).and_then(|j| self.known.get(&j.queue));
             sight.gate = Some(if queue.is_some() { Cause::Pool } else { Cause::Queue });
             return sight;
@@ -172,21 +176,21 @@
         if turn.step.gang {
             sight.wanted = turn.step.count.into();
         }
-        sight.gate = self.gate(&turn, now);
-        let tickets = &part.tickets;
+        sight.gate = self.blocking_cause(&turn, now);
+        let tickets = &step_state.tickets;
         sight.asked = tickets.asked.len();
         sight.calls = tickets.calls.len();
         sight.oldest = tickets.calls.iter().min().map(|t| now - *t);
         sight.heard = tickets.heard.map(|t| now - t);
         sight.failed = tickets.next > now;
-        self.see_pool(&mut sight, &turn, round, now);
-        self.see_good(&mut sight, &turn, round, now);
-        sight.member = self.member(&sight, &turn, now);
+        self.count_pool(&mut sight, &turn, round, now);
+        self.count_eligible(&mut sight, &turn, round, now);
+        sight.member = self.member_is_free(&sight, &turn, now);
         sight
     }
 
     /// The cause that holds a step up regardless of the workers, if any.
-    fn gate(&self, turn: &Turn, now: Time) -> Option<Cause> {
+    fn blocking_cause(&self, turn: &Turn, now: Time) -> Option<Cause> {
         let stray = |i: &u32| self.strays.contains(&TaskKey { step: *turn.key, index: *i });
         let strays = turn.waiting.iter().filter(|i| stray(i)).count();
         let old = self.jobs.get(&turn.key.job).is_some_and(|j| j.old);
@@ -204,10 +208,10 @@
     }
 
     /// Counts the workers of a step's pool.
-    fn see_pool(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
+    fn count_pool(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, ref step, ref pool, .. } = *turn;
         let usable: FxHashSet<WorkerNo> = turn.usable.iter().copied().collect();
-        let Some(part) = self.part(key) else { return };
+        let Some(step_state) = self.part(key) else { return };
         let size = step.counted();
         for no in self.pools.get(pool).into_iter().flatten() {
             sight.all += 1;
@@ -216,7 +220,7 @@
                 continue;
             }
             sight.usable += 1;
-            if turn.advice.is_some() && !part.tickets.asked.contains(no) {
+            if turn.advice.is_some() && !step_state.tickets.asked.contains(no) {
                 sight.unasked += 1;
                 let room = self.room(*no, key, step, now);
                 let left = room.map(|r| r.free.saturating_sub(&round.all_claims(*no)));
@@ -226,19 +230,19 @@
     }
 
     /// Counts the workers that may run a step.
-    fn see_good(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
+    fn count_eligible(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, ref step, ref pool, .. } = *turn;
         let usable: FxHashSet<WorkerNo> = turn.usable.iter().copied().collect();
-        let Some(part) = self.part(key) else { return };
+        let Some(step_state) = self.part(key) else { return };
         let (size, most) = (step.counted(), u64::from(step.apart));
         let slots = |n: u64, same: u32| match most {
             0 => n,
             most => n.min(most.saturating_sub(same.into())),
         };
         let (valid, stale) = self.rooms(turn, round, now);
-        let asker = self.asker(turn, round, !self.reserved.contains_key(key), now);
+        let requester = self.asker(turn, round, !self.reserved.contains_key(key), now);
         let good: Vec<WorkerNo> = match turn.advice {
-            Some(_) => part.tickets.good.keys().copied().collect(),
+            Some(_) => step_state.tickets.good.keys().copied().collect(),
             None => self.pools.get(pool).cloned().unwrap_or_default(),
         };
         for no in good {
@@ -278,7 +282,7 @@
                         sight.slots.1 = sight.slots.1.saturating_add(n);
                     }
                     (None, None) => {
-                        let gangs = round.claimed(no, &asker).saturating_sub(&round.kept(no));
+                        let gangs = round.claimed(no, &requester).saturating_sub(&round.kept(no));
                         match size.fits(&room.free.saturating_sub(&gangs)) {
                             true => sight.before += 1,
                             false => sight.gangs += 1,
@@ -315,7 +319,7 @@
     }
 
     /// Whether a member is free to make the advice call that a step would need.
-    fn member(&self, sight: &Sight, turn: &Turn, now: Time) -> bool {
+    fn member_is_free(&self, sight: &Sight, turn: &Turn, now: Time) -> bool {
         let Some(cost) = turn.advice else { return true };
         let chunk = chunk(cost.base, cost.each);
         let named = match () {
--- a/src/shard/start.rs
+++ b/src/shard/start.rs
@@ -19,7 +19,7 @@
 
 /// Each owner gets a block of this many run numbers for jobs of which former owners may have
 /// started tasks, so that its numbers are higher than theirs.
-const RUNS: u64 = 1000;
+const RUNS_PER_OWNER: u64 = 1000;
 
 impl Shard {
     /// Starts tasks of one step; the members of a gang share one run number.
@@ -41,7 +41,7 @@
         }
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let floor = if job.old {
-            u32::try_from((self.setup.token - 1) * RUNS).unwrap_or(u32::MAX / 2)
+            u32::try_from((self.setup.token - 1) * RUNS_PER_OWNER).unwrap_or(u32::MAX / 2)
         } else {
             0
         };
@@ -57,14 +57,14 @@
         if let Some(asked) = self.jobs.get(&key.job).and_then(|j| self.asked.get_mut(&j.queue)) {
             asked.starts += all.len() as u64;
         }
-        self.tell_start(key, &all, now);
+        self.log_start(key, &all, now);
         for (task, no, run) in all {
-            self.start(task, no, run, step, now);
+            self.start_task(task, no, run, step, now);
         }
         self.review(key.job, now);
     }
 
-    fn start(&mut self, task: TaskKey, no: WorkerNo, run: u32, step: &Step, now: Time) {
+    fn start_task(&mut self, task: TaskKey, no: WorkerNo, run: u32, step: &Step, now: Time) {
         let saved = self.jobs.get_mut(&task.step.job).and_then(|j| j.task(&task));
         let Some(saved) = saved.map(|t| t.saved.clone()) else { return };
         if !self.launch(task, no, run, step, saved, now) {
@@ -94,11 +94,11 @@
         let yields = self.yields(&task.step, step);
         let Some(from) = self.acts_from(now) else { return false };
         let worker = &mut self.workers[no.0];
-        let Some(until) = worker.lease(&self.setup.bounds, from, now) else { return false };
+        let Some(until) = worker.extend_lease(&self.setup.bounds, from, now) else { return false };
         let Some(job) = self.jobs.get(&task.step.job) else { return false };
-        let part = job.parts.get(&(task.step.time, task.step.step));
-        let ticket = part.and_then(|p| p.tickets.good.get(&no)).map(|t| t.0.clone());
-        let tried = part.is_some_and(|p| !p.tasks[task.index as usize].crashes.is_empty());
+        let step_state = job.parts.get(&(task.step.time, task.step.step));
+        let ticket = step_state.and_then(|p| p.tickets.good.get(&no)).map(|t| t.0.clone());
+        let tried = step_state.is_some_and(|p| !p.tasks[task.index as usize].crashes.is_empty());
         let text = job.job.text.clone();
         worker.add(
             task,
--- a/src/shard/store.rs
+++ b/src/shard/store.rs
@@ -18,7 +18,7 @@
 };
 
 /// The maximum number of jobs that one write purges.
-const PURGE: usize = 12;
+const MAX_PURGED: usize = 12;
 
 impl Shard {
     /// Begins a write if there is something to write and no write is in progress.
@@ -28,15 +28,15 @@
     /// the shard call the workers again.
     pub(super) fn flush(&mut self, now: Time) {
         let over = |no: &JobNo| self.jobs.get(no).is_some_and(|j| j.state.over());
-        let urgent = self.roster || self.dirty.iter().any(over);
-        self.flush_as(urgent, now);
+        let urgent = self.roster || self.dirty_jobs.iter().any(over);
+        self.begin_write(urgent, now);
     }
 
     /// Like [`Shard::flush`]; `urgent` says whether somebody waits for the write.
-    pub(super) fn flush_as(&mut self, urgent: bool, now: Time) {
+    pub(super) fn begin_write(&mut self, urgent: bool, now: Time) {
         let unix = self.unix(now);
         let purge = self.purge.front().is_some_and(|(at, _)| *at <= unix);
-        if self.dirty.is_empty() && !self.roster && !purge {
+        if self.dirty_jobs.is_empty() && !self.roster && !purge {
             // The end of a run whose job is already stored triggers no write that would acknowledge
             // it.
             return self.note(now);
@@ -55,7 +55,7 @@
             flight.roster = Some(self.write_roster(&mut txn));
         }
         self.write_jobs(&mut txn, &mut flight, unix);
-        while flight.purged.len() < PURGE
+        while flight.purged.len() < MAX_PURGED
             && rows(&txn) + 2 <= FREE + 2
             && let Some((at, no)) = self.purge.front().copied()
             && at <= unix
@@ -66,7 +66,7 @@
             // A cancel may have arrived after the job was over.
             txn.remove.push(shard.cancel(no));
         }
-        self.flight = flight;
+        self.in_flight = flight;
         self.out.push(Order::Store(number, txn));
     }
 
@@ -86,7 +86,7 @@
     fn write_jobs(&mut self, txn: &mut Txn, flight: &mut Flight, unix: u64) {
         let shard = self.setup.shard;
         while rows(txn) + 3 <= FREE + 2 {
-            let Some(no) = self.dirty.pop_front() else { break };
+            let Some(no) = self.dirty_jobs.pop_front() else { break };
             let Some(job) = self.jobs.get_mut(&no) else { continue };
             let over = job.state.over();
             let progress = job.progress(if over { unix } else { 0 });
@@ -102,8 +102,8 @@
     }
 
     /// Applies a completed write: its contents are now stored.
-    pub(super) fn stored(&mut self, now: Time) {
-        let flight = mem::take(&mut self.flight);
+    pub(super) fn on_stored(&mut self, now: Time) {
+        let flight = mem::take(&mut self.in_flight);
         for (no, _, over) in flight.jobs {
             let Some(progress) = over else { continue };
             self.jobs.remove(&no);
@@ -122,12 +122,12 @@
     }
 
     /// Returns the contents of a failed write to the queue, to be written again.
-    pub(super) fn unstored(&mut self) {
-        let flight = mem::take(&mut self.flight);
+    pub(super) fn on_write_failed(&mut self) {
+        let flight = mem::take(&mut self.in_flight);
         for (no, ..) in flight.jobs.into_iter().rev() {
             let Some(job) = self.jobs.get_mut(&no) else { continue };
             if job.stored == job.changed {
-                self.dirty.push_front(no);
+                self.dirty_jobs.push_front(no);
             }
             job.stored = 0;
         }
@@ -147,7 +147,7 @@
         if !self.unsettled.is_empty() {
             return;
         }
-        let busy: Vec<JobNo> = self.flight.jobs.iter().map(|f| f.0).collect();
+        let busy: Vec<JobNo> = self.in_flight.jobs.iter().map(|f| f.0).collect();
         let (jobs, workers) = (&self.jobs, &mut self.workers);
         let noted = &mut self.tally.noted;
         for w in workers.iter_mut().filter(|w| !w.pending.is_empty()) {
@@ -166,11 +166,11 @@
 
     /// Warns if the clean-up of finished jobs is late; the rows themselves are removed with the
     /// next writes.
-    pub(super) fn trim(&mut self, now: Time) {
+    pub(super) fn check_purge(&mut self, now: Time) {
         let unix = self.unix(now);
         let old = millis(self.setup.bounds.keep) * 2;
         if self.purge.front().is_some_and(|(at, _)| at + old < unix) {
-            log::warn!(target: "shard", "Shard {} is behind with its clean-up.", self.setup.shard);
+            log::warn!(target: "shard", "Shard {} is late in removing finished jobs.", self.setup.shard);
         }
     }
 }
--- a/src/shard/tally.rs
+++ b/src/shard/tally.rs
@@ -22,7 +22,7 @@
 
 /// The advice calls of one queue.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Asked {
+pub(super) struct AdviceStats {
     /// The number of calls.
     pub calls: u64,
     /// The number of workers that the calls named.
@@ -38,21 +38,21 @@
 
 /// The values that were last reported of a shard.
 #[derive(Clone, Debug)]
-pub(super) struct Told {
+pub(super) struct Reported {
     /// When the last worker list was received.
-    pub listed: Time,
+    pub listed_at: Time,
     /// The number of workers in that list.
-    pub count: usize,
+    pub listed_count: usize,
     /// When the shard was settled.
     pub settled: Option<Time>,
     /// The longest time for which a long-running task has been away, by cause.
     pub away: BTreeMap<Cause, Duration>,
 }
 
-impl Told {
+impl Reported {
     /// The values before any report.
     pub fn new(now: Time) -> Self {
-        Told { listed: now, count: 0, settled: None, away: BTreeMap::new() }
+        Reported { listed_at: now, listed_count: 0, settled: None, away: BTreeMap::new() }
     }
 }
 
--- a/src/shard/tell.rs
+++ b/src/shard/tell.rs
@@ -17,13 +17,13 @@
 };
 
 /// A delay below this is due to the round itself and has no other reason.
-const AT_ONCE: Duration = Duration::from_millis(60);
+const ROUND_DELAY: Duration = Duration::from_millis(60);
 /// Steps that wait for longer than this are logged.
-const LONG: Duration = Duration::from_secs(3);
+const LOGGED_AFTER: Duration = Duration::from_secs(3);
 /// The maximum number of waiting steps that are logged at once.
-const LONGEST: usize = 4;
+const MAX_LOGGED: usize = 4;
 /// A worker is logged as silent after this many consecutive unanswered calls.
-const SILENT: u32 = 3;
+const SILENT_CALLS: u32 = 3;
 
 impl Shard {
     /// Returns the statistics since the last call and resets them.
@@ -35,15 +35,15 @@
     /// absences.
     pub fn levels(&self, now: Time) -> Levels {
         let mut levels = Levels {
-            list: now - self.told.listed,
+            list: now - self.told.listed_at,
             away: self.told.away.clone(),
             ..Levels::default()
         };
         for key in self.ranks.keys() {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let Some(queue) = self.known.get(&job.queue) else { continue };
-            let part = job.parts.get(&(key.time, key.step));
-            let waiting = part.map_or(0, |p| p.waiting as usize);
+            let step_state = job.parts.get(&(key.time, key.step));
+            let waiting = step_state.map_or(0, |p| p.waiting as usize);
             *levels.waiting.entry(queue.priority).or_default() += waiting;
         }
         levels
@@ -51,17 +51,17 @@
 
     /// Logs that the number of listed workers has changed.
     pub(super) fn tell_listed(&mut self, count: usize, now: Time) {
-        let before_ms = millis(now - self.told.listed);
-        self.told.listed = now;
-        let was = mem::replace(&mut self.told.count, count);
+        let before_ms = millis(now - self.told.listed_at);
+        self.told.listed_at = now;
+        let was = mem::replace(&mut self.told.listed_count, count);
         if was != count {
-            log::info!(target: "shard", shard:% = self.setup.shard, count, was, before_ms; "List of workers has changed.");
+            log::info!(target: "shard", shard:% = self.setup.shard, count, was, before_ms; "Worker list has changed.");
         }
     }
 
     /// Logs a summary of the shard, the causes of its longest waiting steps, and the long-running
     /// tasks that are away.
-    pub(super) fn tell_waiting(&mut self, now: Time) {
+    pub(super) fn log_summary(&mut self, now: Time) {
         let away = self.absent(now);
         self.told.away = BTreeMap::new();
         for a in &away {
@@ -72,29 +72,29 @@
             return;
         }
         log::info!(target: "shard", "Shard {}: {}.", self.setup.shard, self.sum_up(now));
-        away.iter().for_each(|a| self.tell_away(a));
+        away.iter().for_each(|a| self.log_away(a));
         let lasts =
             |k: &StepKey| self.jobs.get(&k.job).and_then(|j| j.step(k)).is_some_and(|s| s.lasts);
         let since = |k: &StepKey| {
-            let ready = self.part(k).and_then(|p| p.ready).filter(|t| *t + LONG <= now);
+            let ready = self.part(k).and_then(|p| p.ready).filter(|t| *t + LOGGED_AFTER <= now);
             ready.filter(|_| !lasts(k))
         };
         let mut all: Vec<(Time, StepKey)> =
             self.ranks.keys().filter_map(|k| Some((since(k)?, *k))).collect();
         all.sort_unstable();
-        let few: Vec<_> = all.into_iter().take(LONGEST).collect();
+        let few: Vec<_> = all.into_iter().take(MAX_LOGGED).collect();
         if few.is_empty() {
             return;
         }
         let sights = self.sights(&few.iter().map(|f| f.1).collect(), now);
         for (since, key) in few {
-            let (Some((_, sight)), Some(part)) = (sights.get(&key), self.part(&key)) else {
+            let (Some((_, sight)), Some(step_state)) = (sights.get(&key), self.part(&key)) else {
                 continue;
             };
             let Some(step) = self.jobs.get(&key.job).and_then(|j| j.step(&key)) else { continue };
             let (cause, class) = (sight.cause(), self.ranks[&key].class());
-            let tickets = &part.tickets;
-            let (tasks, waits_ms) = (part.waiting, millis(now - since));
+            let tickets = &step_state.tickets;
+            let (tasks, waits_ms) = (step_state.waiting, millis(now - since));
             let reserve = self.reserved.get(&key);
             let (kept_ms, at_ms) =
                 reserve.map_or((0, 0), |r| (millis(now - r.since), millis(r.at - now)));
@@ -109,7 +109,7 @@
 
     /// Logs a long-running step that has tasks away, with all facts that decide when they run
     /// again.
-    fn tell_away(&self, a: &Away) {
+    fn log_away(&self, a: &Away) {
         let s = &a.sight;
         let list = |bars: &Bars| -> Box<str> {
             let each: Vec<String> = bars.iter().map(|(bar, n)| format!("{bar} {n}")).collect();
@@ -128,14 +128,14 @@
         let Some(job) = self.jobs.get(&no) else { return };
         let (after_ms, steps) = (self.unix(now).saturating_sub(job.came), job.job.steps.len());
         let (shard, token) = (self.setup.shard, self.setup.token);
-        log::debug!(target: "shard", did = "known", job:% = no, shard:% = shard, token, queue = &*job.queue, steps, after_ms, old = job.old; "Job is known to its owner.");
+        log::debug!(target: "shard", did = "known", job:% = no, shard:% = shard, token, queue = &*job.queue, steps, after_ms, old = job.old; "Owner has read the record of a job.");
     }
 
     /// Logs tasks that start again, with the numbers of the last run and of the new one.
-    fn tell_again(&self, key: &StepKey, starts: &[(TaskKey, WorkerNo, u32)]) {
-        let part = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
-        let Some(part) = part else { return };
-        let last = |t: &TaskKey| part.tasks.get(t.index as usize).map_or(0, |t| t.run);
+    fn log_restarts(&self, key: &StepKey, starts: &[(TaskKey, WorkerNo, u32)]) {
+        let step_state = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
+        let Some(step_state) = step_state else { return };
+        let last = |t: &TaskKey| step_state.tasks.get(t.index as usize).map_or(0, |t| t.run);
         let mut again = starts.iter().filter(|(t, ..)| last(t) > 0);
         let Some((task, no, run)) = again.next() else { return };
         let (last, tasks, worker) = (last(task), 1 + again.count(), &self.workers[no.0].id);
@@ -143,36 +143,36 @@
     }
 
     /// Logs the first start of a step and the reason for its delay, and counts both.
-    pub(super) fn tell_start(
+    pub(super) fn log_start(
         &mut self,
         key: &StepKey,
         starts: &[(TaskKey, WorkerNo, u32)],
         now: Time,
     ) {
-        self.tell_again(key, starts);
+        self.log_restarts(key, starts);
         let unix = self.unix(now);
         let settled = self.told.settled;
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let (came, old, begun) = (job.came.max(job.due(key.time)), job.old, job.begun);
-        let Some(part) = job.parts.get_mut(&(key.time, key.step)) else { return };
+        let Some(step_state) = job.parts.get_mut(&(key.time, key.step)) else { return };
         let Some((_, first, run)) = starts.first() else { return };
         let step = job.job.steps.get(usize::from(key.step));
         let (each, gang) = step.map(|s| (s.counted(), s.gang)).unwrap_or_default();
         let queue = job.queue.clone();
-        if mem::replace(&mut part.begun, true) {
+        if mem::replace(&mut step_state.begun, true) {
             return;
         }
-        let ready = part.ready.unwrap_or(now);
-        let near = |at: Option<Time>| at.is_some_and(|t| t > ready && now - t < AT_ONCE);
+        let ready = step_state.ready.unwrap_or(now);
+        let near = |at: Option<Time>| at.is_some_and(|t| t > ready && now - t < ROUND_DELAY);
         let delay = now - ready;
         let reason = match () {
-            () if delay < AT_ONCE => "none",
+            () if delay < ROUND_DELAY => "none",
             () if old && near(settled) => "settle",
-            () if near(part.advised) => "advice",
+            () if near(step_state.advised) => "advice",
             () => "room",
         };
-        let advice_ms = part.advised.filter(|a| *a > ready).map_or(0, |a| millis(a - ready));
-        let (worker, listed_ms) = (&self.workers[first.0].id, millis(now - self.told.listed));
+        let advice_ms = step_state.advised.filter(|a| *a > ready).map_or(0, |a| millis(a - ready));
+        let (worker, listed_ms) = (&self.workers[first.0].id, millis(now - self.told.listed_at));
         let (after_ms, delay_ms, tasks) = (unix.saturating_sub(came), millis(delay), starts.len());
         log::info!(target: "shard", did = "start", job:% = key.job, step:% = key, run, tasks, worker:% = worker, queue = &*queue, each:% = each, gang, delay_ms, reason, advice_ms, after_ms, listed_ms; "Step starts.");
         *self.tally.starts.entry(reason).or_default() += 1;
@@ -229,7 +229,7 @@
     }
 
     /// Logs workers that became silent or quarantined, or recovered.
-    pub(super) fn tell_workers(&mut self, now: Time) {
+    pub(super) fn log_workers(&mut self, now: Time) {
         for w in self.workers.iter_mut().filter(|w| !w.gone) {
             let verdict = w.sound.verdict(now);
             let held = matches!(verdict, Verdict::Quarantined { .. });
@@ -238,7 +238,7 @@
                 log::info!(target: "shard", worker:% = w.id, verdict:? = verdict, now:% = now, runs = w.runs.len(); "Worker is {said}.");
             }
             // A worker that was logged as silent stays so until its first answer.
-            let silent = w.silent >= SILENT || (w.told.silent && w.silent > 0);
+            let silent = w.silent >= SILENT_CALLS || (w.told.silent && w.silent > 0);
             if mem::replace(&mut w.told.silent, silent) != silent {
                 let heard_ms = w.heard.map_or(0, |h| millis(now - h));
                 let said = if silent { "is silent" } else { "answers again" };
--- a/src/shard/workers.rs
+++ b/src/shard/workers.rs
@@ -23,10 +23,10 @@
 /// The pace at which a run begins, in percent.
 pub const FULL: u8 = 100;
 /// Leases are requested shorter than the bound by this much, so that a worker never truncates them.
-const SHORTER: Duration = Duration::from_millis(200);
+const LEASE_MARGIN: Duration = Duration::from_millis(200);
 /// The longest lease that is requested: the time for which a long-running task may be away. If
 /// nothing shows that a lost worker has ended, its tasks have to wait for the end of its lease.
-const LONGEST: Duration = Duration::from_secs(6);
+const MAX_LEASE: Duration = Duration::from_secs(6);
 
 /// The index of one incarnation of a worker in `Shard::workers`; an owner never reuses one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, derive_more::Display)]
@@ -122,7 +122,7 @@
     /// The number of its runs that are fillers.
     pub fillers: u32,
     /// The number of its runs that serve requests under a latency target.
-    pub servers: u32,
+    pub serving: u32,
     /// The number of its runs whose resources are unknown.
     pub blind: usize,
     /// The number of the last end of a run that was received.
@@ -145,9 +145,9 @@
     /// The worker's clock in milliseconds, and the latest time at which it can have been read.
     clock: Option<(u64, Time)>,
     /// The worker's clock at its last answer, and when that answer was given.
-    dated: Option<(u64, Time)>,
+    last_clock: Option<(u64, Time)>,
     /// The end of the longest lease that was requested, on the worker's clock.
-    until: u64,
+    lease_until: u64,
     /// When the platform's VM list was requested that first lacked this worker.
     pub missed: Option<Time>,
     /// No starts before this time.
@@ -188,7 +188,7 @@
             runs: FxHashMap::default(),
             used: Size::default(),
             fillers: 0,
-            servers: 0,
+            serving: 0,
             blind: 0,
             got: 0,
             seen: 0,
@@ -199,8 +199,8 @@
             silent: 0,
             unsure: 0,
             clock: None,
-            dated: None,
-            until: 0,
+            last_clock: None,
+            lease_until: 0,
             missed: None,
             unwell: Time::ZERO,
             alone: Time::ZERO,
@@ -216,18 +216,18 @@
     /// which go on until they are stopped and use an unknown amount of resources; a start could
     /// exceed the worker's capacity.
     pub fn usable(&self, now: Time) -> bool {
-        self.able(now) && !self.closed()
+        self.can_start(now) && !self.closed()
     }
 
     /// Whether a task without a place elsewhere may start there while the worker is being drained.
     ///
     /// Only if something runs there: a worker without runs may already have been reported empty,
     /// and its VM may go down at any moment. A worker with runs has never been reported empty.
-    pub fn shelters(&self, now: Time) -> bool {
-        self.able(now) && self.turn == Turn::Closing && !self.runs.is_empty()
+    pub fn usable_draining(&self, now: Time) -> bool {
+        self.can_start(now) && self.turn == Turn::Closing && !self.runs.is_empty()
     }
 
-    fn able(&self, now: Time) -> bool {
+    fn can_start(&self, now: Time) -> bool {
         self.fenced
             && self.rostered
             && !self.gone
@@ -272,16 +272,16 @@
     /// an answer is, and no call is answered before it is sent.
     pub fn answered(&mut self, clock: u64, sent: Time, now: Time) {
         self.unsure = 0;
-        let given = match self.dated {
+        let answered_at = match self.last_clock {
             Some((before, at)) if clock > 0 => {
-                let gone = Duration::from_millis(clock.saturating_sub(before) + 1);
-                (at + gone.div_f64(SLOW)).max(sent).min(now)
+                let elapsed = Duration::from_millis(clock.saturating_sub(before) + 1);
+                (at + elapsed.div_f64(SLOW)).max(sent).min(now)
             }
             _ => sent,
         };
-        self.heard = self.heard.max(Some(given));
+        self.heard = self.heard.max(Some(answered_at));
         if clock > 0 {
-            self.dated = Some((clock, given));
+            self.last_clock = Some((clock, answered_at));
         }
         if clock > 0 && self.clock.is_none_or(|(c, _)| clock >= c) {
             self.clock = Some((clock, now));
@@ -290,12 +290,13 @@
 
     /// Extends the lease so that it counts from `from`; returns its end on the worker's clock, or
     /// `None` before that clock is known.
-    pub fn lease(&mut self, bounds: &Bounds, from: Time, now: Time) -> Option<u64> {
+    pub fn extend_lease(&mut self, bounds: &Bounds, from: Time, now: Time) -> Option<u64> {
         let (clock, at) = self.clock?;
-        let length = bounds.hold.saturating_sub(SHORTER).min(LONGEST).saturating_sub(now - from);
+        let length =
+            bounds.hold.saturating_sub(LEASE_MARGIN).min(MAX_LEASE).saturating_sub(now - from);
         let until = clock + millis(now - at) + millis(length);
-        self.until = self.until.max(until);
-        Some(self.until)
+        self.lease_until = self.lease_until.max(until);
+        Some(self.lease_until)
     }
 
     /// Records the lease that a former owner may have given while the worker's clock showed
@@ -305,7 +306,7 @@
     /// take the worker's runs for lapsed and start them a second time. From then on no order of a
     /// former owner counts, since the worker has seen the new token.
     pub fn inherit(&mut self, clock: u64, bounds: &Bounds) {
-        self.until = self.until.max(clock + millis(bounds.hold));
+        self.lease_until = self.lease_until.max(clock + millis(bounds.hold));
     }
 
     /// When the lease of all runs there has certainly ended.
@@ -317,7 +318,7 @@
         let Some((clock, at)) = self.clock else {
             return self.since + bounds.hold.div_f64(SLOW) + MARGIN;
         };
-        let left = Duration::from_millis(self.until.saturating_sub(clock));
+        let left = Duration::from_millis(self.lease_until.saturating_sub(clock));
         at + left.div_f64(SLOW) + MARGIN
     }
 
@@ -326,7 +327,7 @@
         self.used += run.size;
         self.blind += usize::from(run.blind);
         self.fillers += u32::from(run.fills);
-        self.servers += u32::from(run.target > 0);
+        self.serving += u32::from(run.target > 0);
         if let Some(old) = self.runs.insert(task, run) {
             self.uncount(&old);
         }
@@ -346,12 +347,12 @@
         self.used = self.used.saturating_sub(&run.size);
         self.blind -= usize::from(run.blind);
         self.fillers -= u32::from(run.fills);
-        self.servers -= u32::from(run.target > 0);
+        self.serving -= u32::from(run.target > 0);
     }
 
     /// Whether a serving task runs there.
     pub fn serves(&self) -> bool {
-        self.servers > 0
+        self.serving > 0
     }
 
     /// Updates a run from the worker's report.
