--- a/src/shard/plan.rs
+++ b/src/shard/plan.rs
@@ -358,24 +358,18 @@
         &self,
         turn: &Turn<'a>,
         round: &Round,
-        first: bool,
+        may_outrank: bool,
         now: Time,
     ) -> Requester<'a> {
         let step_state = self.part(turn.key);
         let estimate = Duration::from_millis(turn.step.estimate);
         let takes = step_state.and_then(|p| p.expected(PEERS)).unwrap_or(estimate);
-        let ends = match turn.step.lasts {
+        let ends_at = match turn.step.lasts {
             true => Time::NEVER,
             false => now + takes + takes / OVERRUN_DIVISOR,
         };
-        let absent = turn.step.lasts && round.starving.contains(turn.key);
-        Requester {
-            key: turn.key,
-            priority: turn.priority,
-            ends_at: ends,
-            may_outrank: first,
-            overdue: absent,
-        }
+        let overdue = turn.step.lasts && round.starving.contains(turn.key);
+        Requester { key: turn.key, priority: turn.priority, ends_at, may_outrank, overdue }
     }
 
     /// All workers that may run a step, including full ones.
