--- a/src/shard/queue.rs
+++ b/src/shard/queue.rs
@@ -129,8 +129,8 @@
     /// each new step could still be on time, goes first, and takes all capacity that becomes free.
     ///
     /// Without the latter, a large task that only one or two workers may run would never start,
-    /// because smaller tasks that are worth something take these workers again and again. In a busy
-    /// pool the exception costs those tasks their worth, so the step waits longer there.
+    /// because smaller tasks that still bring their queue some worth take these workers again and
+    /// again. In a busy pool the exception makes such tasks late, so the step waits longer there.
     pub(super) fn starving(&self, round: &Round, now: Time) -> Vec<StepKey> {
         let (mut all, mut absent) = (vec![], vec![]);
         for (rank, key) in self.ready.iter().rev() {
--- a/src/shard/round.rs
+++ b/src/shard/round.rs
@@ -32,7 +32,7 @@
     /// The steps that come first because they have waited too long.
     pub(super) starving: Vec<StepKey>,
     /// The resources of each worker that are withheld for steps earlier in the order.
-    kept: Vec<Size>,
+    withheld: Vec<Size>,
     /// The resources of each worker that are reserved for gangs until they start.
     reservations: Vec<Vec<Reservation>>,
     /// The demand for each worker, in hundredths of a waiting task.
@@ -91,7 +91,7 @@
     /// Creates a round over this many workers, with nothing withheld.
     pub(super) fn new(workers: usize) -> Self {
         Round {
-            kept: vec![Size::default(); workers],
+            withheld: vec![Size::default(); workers],
             reservations: (0..workers).map(|_| vec![]).collect(),
             demand: vec![0; workers],
             ..Round::default()
@@ -101,7 +101,7 @@
     /// The resources of a worker that are withheld for steps earlier in this round.
     pub(super) fn before(&self, no: WorkerNo, key: &StepKey) -> Size {
         let passed = self.reservations[no.0].iter().filter(|c| c.passed && c.gang != *key);
-        passed.fold(self.kept[no.0], |sum, c| sum + c.size)
+        passed.fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
 
     /// The resources of a worker that this step must not use.
@@ -117,17 +117,20 @@
             let later = behind && !c.passed;
             !mine && !later && requester.ends_at > c.at
         };
-        self.reservations[no.0].iter().filter(holds).fold(self.kept[no.0], |sum, c| sum + c.size)
+        self.reservations[no.0]
+            .iter()
+            .filter(holds)
+            .fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
 
     /// The resources of a worker that are withheld for earlier steps other than gangs.
     pub(super) fn kept(&self, no: WorkerNo) -> Size {
-        self.kept[no.0]
+        self.withheld[no.0]
     }
 
     /// The resources of a worker that are withheld or reserved for any step.
     pub(super) fn all_claims(&self, no: WorkerNo) -> Size {
-        self.reservations[no.0].iter().fold(self.kept[no.0], |sum, c| sum + c.size)
+        self.reservations[no.0].iter().fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
 
     /// Whether one more step may search beyond the free resources. Long-running steps get at most
@@ -143,7 +146,7 @@
 
     /// Withholds resources of a worker from later steps.
     pub(super) fn withhold(&mut self, no: WorkerNo, size: Size) {
-        self.kept[no.0] += size;
+        self.withheld[no.0] += size;
     }
 
     /// Adds the reservation of a gang.
--- a/src/shard/workers.rs
+++ b/src/shard/workers.rs
@@ -264,8 +264,8 @@
         self.listed.as_ref().map_or(Size::default(), |l| l.size.saturating_sub(&self.used))
     }
 
-    /// Records an answer to a call that was sent at `sent`. `clock` is the worker's clock in the
-    /// answer, 0 if the answer has none.
+    /// Records an answer to a call, given the sending time of the call and the worker's clock in the
+    /// answer, which is 0 if the answer has none.
     ///
     /// An owner that was suspended must not take old answers for fresh ones: it would act as if
     /// most of its workers still obeyed it, beside its successor. The worker's clock shows how old
