--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -63,7 +63,9 @@
     /// arrived (Unix milliseconds).
     pub(super) terms: FxHashMap<Box<str>, (u64, Box<Queue>)>,
     pub(super) jobs: FxHashMap<JobNo, Active>,
+    /// Jobs whose end is stored, with their final state.
     pub(super) over: FxHashMap<JobNo, State>,
+    /// Finished jobs by the Unix time in milliseconds at which their progress may be removed.
     pub(super) purge: VecDeque<(u64, JobNo)>,
     pub(super) timed: BTreeSet<JobNo>,
     /// Cancelled jobs whose record has not arrived yet.
@@ -71,16 +73,22 @@
     pub(super) workers: Vec<Worker>,
     pub(super) ids: FxHashMap<WorkerId, WorkerNo>,
     pub(super) pools: FxHashMap<PoolId, Vec<WorkerNo>>,
+    /// Workers that a former owner may have used and that have not answered this owner yet.
     pub(super) unsettled: FxHashSet<WorkerNo>,
     /// Tasks that have an extra run, not the current one, which is being stopped.
     pub(super) strays: FxHashSet<TaskKey>,
+    /// When this owner took the shard over.
     pub(super) begun: Time,
+    /// When most workers of the roster had first answered this owner.
     pub(super) most: Option<Time>,
     /// Whether the former owner's lease had ended, or the shard had been released, when this owner
     /// took over.
     pub(super) lapsed: bool,
+    /// The ready steps in the order of their ranks.
     pub(super) ready: BTreeSet<(Rank, StepKey)>,
+    /// The rank of each ready step.
     pub(super) ranks: FxHashMap<StepKey, Rank>,
+    /// Whether something has changed that may let a step start.
     pub(super) stir: bool,
     /// Resources reserved for gangs until they start.
     pub(super) reserved: BTreeMap<StepKey, Reserve>,
@@ -93,11 +101,17 @@
     pub(super) lanes: Lanes,
     pub(super) turns: Turns,
     pub(super) commit: Commit,
+    /// The sequence number of the last change to a job.
     pub(super) last_change: u64,
+    /// Jobs with changes that have not been written.
     pub(super) dirty_jobs: VecDeque<JobNo>,
+    /// Whether the roster has to be written.
     pub(super) roster: bool,
+    /// The contents of the write in progress.
     pub(super) in_flight: Flight,
+    /// When the last lease renewal that the store has confirmed was sent.
     pub(super) confirmed: Time,
+    /// Orders that the next round returns.
     pub(super) out: Vec<Order>,
     pub(super) told: Reported,
     pub(super) closing: Arc<Closing>,
