--- a/src/shard/machine.rs
+++ b/src/shard/machine.rs
@@ -1,4 +1,5 @@
-//! The state of a shard and its round: events in, orders out.
+//! The state machine of one shard: applies events to the shard's state and returns the orders to
+//! carry out.
 
 use {
     crate::{
@@ -12,7 +13,7 @@
             jobs::{Active, Part},
             record::{Closing, Progress, ShardNo},
             reserve::Reserve,
-            tally::{Asked, Tally, Told},
+            tally::{AdviceStats, Reported, Tally},
             workers::{Worker, WorkerNo, millis},
         },
         time::Time,
@@ -27,88 +28,104 @@
     },
 };
 
-/// How often the order of what waits is made anew, as jobs get late while they wait.
-const RANK: Duration = Duration::from_millis(250);
-/// How often the state is summed up in the log.
-const SUM: Duration = Duration::from_secs(1);
-/// How often occurrences that have come due are looked for.
-const DUE: Duration = Duration::from_millis(50);
-/// How much longer than its states must be shown a job that is over is remembered.
-const LONGER: u64 = 10_000;
+/// How often the waiting steps are ranked again, since jobs become late while they wait.
+const RERANK_INTERVAL: Duration = Duration::from_millis(250);
+/// How often a summary of the state is logged.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the periodic checks run, among them the one for occurrences that have come due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// A finished job is remembered for this many milliseconds beyond the time for which its state must
+/// be available.
+const EXTRA_KEEP_MS: u64 = 10_000;
 
-/// What a shard's owner is given at its start.
+/// What a new owner of a shard starts with, apart from the stored records.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Which shard.
+    /// The shard.
     pub shard: ShardNo,
-    /// The owner.
+    /// The member that owns the shard.
     pub me: Incarnation,
-    /// Its token, higher than that of any owner before.
+    /// The owner's token, which is higher than that of any earlier owner.
     pub token: u64,
-    /// The deployment's bounds.
+    /// The time bounds of this deployment.
     pub bounds: Bounds,
-    /// The Unix clock at [`Time::ZERO`], in milliseconds.
+    /// The Unix time at [`Time::ZERO`], in milliseconds.
     pub unix: u64,
 }
 
-/// One shard at its owner.
+/// The state of one shard at the member that owns it.
 pub struct Shard {
     pub(super) setup: Setup,
     pub(super) queues: Arc<Queues>,
-    /// Each queue as the last version that had it said; jobs outlive their queue.
+    /// The latest configuration of each queue that ever existed, since jobs outlive their queue.
     pub(super) known: FxHashMap<Box<str>, Queue>,
-    /// Queues as they were when the last of their jobs came, and when that was.
+    /// For each queue, the settings stored with its most recent job, and the time at which that job
+    /// arrived (Unix milliseconds).
     pub(super) terms: FxHashMap<Box<str>, (u64, Box<Queue>)>,
     pub(super) jobs: FxHashMap<JobNo, Active>,
+    /// Jobs whose end is stored, with their final state.
     pub(super) over: FxHashMap<JobNo, State>,
+    /// Finished jobs by the Unix time in milliseconds at which their progress may be removed.
     pub(super) purge: VecDeque<(u64, JobNo)>,
     pub(super) timed: BTreeSet<JobNo>,
-    /// Cancels of jobs that were not heard of yet.
+    /// Cancelled jobs whose record has not arrived yet.
     pub(super) early: FxHashSet<JobNo>,
     pub(super) workers: Vec<Worker>,
     pub(super) ids: FxHashMap<WorkerId, WorkerNo>,
     pub(super) pools: FxHashMap<PoolId, Vec<WorkerNo>>,
+    /// Workers that a former owner may have used and that have not answered this owner yet.
     pub(super) unsettled: FxHashSet<WorkerNo>,
-    /// Tasks with a run besides the one that counts, which is being stopped.
+    /// Tasks that have an extra run, not the current one, which is being stopped.
     pub(super) strays: FxHashSet<TaskKey>,
+    /// When this owner took the shard over.
     pub(super) begun: Time,
+    /// When most workers of the roster had first answered this owner.
     pub(super) most: Option<Time>,
-    /// Whether the former owner can't have taken itself for confirmed since then.
+    /// Whether the former owner's lease had ended, or the shard had been released, when this owner
+    /// took over.
     pub(super) lapsed: bool,
+    /// The ready steps in the order of their ranks.
     pub(super) ready: BTreeSet<(Rank, StepKey)>,
+    /// The rank of each ready step.
     pub(super) ranks: FxHashMap<StepKey, Rank>,
+    /// Whether something has changed that may let a step start.
     pub(super) stir: bool,
-    /// Room that is kept for gangs until they start.
+    /// Resources reserved for gangs until they start.
     pub(super) reserved: BTreeMap<StepKey, Reserve>,
-    /// What was learnt of each queue's advice.
+    /// For each queue, the share of the named workers that advice has approved.
     pub(super) shares: FxHashMap<Box<str>, Share>,
-    /// How many calls for advice each queue has had, how many workers they named, and what they took;
-    /// for the log alone.
-    pub(super) asked: BTreeMap<Box<str>, Asked>,
-    /// No look at what waits before.
+    /// Advice calls per queue, for the log only.
+    pub(super) asked: BTreeMap<Box<str>, AdviceStats>,
+    /// No dispatch before this time.
     pub(super) next: Time,
     pub(super) lanes: Lanes,
     pub(super) turns: Turns,
     pub(super) commit: Commit,
-    pub(super) journal: u64,
-    pub(super) dirty: VecDeque<JobNo>,
+    /// The sequence number of the last change to a job.
+    pub(super) last_change: u64,
+    /// Jobs with changes that have not been written.
+    pub(super) dirty_jobs: VecDeque<JobNo>,
+    /// Whether the roster has to be written.
     pub(super) roster: bool,
-    pub(super) flight: Flight,
+    /// The contents of the write in progress.
+    pub(super) in_flight: Flight,
+    /// When the last lease renewal that the store has confirmed was sent.
     pub(super) confirmed: Time,
+    /// Orders that the next round returns.
     pub(super) out: Vec<Order>,
-    pub(super) told: Told,
+    pub(super) told: Reported,
     pub(super) closing: Arc<Closing>,
     pub(super) tally: Tally,
     deposed: bool,
-    /// When the list of machines may be read again; nothing while it is being read.
+    /// When the platform's VM list may be read again; `None` while a read is in progress.
     pub(super) census: Option<Time>,
-    rerank: Time,
-    look: Time,
-    summed: Time,
+    next_rerank: Time,
+    next_check: Time,
+    next_summary: Time,
 }
 
 impl Shard {
-    /// The shard as its new owner finds it.
+    /// Builds the shard's state from the records that its new owner has read.
     pub fn new(setup: Setup, load: Load, now: Time) -> Self {
         let commit = Commit::new(load.commit);
         let mut shard = Shard {
@@ -139,21 +156,21 @@
             lanes: Lanes::new(),
             turns: Turns::new(),
             commit,
-            journal: 0,
-            dirty: VecDeque::new(),
+            last_change: 0,
+            dirty_jobs: VecDeque::new(),
             roster: false,
-            flight: Flight::default(),
-            // The store may have confirmed nothing since the shard was taken over.
+            in_flight: Flight::default(),
+            // The store may not have confirmed the lease since the shard was taken over.
             confirmed: Time::ZERO,
             out: vec![],
-            told: Told::new(now),
+            told: Reported::new(now),
             closing: Arc::default(),
             tally: Tally::default(),
             deposed: false,
             census: Some(now),
-            rerank: now,
-            look: now,
-            summed: now,
+            next_rerank: now,
+            next_check: now,
+            next_summary: now,
         };
         shard.load(load, now);
         shard
@@ -183,13 +200,13 @@
         }
     }
 
-    /// Takes in one event and returns the orders that follow.
+    /// Applies one event and returns the resulting orders.
     pub fn on(&mut self, event: Event, now: Time) -> Vec<Order> {
         self.take(event, now);
         self.round(now)
     }
 
-    /// Takes in one event; what follows comes with the next round.
+    /// Applies one event. Its orders are returned by the next [`Self::round`].
     pub fn take(&mut self, event: Event, now: Time) {
         if self.deposed {
             return;
@@ -201,7 +218,7 @@
                 }
             }
             Event::Cancel(no) => {
-                log::info!(target: "shard", did = "cancelled", job:% = no, known = self.jobs.contains_key(&no); "Cancel has come.");
+                log::info!(target: "shard", did = "cancelled", job:% = no, known = self.jobs.contains_key(&no); "Cancel of a job was received.");
                 self.cancel(no, now);
             }
             Event::Listed(list) => self.list(list, now),
@@ -212,16 +229,16 @@
             Event::Advised { call, via, sent, reply } => self.advised(*call, via, sent, reply, now),
             Event::Stored(number, reply) => {
                 let after = self.commit.stored(number, &reply, now);
-                self.written(after, now);
+                self.after_write(after, now);
             }
             Event::Reread(row) => {
                 let after = self.commit.reread(row, self.setup.token, now);
-                self.written(after, now);
+                self.after_write(after, now);
             }
             Event::Lives { sent, reply } => self.lives(sent, reply, now),
             Event::Confirmed(sent) => self.confirm(sent, now),
             Event::Peers(mut peers) => {
-                // This member first: its calls spare the way to another.
+                // This member comes first: its own calls need no hop to another member.
                 peers.own.sort_by_key(|p| *p != self.setup.me);
                 self.lanes.members(&peers);
             }
@@ -230,44 +247,44 @@
         }
     }
 
-    /// What follows from all that was taken in.
+    /// Runs one scheduling round and returns all pending orders.
     ///
-    /// Guards against an owner that never catches up: a round looks at each step that waits and at
-    /// each worker, and with one for each event hundreds of answers a second cost more than there is
-    /// the more work waits. Events that have gathered meanwhile cost one round together.
+    /// A round examines each waiting step and each worker. With one round per event, an owner that
+    /// receives hundreds of answers a second would fall behind as soon as much work waits. So all
+    /// events that have arrived since the last round share one round.
     pub fn round(&mut self, now: Time) -> Vec<Order> {
         if self.deposed {
             return mem::take(&mut self.out);
         }
         self.dispatch(now);
         self.flush(now);
-        self.holds(now);
+        self.send_holds(now);
         mem::take(&mut self.out)
     }
 
     fn tick(&mut self, now: Time) {
-        if self.look <= now {
-            self.look = now + DUE;
+        if self.next_check <= now {
+            self.next_check = now + CHECK_INTERVAL;
             for no in self.timed.clone() {
                 self.unfold(no, now);
             }
             self.expire(now);
-            self.repeat(now);
+            self.repeat_stops(now);
             self.leave(now);
             self.empty(now);
             self.settle(now);
             self.doubt(now);
             self.foresee(now);
-            self.trim(now);
-            self.tell_workers(now);
+            self.check_purge(now);
+            self.log_workers(now);
         }
-        if self.summed <= now {
-            self.summed = now + SUM;
-            self.tell_waiting(now);
+        if self.next_summary <= now {
+            self.next_summary = now + SUMMARY_INTERVAL;
+            self.log_summary(now);
         }
-        if self.rerank <= now {
-            self.rerank = now + RANK;
-            self.rank_again(now);
+        if self.next_rerank <= now {
+            self.next_rerank = now + RERANK_INTERVAL;
+            self.rerank_ready(now);
             self.copy(now);
             self.stir = true;
         }
@@ -276,60 +293,61 @@
         }
     }
 
-    fn written(&mut self, after: After, now: Time) {
+    fn after_write(&mut self, after: After, now: Time) {
         match after {
             After::Nothing => {}
-            After::Done => self.stored(now),
+            After::Done => self.on_stored(now),
             After::Again => {
                 log::info!(target: "shard", shard:% = self.setup.shard; "Write was not done; it is made again.");
-                self.unstored();
+                self.on_write_failed();
             }
             After::Reread => {
-                log::info!(target: "shard", shard:% = self.setup.shard; "Write has no clear answer; it is read.");
+                log::info!(target: "shard", shard:% = self.setup.shard; "Write has an unclear outcome; the commit row is read.");
                 self.out.push(Order::Reread);
             }
             After::Deposed => self.depose(),
         }
     }
 
-    /// How a job stands, as far as the store has it; nothing where it is not known here, or where
-    /// another owner may know more of it.
+    /// The state of a job as far as it is stored. Returns `None` if the job is unknown here, or if
+    /// another owner may have a newer state.
     pub fn state(&self, no: JobNo, now: Time) -> Option<State> {
         self.known_state(no).filter(|s| s.over() || self.may_tell(now))
     }
 
-    /// As [`Shard::state`], for a member that knows by its own table that this one is the owner.
+    /// Like [`Shard::state`], for a member whose own table shows that it owns the shard.
     pub fn known_state(&self, no: JobNo) -> Option<State> {
         match (self.over.get(&no), self.jobs.get(&no)) {
-            // Stored, and so for any owner.
+            // This state is stored, so it holds under any owner.
             (Some(over), _) => Some(*over),
-            // Not stored yet: after a loss of power it would run again.
+            // The end is not stored yet: after a power failure the job would run again.
             (None, Some(job)) if job.state.over() => Some(State::Running),
             (None, job) => job.map(|j| j.state),
         }
     }
 
-    /// How many jobs of a queue have not begun.
+    /// Number of jobs of a queue that have not started.
     pub fn waiting(&self, queue: &str) -> u64 {
         let begun =
             |j: &&Active| *j.queue == *queue && j.state == State::Queued && j.job.times.is_none();
         self.jobs.values().filter(begun).count() as u64
     }
 
-    /// Whether nothing is left to be written.
+    /// Whether every change is stored.
     pub fn idle_commit(&self) -> bool {
-        self.deposed || (self.dirty.is_empty() && !self.commit.busy())
+        self.deposed || (self.dirty_jobs.is_empty() && !self.commit.busy())
     }
 
-    /// How many jobs stand otherwise here than in the store, as far as is known.
+    /// Number of jobs whose current state may not be stored yet.
     pub fn unwritten(&self) -> usize {
-        self.dirty.len() + self.flight.jobs.len()
+        self.dirty_jobs.len() + self.in_flight.jobs.len()
     }
 
-    /// Writes what is left, and decides nothing: the shard is about to be released.
+    /// Writes the remaining changes without making scheduling decisions, because the shard is about
+    /// to be released.
     ///
-    /// Guards against a release that waits in vain: between two writes lies a pause, and an answer
-    /// that comes within it begins no further one.
+    /// The release must call this repeatedly: writes are spaced by a minimum interval, and an
+    /// answer that arrives within that interval does not begin the next write.
     pub fn write_rest(&mut self, now: Time) -> Vec<Order> {
         if self.deposed {
             return vec![];
@@ -337,25 +355,25 @@
         if self.commit.unclear(now) {
             self.out.push(Order::Reread);
         }
-        self.flush_as(true, now);
+        self.begin_write(true, now);
         mem::take(&mut self.out)
     }
 
-    /// A step of an occurrence, once it has come up.
+    /// The state of a step in one occurrence, once that occurrence is due.
     pub(super) fn part(&self, key: &StepKey) -> Option<&Part> {
         self.jobs.get(&key.job)?.parts.get(&(key.time, key.step))
     }
 
-    /// The present time in milliseconds of the Unix clock.
+    /// The given time in milliseconds of the Unix clock.
     pub(super) fn unix(&self, now: Time) -> u64 {
         self.setup.unix + millis(now - Time::ZERO)
     }
 
     pub(super) fn kept(&self) -> u64 {
-        millis(self.setup.bounds.keep) + LONGER
+        millis(self.setup.bounds.keep) + EXTRA_KEEP_MS
     }
 
-    /// Another owner has a higher token: nothing that is known here counts any more.
+    /// Stops this owner for good: another owner has a higher token, so this state no longer counts.
     pub(super) fn depose(&mut self) {
         log::warn!(target: "shard", did = "deposed", shard:% = self.setup.shard, token = self.setup.token; "Shard has another owner.");
         self.deposed = true;
@@ -363,19 +381,19 @@
         self.out.push(Order::Deposed);
     }
 
-    /// Notes that something of a job has to be stored; returns the place in the journal.
+    /// Marks a job as changed so that it is stored; returns the sequence number of the change.
     pub(super) fn touch(&mut self, no: JobNo) -> u64 {
-        self.journal += 1;
+        self.last_change += 1;
         if let Some(job) = self.jobs.get_mut(&no) {
             if job.changed <= job.stored {
-                self.dirty.push_back(no);
+                self.dirty_jobs.push_back(no);
             }
-            job.changed = self.journal;
+            job.changed = self.last_change;
         }
-        self.journal
+        self.last_change
     }
 
-    /// Whether a task of a job that is not over is at this worker.
+    /// Whether this run is a current run of a task, at this worker, of a job that is not over.
     pub(super) fn at(&mut self, task: &crate::work::TaskKey, no: WorkerNo, run: u32) -> bool {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return false };
         job.task(task).is_some_and(|t| t.has(no, run))
--- a/src/shard/plan.rs
+++ b/src/shard/plan.rs
@@ -1,4 +1,5 @@
-//! What starts next, and where: one round over the steps that wait.
+//! Dispatch: chooses which waiting steps start next, and on which workers, in rounds over the ready
+//! steps.
 
 use {
     crate::{
@@ -10,7 +11,7 @@
             jobs::{At, Part},
             judge::PEERS,
             machine::Shard,
-            round::{Asker, Round, Turn},
+            round::{Requester, Round, Turn},
             workers::{Phase, Worker, WorkerNo},
         },
         time::Time,
@@ -20,24 +21,25 @@
     std::{collections::BTreeSet, time::Duration},
 };
 
-/// The most steps that one round looks at.
-pub(super) const LOOK: usize = 400;
-/// The pause after a round for each step that waits, and the longest.
+/// The maximum number of ready steps that a round takes from the head of the order.
+pub(super) const MAX_ROUND_STEPS: usize = 400;
+/// The pause after a round, per waiting step, and its maximum.
 ///
-/// Guards against an owner that spends its processor on rounds: a look at a step costs some 10 µs, and
-/// the more work waits the more of them there are.
-const PAUSE: (Duration, Duration) = (Duration::from_micros(200), Duration::from_millis(40));
-/// How long a step waits before it takes room that is kept for steps behind it.
-const CLAIM: Duration = Duration::from_millis(100);
-/// How long a step waits in a pool with room to spare before it may start at a worker that is being
-/// emptied: a third of the time for which a job may wait beside room.
-const SHELTER: Duration = Duration::from_secs(1);
-/// How much longer than expected a task may take: one part in so many.
-const OFF: u32 = 3;
-/// Up to how many hundredths of each dimension are in use in a pool with room to spare.
-const QUIET: u64 = 55;
+/// Examining one step costs about 10 µs, so without a pause the owner would spend its processor on
+/// rounds when many steps wait.
+const ROUND_PAUSE: (Duration, Duration) = (Duration::from_micros(200), Duration::from_millis(40));
+/// How long a step waits before it may use resources that are reserved for less urgent steps.
+const RESERVED_USE_DELAY: Duration = Duration::from_millis(100);
+/// How long a step waits in an underused pool before it may start on a worker that is being
+/// drained: a third of the time for which a job may wait beside free capacity.
+const DRAINING_USE_DELAY: Duration = Duration::from_secs(1);
+/// A task may run longer than expected by one part in this many.
+const OVERRUN_DIVISOR: u32 = 3;
+/// A pool is underused while at most this percentage of each resource is in use.
+const UNDERUSED_PERCENT: u64 = 55;
 
-/// Chooses a room for as many of these tasks as there is, and takes it from the rooms.
+/// Chooses workers for as many of these tasks as fit, and deducts the tasks from the workers' free
+/// resources.
 pub(super) fn choose(step: &Step, tasks: &[u32], rooms: &mut [Room]) -> Vec<(u32, WorkerNo)> {
     let mut chosen = vec![];
     for index in tasks {
@@ -52,82 +54,87 @@
     chosen
 }
 
-/// Keeps room for tasks that can't start yet from the steps behind.
-pub(super) fn keep(step: &Step, places: &[(u32, WorkerNo)], round: &mut Round) {
-    places.iter().for_each(|(_, no)| round.keep(*no, step.counted()));
+/// Withholds resources for tasks that cannot start yet from the steps that follow in the order.
+pub(super) fn withhold(step: &Step, places: &[(u32, WorkerNo)], round: &mut Round) {
+    places.iter().for_each(|(_, no)| round.withhold(*no, step.counted()));
 }
 
 impl Shard {
-    /// Starts what has room, in order.
+    /// Runs a round: starts every task that has a worker, in the order of the steps.
     pub(super) fn dispatch(&mut self, now: Time) {
         if !self.stir || self.ready.is_empty() || self.next > now || !self.may_act(now) {
             return;
         }
         self.stir = false;
         let waiting = u32::try_from(self.ready.len()).unwrap_or(u32::MAX);
-        self.next = now + PAUSE.0.saturating_mul(waiting).min(PAUSE.1);
+        self.next = now + ROUND_PAUSE.0.saturating_mul(waiting).min(ROUND_PAUSE.1);
         self.forget_strays();
         let mut round = self.survey(now);
         let starving = self.starving(&round, now);
-        let keys = self.looked_at(&starving);
+        let keys = self.round_steps(&starving);
         round.starving = starving;
         for key in &keys {
-            self.demand(key, 1, &mut round);
+            self.add_demand(key, 1, &mut round);
         }
         for key in &keys {
             let old = self.reserved.get(key).cloned();
-            self.place(key, &mut round, now);
-            round.pass(key, old, self.reserved.get(key));
+            self.place_step(key, &mut round, now);
+            round.end_turn(key, old, self.reserved.get(key));
         }
     }
 
-    /// The steps that a round looks at, in order: those that starve, the first ones, and those for which
-    /// room is kept.
+    /// The steps that a round examines, in order: starving steps, then the first ready steps, then
+    /// steps with reservations.
     ///
-    /// Guards against room that stands empty: a gang kept it while it was among the first, later ones came
-    /// before it, and with no round that looked at it nobody asked for its tickets or gave the room
-    /// back. Jobs waited beside a pool that was a quarter in use.
-    pub(super) fn looked_at(&self, starving: &[StepKey]) -> Vec<StepKey> {
+    /// Steps with reservations are included because a gang may reserve resources and then fall
+    /// behind later, more urgent steps. If no round examined it, nobody would request its tickets
+    /// or release the resources, and jobs would wait beside a pool that is only a quarter in use.
+    pub(super) fn round_steps(&self, starving: &[StepKey]) -> Vec<StepKey> {
         let mut keys = starving.to_vec();
         let new = |k: &StepKey| !starving.contains(k);
-        keys.extend(self.ready.iter().take(LOOK).map(|r| r.1).filter(new));
-        let Some(last) = self.ready.iter().nth(LOOK - 1) else { return keys };
+        keys.extend(self.ready.iter().take(MAX_ROUND_STEPS).map(|r| r.1).filter(new));
+        let Some(last) = self.ready.iter().nth(MAX_ROUND_STEPS - 1) else { return keys };
         let place = |k: &StepKey| Some((*self.ranks.get(k)?, *k));
         let kept = self.reserved.keys().filter_map(place).filter(|p| p > last && new(&p.1));
         keys.extend(kept.collect::<BTreeSet<_>>().into_iter().map(|p| p.1));
         keys
     }
 
-    /// What a round begins with: the workers that may get starts, and what is kept for gangs.
+    /// Builds a new round: the workers that may receive starts, and the resources reserved for
+    /// gangs.
     pub(super) fn survey(&mut self, now: Time) -> Round {
         let ranks = &self.ranks;
         self.reserved.retain(|key, _| ranks.contains_key(key));
-        self.view(now)
+        self.read_round(now)
     }
 
-    /// As [`Self::survey`], where nothing may change.
-    pub(super) fn view(&self, now: Time) -> Round {
+    /// Like [`Self::survey`], without changing the shard's state.
+    pub(super) fn read_round(&self, now: Time) -> Round {
         let mut round = Round::new(self.workers.len());
         for (key, reserve) in self.reserved.iter().filter(|r| self.ranks.contains_key(r.0)) {
-            round.claim(key, reserve, false);
+            round.add_reservation(key, reserve, false);
         }
         for (pool, all) in &self.pools {
-            round.usable.insert(pool.clone(), self.sound_ones(all, false, false, now).into());
-            round.lasting.insert(pool.clone(), self.sound_ones(all, true, true, now).into());
+            round.usable.insert(pool.clone(), self.usable_workers(all, false, false, now).into());
+            round
+                .long_running
+                .insert(pool.clone(), self.usable_workers(all, true, true, now).into());
             if self.quiet(all) {
                 round.quiet.insert(pool.clone());
                 if all.iter().any(|n| self.workers[n.0].closed()) {
-                    round.spare.insert(pool.clone(), self.sound_ones(all, false, true, now).into());
+                    round
+                        .with_draining
+                        .insert(pool.clone(), self.usable_workers(all, false, true, now).into());
                 }
             }
         }
         round
     }
 
-    /// Forgets the runs besides those that count which have ended.
+    /// Forgets the extra runs that have ended.
     ///
-    /// Guards against a task that runs twice: one whose run is lost could start again while another
-    /// run of it, which a former owner has begun, is still stopping.
+    /// While an extra run, begun by a former owner, is still stopping, a task whose current run is
+    /// lost must not start again, or it would run twice.
     fn forget_strays(&mut self) {
         let workers = &self.workers;
         let stopping = |t: &TaskKey, w: &Worker| {
@@ -136,28 +143,34 @@
         self.strays.retain(|t| workers.iter().any(|w| stopping(t, w)));
     }
 
-    /// Whether a pool has room to spare in each dimension.
+    /// Whether the pool of these workers is underused in every resource.
     pub(super) fn quiet(&self, all: &[WorkerNo]) -> bool {
         let sum = |size: fn(&Worker) -> Size| {
             all.iter().fold(Size::default(), |sum, n| sum + size(&self.workers[n.0]))
         };
         let used = sum(|w| w.used);
         let total = sum(|w| w.listed.as_ref().map_or(Size::default(), |l| l.size));
-        used.times(100).fits(&total.times(QUIET))
+        used.times(100).fits(&total.times(UNDERUSED_PERCENT))
     }
 
-    /// The workers of a pool that are looked at for starts: those that are sound, and those in quarantine
-    /// that may be tried.
+    /// The workers that may receive starts: those not in quarantine, and quarantined ones that may
+    /// be probed.
     ///
-    /// Guards against a pool that holds most of its workers: where over a third looks bad, the cause
-    /// is something else, and the others are there for gangs all the same.
-    fn sound_ones(&self, all: &[WorkerNo], lasts: bool, emptied: bool, now: Time) -> Vec<WorkerNo> {
+    /// At most about a third of a pool is kept in quarantine. If more workers look faulty, the
+    /// cause is probably elsewhere, and the others are offered to gangs as well.
+    fn usable_workers(
+        &self,
+        all: &[WorkerNo],
+        lasts: bool,
+        with_draining: bool,
+        now: Time,
+    ) -> Vec<WorkerNo> {
         let usable = all.iter().copied().filter(|n| {
             let w = &self.workers[n.0];
-            w.usable(now) || (emptied && w.shelters(now))
+            w.usable(now) || (with_draining && w.usable_draining(now))
         });
         let mut held = most_held(all.len());
-        let fine = |n: &WorkerNo| match self.workers[n.0].sound.verdict(now) {
+        let not_held = |n: &WorkerNo| match self.workers[n.0].sound.verdict(now) {
             Verdict::Quarantined { .. } if lasts && self.workers[n.0].sound.tries(lasts, now) => {
                 true
             }
@@ -167,14 +180,15 @@
             }
             _ => true,
         };
-        usable.filter(fine).collect()
+        usable.filter(not_held).collect()
     }
 
-    /// How many tasks of a step a worker may get now, whatever its room.
+    /// The maximum number of tasks of a step that a worker may receive now, regardless of its free
+    /// resources.
     ///
-    /// Guards against tasks that wait beside room: all of a step chose the one worker that was open
-    /// to a trial, all but one were refused there, and none went where there was room as well.
-    fn most(&self, no: WorkerNo, step: &Step, now: Time) -> u32 {
+    /// Without this limit all tasks of a step would choose the one worker that is open to a probe;
+    /// all but one would be refused there, and none would go to other workers that have capacity.
+    fn start_limit(&self, no: WorkerNo, step: &Step, now: Time) -> u32 {
         let sound = &self.workers[no.0].sound;
         match sound.verdict(now) {
             Verdict::Quarantined { .. } if !step.gang => u32::from(sound.tries(step.lasts, now)),
@@ -182,30 +196,31 @@
         }
     }
 
-    /// Counts what waits of a step at each worker that may run it.
-    pub(super) fn demand(&self, key: &StepKey, sign: i64, round: &mut Round) {
-        let Some(part) = self.part(key) else { return };
-        let count = part.tickets.good.len() as i64;
+    /// Adds the waiting tasks of a step to the demand of each worker that may run it; `sign` -1
+    /// subtracts them.
+    pub(super) fn add_demand(&self, key: &StepKey, sign: i64, round: &mut Round) {
+        let Some(step_state) = self.part(key) else { return };
+        let count = step_state.tickets.good.len() as i64;
         if count == 0 {
             return;
         }
-        let each = sign * 100 * i64::from(part.waiting.min(8)) / count;
-        for no in part.tickets.good.keys() {
+        let each = sign * 100 * i64::from(step_state.waiting.min(8)) / count;
+        for no in step_state.tickets.good.keys() {
             let known = &mut round.demand[no.0];
             *known = (i64::from(*known) + each).max(0) as u32;
         }
     }
 
-    /// What a round needs to know of a step; nothing where its queue or its pool is not known.
+    /// The properties of a step that a round needs; `None` if its queue or its pool is unknown.
     pub(super) fn turn<'a>(&self, key: &'a StepKey, round: &Round, now: Time) -> Option<Turn<'a>> {
         let job = self.jobs.get(&key.job)?;
         let queue = self.known.get(&job.queue)?;
-        let part = job.parts.get(&(key.time, key.step))?;
-        let waiting = (0..).zip(&part.tasks).filter(|(_, t)| t.at == At::Waiting);
+        let step_state = job.parts.get(&(key.time, key.step))?;
+        let waiting = (0..).zip(&step_state.tasks).filter(|(_, t)| t.at == At::Waiting);
         let step = job.step(key)?.clone();
         let usable = match () {
-            () if step.lasts => &round.lasting,
-            () if self.sheltered(part, &step, now) => &round.spare,
+            () if step.lasts => &round.long_running,
+            () if self.may_use_draining(step_state, &step, now) => &round.with_draining,
             () => &round.usable,
         };
         let usable = usable.get(&queue.pool).or(round.usable.get(&queue.pool))?.clone();
@@ -221,18 +236,18 @@
         })
     }
 
-    /// Whether a step may start at workers that are being emptied and aren't empty yet.
+    /// Whether a step may start on workers that are being drained and still run something.
     ///
-    /// Guards against small work that waits beside an idle worker: where most of a pool leaves, what
-    /// lasts has room nowhere but at the worker that is being emptied, so that it stays there and
-    /// nothing else starts until others have come. In a busy pool it waits, as the worker would never
-    /// be empty.
-    fn sheltered(&self, part: &Part, step: &Step, now: Time) -> bool {
-        !step.gang && !step.fills && part.ready.is_some_and(|t| t + SHELTER <= now)
+    /// When most of a pool is draining, a long-running task may have no place except the draining
+    /// worker, so it stays there; short work would then wait beside an idle worker until new
+    /// workers arrive. In a busy pool the step waits instead, because the worker would otherwise
+    /// never become empty.
+    fn may_use_draining(&self, step_state: &Part, step: &Step, now: Time) -> bool {
+        !step.gang && !step.fills && step_state.ready.is_some_and(|t| t + DRAINING_USE_DELAY <= now)
     }
 
-    /// Starts what has room of one step.
-    fn place(&mut self, key: &StepKey, round: &mut Round, now: Time) {
+    /// Starts the tasks of one step that have a worker.
+    fn place_step(&mut self, key: &StepKey, round: &mut Round, now: Time) {
         if !self.is_sole(&key.job) {
             return;
         }
@@ -240,8 +255,8 @@
         if turn.advice.is_some() && self.part(key).is_none_or(|p| p.tickets.good.is_empty()) {
             return self.ask_wide(&turn, round, now);
         }
-        // Its own demand must not keep it away.
-        self.demand(key, -1, round);
+        // The step's own demand must not count against a worker.
+        self.add_demand(key, -1, round);
         let all = turn.waiting.len();
         turn.waiting.retain(|i| !self.strays.contains(&TaskKey { step: *key, index: *i }));
         if turn.waiting.is_empty() || (turn.step.gang && turn.waiting.len() < all) {
@@ -258,19 +273,19 @@
         }
     }
 
-    /// Starts what has room of a step whose tasks may start one by one.
+    /// Starts tasks of a step that need not start all at once.
     fn place_tasks(&mut self, turn: &Turn, round: &mut Round, now: Time) {
         let Turn { key, ref step, ref usable, advice, .. } = *turn;
         let (valid, mut stale) = self.rooms(turn, round, now);
-        // Where a sound worker has room as well, its ticket is worth waiting for.
-        let poor = |r: &Room| {
+        // A healthy worker with capacity is worth the wait for its ticket.
+        let unfavourable = |r: &Room| {
             let w = &self.workers[r.index];
             w.closed()
                 || (step.lasts && matches!(w.sound.verdict(now), Verdict::Quarantined { .. }))
         };
-        let (mut last, mut valid): (Vec<_>, Vec<_>) = valid.into_iter().partition(poor);
+        let (mut last, mut valid): (Vec<_>, Vec<_>) = valid.into_iter().partition(unfavourable);
         let mut chosen = choose(step, &turn.waiting, &mut valid);
-        if stale.iter().all(poor) {
+        if stale.iter().all(unfavourable) {
             chosen.extend(choose(step, &turn.waiting[chosen.len()..], &mut last));
         }
         let rest = &turn.waiting[chosen.len()..];
@@ -283,11 +298,11 @@
                 let taken = |r: &Room| chosen.iter().any(|c| c.1.0 == r.index);
                 let good: Vec<Room> = good.iter().filter(|r| !taken(r)).copied().collect();
                 let places = self.evict(turn, rest, &good, now);
-                keep(step, &places, round);
+                withhold(step, &places, round);
             }
             if let Some(cost) = advice {
                 let later = choose(step, rest, &mut stale);
-                keep(step, &later, round);
+                withhold(step, &later, round);
                 let mut wanted: Vec<WorkerNo> = later.iter().map(|c| c.1).collect();
                 wanted.extend(self.coming(turn, &good, cost, round, now));
                 wanted.sort_unstable();
@@ -295,28 +310,28 @@
                 self.ask_again(key, &wanted, usable, cost, now);
             }
             if chosen.is_empty() && round.starving.contains(key) {
-                let wish = self.wish(turn, &good, now);
-                keep(step, &wish, round);
+                let preferred = self.preferred_workers(turn, &good, now);
+                withhold(step, &preferred, round);
             }
         }
         self.start_all(key, step, &chosen, now);
     }
 
-    /// The rooms that have place for a task of a step now: those for which it has a valid ticket, and
-    /// those for which it needs a new one.
+    /// The workers that can take a task of the step now: first those with a valid ticket, then
+    /// those whose ticket has expired.
     pub(super) fn rooms(&self, turn: &Turn, round: &Round, now: Time) -> (Vec<Room>, Vec<Room>) {
         let (mut valid, mut stale) = (vec![], vec![]);
-        let Some(part) = self.part(turn.key) else { return (valid, stale) };
+        let Some(step_state) = self.part(turn.key) else { return (valid, stale) };
         let size = turn.step.counted();
         let own = self.reserved.get(turn.key);
-        let waited = part.ready.is_some_and(|t| t + CLAIM <= now);
-        let asker = self.asker(turn, round, waited && own.is_none(), now);
+        let waited = step_state.ready.is_some_and(|t| t + RESERVED_USE_DELAY <= now);
+        let requester = self.asker(turn, round, waited && own.is_none(), now);
         for no in turn.usable.iter() {
             let free = self.workers[no.0].free();
             if !size.fits(&free) {
                 continue;
             }
-            let mut left = free.saturating_sub(&round.claimed(*no, &asker));
+            let mut left = free.saturating_sub(&round.claimed(*no, &requester));
             if let Some(n) = own.and_then(|r| r.each.iter().find(|e| e.0 == *no)) {
                 let mine = free.saturating_sub(&round.before(*no, turn.key));
                 left = left.max(&size.times(size.count(&mine).min(n.1.into())));
@@ -324,7 +339,7 @@
             if !size.fits(&left) {
                 continue;
             }
-            let ticket = part.tickets.good.get(no);
+            let ticket = step_state.tickets.good.get(no);
             if turn.advice.is_some() && ticket.is_none() {
                 continue;
             }
@@ -338,46 +353,47 @@
         (valid, stale)
     }
 
-    /// A step as it asks for room that may be kept for others.
+    /// Describes a step for comparison with resources that are reserved for others.
     pub(super) fn asker<'a>(
         &self,
         turn: &Turn<'a>,
         round: &Round,
-        first: bool,
+        may_outrank: bool,
         now: Time,
-    ) -> Asker<'a> {
-        let part = self.part(turn.key);
+    ) -> Requester<'a> {
+        let step_state = self.part(turn.key);
         let estimate = Duration::from_millis(turn.step.estimate);
-        let takes = part.and_then(|p| p.expected(PEERS)).unwrap_or(estimate);
-        let ends = match turn.step.lasts {
+        let takes = step_state.and_then(|p| p.expected(PEERS)).unwrap_or(estimate);
+        let ends_at = match turn.step.lasts {
             true => Time::NEVER,
-            false => now + takes + takes / OFF,
+            false => now + takes + takes / OVERRUN_DIVISOR,
         };
-        let absent = turn.step.lasts && round.starving.contains(turn.key);
-        Asker { key: turn.key, priority: turn.priority, ends, first, absent }
+        let overdue = turn.step.lasts && round.starving.contains(turn.key);
+        Requester { key: turn.key, priority: turn.priority, ends_at, may_outrank, overdue }
     }
 
-    /// The rooms of all workers that may run a step, full ones too.
+    /// All workers that may run a step, including full ones.
     fn all_rooms(&self, turn: &Turn, round: &Round, now: Time) -> Vec<Room> {
-        let Some(part) = self.part(turn.key) else { return vec![] };
-        let may = |no: &&WorkerNo| turn.advice.is_none() || part.tickets.good.contains_key(no);
-        let asker = self.asker(turn, round, false, now);
+        let Some(step_state) = self.part(turn.key) else { return vec![] };
+        let may =
+            |no: &&WorkerNo| turn.advice.is_none() || step_state.tickets.good.contains_key(no);
+        let requester = self.asker(turn, round, false, now);
         let room = |no: &WorkerNo| {
             let mut room = self.room(*no, turn.key, &turn.step, now)?;
-            room.free = room.free.saturating_sub(&round.claimed(*no, &asker));
+            room.free = room.free.saturating_sub(&round.claimed(*no, &requester));
             room.demand = round.demand[no.0];
             Some(room)
         };
         turn.usable.iter().filter(may).filter_map(room).collect()
     }
 
-    /// How many tasks of a step are at a worker.
+    /// The number of tasks of a step at a worker.
     pub(super) fn same(&self, no: WorkerNo, key: &StepKey) -> u32 {
         let tasks = self.workers[no.0].runs.keys();
         u32::try_from(tasks.filter(|t| t.step == *key).count()).unwrap_or(u32::MAX)
     }
 
-    /// A worker's room as a task of this step sees it; nothing where it must not go.
+    /// The capacity of a worker for a task of this step; `None` if the task must not run there.
     pub(super) fn room(&self, no: WorkerNo, key: &StepKey, step: &Step, now: Time) -> Option<Room> {
         let w = &self.workers[no.0];
         let listed = w.listed.as_ref()?;
@@ -396,7 +412,7 @@
             serves: step.fills && w.serves(),
             fillers: w.fillers,
             same,
-            most: self.most(no, step, now),
+            most: self.start_limit(no, step, now),
             suspect: w.sound.verdict(now) != Verdict::Sound
                 || (step.lasts && (w.due() || w.closed())),
             demand: 0,
--- a/src/shard/sight.rs
+++ b/src/shard/sight.rs
@@ -1,7 +1,7 @@
-//! What a waiting step waits for, with all that decides it. Nothing here decides.
+//! Diagnosis: finds out why a waiting step does not start. It takes no scheduling decisions.
 //!
-//! A step is seen as the next round would find it: the steps before it in the order are gone through
-//! with the round's own means, and what they would take or keep is no room for it.
+//! The diagnosis rehearses the next round with the round's own functions: whatever the steps that
+//! come earlier would take or withhold is not available to the step in question.
 
 use {
     crate::{
@@ -11,7 +11,7 @@
             cause::{Away, Bar, Cause, Sight},
             jobs::{At, Part},
             machine::Shard,
-            plan::{LOOK, choose, keep},
+            plan::{MAX_ROUND_STEPS, choose, withhold},
             round::{Round, Turn},
             workers::{Phase, WorkerNo},
         },
@@ -22,26 +22,26 @@
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// From when on a lasting task is away: most are back by then, and a third of the time is left that
-/// one may be.
-const AWAY: Duration = Duration::from_secs(2);
-/// Of how many steps at most, those that are away longest, it is found out why: more than a round looks
-/// at.
-const SEEN: usize = 500;
+/// After this time a long-running task counts as away. Most tasks run again by then, and a third of
+/// the time for which one may be away is left.
+const AWAY_AFTER: Duration = Duration::from_secs(2);
+/// The maximum number of steps that are diagnosed, those that have been away longest. More than a
+/// round examines.
+const MAX_DIAGNOSED: usize = 500;
 
 impl Shard {
-    /// The lasting steps of which tasks are away, and why.
+    /// The long-running steps that have tasks away, longest first, each with its cause.
     pub fn absent(&self, now: Time) -> Vec<Away> {
         let mut all = vec![];
         for (no, job) in self.jobs.iter().filter(|(_, j)| !j.state.over()) {
             let lasts = |s: u16| job.job.steps.get(usize::from(s)).is_some_and(|s| s.lasts);
-            for ((time, step), part) in job.parts.iter().filter(|p| lasts(p.0.1)) {
+            for ((time, step), step_state) in job.parts.iter().filter(|p| lasts(p.0.1)) {
                 let key = StepKey { job: *no, time: *time, step: *step };
-                all.extend(self.look_for(key, part, now));
+                all.extend(self.find_away(key, step_state, now));
             }
         }
         all.sort_unstable_by_key(|a| (Reverse(a.away), a.key));
-        let waiting = all.iter().filter(|a| a.tasks > 0).take(SEEN);
+        let waiting = all.iter().filter(|a| a.tasks > 0).take(MAX_DIAGNOSED);
         let keys: FxHashSet<StepKey> = waiting.map(|a| a.key).collect();
         let mut sights = match keys.is_empty() {
             true => BTreeMap::new(),
@@ -56,31 +56,34 @@
         all
     }
 
-    /// Which tasks of a lasting step are away, if any; what waits is yet to be looked at.
-    fn look_for(&self, key: StepKey, part: &Part, now: Time) -> Option<Away> {
+    /// The tasks of a long-running step that are away, if any. The cause for waiting tasks is
+    /// filled in later.
+    fn find_away(&self, key: StepKey, step_state: &Part, now: Time) -> Option<Away> {
         let ready = self.ranks.contains_key(&key);
         let (mut waiting, mut held) = (vec![], vec![]);
-        for (index, task) in (0..).zip(&part.tasks) {
-            let since = task.left.or(part.ready);
+        for (index, task) in (0..).zip(&step_state.tasks) {
+            let since = task.left.or(step_state.ready);
             match task.at {
                 At::Waiting if ready => waiting.extend(since.map(|t| (t, index))),
                 At::There(no) => {
                     let task = TaskKey { step: key, index };
                     let lost = self.unseen(no, &task, since.unwrap_or(now));
-                    held.extend(lost.filter(|l| l.0 + AWAY <= now).map(|l| (l.0, index, l.1)));
+                    held.extend(
+                        lost.filter(|l| l.0 + AWAY_AFTER <= now).map(|l| (l.0, index, l.1)),
+                    );
                 }
                 _ => {}
             }
         }
         held.sort_unstable();
-        let first = waiting.iter().min().filter(|w| w.0 + AWAY <= now);
+        let first = waiting.iter().min().filter(|w| w.0 + AWAY_AFTER <= now);
         let (since, first, cause) = match (first, held.first()) {
             (Some((since, index)), _) => (*since, *index, Cause::Turn),
             (None, Some(first)) => *first,
             (None, None) => return None,
         };
         let sight = Sight {
-            listed: now - self.told.listed,
+            listed: now - self.told.listed_at,
             unsettled: self.unsettled.len(),
             ..Sight::default()
         };
@@ -88,7 +91,7 @@
         Some(Away { key, tasks, held, first, away: now - since, class: 0, behind: 0, cause, sight })
     }
 
-    /// Since when a task is not seen to run at the worker where it is counted, and why.
+    /// Since when a task has not been seen to run at the worker that it is assigned to, and why.
     fn unseen(&self, no: WorkerNo, task: &TaskKey, since: Time) -> Option<(Time, Cause)> {
         let worker = &self.workers[no.0];
         let run = worker.runs.get(task)?;
@@ -100,24 +103,27 @@
         }
     }
 
-    /// How many steps are before each of these, and what decides when their tasks start.
+    /// For each of these steps, the number of steps before it and the facts that decide when its
+    /// tasks start.
     pub(super) fn sights(
         &self,
         keys: &FxHashSet<StepKey>,
         now: Time,
     ) -> BTreeMap<StepKey, (usize, Sight)> {
-        let mut round = self.view(now);
+        let mut round = self.read_round(now);
         let starving = self.starving(&round, now);
-        let mut order = self.looked_at(&starving);
+        let mut order = self.round_steps(&starving);
         let look = order.len();
         let seen: FxHashSet<StepKey> = order.iter().copied().collect();
-        order.extend(self.ready.iter().skip(LOOK).map(|r| r.1).filter(|k| !seen.contains(k)));
+        order.extend(
+            self.ready.iter().skip(MAX_ROUND_STEPS).map(|r| r.1).filter(|k| !seen.contains(k)),
+        );
         round.starving = starving;
-        order.iter().take(look).for_each(|key| self.demand(key, 1, &mut round));
+        order.iter().take(look).for_each(|key| self.add_demand(key, 1, &mut round));
         let mut sights = BTreeMap::new();
         for (behind, key) in order.iter().enumerate() {
             if keys.contains(key) {
-                let mut sight = self.sight(key, &round, now);
+                let mut sight = self.diagnose(key, &round, now);
                 if behind >= look {
                     sight.gate = sight.gate.or(Some(Cause::Order));
                 }
@@ -133,7 +139,7 @@
         sights
     }
 
-    /// Keeps what a step would take or keep in the next round from those behind it.
+    /// Withholds from later steps whatever a step would take or withhold in the next round.
     fn rehearse(&self, key: &StepKey, round: &mut Round, now: Time) {
         if !self.is_sole(&key.job) {
             return;
@@ -142,27 +148,27 @@
         if turn.advice.is_some() && self.part(key).is_none_or(|p| p.tickets.good.is_empty()) {
             return;
         }
-        self.demand(key, -1, round);
+        self.add_demand(key, -1, round);
         if turn.step.gang {
-            return round.pass(key, self.reserved.get(key).cloned(), self.reserved.get(key));
+            return round.end_turn(key, self.reserved.get(key).cloned(), self.reserved.get(key));
         }
         let (mut valid, mut stale) = self.rooms(&turn, round, now);
         let mut places = choose(&turn.step, &turn.waiting, &mut valid);
         places.extend(choose(&turn.step, &turn.waiting[places.len()..], &mut stale));
-        keep(&turn.step, &places, round);
+        withhold(&turn.step, &places, round);
     }
 
-    /// What decides when a step's tasks start.
-    fn sight(&self, key: &StepKey, round: &Round, now: Time) -> Sight {
+    /// Collects the facts that decide when a step's tasks start.
+    fn diagnose(&self, key: &StepKey, round: &Round, now: Time) -> Sight {
         let mut sight = Sight {
             wanted: 1,
             lanes: (self.lanes.idle(), self.lanes.len()),
             round: self.next > now,
-            listed: now - self.told.listed,
+            listed: now - self.told.listed_at,
             unsettled: self.unsettled.len(),
             ..Sight::default()
         };
-        let (Some(turn), Some(part)) = (self.turn(key, round, now), self.part(key)) else {
+        let (Some(turn), Some(step_state)) = (self.turn(key, round, now), self.part(key)) else {
             let queue = self.jobs.get(&key.job).and_then(|j| self.known.get(&j.queue));
             sight.gate = Some(if queue.is_some() { Cause::Pool } else { Cause::Queue });
             return sight;
@@ -170,21 +176,21 @@
         if turn.step.gang {
             sight.wanted = turn.step.count.into();
         }
-        sight.gate = self.gate(&turn, now);
-        let tickets = &part.tickets;
+        sight.gate = self.blocking_cause(&turn, now);
+        let tickets = &step_state.tickets;
         sight.asked = tickets.asked.len();
         sight.calls = tickets.calls.len();
         sight.oldest = tickets.calls.iter().min().map(|t| now - *t);
         sight.heard = tickets.heard.map(|t| now - t);
         sight.failed = tickets.next > now;
-        self.see_pool(&mut sight, &turn, round, now);
-        self.see_good(&mut sight, &turn, round, now);
-        sight.member = self.member(&sight, &turn, now);
+        self.count_pool(&mut sight, &turn, round, now);
+        self.count_eligible(&mut sight, &turn, round, now);
+        sight.member = self.member_is_free(&sight, &turn, now);
         sight
     }
 
-    /// What holds up a step before any worker is looked at.
-    fn gate(&self, turn: &Turn, now: Time) -> Option<Cause> {
+    /// The cause that holds a step up regardless of the workers, if any.
+    fn blocking_cause(&self, turn: &Turn, now: Time) -> Option<Cause> {
         let stray = |i: &u32| self.strays.contains(&TaskKey { step: *turn.key, index: *i });
         let strays = turn.waiting.iter().filter(|i| stray(i)).count();
         let old = self.jobs.get(&turn.key.job).is_some_and(|j| j.old);
@@ -201,11 +207,11 @@
         }
     }
 
-    /// Looks at a step's pool.
-    fn see_pool(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
+    /// Counts the workers of a step's pool.
+    fn count_pool(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, ref step, ref pool, .. } = *turn;
         let usable: FxHashSet<WorkerNo> = turn.usable.iter().copied().collect();
-        let Some(part) = self.part(key) else { return };
+        let Some(step_state) = self.part(key) else { return };
         let size = step.counted();
         for no in self.pools.get(pool).into_iter().flatten() {
             sight.all += 1;
@@ -214,7 +220,7 @@
                 continue;
             }
             sight.usable += 1;
-            if turn.advice.is_some() && !part.tickets.asked.contains(no) {
+            if turn.advice.is_some() && !step_state.tickets.asked.contains(no) {
                 sight.unasked += 1;
                 let room = self.room(*no, key, step, now);
                 let left = room.map(|r| r.free.saturating_sub(&round.all_claims(*no)));
@@ -223,20 +229,20 @@
         }
     }
 
-    /// Looks at the workers that may run a step.
-    fn see_good(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
+    /// Counts the workers that may run a step.
+    fn count_eligible(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, ref step, ref pool, .. } = *turn;
         let usable: FxHashSet<WorkerNo> = turn.usable.iter().copied().collect();
-        let Some(part) = self.part(key) else { return };
+        let Some(step_state) = self.part(key) else { return };
         let (size, most) = (step.counted(), u64::from(step.apart));
         let slots = |n: u64, same: u32| match most {
             0 => n,
             most => n.min(most.saturating_sub(same.into())),
         };
         let (valid, stale) = self.rooms(turn, round, now);
-        let asker = self.asker(turn, round, !self.reserved.contains_key(key), now);
+        let requester = self.asker(turn, round, !self.reserved.contains_key(key), now);
         let good: Vec<WorkerNo> = match turn.advice {
-            Some(_) => part.tickets.good.keys().copied().collect(),
+            Some(_) => step_state.tickets.good.keys().copied().collect(),
             None => self.pools.get(pool).cloned().unwrap_or_default(),
         };
         for no in good {
@@ -276,7 +282,7 @@
                         sight.slots.1 = sight.slots.1.saturating_add(n);
                     }
                     (None, None) => {
-                        let gangs = round.claimed(no, &asker).saturating_sub(&round.kept(no));
+                        let gangs = round.claimed(no, &requester).saturating_sub(&round.kept(no));
                         match size.fits(&room.free.saturating_sub(&gangs)) {
                             true => sight.before += 1,
                             false => sight.gangs += 1,
@@ -287,7 +293,7 @@
         }
     }
 
-    /// Why a worker gets no starts, if so.
+    /// Why a worker gets no starts, or `None` if it may get them.
     fn bar(
         &self,
         no: WorkerNo,
@@ -312,8 +318,8 @@
         }
     }
 
-    /// Whether a member is free for the call that a step would need.
-    fn member(&self, sight: &Sight, turn: &Turn, now: Time) -> bool {
+    /// Whether a member is free to make the advice call that a step would need.
+    fn member_is_free(&self, sight: &Sight, turn: &Turn, now: Time) -> bool {
         let Some(cost) = turn.advice else { return true };
         let chunk = chunk(cost.base, cost.each);
         let named = match () {
