--- a/tests/hand/mod.rs
+++ b/tests/hand/mod.rs
@@ -1,6 +1,7 @@
-//! A shard driven by hand: a few workers and a store that do well, but for what a test says.
+//! A test harness that drives one shard in virtual time: a few workers, a store and an advice
+//! service that all behave well unless a test says otherwise.
 
-#![allow(dead_code)] // each test file uses a part
+#![allow(dead_code)] // no test file uses all items
 
 pub mod worker;
 
@@ -34,52 +35,55 @@
     worker::Worker,
 };
 
-/// The shard.
 const SHARD: ShardNo = ShardNo(0);
-/// The Unix clock at [`Time::ZERO`], in milliseconds.
-const UNIX: u64 = 1_700_000_000_000;
-/// How long an answer takes, and the time between two ticks.
+/// The Unix time at [`Time::ZERO`], in milliseconds.
+const UNIX_MS: u64 = 1_700_000_000_000;
+/// How long an answer takes, and the interval between two ticks.
 pub const STEP: Duration = Duration::from_millis(20);
-/// The longest lease; so long that 2% of it are more than any margin.
+/// The longest lease of a worker. It is long enough that 2% of it exceed every safety margin.
 pub const HOLD: Duration = Duration::from_secs(20);
-/// The longest that a stop takes.
+/// The longest time that a worker takes to stop a task.
 pub const STOP: Duration = Duration::from_secs(1);
 
-/// The shard, and all around it.
+/// One shard together with its workers, its store and the calls that are in flight.
 pub struct Hand {
     pub shard: Shard,
     pub token: u64,
     pub now: Time,
     pub workers: Vec<Worker>,
     pub store: Store,
-    /// What becomes of the next writes; those after them are done.
+    /// Outcomes of the next writes, in order. All writes after them succeed and are answered.
     pub fates: VecDeque<Fate>,
-    /// So many of the next reads of the commit row have no answer.
+    /// How many of the next reads of the commit row get no answer.
     pub unread: u32,
-    /// Whether the store answers at all.
+    /// Whether the store answers writes and reads of the commit row.
     pub answers: bool,
-    /// Whether the member's lease is confirmed.
+    /// Whether the store confirms the member's lease on every tick.
     pub confirms: bool,
-    /// Whether advice is given; its tickets are the times of their issue.
+    /// Whether the advice service answers. Each ticket holds the time of its issue, in
+    /// milliseconds.
     pub advises: bool,
-    /// How long a call for advice takes, and how many were made.
+    /// How long a call for advice takes.
     pub call: Duration,
+    /// How many calls for advice have been answered or given up.
     pub calls: u64,
-    /// Whether the owner was told to forget the shard.
+    /// Whether the shard has ordered its owner to give it up ([`Order::Deposed`]).
     pub deposed: bool,
-    /// Each call of a worker so far.
+    /// Every call that the owner made to a worker: when, the worker's index, and the call.
     pub log: Vec<(Time, usize, WorkerCall)>,
-    out: Vec<(Time, Order)>,
-    late: Vec<(Time, Txn)>,
-    /// Lives of workers that are over.
-    over: BTreeSet<WorkerId>,
+    /// Orders that are not answered yet, with the time when each was given.
+    pending: Vec<(Time, Order)>,
+    /// Transactions that take effect later, without an answer.
+    delayed: Vec<(Time, Txn)>,
+    /// Former incarnations of workers that have crashed.
+    crashed: BTreeSet<WorkerId>,
 }
 
 fn bounds() -> Bounds {
     Bounds { hold: HOLD, stop: STOP, ..setup::bounds() }
 }
 
-/// The queues `plain`, and `advised`, whose steps need advice, on one pool.
+/// The queues `plain` and `advised`, on one pool. Steps of `advised` need advice.
 fn queues() -> Arc<Queues> {
     let ms = Duration::from_millis;
     let queue = |name: &str, advice| Queue {
@@ -102,29 +106,28 @@
     })
 }
 
-/// A step of so many tasks of so many cores, which last so long that none seems to stand still; a
-/// worker has 4 cores.
+/// A step of `count` tasks of `cores` cores each. The estimated run time is so long that no task
+/// seems to be stuck. A worker has 4 cores.
 pub fn step(count: u32, cores: u64) -> Step {
     Step { count, estimate: 20_000_000, size: Size::new(cores, 512, 0), ..Step::default() }
 }
 
-/// A job of one step.
 pub fn job(step: Step) -> Job {
     Job { text: "do it".into(), steps: [step].into(), times: None }
 }
 
-/// A task of a job's first step.
+/// A task of the first step of job `no`.
 pub fn task(no: u64, index: u32) -> TaskKey {
     TaskKey { step: StepKey { job: JobNo(no), time: 0, step: 0 }, index }
 }
 
 impl Hand {
-    /// An owner with so many workers that may all be used.
+    /// An owner with `count` workers, which are all usable when this returns.
     pub fn new(count: usize) -> Self {
         let mut store = Store::new(1);
         let shard = Shard::new(setup(0), Load::default(), Time::ZERO);
         store.put(SHARD.roster(), write(&Roster::default()));
-        let mut hand = Hand {
+        let mut harness = Hand {
             shard,
             token: 0,
             now: Time::ZERO,
@@ -139,22 +142,23 @@
             calls: 0,
             deposed: false,
             log: vec![],
-            out: vec![],
-            late: vec![],
-            over: BTreeSet::new(),
+            pending: vec![],
+            delayed: vec![],
+            crashed: BTreeSet::new(),
         };
-        hand.succeed();
-        hand.run(200);
-        hand
+        harness.succeed();
+        harness.run(200);
+        harness
     }
 
-    /// Another owner in place of this one, with what the store has.
+    /// Replaces the owner with a new one that has a higher token and loads its state from the
+    /// store.
     pub fn succeed(&mut self) {
         self.token += 1;
         let row = write(&CommitRow { token: self.token, number: 0 });
         let commit = self.store.put(SHARD.commit(), row);
         self.shard = Shard::new(setup(self.token), self.load(commit), self.now);
-        self.out.clear();
+        self.pending.clear();
         self.tell(Event::Queues(queues()));
         self.tell(Event::Peers(Peers { own: vec![Incarnation(self.token)], shared: vec![] }));
         self.list();
@@ -177,105 +181,109 @@
         }
     }
 
-    /// What the store has of how a job stands.
+    /// The progress of a job as the store has it.
     pub fn stored(&self, no: u64) -> Progress {
         let item = self.store.get(&SHARD.progress(JobNo(no))).and_then(|i| i.value);
         item.and_then(|v| read(&v)).unwrap_or_default()
     }
 
-    /// How a job is shown.
+    /// The state of a job as the owner shows it to callers.
     pub fn state(&self, no: u64) -> Option<State> {
         self.shard.state(JobNo(no), self.now)
     }
 
-    /// A caller's job is stored; the owner hears of it.
+    /// Stores a job that a caller submitted and notifies the owner.
     pub fn submit(&mut self, no: u64, queue: &str, job: Job) {
-        let came = UNIX + self.now.0 / 1_000;
+        let came = UNIX_MS + self.now.0 / 1_000;
         let record = JobRecord { queue: queue.into(), came, job, terms: None };
         self.store.put(SHARD.job(JobNo(no)), write(&record));
         self.tell(Event::Job(JobNo(no), Box::new(record)));
     }
 
-    /// As [`Hand::submit`], of a job that is due so many milliseconds later.
+    /// Like [`Hand::submit`], for a job that is due `ms` milliseconds later.
     pub fn submit_due(&mut self, no: u64, ms: u64, job: Job) {
-        let first = UNIX + self.now.0 / 1_000 + ms;
+        let first = UNIX_MS + self.now.0 / 1_000 + ms;
         let times = Some(Times { count: 1, first, every: 1 });
         self.submit(no, "plain", Job { times, ..job });
     }
 
-    /// A cancel is stored; the owner hears of it.
+    /// Stores the cancellation of a job and notifies the owner.
     pub fn cancel(&mut self, no: u64) {
         self.store.put(SHARD.cancel(JobNo(no)), "{}".into());
         self.tell(Event::Cancel(JobNo(no)));
     }
 
-    /// The list of workers is read.
+    /// Delivers the current list of workers to the owner.
     pub fn list(&mut self) {
         let listed: Vec<Listed> = self.workers.iter().filter_map(Worker::entry).collect();
         self.tell(Event::Listed(listed));
     }
 
-    /// A worker crashes and is there at once as another life, which nobody has heard of.
+    /// Crashes a worker and restarts it at once as a new incarnation. The owner is not told until
+    /// the next [`Hand::list`].
     pub fn restart(&mut self, at: usize) {
-        self.over.insert(self.workers[at].id.clone());
+        self.crashed.insert(self.workers[at].id.clone());
         self.workers[at].crash();
     }
 
-    /// A worker crashes and is listed at once as another life.
+    /// Crashes a worker, restarts it at once as a new incarnation and delivers the new list.
     pub fn crash(&mut self, at: usize) {
         self.restart(at);
         self.list();
     }
 
-    /// The place of a worker; none for a life that is over, and only for such a one.
-    fn place(&self, worker: &WorkerId) -> Option<usize> {
+    /// The index of a worker, or `None` if this incarnation has crashed. Panics if there has never
+    /// been such a worker.
+    fn index_of(&self, worker: &WorkerId) -> Option<usize> {
         let at = self.workers.iter().position(|w| w.id == *worker);
-        assert!(at.is_some() || self.over.contains(worker), "{worker} never was a worker");
+        assert!(at.is_some() || self.crashed.contains(worker), "{worker} has never been a worker");
         at
     }
 
-    /// The owner hears of something.
+    /// Delivers an event to the shard and collects the orders that it gives in return.
     pub fn tell(&mut self, event: Event) {
         for order in self.shard.on(event, self.now) {
             if let Order::Worker { worker, call, .. } = &order
-                && let Some(at) = self.place(worker)
+                && let Some(at) = self.index_of(worker)
             {
                 self.log.push((self.now, at, WorkerCall::clone(call)));
             }
             self.deposed |= order == Order::Deposed;
-            self.out.push((self.now, order));
+            self.pending.push((self.now, order));
         }
     }
 
-    /// Lets so many milliseconds pass.
+    /// Advances time by `ms` milliseconds.
     pub fn run(&mut self, ms: u64) {
-        let over = self.now + Duration::from_millis(ms);
-        while self.now < over {
+        let deadline = self.now + Duration::from_millis(ms);
+        while self.now < deadline {
             self.pass();
         }
     }
 
-    /// Lets time pass until something is so; returns when.
-    pub fn until(&mut self, what: &str, ms: u64, is: impl Fn(&Hand) -> bool) -> Time {
-        let over = self.now + Duration::from_millis(ms);
-        while !is(self) {
-            assert!(self.now < over, "{what}: not within {ms} ms");
+    /// Advances time until `condition` holds and returns that time. Panics with `what` if
+    /// `condition` does not hold within `ms` milliseconds.
+    pub fn until(&mut self, what: &str, ms: u64, condition: impl Fn(&Hand) -> bool) -> Time {
+        let deadline = self.now + Duration::from_millis(ms);
+        while !condition(self) {
+            assert!(self.now < deadline, "{what}: did not happen within {ms} ms");
             self.pass();
         }
         self.now
     }
 
-    /// One step of time.
+    /// Advances time by one [`STEP`]: answers the orders that are in flight, confirms the lease and
+    /// delivers a tick.
     pub fn pass(&mut self) {
         self.now = self.now + STEP;
-        for (at, txn) in mem::take(&mut self.late) {
+        for (at, txn) in mem::take(&mut self.delayed) {
             if at <= self.now {
                 self.store.txn(&txn);
             } else {
-                self.late.push((at, txn));
+                self.delayed.push((at, txn));
             }
         }
-        for (sent, order) in mem::take(&mut self.out) {
+        for (sent, order) in mem::take(&mut self.pending) {
             self.answer(sent, order);
         }
         if self.confirms {
@@ -287,11 +295,11 @@
     fn answer(&mut self, sent: Time, order: Order) {
         match &order {
             Order::Worker { worker, call, limit, .. } => {
-                let at = self.place(worker);
+                let at = self.index_of(worker);
                 let other = Ok(WorkerReply::Other);
                 let reply = at.map_or(other, |at| self.workers[at].answer(call, self.now));
                 if reply == Err(Fault::Unknown) && self.now < sent + *limit {
-                    return self.out.push((sent, order));
+                    return self.pending.push((sent, order));
                 }
                 let (worker, call) = (worker.clone(), call.clone());
                 self.tell(Event::Worker { worker, sent, call, reply });
@@ -299,7 +307,7 @@
             Order::Advise { via, call, sent, limit, .. } => {
                 let waits = !self.advises && self.now < *sent + *limit;
                 if waits || self.now < *sent + self.call {
-                    return self.out.push((*sent, order));
+                    return self.pending.push((*sent, order));
                 }
                 self.calls += 1;
                 let ticket: Box<str> = (self.now.0 / 1_000).to_string().into();
@@ -308,7 +316,7 @@
                 let reply = if self.advises { Ok(advice) } else { Err(Fault::Unknown) };
                 self.tell(Event::Advised { call: call.clone(), via: *via, sent: *sent, reply });
             }
-            Order::Store(..) | Order::Reread if !self.answers => self.out.push((sent, order)),
+            Order::Store(..) | Order::Reread if !self.answers => self.pending.push((sent, order)),
             Order::Store(number, txn) => self.write(*number, txn),
             Order::Reread if self.unread > 0 => {
                 self.unread -= 1;
@@ -319,7 +327,7 @@
                 let read = read(&row.value.expect("a value")).expect("a row");
                 self.tell(Event::Reread(Ok((row.rev, read))));
             }
-            // There is no list of machines here.
+            // The harness has no list of machines.
             Order::Lives => self.tell(Event::Lives { sent, reply: Err(Fault::Unsent) }),
             Order::Deposed => {}
         }
@@ -330,11 +338,11 @@
             Fate::Answered => Ok(self.store.txn(txn)),
             Fate::Refused => Err(Fault::Refused),
             Fate::Unheard => Err(Fault::Unknown),
-            Fate::Lost(late) => {
-                if late.is_zero() {
+            Fate::Lost(delay) => {
+                if delay.is_zero() {
                     self.store.txn(txn);
                 } else {
-                    self.late.push((self.now + late, txn.clone()));
+                    self.delayed.push((self.now + delay, txn.clone()));
                 }
                 Err(Fault::Unknown)
             }
@@ -342,7 +350,7 @@
         self.tell(Event::Stored(number, reply));
     }
 
-    /// The starts so far.
+    /// All starts so far: when, the worker's index, and the start.
     pub fn starts(&self) -> Vec<(Time, usize, Start)> {
         let start = |(at, w, call): &(Time, usize, WorkerCall)| match call {
             WorkerCall::Start(s) => Some((*at, *w, s.clone())),
@@ -351,12 +359,12 @@
         self.log.iter().filter_map(start).collect()
     }
 
-    /// The starts of a job so far.
+    /// All starts of a job so far.
     pub fn starts_of(&self, no: u64) -> Vec<(Time, usize, Start)> {
         self.starts().into_iter().filter(|s| s.2.task.step.job == JobNo(no)).collect()
     }
 
-    /// The stops so far.
+    /// All stops so far: when, the worker's index, and the task.
     pub fn stops(&self) -> Vec<(Time, usize, TaskKey)> {
         let stop = |(at, w, call): &(Time, usize, WorkerCall)| match call {
             WorkerCall::Stop { task, .. } => Some((*at, *w, *task)),
@@ -365,7 +373,8 @@
         self.log.iter().filter_map(stop).collect()
     }
 
-    /// The leases that a worker was given: when, and until when on its clock.
+    /// All leases that a worker was given: when, and the expiry on the worker's clock, in
+    /// milliseconds.
     pub fn leases(&self, worker: usize) -> Vec<(Time, u64)> {
         let lease = |(at, _, call): &(Time, usize, WorkerCall)| match call {
             WorkerCall::Hold { until: Some(until), .. } => Some((*at, *until)),
@@ -375,7 +384,7 @@
         self.log.iter().filter(|(_, w, _)| *w == worker).filter_map(lease).collect()
     }
 
-    /// The last end that a worker was told is noted.
+    /// The highest number of an end that the owner has acknowledged to a worker.
     pub fn noted(&self, worker: usize) -> u64 {
         let seen = |(_, w, call): &(Time, usize, WorkerCall)| match call {
             WorkerCall::Hold { seen, .. } if *w == worker => Some(*seen),
@@ -384,19 +393,19 @@
         self.log.iter().filter_map(seen).max().unwrap_or(0)
     }
 
-    /// Where a task runs.
+    /// Indices of the workers on which a task runs.
     pub fn places(&self, task: TaskKey) -> Vec<usize> {
         let there = |w: &Worker| w.rows.iter().any(|r| r.task == task);
         (0..self.workers.len()).filter(|w| there(&self.workers[*w])).collect()
     }
 
-    /// Ends a task where it runs.
+    /// Ends a task on the one worker that runs it.
     pub fn end(&mut self, task: TaskKey, how: How) {
         let ended = self.workers.iter_mut().map(|w| w.end(&task, how));
-        assert_eq!(ended.filter(|e| *e).count(), 1, "{task} runs once");
+        assert_eq!(ended.filter(|e| *e).count(), 1, "{task} must run on exactly one worker");
     }
 }
 
 fn setup(token: u64) -> Setup {
-    Setup { shard: SHARD, me: Incarnation(token), token, bounds: bounds(), unix: UNIX }
+    Setup { shard: SHARD, me: Incarnation(token), token, bounds: bounds(), unix: UNIX_MS }
 }
--- a/tests/hand/worker.rs
+++ b/tests/hand/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that does as it is told, but for what a test says.
+//! A worker that carries out every call unless a test overrides its answers.
 
 use {
     dogwoodreach::{
@@ -11,41 +11,41 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// What a test has a worker answer in place of what it would; nothing is done then.
+/// Overrides the answer to a call. The worker does not carry out a call that is overridden.
 pub type Hook = fn(&WorkerCall) -> Option<Result<Reply, Fault>>;
 
-/// The worker answers by itself.
+/// Overrides nothing.
 pub const FINE: Hook = |_| None;
-/// It answers nothing.
+/// Gives no answer to any call.
 pub const MUTE: Hook = |_| Some(Err(Fault::Unknown));
 
-/// A worker.
 pub struct Worker {
     pub id: WorkerId,
-    no: usize,
-    /// How many lives it had before this one.
-    lives: u32,
-    /// Whether it is in the list.
+    index: usize,
+    /// How many incarnations came before this one.
+    restarts: u32,
+    /// Whether the list of workers has it.
     pub there: bool,
-    /// How long it stays, once it is leaving.
+    /// The time until it leaves, once it has announced that.
     pub left: Option<Duration>,
     pub hook: Hook,
-    /// How fast its clock runs.
+    /// The rate of its clock, as a factor of real time.
     pub rate: f64,
     pub token: u64,
     pub rows: Vec<Row>,
     pub ends: Vec<End>,
-    /// How many ends there were.
+    /// The number of the last end.
     pub count: u64,
-    barred: BTreeMap<TaskKey, u32>,
+    /// The highest run of each task that has ended or was stopped; it and lower ones may not start.
+    ended_runs: BTreeMap<TaskKey, u32>,
 }
 
 impl Worker {
-    pub fn new(no: usize) -> Self {
+    pub fn new(index: usize) -> Self {
         Worker {
-            id: WorkerId::from(&*format!("w{no}")),
-            no,
-            lives: 0,
+            id: WorkerId::from(&*format!("w{index}")),
+            index,
+            restarts: 0,
             there: true,
             left: None,
             hook: FINE,
@@ -54,22 +54,26 @@
             rows: vec![],
             ends: vec![],
             count: 0,
-            barred: BTreeMap::new(),
+            ended_runs: BTreeMap::new(),
         }
     }
 
-    /// Crashes, and is there again at once as another life.
+    /// Crashes and restarts at once as a new incarnation.
     pub fn crash(&mut self) {
-        let (no, lives) = (self.no, self.lives + 1);
-        *self = Worker { id: WorkerId::from(&*format!("w{no}-{lives}")), lives, ..Worker::new(no) };
+        let (index, restarts) = (self.index, self.restarts + 1);
+        *self = Worker {
+            id: WorkerId::from(&*format!("w{index}-{restarts}")),
+            restarts,
+            ..Worker::new(index)
+        };
     }
 
-    /// Its entry of the list.
+    /// Its entry in the list of workers, if it has one.
     pub fn entry(&self) -> Option<Listed> {
         self.there.then(|| Listed {
             id: self.id.clone(),
             pool: "pool".into(),
-            addr: ([127, 0, 0, 1], 9_000 + self.no as u16).into(),
+            addr: ([127, 0, 0, 1], 9_000 + self.index as u16).into(),
             zone: "z".into(),
             draining: self.left.is_some(),
             left: self.left,
@@ -78,12 +82,12 @@
         })
     }
 
-    /// Its clock, in milliseconds.
+    /// The time on its clock, in milliseconds.
     pub fn clock(&self, now: Time) -> u64 {
         1_000 + (now.0 as f64 / 1e3 * self.rate) as u64
     }
 
-    /// Its answer to a call.
+    /// Carries out a call, unless [`Worker::hook`] overrides it, and returns the answer.
     pub fn answer(&mut self, call: &WorkerCall, now: Time) -> Result<Reply, Fault> {
         if let Some(reply) = (self.hook)(call) {
             return reply;
@@ -102,7 +106,7 @@
         match call {
             WorkerCall::Start(start) => return Ok(self.start(start, clock)),
             WorkerCall::Stop { task, run, .. } => {
-                self.bar(task, *run);
+                self.forbid_run(task, *run);
                 self.end(task, How::Stopped);
             }
             WorkerCall::Hold { seen, .. } => {
@@ -120,30 +124,30 @@
         if self.rows.iter().any(|r| r.task == task && r.run == run) {
             return Reply::Done(clock);
         }
-        if self.barred.get(&task).is_some_and(|b| run <= *b) {
+        if self.ended_runs.get(&task).is_some_and(|last| run <= *last) {
             return Reply::Refused(clock, Refusal::Old);
         }
         self.rows.push(Row { task, run, saved, percent: 0, load: 0 });
         Reply::Done(clock)
     }
 
-    fn bar(&mut self, task: &TaskKey, run: u32) {
-        let barred = self.barred.entry(*task).or_default();
-        *barred = run.max(*barred);
+    fn forbid_run(&mut self, task: &TaskKey, run: u32) {
+        let last = self.ended_runs.entry(*task).or_default();
+        *last = run.max(*last);
     }
 
-    /// Ends a task; returns whether it was there.
+    /// Ends a task and returns whether it was running here.
     pub fn end(&mut self, task: &TaskKey, how: How) -> bool {
         let Some(at) = self.rows.iter().position(|r| r.task == *task) else { return false };
         let Row { task, run, saved, .. } = self.rows.remove(at);
         self.count += 1;
         self.ends.push(End { number: self.count, task, run, how, saved });
-        self.bar(&task, run);
+        self.forbid_run(&task, run);
         true
     }
 
-    /// Changes what is said of a task that runs there.
+    /// The row of a task that runs here, to be changed. Panics if it doesn't run here.
     pub fn row(&mut self, task: &TaskKey) -> &mut Row {
-        self.rows.iter_mut().find(|r| r.task == *task).expect("it runs there")
+        self.rows.iter_mut().find(|r| r.task == *task).expect("task must be running on this worker")
     }
 }
--- a/tests/shard.rs
+++ b/tests/shard.rs
@@ -1,4 +1,4 @@
-//! Days of one shard in virtual time; the yard checks the rules after every step.
+//! Simulations of one shard in virtual time. `yard` checks the invariants after every step.
 
 mod yard;
 
@@ -14,8 +14,8 @@
 
 const SEEDS: std::ops::Range<u64> = 1..4;
 
-/// So many jobs of a few tasks each, one every 100 ms.
-fn small(yard: &mut Yard, queue: &'static str, numbers: std::ops::Range<u64>) {
+/// Submits small jobs with these numbers, one every 100 ms.
+fn submit_small(yard: &mut Yard, queue: &'static str, numbers: std::ops::Range<u64>) {
     for no in numbers {
         let steps = [step(2, 600), Step { after: [0].into(), ..step(3, 400) }];
         yard.at(100 * (no % 1_000), move |y| y.submit(no, queue, job(steps)));
@@ -26,44 +26,44 @@
     Step { gang: true, tight: true, saves: true, ..step(count, estimate) }
 }
 
-fn saving(count: u32, estimate: u64) -> Step {
+fn checkpointing(count: u32, estimate: u64) -> Step {
     Step { saves: true, ..step(count, estimate) }
 }
 
-fn lasting(count: u32) -> Step {
+fn long_running(count: u32) -> Step {
     Step { lasts: true, target: 100, image: "web".into(), may_miss: Some(1), ..step(count, 1) }
 }
 
 /// One job of each kind of step.
-fn kinds() -> Vec<Job> {
+fn jobs_of_each_kind() -> Vec<Job> {
     let times = Some(Times { count: 3, first: UNIX + 2_000, every: 1_500 });
     let fills = Step { fills: true, image: "sift".into(), ..step(2, 1_000) };
     vec![
         job([step(1, 300), Step { after: [0].into(), ..step(6, 500) }]),
-        job([saving(4, 3_000)]),
+        job([checkpointing(4, 3_000)]),
         job([gang(4, 2_000)]),
         job([Step { needs: Some("gpu".into()), size: Size::new(1, 512, 1), ..step(3, 700) }]),
         job([Step { near: Some("r2".into()), ..step(3, 700) }]),
         job([Step { apart: 1, ..step(2, 800) }]),
         job([Step { copies: true, ..step(4, 600) }]),
-        job([lasting(2)]),
+        job([long_running(2)]),
         job([fills]),
         Job { times, ..job([step(2, 300)]) },
     ]
 }
 
 #[test]
-fn calm_day() {
-    // Callers hand in a job of each kind of step, on each kind of queue, and nothing is amiss.
-    // Each job is shown as queued, running and completed in its time, and timed ones wait for
-    // their time; the lasting ones stay at work.
+fn no_faults() {
+    // No faults. Callers submit a job of each kind of step to each kind of queue. Every job must be
+    // shown as queued, running and completed within its bounds, jobs with a start time must not
+    // start before it, and long-running tasks must keep running.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 12);
-        for (no, job) in (1..).zip(kinds()) {
+        for (no, job) in (1..).zip(jobs_of_each_kind()) {
             let queue = ["plain", "open", "urgent"][no as usize % 3];
             yard.at(50 * no, move |y| y.submit(no, queue, job));
         }
-        small(&mut yard, "advised", 1_001..1_006);
+        submit_small(&mut yard, "advised", 1_001..1_006);
         yard.run_until(1_000);
         yard.settle(30_000);
         yard.run_until(32_000);
@@ -73,12 +73,12 @@
 
 #[test]
 fn worker_crashes() {
-    // A worker's process ends while tasks that checkpoint and a gang run on it; it comes back
-    // under another id, at the same address, and knows of nothing.
-    // What ran there starts again elsewhere, from its checkpoint, and each job is completed.
+    // A worker's process crashes while checkpointing tasks and a gang run on it. It restarts at the
+    // same address under another id, without any state. Its tasks must start again elsewhere from
+    // their checkpoints, and every job must be completed.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 8);
-        yard.submit(1, "plain", job([saving(8, 4_000)]));
+        yard.submit(1, "plain", job([checkpointing(8, 4_000)]));
         yard.submit(2, "plain", job([gang(4, 4_000)]));
         yard.fault(2_500, |y| y.crash(0, Duration::from_secs(4)));
         yard.run_until(3_000);
@@ -88,15 +88,15 @@
 
 #[test]
 fn worker_cut_off() {
-    // A worker can't be reached for 42 s; it works on until its leases end, and its ends are
-    // listed when it is back.
-    // Its tasks start elsewhere as soon as they can't run there any more, on a clock 2% slow, and
-    // each job is completed before the worker is back; then nothing is done twice.
+    // A worker can't be reached for 42 s. It keeps working until its leases expire, and reports the
+    // ends of its tasks when it is reachable again. Its clock is 2% slow. Its tasks must start
+    // elsewhere as soon as they can't run on it any more, every job must be completed before the
+    // worker is back, and nothing may be done twice afterwards.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 8);
         yard.world.workers[0].rate = 0.98;
-        yard.submit(1, "plain", job([saving(10, 12_000)]));
-        small(&mut yard, "plain", 1_000..1_020);
+        yard.submit(1, "plain", job([checkpointing(10, 12_000)]));
+        submit_small(&mut yard, "plain", 1_000..1_020);
         yard.fault(3_000, |y| y.world.workers[0].cut = true);
         yard.fault(45_000, |y| y.world.workers[0].cut = false);
         yard.run_until(4_000);
@@ -107,14 +107,14 @@
 
 #[test]
 fn late_orders() {
-    // One of eight orders gets no answer and is carried out 2 to 12 s later, after newer ones.
-    // Callers see jobs that take longer; no task runs twice, and none starts after it was done.
+    // One of eight orders gets no answer and is carried out 2 to 12 s later, after newer ones. Jobs
+    // may take longer, but no task may run twice, and none may start after it was done.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 8);
         yard.late = 8;
         yard.rules.fault(yard.now);
-        small(&mut yard, "plain", 1_000..1_020);
-        small(&mut yard, "open", 2_000..2_020);
+        submit_small(&mut yard, "plain", 1_000..1_020);
+        submit_small(&mut yard, "open", 2_000..2_020);
         yard.submit(1, "plain", job([gang(3, 1_500)]));
         yard.at(30_000, |y| y.late = 0);
         yard.run_until(2_000);
@@ -124,18 +124,19 @@
 
 #[test]
 fn owner_killed() {
-    // The member that owns the shard ends without a word; 4 s later, when its lease is over,
-    // another takes over with what the store has and a higher token.
-    // What runs works on, if the new owner renews it in time; what ended meanwhile counts.
+    // The member that owns the shard is killed. After 4 s, when its lease has expired, another
+    // member takes over with the stored state and a higher token. Running tasks must continue,
+    // provided that the new owner renews their leases in time, and tasks that ended in between must
+    // count.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 8);
         yard.submit(
             1,
             "plain",
-            job([saving(6, 6_000), Step { after: [0].into(), ..step(4, 500) }]),
+            job([checkpointing(6, 6_000), Step { after: [0].into(), ..step(4, 500) }]),
         );
-        yard.submit(2, "open", job([lasting(3)]));
-        small(&mut yard, "open", 1_000..1_030);
+        yard.submit(2, "open", job([long_running(3)]));
+        submit_small(&mut yard, "open", 1_000..1_030);
         yard.fault(2_000, Yard::kill);
         yard.fault(6_000, Yard::take_over);
         yard.run_until(6_100);
@@ -145,30 +146,31 @@
 
 #[test]
 fn old_owner_wakes() {
-    // The owner's process stands still for 8 s. Meanwhile another takes over.
-    // The old one wakes, hears at once all that came, and still believes that it owns the shard:
-    // neither its orders nor its writes have an effect, and it forgets the shard.
+    // The owner's process is paused for 8 s, and another member takes over in the meantime. When
+    // the former owner resumes, it processes all pending events and still believes that it owns the
+    // shard. Its orders and writes must have no effect, and it must give up the shard.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 8);
-        small(&mut yard, "plain", 1_000..1_060);
-        yard.submit(1, "plain", job([saving(4, 9_000)]));
+        submit_small(&mut yard, "plain", 1_000..1_060);
+        yard.submit(1, "plain", job([checkpointing(4, 9_000)]));
         yard.fault(2_000, |y| y.pause(0, true));
         yard.fault(6_000, Yard::take_over);
         yard.fault(10_000, |y| y.pause(0, false));
         yard.run_until(20_000);
         yard.settle(60_000);
-        assert!(yard.owners[0].gone, "seed {seed}: the old owner goes on");
+        assert!(yard.owners[0].gone, "seed {seed}: the former owner must give up the shard");
     }
 }
 
 #[test]
 fn store_down() {
-    // The store does nothing for 5 s: some calls are refused, of others nothing is heard.
-    // What runs works on; jobs handed in meanwhile come in when it is back, and all are completed.
+    // The store is down for 5 s: it refuses some calls and doesn't answer the others. Running tasks
+    // must continue, and jobs that are submitted during the outage must be accepted after it and
+    // completed.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 8);
-        small(&mut yard, "plain", 1_000..1_060);
-        yard.submit(1, "open", job([lasting(4)]));
+        submit_small(&mut yard, "plain", 1_000..1_060);
+        yard.submit(1, "open", job([long_running(4)]));
         yard.fault(2_000, |y| y.store.mode = Mode::Down);
         yard.fault(7_000, |y| y.store.mode = Mode::Up);
         yard.run_until(8_000);
@@ -178,28 +180,29 @@
 
 #[test]
 fn lost_answers() {
-    // For 20 s one of four of the store's answers is lost; what was asked is done at once, or up
-    // to 6 s later if its condition still holds.
-    // The owner settles by a look at the commit row what was done, and nothing is lost or doubled.
+    // For 20 s one of four answers of the store is lost. The call takes effect at once, or within 6
+    // s if its condition still holds. The owner must find out from the commit row which writes took
+    // effect, and nothing may be lost or done twice.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 8);
-        small(&mut yard, "plain", 1_000..1_060);
+        submit_small(&mut yard, "plain", 1_000..1_060);
         yard.fault(500, |y| y.store.mode = Mode::Losing(4));
         yard.fault(20_500, |y| y.store.mode = Mode::Up);
         yard.run_until(21_000);
         yard.settle(75_000);
-        assert!(!yard.owners[0].gone, "seed {seed}: the owner has deposed itself");
+        assert!(!yard.owners[0].gone, "seed {seed}: the owner must not give up the shard");
     }
 }
 
 #[test]
 fn worker_drains() {
-    // A worker says that it is leaving, and goes 10 s later with all that runs there.
-    // From 2 s after its word nothing starts there; what couldn't end in time starts elsewhere.
+    // A worker announces that it is leaving and stops 10 s later with all that runs on it. From 2 s
+    // after the announcement nothing may start on it, and tasks that can't end in time must start
+    // elsewhere.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 8);
-        small(&mut yard, "plain", 1_000..1_060);
-        yard.submit(1, "plain", job([saving(4, 15_000)]));
+        submit_small(&mut yard, "plain", 1_000..1_060);
+        yard.submit(1, "plain", job([checkpointing(4, 15_000)]));
         yard.at(2_000, |y| y.world.workers[0].draining = Some(y.now));
         yard.fault(12_000, |y| y.crash(0, Duration::from_secs(60)));
         yard.run_until(13_000);
@@ -209,15 +212,15 @@
 
 #[test]
 fn grey_worker_and_hopeless_job() {
-    // On one worker every task fails after 300 ms, so that it always looks free; besides, each
-    // task of one job fails wherever it runs.
-    // The job is shown as failed after its third attempt; no other is, and the worker is avoided.
+    // On one worker every task fails after 300 ms, so that the worker always seems to have
+    // capacity. In addition, every task of one job fails on any worker. This job must be shown as
+    // failed after its third attempt, no other job may fail, and the worker must be avoided.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 12);
         yard.world.hopeless.insert((JobNo(1), 0));
         yard.submit(1, "plain", job([step(2, 800)]));
         yard.fault(0, |y| y.world.workers[0].grey = true);
-        small(&mut yard, "plain", 1_000..1_040);
+        submit_small(&mut yard, "plain", 1_000..1_040);
         yard.run_until(5_000);
         yard.settle(60_000);
         let progress = yard.progress();
@@ -228,14 +231,14 @@
 
 #[test]
 fn cancel_wave() {
-    // Callers cancel 22 jobs at once: some wait, some run, one is a gang, and one lasts.
-    // None of their tasks starts later than 2 s after, those that run are stopped, and the room
-    // goes to the jobs that were not cancelled.
+    // Callers cancel 22 jobs at once: some are waiting, some are running, one is a gang, and one is
+    // long-running. None of their tasks may start later than 2 s afterwards, running ones must be
+    // stopped, and their capacity must go to the jobs that were not cancelled.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 8);
-        small(&mut yard, "plain", 1_000..1_060);
+        submit_small(&mut yard, "plain", 1_000..1_060);
         yard.submit(1, "plain", job([gang(4, 60_000)]));
-        yard.submit(2, "plain", job([lasting(3)]));
+        yard.submit(2, "plain", job([long_running(3)]));
         yard.at(3_000, |y| [1, 2].into_iter().chain(1_010..1_030).for_each(|no| y.cancel(no)));
         yard.run_until(7_000);
         assert_eq!(yard.running(JobNo(1)) + yard.running(JobNo(2)), 0, "seed {seed}");
@@ -245,12 +248,12 @@
 
 #[test]
 fn gang_among_small_work() {
-    // A gang that needs half of the pool is handed in while small jobs keep it full and go on
-    // coming in for 15 s.
-    // Room is gathered for it; its members start together, and none waits alone.
+    // A gang that needs half of the pool is submitted while small jobs keep the pool full, and more
+    // of them arrive for another 15 s. Capacity must be reserved for the gang, its members must
+    // start together, and no member may wait alone.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 8);
-        small(&mut yard, "plain", 1_000..1_150);
+        submit_small(&mut yard, "plain", 1_000..1_150);
         yard.at(3_000, |y| y.submit(1, "plain", job([gang(8, 2_000)])));
         yard.run_until(4_000);
         yard.settle(75_000);
@@ -259,12 +262,12 @@
 
 #[test]
 fn tickets_expire() {
-    // A queue's policy lets each step run on half of the workers; tickets are valid for 3 s, and
-    // the pool is so full that many expire before there is room. For 4 s there is no advice.
-    // No other worker is tried, and each job is completed.
+    // The advice for a queue allows each step half of the workers. Tickets are valid for 3 s, and
+    // the pool is so full that many expire before there is capacity. For 4 s the advice service is
+    // down. No other worker may be tried, and every job must be completed.
     for seed in SEEDS {
         let mut yard = Yard::new(seed, 16);
-        small(&mut yard, "advised", 1_000..1_040);
+        submit_small(&mut yard, "advised", 1_000..1_040);
         yard.at(10, |y| y.submit(1, "advised", job([step(60, 1_500)])));
         yard.fault(5_000, |y| y.world.advice.down = true);
         yard.fault(9_000, |y| y.world.advice.down = false);
@@ -273,39 +276,39 @@
     }
 }
 
-/// One fault, over after at most 11 s.
-fn mix(yard: &mut Yard, u: &mut Unstructured<'_>, at: u64) -> arbtest::arbitrary::Result<()> {
+/// Schedules one fault at `at`, which ends within 11 s.
+fn add_fault(yard: &mut Yard, u: &mut Unstructured<'_>, at: u64) -> arbtest::arbitrary::Result<()> {
     let worker = u.choose_index(8)?;
-    let over = at + 1_000 * u.int_in_range(1..=10)?;
+    let end = at + 1_000 * u.int_in_range(1..=10)?;
     match u.int_in_range(0..=9)? {
         0 => yard.fault(at, move |y| y.crash(worker, Duration::from_secs(3))),
         1 => {
             yard.fault(at, move |y| y.world.workers[worker].cut = true);
-            yard.fault(over, move |y| y.world.workers[worker].cut = false);
+            yard.fault(end, move |y| y.world.workers[worker].cut = false);
         }
         2 => {
             yard.fault(at, move |y| y.world.workers[worker].hung = true);
-            yard.fault(over, move |y| y.world.workers[worker].hung = false);
+            yard.fault(end, move |y| y.world.workers[worker].hung = false);
         }
         3 => {
             yard.fault(at, move |y| y.world.workers[worker].speed = 0.2);
-            yard.fault(over, move |y| y.world.workers[worker].speed = 1.0);
+            yard.fault(end, move |y| y.world.workers[worker].speed = 1.0);
         }
         4 => {
             yard.fault(at, move |y| y.world.workers[worker].unwell = true);
-            yard.fault(over, move |y| y.world.workers[worker].unwell = false);
+            yard.fault(end, move |y| y.world.workers[worker].unwell = false);
         }
         5 => {
             yard.fault(at, |y| y.store.mode = Mode::Down);
-            yard.fault(over, |y| y.store.mode = Mode::Up);
+            yard.fault(end, |y| y.store.mode = Mode::Up);
         }
         6 => {
             yard.fault(at, |y| y.store.mode = Mode::Losing(4));
-            yard.fault(over, |y| y.store.mode = Mode::Up);
+            yard.fault(end, |y| y.store.mode = Mode::Up);
         }
         7 => {
             yard.fault(at, |y| y.late = 8);
-            yard.fault(over, |y| y.late = 0);
+            yard.fault(end, |y| y.late = 0);
         }
         8 => {
             yard.fault(at, Yard::kill);
@@ -324,31 +327,32 @@
 }
 
 #[test]
-fn mixed_days() {
-    // Up to six faults of any kind, one after the other or at once, on a day with a job of each
-    // kind, small ones, and cancels of some; whatever comes in whichever order, the rules hold and
-    // within two minutes every job that can be is completed.
-    let day = |u: &mut Unstructured<'_>| {
+fn mixed_faults() {
+    // Up to six faults of any kind, one after another or at once, in a simulation with a job of
+    // each kind, small jobs, and some cancellations. In whichever order events arrive, the
+    // invariants must hold, and every job that can be completed must be completed within two
+    // minutes.
+    let simulate = |u: &mut Unstructured<'_>| {
         let mut yard = Yard::new(u.arbitrary()?, 12);
-        for (no, job) in (1..).zip(kinds()) {
+        for (no, job) in (1..).zip(jobs_of_each_kind()) {
             let queue = ["plain", "open", "urgent"][u.choose_index(3)?];
             yard.at(u.int_in_range(0..=10_000)?, move |y| y.submit(no, queue, job));
         }
-        small(&mut yard, "advised", 1_000..1_010);
-        small(&mut yard, "plain", 2_000..2_030);
+        submit_small(&mut yard, "advised", 1_000..1_010);
+        submit_small(&mut yard, "plain", 2_000..2_030);
         for _ in 0..u.int_in_range(0..=3)? {
             let no = u.int_in_range(1..=10)?;
             yard.at(u.int_in_range(10_500..=20_000)?, move |y| y.cancel(no));
         }
         for _ in 0..u.int_in_range(1..=6)? {
             let at = u.int_in_range(500..=20_000)?;
-            mix(&mut yard, u, at)?;
+            add_fault(&mut yard, u, at)?;
         }
         yard.run_until(35_000);
         yard.settle(120_000);
         Ok(())
     };
     for seed in 1..=20_u64 {
-        arbtest(day).seed(seed << 32 | 0x400).run();
+        arbtest(simulate).seed(seed << 32 | 0x400).run();
     }
 }
--- a/tests/shard_back.rs
+++ b/tests/shard_back.rs
@@ -1,4 +1,4 @@
-//! A worker that comes back.
+//! A worker that was cut off for a long time and becomes reachable again.
 
 mod hand;
 
@@ -8,26 +8,27 @@
 };
 
 #[test]
-fn one_that_was_taken_for_gone_is_used_again() {
-    // Story: a worker is cut off for so long that its entry of the list ends and its work starts
-    // elsewhere; it comes back, the same life. It was known as gone, and got nothing any more.
-    let mut hand = Hand::new(2);
-    hand.submit(1, "plain", job(step(1, 4)));
-    hand.run(500);
-    let at = hand.places(task(1, 0))[0];
-    (hand.workers[at].hook, hand.workers[at].there) = (MUTE, false);
-    hand.list();
-    hand.until("a start elsewhere", 30_000, |h| h.starts().len() == 2);
-    hand.run(5_000);
-    hand.workers[at].rows.clear();
-    (hand.workers[at].hook, hand.workers[at].there) = (FINE, true);
-    hand.list();
-    hand.submit(2, "plain", job(step(1, 4)));
-    hand.until("a start there", 1_000, |h| h.places(task(2, 0)) == [at]);
-    hand.run(3_000);
-    assert_eq!(hand.starts_of(2).len(), 1);
-    assert!(!hand.leases(at).is_empty());
-    let before = hand.leases(at).len();
-    hand.run(1_000);
-    assert!(hand.leases(at).len() > before, "its lease is renewed");
+fn worker_that_was_taken_for_gone_is_used_again() {
+    // A worker is cut off for so long that its entry in the list ends and its work starts
+    // elsewhere. Then the same incarnation of the worker becomes reachable again. Guards against an
+    // owner that still takes the worker for gone and gives it no work.
+    let mut harness = Hand::new(2);
+    harness.submit(1, "plain", job(step(1, 4)));
+    harness.run(500);
+    let at = harness.places(task(1, 0))[0];
+    (harness.workers[at].hook, harness.workers[at].there) = (MUTE, false);
+    harness.list();
+    harness.until("a start elsewhere", 30_000, |h| h.starts().len() == 2);
+    harness.run(5_000);
+    harness.workers[at].rows.clear();
+    (harness.workers[at].hook, harness.workers[at].there) = (FINE, true);
+    harness.list();
+    harness.submit(2, "plain", job(step(1, 4)));
+    harness.until("a start on the recovered worker", 1_000, |h| h.places(task(2, 0)) == [at]);
+    harness.run(3_000);
+    assert_eq!(harness.starts_of(2).len(), 1);
+    assert!(!harness.leases(at).is_empty());
+    let before = harness.leases(at).len();
+    harness.run(1_000);
+    assert!(harness.leases(at).len() > before, "the lease must be renewed");
 }
--- a/tests/shard_blind.rs
+++ b/tests/shard_blind.rs
@@ -1,4 +1,4 @@
-//! Runs of jobs that are over, found by a new owner.
+//! Runs of finished jobs that a new owner finds on a worker.
 
 mod hand;
 
@@ -12,26 +12,27 @@
 
 #[test]
 fn a_worker_with_runs_of_unknown_size_gets_nothing() {
-    // Story: a job is over and two of its tasks are still being stopped when another member takes
-    // the shard over; the job's record is gone, so nobody knows what the two take. When the first
-    // had ended, the owner gave the worker new work, beyond what it has room for.
-    let mut hand = Hand::new(1);
-    hand.submit(1, "plain", job(step(2, 2)));
-    hand.run(300);
-    hand.workers[0].hook = |call| match call {
+    // A job is over and two of its tasks are still being stopped when another member takes over the
+    // shard. The job's record is gone, so the new owner doesn't know the size of the two tasks.
+    // Guards against an owner that gives the worker new work after only one of the two has ended,
+    // beyond the worker's capacity.
+    let mut harness = Hand::new(1);
+    harness.submit(1, "plain", job(step(2, 2)));
+    harness.run(300);
+    harness.workers[0].hook = |call| match call {
         WorkerCall::Stop { .. } => Some(Ok(WorkerReply::Done(0))),
         _ => None,
     };
-    hand.cancel(1);
-    hand.until("the cancel is stored", 500, |h| h.stored(1).state == State::Cancelled);
-    hand.succeed();
-    hand.submit(2, "plain", job(step(1, 1)));
-    hand.run(1_000);
-    assert!(hand.starts_of(2).is_empty(), "both are there");
-    hand.end(task(1, 0), How::Stopped);
-    hand.run(1_000);
-    assert!(hand.starts_of(2).is_empty(), "one is there");
-    hand.workers[0].hook = FINE;
-    hand.until("both have ended", 4_000, |h| h.places(task(1, 1)).is_empty());
-    hand.until("there is room", 300, |h| !h.starts_of(2).is_empty());
+    harness.cancel(1);
+    harness.until("the cancel is stored", 500, |h| h.stored(1).state == State::Cancelled);
+    harness.succeed();
+    harness.submit(2, "plain", job(step(1, 1)));
+    harness.run(1_000);
+    assert!(harness.starts_of(2).is_empty(), "both runs are still there");
+    harness.end(task(1, 0), How::Stopped);
+    harness.run(1_000);
+    assert!(harness.starts_of(2).is_empty(), "one run is still there");
+    harness.workers[0].hook = FINE;
+    harness.until("the end of both runs", 4_000, |h| h.places(task(1, 1)).is_empty());
+    harness.until("a start in the freed room", 300, |h| !h.starts_of(2).is_empty());
 }
--- a/tests/shard_cancel_first.rs
+++ b/tests/shard_cancel_first.rs
@@ -1,4 +1,4 @@
-//! A cancel that is read before its job.
+//! A cancellation that the owner reads before its job.
 
 mod hand;
 
@@ -9,16 +9,17 @@
 
 #[test]
 fn a_job_cancelled_before_it_is_heard_of_never_starts() {
-    // Story: the store has lost its history, so the owner reads the range again; the cancel stands
-    // before its job there. Its caller was told that the job is cancelled, and its tasks ran.
-    let mut hand = Hand::new(2);
-    hand.cancel(1);
-    hand.run(500);
-    hand.submit(1, "plain", job(step(2, 1)));
-    hand.submit(2, "plain", job(step(1, 1)));
-    hand.run(3_000);
-    assert!(hand.starts_of(1).is_empty());
-    assert_eq!(hand.starts_of(2).len(), 1, "others start");
-    assert_eq!(hand.state(1), Some(State::Cancelled));
-    assert_eq!(hand.stored(1).state, State::Cancelled);
+    // The store has compacted its history, so the owner reads the whole range again, in which the
+    // cancellation precedes its job. Guards against an owner that then runs the job's tasks
+    // although the caller was told that the job is cancelled.
+    let mut harness = Hand::new(2);
+    harness.cancel(1);
+    harness.run(500);
+    harness.submit(1, "plain", job(step(2, 1)));
+    harness.submit(2, "plain", job(step(1, 1)));
+    harness.run(3_000);
+    assert!(harness.starts_of(1).is_empty());
+    assert_eq!(harness.starts_of(2).len(), 1, "other jobs must start");
+    assert_eq!(harness.state(1), Some(State::Cancelled));
+    assert_eq!(harness.stored(1).state, State::Cancelled);
 }
--- a/tests/shard_course.rs
+++ b/tests/shard_course.rs
@@ -1,4 +1,5 @@
-//! Lasting tasks and all that may happen around them, drawn; the yard's judge has the users' rule.
+//! Simulations of long-running tasks with random faults and planned changes. `yard::rules` checks
+//! the invariants.
 
 mod yard;
 
@@ -17,53 +18,54 @@
     },
 };
 
-/// The days that are played with each landing.
-const DAYS: Range<u64> = 1..26;
-/// From an event's end on nothing happens for so long, so that the judge may speak.
-const QUIET: u64 = 13_000;
+/// The seeds that run in every test run.
+const SEEDS: Range<u64> = 1..26;
+/// The time without events that follows a phase with faults, in milliseconds. It is long enough
+/// that every bound applies again.
+const QUIET_MS: u64 = 13_000;
 
-/// What happens on a day, in words.
-type Told = Rc<RefCell<Vec<String>>>;
+/// The events of a simulation, in words.
+type EventLog = Rc<RefCell<Vec<String>>>;
 
-/// Something that happens to one worker, or to several at once.
-struct Draw {
-    dice: u64,
+/// An event that affects `many` workers.
+struct Event {
+    seed: u64,
     many: usize,
-    told: Told,
+    log: EventLog,
 }
 
-impl Draw {
-    fn tell(&self, yard: &Yard, text: String) {
-        self.told.borrow_mut().push(format!("{}: {text}", yard.now.0 / 1_000));
+impl Event {
+    fn record(&self, yard: &Yard, text: String) {
+        self.log.borrow_mut().push(format!("{}: {text}", yard.now.0 / 1_000));
     }
 
-    /// The workers that it happens to: mostly those that have lasting tasks.
-    fn who(&self, yard: &Yard) -> Vec<usize> {
-        let mut rng = fastrand::Rng::with_seed(self.dice);
-        let lasts = |w: &Worker| {
+    /// The affected workers. In two of three cases workers with long-running tasks are taken first.
+    fn workers(&self, yard: &Yard) -> Vec<usize> {
+        let mut rng = fastrand::Rng::with_seed(self.seed);
+        let long_running = |w: &Worker| {
             w.runs.iter().any(|r| yard.world.step(r.start.task.step).is_some_and(|s| s.lasts))
         };
         let mut all: Vec<usize> = (0..yard.world.workers.len()).collect();
         rng.shuffle(&mut all);
         if rng.u32(0..3) > 0 {
-            all.sort_by_key(|at| !lasts(&yard.world.workers[*at]));
+            all.sort_by_key(|at| !long_running(&yard.world.workers[*at]));
         }
         all.truncate(self.many);
         all
     }
 }
 
-/// Workers leave by plan, and others come at their addresses.
-fn leave(yard: &mut Yard, draw: &Draw, back: u64) {
-    let (who, now) = (draw.who(yard), yard.now);
-    draw.tell(yard, format!("leave {who:?}, back {back}"));
-    for at in who {
+/// Lets workers leave as planned; others start at their addresses `back` milliseconds later.
+fn leave(yard: &mut Yard, event: &Event, back: u64) {
+    let (affected, now) = (event.workers(yard), yard.now);
+    event.record(yard, format!("leave {affected:?}, back {back}"));
+    for at in affected {
         let w = &mut yard.world.workers[at];
         if w.up && w.draining.is_none() {
             w.draining = Some(now);
             let life = w.life;
             yard.at((now + NOTICE).0 / 1_000, move |y| {
-                // It may have ended before its time.
+                // The worker may have ended before its time was over.
                 if y.world.workers[at].life == life {
                     y.replace(at, Duration::from_millis(back));
                 }
@@ -72,15 +74,16 @@
     }
 }
 
-/// The VMs of workers that are to be emptied go down for their upkeep once they are clear.
-fn go_down(yard: &mut Yard, until: Time) {
+/// Takes VMs down for maintenance once they have been drained, and checks again every 300 ms until
+/// the time `until`.
+fn take_down_drained(yard: &mut Yard, until: Time) {
     if yard.now >= until {
         return;
     }
-    let speaks = |o: &Owner| !o.gone && !o.paused && !o.releasing;
+    let active = |o: &Owner| !o.gone && !o.paused && !o.releasing;
     for at in 0..yard.world.workers.len() {
         let id = yard.world.id(at);
-        if !speaks(yard.owner()) {
+        if !active(yard.owner()) {
             break;
         }
         let held = yard.owner().shard.held_at(std::slice::from_ref(&id));
@@ -89,47 +92,48 @@
             yard.replace(at, Duration::from_secs(2));
         }
     }
-    yard.at(yard.now.0 / 1_000 + 300, move |y| go_down(y, until));
+    yard.at(yard.now.0 / 1_000 + 300, move |y| take_down_drained(y, until));
 }
 
-/// Another owner takes over, unless the newest is in touch: its lease would not have ended.
-fn over(yard: &mut Yard) {
+/// Lets another owner take over, unless the newest one still reaches the store: then its lease
+/// would not have expired.
+fn take_over(yard: &mut Yard) {
     let newest = yard.owner();
     if newest.gone || newest.paused {
         yard.take_over();
     }
 }
 
-/// A day's draw, told where the day breaks a rule.
-struct Day {
+/// One simulation. Its events are printed if it breaks an invariant.
+struct Simulation {
     rng: fastrand::Rng,
     yard: Yard,
-    /// How many workers there are.
+    /// The number of workers.
     count: usize,
-    told: Told,
+    log: EventLog,
     faults: bool,
-    /// Of how many queues the pools have workers.
+    /// The number of queues whose pools have workers.
     queues: usize,
     /// The number of the last small job.
     last: u64,
 }
 
-impl Drop for Day {
+impl Drop for Simulation {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("{} workers: {}", self.count, self.told.borrow().join("; "));
+            eprintln!("{} workers: {}", self.count, self.log.borrow().join("; "));
         }
     }
 }
 
-/// A configuration of a later version; some queues may be missing.
-fn version(of: &Queues, version: u64, without: &[&str]) -> Arc<Queues> {
+/// A configuration of this version, without some of the queues.
+fn configuration(of: &Queues, version: u64, without: &[&str]) -> Arc<Queues> {
     let kept = of.all.iter().filter(|q| !without.contains(&&*q.name));
     Arc::new(Queues { version, all: kept.cloned().collect(), ..of.clone() })
 }
 
-impl Day {
-    /// A yard with room to spare, lasting work and small work.
+impl Simulation {
+    /// A simulation with spare capacity, long-running jobs and small jobs.
     fn new(seed: u64, faults: bool) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
         let count = rng.usize(8..=24);
@@ -143,14 +147,15 @@
         yard.behind = Duration::from_millis(rng.u64(0..900));
         yard.world.advice.share = rng.u64(50..=100);
         let queues = if one { 2 } else { 3 };
-        let told = Told::default();
-        let mut day = Day { rng, yard, count, told, faults, queues, last: 1_000 };
-        day.work(if one { count } else { count / 2 }, one);
-        day
+        let log = EventLog::default();
+        let mut sim = Simulation { rng, yard, count, log, faults, queues, last: 1_000 };
+        sim.submit_long_running(if one { count } else { count / 2 }, one);
+        sim
     }
 
-    /// Lasting jobs that take at most a third of their pool, and small work.
-    fn work(&mut self, pool: usize, one: bool) {
+    /// Submits long-running jobs that take at most a third of their pool, and perhaps a filler job.
+    /// `one` says whether there is only one pool, `pool` how many workers it has.
+    fn submit_long_running(&mut self, pool: usize, one: bool) {
         let mut left = pool * 4 / 3;
         for no in 1..=self.rng.u64(2..=6) {
             let queue = match (one, self.rng.u32(0..3)) {
@@ -176,7 +181,7 @@
                 image: if serves { "web".into() } else { "".into() },
                 ..step(tasks as u32, 1_000)
             };
-            self.told
+            self.log
                 .borrow_mut()
                 .push(format!("{no} {queue} {tasks}{}", if apart { " apart" } else { "" }));
             let at = self.rng.u64(0..1_500);
@@ -188,8 +193,8 @@
         }
     }
 
-    /// Small work over a span of time.
-    fn small(&mut self, from: u64, to: u64) {
+    /// Submits small jobs from `from` to `to`.
+    fn submit_small(&mut self, from: u64, to: u64) {
         let mut at = from;
         while at < to {
             at += self.rng.u64(100..600);
@@ -202,22 +207,22 @@
         }
     }
 
-    /// Draws one thing that happens at a time; returns when it is over.
-    fn draw(&mut self, at: u64) -> u64 {
+    /// Schedules one random event at `at` and returns when it is over.
+    fn add_event(&mut self, at: u64) -> u64 {
         let long = self.rng.u64(200..12_000);
         let brief = self.rng.u64(100..3_500);
         let kind = if self.faults { self.rng.u32(0..22) } else { self.rng.u32(0..6) };
         let many = if self.rng.u32(0..4) == 0 { self.rng.usize(1..=self.count / 3) } else { 1 };
-        let draw = Draw { dice: self.rng.u64(..), many, told: self.told.clone() };
+        let event = Event { seed: self.rng.u64(..), many, log: self.log.clone() };
         let y = &mut self.yard;
         match kind {
             0 | 1 => {
-                y.at(at, move |y| leave(y, &draw, brief));
+                y.at(at, move |y| leave(y, &event, brief));
                 at + long
             }
             2 | 3 => {
                 y.at(at, move |y| {
-                    draw.tell(y, format!("release, gap {}", brief / 4));
+                    event.record(y, format!("release, gap {}", brief / 4));
                     y.release(Duration::from_millis(brief / 4));
                 });
                 at + brief / 4 + 1_200
@@ -225,28 +230,29 @@
             4 => {
                 let gone = [&["advised"][..], &["open"], &[]][brief as usize % 3];
                 y.at(at, move |y| {
-                    draw.tell(
+                    event.record(
                         y,
                         format!("configuration without {gone:?} for {}, late {brief}", long / 2),
                     );
                     y.unread = Duration::from_millis(brief / 4);
                     y.slow = Duration::from_millis(brief);
-                    y.configure(version(&y.world.queues, 2 + at, gone));
+                    y.configure(configuration(&y.world.queues, 2 + at, gone));
                 });
                 y.at(at + long / 2, move |y| {
-                    y.configure(version(&y.world.queues, 2 + at + long / 2, &[]));
+                    y.configure(configuration(&y.world.queues, 2 + at + long / 2, &[]));
                     (y.unread, y.slow) = (Duration::ZERO, Duration::ZERO);
                 });
                 at + long / 2 + brief
             }
             5 => {
                 y.at(at, move |y| {
-                    let who = draw.who(y);
-                    draw.tell(y, format!("close {who:?} for {long}"));
+                    let affected = event.workers(y);
+                    event.record(y, format!("close {affected:?} for {long}"));
                     let turns = [Turn::Closing, Turn::Due, Turn::Forced];
-                    let turns: Vec<_> = (0..).zip(who).map(|(i, w)| (w, turns[i % 3])).collect();
+                    let turns: Vec<_> =
+                        (0..).zip(affected).map(|(i, w)| (w, turns[i % 3])).collect();
                     y.close(&turns);
-                    go_down(y, Time::from_millis(at + long));
+                    take_down_drained(y, Time::from_millis(at + long));
                 });
                 y.at(at + long, |y| y.close(&[]));
                 at + long
@@ -254,17 +260,17 @@
             6 | 7 => {
                 let back = [0, 30, long][brief as usize % 3];
                 y.fault(at, move |y| {
-                    let who = draw.who(y);
-                    draw.tell(y, format!("crash {who:?}, back {back}"));
-                    who.into_iter().for_each(|at| y.crash(at, Duration::from_millis(back)));
+                    let affected = event.workers(y);
+                    event.record(y, format!("crash {affected:?}, back {back}"));
+                    affected.into_iter().for_each(|at| y.crash(at, Duration::from_millis(back)));
                 });
                 at + back
             }
             8 | 9 => {
                 y.fault(at, move |y| {
-                    let who = draw.who(y);
-                    draw.tell(y, format!("lose {who:?}"));
-                    who.into_iter().for_each(|at| y.lose(at));
+                    let affected = event.workers(y);
+                    event.record(y, format!("lose {affected:?}"));
+                    affected.into_iter().for_each(|at| y.lose(at));
                 });
                 at
             }
@@ -277,11 +283,11 @@
                     _ => ("slow", |w, on| w.speed = if on { 0.25 } else { 1.0 }),
                 };
                 y.fault(at, move |y| {
-                    let who = draw.who(y);
-                    draw.tell(y, format!("{name} {who:?} for {long}"));
-                    who.iter().for_each(|at| set(&mut y.world.workers[*at], true));
+                    let affected = event.workers(y);
+                    event.record(y, format!("{name} {affected:?} for {long}"));
+                    affected.iter().for_each(|at| set(&mut y.world.workers[*at], true));
                     y.fault(y.now.0 / 1_000 + long, move |y| {
-                        who.iter().for_each(|at| set(&mut y.world.workers[*at], false));
+                        affected.iter().for_each(|at| set(&mut y.world.workers[*at], false));
                     });
                 });
                 at + long
@@ -289,33 +295,33 @@
             15 | 16 => {
                 let again = brief.is_multiple_of(4);
                 y.fault(at, move |y| {
-                    draw.tell(y, format!("kill, over {brief}, again {again} {}", long / 4));
+                    event.record(y, format!("kill, over {brief}, again {again} {}", long / 4));
                     y.kill();
                 });
-                y.fault(at + brief, over);
+                y.fault(at + brief, take_over);
                 if again {
                     y.fault(at + brief + long / 8, Yard::kill);
-                    y.fault(at + brief + long / 4, over);
+                    y.fault(at + brief + long / 4, take_over);
                 }
                 at + brief + long / 4
             }
             17 | 18 => {
                 let soon = brief.is_multiple_of(2);
                 y.fault(at, move |y| {
-                    draw.tell(y, format!("pause for {long}, over {soon}"));
+                    event.record(y, format!("pause for {long}, over {soon}"));
                     let owner = y.owners.len() - 1;
                     y.pause(owner, true);
                     y.fault(y.now.0 / 1_000 + long, move |y| y.pause(owner, false));
                 });
                 if soon {
-                    y.fault(at + 4_000, over);
+                    y.fault(at + 4_000, take_over);
                 }
                 at + long.max(4_000)
             }
             19 | 20 => {
                 let mode = [Mode::Down, Mode::Losing(3)][brief as usize % 2];
                 y.fault(at, move |y| {
-                    draw.tell(y, format!("store {mode:?} for {long}"));
+                    event.record(y, format!("store {mode:?} for {long}"));
                     y.store.mode = mode;
                 });
                 y.fault(at + long, |y| y.store.mode = Mode::Up);
@@ -323,7 +329,7 @@
             }
             _ => {
                 y.fault(at, move |y| {
-                    draw.tell(y, format!("late for {long}"));
+                    event.record(y, format!("late for {long}"));
                     y.late = 4;
                 });
                 for ms in (0..long).step_by(500) {
@@ -335,48 +341,50 @@
         }
     }
 
-    /// Three times something, alone or together, and each time quiet; of planned work more, as the
-    /// judge speaks all the time.
-    fn play(&mut self) {
+    /// Runs three phases, each with one or several events and then a time without any. Planned
+    /// events alone may be more in number, as all bounds apply during them.
+    fn run(&mut self) {
         let (mut at, mut from) = (5_000, 2_000);
-        let (most, quiet) = if self.faults { (4, QUIET) } else { (8, 1_000) };
+        let (most, quiet) = if self.faults { (4, QUIET_MS) } else { (8, 1_000) };
         for _ in 0..3 {
             let begin = at;
             for _ in 0..self.rng.u32(1..=most) {
                 let wait = self.rng.u64(0..1_000 * u64::from(most));
-                at = at.max(self.draw(begin + wait));
+                at = at.max(self.add_event(begin + wait));
             }
             at += quiet;
-            self.small(from, at);
+            self.submit_small(from, at);
             from = at;
         }
-        self.yard.run_until(at + QUIET);
+        self.yard.run_until(at + QUIET_MS);
     }
 }
 
-/// The days to play: those of each landing, or as many as are asked for.
-fn days() -> Range<u64> {
+/// The seeds to run: [`SEEDS`], or the range in the environment variable `AWAY_DAYS`, such as
+/// `1..500`.
+fn seeds() -> Range<u64> {
     let asked = std::env::var("AWAY_DAYS").ok();
     let asked = asked.and_then(|a| a.split_once("..").map(|(a, b)| (a.parse(), b.parse())));
     match asked {
         Some((Ok(from), Ok(to))) => from..to,
-        _ => DAYS,
+        _ => SEEDS,
     }
 }
 
 #[test]
-fn lasting_tasks_are_at_work_again_after_faults() {
-    days().for_each(|seed| Day::new(seed, true).play());
+fn long_running_tasks_run_again_after_faults() {
+    seeds().for_each(|seed| Simulation::new(seed, true).run());
 }
 
 #[test]
-fn lasting_tasks_are_at_work_again_around_planned_work() {
-    days().for_each(|seed| Day::new(seed, false).play());
+fn long_running_tasks_run_again_around_planned_events() {
+    seeds().for_each(|seed| Simulation::new(seed, false).run());
 }
 
 #[test]
-fn planned_days_on_which_small_work_waited() {
-    // Story: small jobs wait for 3 s while most workers of their pool leave, and one of the others, with
-    // room for them, is being emptied for its upkeep (tests/shard_emptied.rs has the case alone).
-    [20_163, 21_214].into_iter().for_each(|seed| Day::new(seed, false).play());
+fn small_jobs_do_not_wait_around_planned_events() {
+    // Small jobs wait for 3 s while most workers of their pool leave and one of the others, which
+    // has capacity for them, is being drained for VM maintenance. tests/shard_emptied.rs has this
+    // case alone.
+    [20_163, 21_214].into_iter().for_each(|seed| Simulation::new(seed, false).run());
 }
--- a/tests/shard_cut_off.rs
+++ b/tests/shard_cut_off.rs
@@ -1,4 +1,4 @@
-//! An owner that may have a successor.
+//! Owners that have lost their connection to the store and may therefore have a successor.
 
 mod hand;
 
@@ -15,82 +15,91 @@
     std::time::Duration,
 };
 
-/// An owner without the store that hears from so many of its five workers, after 4 s of it.
-fn cut(heard: usize) -> Hand {
-    let mut hand = Hand::new(5);
-    hand.submit(1, "plain", job(step(5, 3)));
-    hand.submit_due(2, 5_000, job(step(1, 1)));
-    hand.run(500);
-    hand.confirms = false;
-    hand.workers[heard..].iter_mut().for_each(|w| w.hook = MUTE);
-    hand.run(4_000);
-    hand.log.clear();
-    hand.run(3_000);
-    hand
+/// An owner that has been without the store for 7 s and hears from `heard` of its five workers. The
+/// call log has the last 3 s.
+fn cut_off(heard: usize) -> Hand {
+    let mut harness = Hand::new(5);
+    harness.submit(1, "plain", job(step(5, 3)));
+    harness.submit_due(2, 5_000, job(step(1, 1)));
+    harness.run(500);
+    harness.confirms = false;
+    harness.workers[heard..].iter_mut().for_each(|w| w.hook = MUTE);
+    harness.run(4_000);
+    harness.log.clear();
+    harness.run(3_000);
+    harness
 }
 
-/// How many leases all workers were given in the last 3 s.
-fn leases(hand: &Hand) -> usize {
-    (0..5).map(|w| hand.leases(w).len()).sum()
+/// How many leases the workers were given in the time that the call log covers.
+fn lease_count(harness: &Hand) -> usize {
+    (0..5).map(|w| harness.leases(w).len()).sum()
 }
 
 #[test]
-fn one_that_hears_from_few_of_its_workers_does_nothing() {
-    // Story: a member is cut off from the store and from most workers; another has taken its shard
-    // over and has all the others. The two start the same tasks and fill the same workers.
-    let mut hand = cut(2);
-    assert_eq!((hand.starts().len(), leases(&hand)), (0, 0));
-    hand.confirms = true;
-    hand.until("a start", 500, |h| !h.starts().is_empty());
-    // It starts with the first round now; the workers' leases come with their next looks.
-    hand.until("it renews leases", 1_000, |h| leases(h) > 1);
+fn owner_that_hears_from_few_workers_does_nothing() {
+    // A member is cut off from the store and from most workers, and another member has taken over
+    // its shard with the other workers. Guards against both owners starting the same tasks and
+    // filling the same workers.
+    let mut harness = cut_off(2);
+    assert_eq!((harness.starts().len(), lease_count(&harness)), (0, 0));
+    harness.confirms = true;
+    harness.until("a start", 500, |h| !h.starts().is_empty());
+    // The owner starts tasks in its next scheduling round; it renews the workers' leases with its
+    // next calls to them.
+    harness.until("lease renewals", 1_000, |h| lease_count(h) > 1);
 }
 
 #[test]
-fn a_start_without_an_answer_is_not_sent_again_by_such_a_one() {
-    // Story: as above, and a start had no answer just before. Sent again, with a new lease, it is
-    // one more start of an owner that may have a successor.
-    let mut hand = Hand::new(5);
-    hand.run(500);
-    hand.confirms = false;
-    hand.workers[..3].iter_mut().for_each(|w| w.hook = MUTE);
-    hand.run(1_800);
-    hand.submit(1, "plain", job(step(1, 1)));
-    let first = hand.until("a start", 100, |h| h.starts().len() == 1);
-    hand.run(4_000);
-    let late = hand.starts().iter().filter(|s| s.0 > first + Duration::from_millis(900)).count();
-    assert_eq!(late, 0, "{:?}", hand.starts());
+fn owner_that_hears_from_few_workers_does_not_repeat_a_start() {
+    // As above, with a start that got no answer just before. Guards against sending the start again
+    // with a new lease: that would be another start by an owner that may have a successor.
+    let mut harness = Hand::new(5);
+    harness.run(500);
+    harness.confirms = false;
+    harness.workers[..3].iter_mut().for_each(|w| w.hook = MUTE);
+    harness.run(1_800);
+    harness.submit(1, "plain", job(step(1, 1)));
+    let first = harness.until("a start", 100, |h| h.starts().len() == 1);
+    harness.run(4_000);
+    let late = harness.starts().iter().filter(|s| s.0 > first + Duration::from_millis(900)).count();
+    assert_eq!(late, 0, "{:?}", harness.starts());
 }
 
 #[test]
-fn one_that_hears_from_most_goes_on() {
-    // Story: the store is down for all. With nobody starting or renewing, all work would end.
-    let hand = cut(3);
-    assert_eq!(hand.starts().len(), 1);
-    assert!((0..3).all(|w| !hand.leases(w).is_empty()), "all that answer are renewed");
+fn owner_that_hears_from_most_workers_continues() {
+    // The store is down for all members. If no owner started tasks or renewed leases, all work
+    // would end.
+    let harness = cut_off(3);
+    assert_eq!(harness.starts().len(), 1);
+    assert!(
+        (0..3).all(|w| !harness.leases(w).is_empty()),
+        "every worker that answers must get a new lease"
+    );
 }
 
 #[test]
-fn one_that_hears_from_most_starts_nothing_that_a_successor_may_start() {
-    // A job that comes while the store is silent to the owner alone may have come after a takeover.
-    let mut hand = cut(3);
-    hand.submit(3, "plain", job(step(1, 1)));
-    hand.run(3_000);
-    assert_eq!(hand.starts_of(3).len(), 0);
-    hand.confirms = true;
-    hand.until("a start", 100, |h| h.starts_of(3).len() == 1);
+fn owner_that_hears_from_most_workers_starts_no_new_job() {
+    // A job that arrives while the store doesn't answer this owner may have arrived after a
+    // takeover.
+    let mut harness = cut_off(3);
+    harness.submit(3, "plain", job(step(1, 1)));
+    harness.run(3_000);
+    assert_eq!(harness.starts_of(3).len(), 0);
+    harness.confirms = true;
+    harness.until("a start", 100, |h| h.starts_of(3).len() == 1);
 }
 
 #[test]
-fn one_that_wakes_does_not_act_on_answers_from_before() {
-    // Story: a member stands still for 8 s, and another takes its shard over. When it wakes, it reads the
-    // answers that its workers gave before, which have waited in its sockets, takes itself to be heard
-    // by most of them, and starts work and renews leases before anybody has refused its token.
-    let mut hand = Hand::new(5);
-    hand.submit_due(1, 6_000, job(step(1, 1)));
-    hand.run(500);
-    hand.confirms = false;
-    for w in &mut hand.workers {
+fn owner_that_resumes_does_not_act_on_earlier_answers() {
+    // A member's process is paused for 8 s and another member takes over its shard. When the
+    // process resumes, it reads earlier answers of its workers from its sockets. Guards against an
+    // owner that concludes from them that most workers answer, and starts tasks and renews leases
+    // before any worker has refused its token.
+    let mut harness = Hand::new(5);
+    harness.submit_due(1, 6_000, job(step(1, 1)));
+    harness.run(500);
+    harness.confirms = false;
+    for w in &mut harness.workers {
         w.hook = |call| match call {
             WorkerCall::Hold { .. } => {
                 Some(Ok(Reply::Held(Held { clock: 1_750, running: vec![], ended: vec![] })))
@@ -98,33 +107,35 @@
             _ => Some(Err(Fault::Unknown)),
         };
     }
-    hand.now = hand.now + Duration::from_secs(8);
-    hand.log.clear();
-    hand.pass();
-    hand.workers.iter_mut().for_each(|w| w.hook = MUTE);
-    hand.run(100);
-    assert_eq!((hand.starts().len(), leases(&hand)), (0, 0));
-    hand.workers.iter_mut().for_each(|w| w.hook = FINE);
-    hand.until("a start, once they answer", 2_000, |h| !h.starts().is_empty());
+    harness.now = harness.now + Duration::from_secs(8);
+    harness.log.clear();
+    harness.pass();
+    harness.workers.iter_mut().for_each(|w| w.hook = MUTE);
+    harness.run(100);
+    assert_eq!((harness.starts().len(), lease_count(&harness)), (0, 0));
+    harness.workers.iter_mut().for_each(|w| w.hook = FINE);
+    harness.until("a start once the workers answer", 2_000, |h| !h.starts().is_empty());
 }
 
 #[test]
-fn one_that_is_refused_by_a_fence_forgets_the_shard() {
-    // Story: a worker has seen a higher token. Whatever the owner orders or shows after that is
-    // wrong; orders with the old token are counted against it.
-    let mut hand = Hand::new(5);
-    hand.submit(1, "plain", job(step(5, 3)));
-    hand.run(500);
-    hand.workers[3].hook = |call| match call {
+fn owner_that_is_refused_by_a_fence_gives_up_the_shard() {
+    // A worker has seen a higher token. Whatever the owner orders or shows after the refusal is
+    // wrong, and orders with the old token break the fencing invariant.
+    let mut harness = Hand::new(5);
+    harness.submit(1, "plain", job(step(5, 3)));
+    harness.run(500);
+    harness.workers[3].hook = |call| match call {
         WorkerCall::Hold { .. } => Some(Ok(Reply::Refused(0, Refusal::Fence))),
         _ => None,
     };
-    let at = hand.until("deposed", 100, |h| h.deposed);
-    let last = |h: &Hand| h.log.last().map_or(Time::ZERO, |l| l.0);
-    assert!(last(&hand) <= at);
-    hand.submit(2, "plain", job(step(1, 1)));
-    hand.cancel(1);
-    hand.run(3_000);
-    assert!(last(&hand) <= at, "it has called a worker");
-    assert!(hand.starts_of(2).is_empty() && hand.shard.state(JobNo(2), hand.now).is_none());
+    let at = harness.until("the order to give up the shard", 100, |h| h.deposed);
+    let last_call = |h: &Hand| h.log.last().map_or(Time::ZERO, |l| l.0);
+    assert!(last_call(&harness) <= at);
+    harness.submit(2, "plain", job(step(1, 1)));
+    harness.cancel(1);
+    harness.run(3_000);
+    assert!(last_call(&harness) <= at, "the owner must not call a worker after the refusal");
+    assert!(
+        harness.starts_of(2).is_empty() && harness.shard.state(JobNo(2), harness.now).is_none()
+    );
 }
--- a/tests/shard_dropped.rs
+++ b/tests/shard_dropped.rs
@@ -1,4 +1,4 @@
-//! A queue that the operators drop while its jobs are under way, and a new owner.
+//! Jobs whose queue the operators remove from the configuration, under a new owner.
 
 mod yard;
 
@@ -10,18 +10,19 @@
 
 #[test]
 fn jobs_of_a_dropped_queue_go_on_at_a_new_owner() {
-    // Story: a caller's job is taken in, and the operators drop its queue, for seconds or for good. The
-    // owner goes on with it by what it knew of the queue. Its member stops by plan, and the next owner has
-    // a configuration that lacks the queue: the job's next step is never begun, and the job never ends.
-    // What settled it: "job 0000000000000402 of queue open is queued; its queue is not known".
+    // A job is accepted, and then the operators remove its queue, for seconds or for good. The
+    // owner continues the job with the queue's last known settings. The member is shut down as
+    // planned, and the next owner has a configuration without the queue. Guards against an owner
+    // that never starts the job's next step, so that the job never ends ("job 0000000000000402 of
+    // queue open is queued; its queue is not known").
     for seed in 1..4 {
         for queue in ["open", "advised"] {
             let mut yard = Yard::with(seed, queues(), workers(8), 2);
             let next = Step { after: [0].into(), ..step(2, 500) };
             yard.at(1_000, move |y| y.submit(1, queue, job([step(2, 3_000), next])));
             yard.at(1_500, |y| {
-                let left = y.world.queues.all.iter().filter(|q| q.pool.as_str() != "open");
-                let all = left.cloned().collect();
+                let kept = y.world.queues.all.iter().filter(|q| q.pool.as_str() != "open");
+                let all = kept.cloned().collect();
                 y.configure(Arc::new(Queues { version: 2, all, ..(*y.world.queues).clone() }));
             });
             yard.at(2_500, |y| y.release(Duration::from_millis(300)));
--- a/tests/shard_end_twice.rs
+++ b/tests/shard_end_twice.rs
@@ -1,4 +1,4 @@
-//! An end that is heard twice.
+//! The end of a run that is reported twice.
 
 mod hand;
 
@@ -9,21 +9,21 @@
 
 #[test]
 fn a_failure_heard_again_by_a_new_owner_counts_once() {
-    // Story: a run fails, that is stored, and the owner ends before the worker is told that the end
-    // was noted. The next owner hears of it again; counted twice, the job was shown as failed after
-    // two failures, where its queue allows it three.
-    let mut hand = Hand::new(1);
-    hand.submit(1, "plain", job(step(1, 1)));
-    hand.run(300);
-    hand.end(task(1, 0), How::Failed);
-    let fails = |h: &Hand| h.stored(1).tasks.first().map_or(0, |t| t.4.len());
-    hand.until("the end is stored", 500, |h| fails(h) == 1);
-    hand.succeed();
-    assert_eq!(hand.workers[0].ends.len(), 1, "the worker wasn't told");
-    hand.until("it runs again", 1_000, |h| h.places(task(1, 0)) == [0]);
-    hand.end(task(1, 0), How::Failed);
-    hand.until("the second failure", 500, |h| fails(h) == 2);
-    hand.until("a third run", 5_000, |h| h.places(task(1, 0)) == [0]);
-    hand.end(task(1, 0), How::Failed);
-    hand.until("failed", 500, |h| h.state(1) == Some(State::Failed));
+    // A run fails, the failure is stored, and the owner stops before it acknowledges the end to the
+    // worker, so the next owner gets the report again. Guards against counting the failure twice:
+    // the job would be shown as failed after two failures although its queue allows three.
+    let mut harness = Hand::new(1);
+    harness.submit(1, "plain", job(step(1, 1)));
+    harness.run(300);
+    harness.end(task(1, 0), How::Failed);
+    let failures = |h: &Hand| h.stored(1).tasks.first().map_or(0, |t| t.4.len());
+    harness.until("the end is stored", 500, |h| failures(h) == 1);
+    harness.succeed();
+    assert_eq!(harness.workers[0].ends.len(), 1, "the end must not have been acknowledged");
+    harness.until("a second run", 1_000, |h| h.places(task(1, 0)) == [0]);
+    harness.end(task(1, 0), How::Failed);
+    harness.until("the second failure", 500, |h| failures(h) == 2);
+    harness.until("a third run", 5_000, |h| h.places(task(1, 0)) == [0]);
+    harness.end(task(1, 0), How::Failed);
+    harness.until("the failure of the job", 500, |h| h.state(1) == Some(State::Failed));
 }
--- a/tests/shard_fillers.rs
+++ b/tests/shard_fillers.rs
@@ -1,4 +1,4 @@
-//! Tasks that fill beside tasks that serve.
+//! Filler tasks beside serving tasks that have a latency target.
 
 mod hand;
 
@@ -12,78 +12,81 @@
     std::time::Duration,
 };
 
-/// The changes of pace so far: when, whose and to what.
-fn paces(hand: &Hand) -> Vec<(Time, TaskKey, u8)> {
+/// All changes of pace so far: when, the task, and the new pace in percent.
+fn paces(harness: &Hand) -> Vec<(Time, TaskKey, u8)> {
     let pace = |(at, _, call): &(Time, usize, WorkerCall)| match call {
         WorkerCall::Pace { task, percent, .. } => Some((*at, *task, *percent)),
         _ => None,
     };
-    hand.log.iter().filter_map(pace).collect()
+    harness.log.iter().filter_map(pace).collect()
 }
 
-fn fills() -> Step {
+fn filler() -> Step {
     Step { fills: true, ..step(1, 1) }
 }
 
-/// A task that serves under a target of 100 ms, with a tail of so many, and a filler beside it.
+/// A worker with a serving task whose target is 100 ms and whose tail latency is `load` ms, and a
+/// filler beside it.
 fn beside(load: u64) -> Hand {
-    let mut hand = Hand::new(1);
-    hand.submit(1, "plain", job(Step { lasts: true, target: 100, ..step(1, 2) }));
-    hand.run(300);
-    hand.workers[0].row(&task(1, 0)).load = load;
-    hand.submit(2, "plain", job(fills()));
-    hand.run(300);
-    hand
+    let mut harness = Hand::new(1);
+    harness.submit(1, "plain", job(Step { lasts: true, target: 100, ..step(1, 2) }));
+    harness.run(300);
+    harness.workers[0].row(&task(1, 0)).load = load;
+    harness.submit(2, "plain", job(filler()));
+    harness.run(300);
+    harness
 }
 
-fn last(hand: &Hand) -> u8 {
-    paces(hand).last().map_or(100, |p| p.2)
+fn last_pace(harness: &Hand) -> u8 {
+    paces(harness).last().map_or(100, |p| p.2)
 }
 
 #[test]
-fn they_stop_at_once_where_the_target_is_passed_and_rise_slowly() {
-    // Story: a filler makes the tail of a serving task three times as long; callers of that task
-    // wait. Let go at full speed as soon as the tail is short, it does so again and again.
-    let mut hand = beside(50);
-    assert!(last(&hand) <= 50, "it begins at half speed at most");
-    hand.workers[0].row(&task(1, 0)).load = 150;
-    hand.until("it stands", 100, |h| last(h) == 0);
-    hand.workers[0].row(&task(1, 0)).load = 40;
-    let low = hand.now;
-    hand.until("full speed", 20_000, |h| last(h) == 100);
-    for (at, _, percent) in paces(&hand).iter().filter(|p| p.0 > low) {
-        let most = 10.0 * (*at - low).as_secs_f64();
-        assert!(f64::from(*percent) <= most, "{percent} at {at}, low since {low}");
+fn fillers_pause_at_once_above_the_target_and_resume_slowly() {
+    // A filler triples the tail latency of a serving task, whose callers have to wait. Guards
+    // against returning the filler to full speed as soon as the tail latency is low, which would
+    // raise it again and again.
+    let mut harness = beside(50);
+    assert!(last_pace(&harness) <= 50, "a filler must start at half speed at most");
+    harness.workers[0].row(&task(1, 0)).load = 150;
+    harness.until("a pause", 100, |h| last_pace(h) == 0);
+    harness.workers[0].row(&task(1, 0)).load = 40;
+    let low = harness.now;
+    harness.until("full speed", 20_000, |h| last_pace(h) == 100);
+    for (at, _, percent) in paces(&harness).iter().filter(|p| p.0 > low) {
+        let limit = 10.0 * (*at - low).as_secs_f64();
+        assert!(f64::from(*percent) <= limit, "{percent} at {at}, low since {low}");
     }
-    let rise = hand.now - low;
+    let rise = harness.now - low;
     assert!(rise >= Duration::from_secs(10) && rise <= Duration::from_secs(13), "{rise:?}");
 }
 
 #[test]
-fn one_that_starts_beside_a_serving_task_goes_along() {
-    // Story: a worker's fillers stand, as the tail is too long. Another is started there, at full
-    // speed as the workers begin, and nobody tells it to stand.
-    let mut hand = beside(150);
-    assert_eq!(last(&hand), 0);
-    let now = hand.now;
-    hand.submit(3, "plain", job(fills()));
-    hand.until("it starts", 200, |h| h.starts_of(3).len() == 1);
+fn filler_started_beside_paused_fillers_is_paused() {
+    // The fillers on a worker are paused, as the tail latency is above the target. Guards against
+    // another filler that is started there and keeps the full speed with which workers start tasks.
+    let mut harness = beside(150);
+    assert_eq!(last_pace(&harness), 0);
+    let now = harness.now;
+    harness.submit(3, "plain", job(filler()));
+    harness.until("a start of the second filler", 200, |h| h.starts_of(3).len() == 1);
     let paced = |h: &Hand| paces(h).iter().any(|p| p.0 > now && p.1 == task(3, 0) && p.2 == 0);
-    hand.until("it stands as well", 100, paced);
+    harness.until("a pause of the second filler", 100, paced);
 }
 
 #[test]
 fn a_new_owner_sets_the_pace_of_the_fillers_that_it_finds() {
-    // Story: a filler stands still beside a task that serves, as its tail was too long. Then the owner is
-    // killed, and the task that serves is cancelled. The next owner took the filler that it found for
-    // one at full speed and gave no order, so that it stood still to the end of the day: five tasks of
-    // three jobs still ran, and nothing else did, two minutes after they had begun.
-    let mut hand = beside(50);
-    hand.workers[0].row(&task(1, 0)).load = 150;
-    hand.until("it stands", 100, |h| last(h) == 0);
-    hand.succeed();
-    hand.cancel(1);
-    hand.until("the task that serves is stopped", 3_000, |h| !h.stops().is_empty());
-    hand.end(task(1, 0), How::Stopped);
-    hand.until("full speed", 3_000, |h| last(h) == 100);
+    // A filler is paused beside a serving task, as the tail latency was above the target. Then the
+    // owner is killed and the serving task is cancelled. Guards against a new owner that takes the
+    // filler for one at full speed and gives no order, so that it stays paused: in a simulation
+    // five tasks of three jobs were still running, and nothing else was, two minutes after they had
+    // started.
+    let mut harness = beside(50);
+    harness.workers[0].row(&task(1, 0)).load = 150;
+    harness.until("a pause", 100, |h| last_pace(h) == 0);
+    harness.succeed();
+    harness.cancel(1);
+    harness.until("a stop of the serving task", 3_000, |h| !h.stops().is_empty());
+    harness.end(task(1, 0), How::Stopped);
+    harness.until("full speed", 3_000, |h| last_pace(h) == 100);
 }
--- a/tests/shard_gang.rs
+++ b/tests/shard_gang.rs
@@ -1,4 +1,4 @@
-//! Gangs of which not all members come together.
+//! Gangs whose members do not all start, or end at different times.
 
 mod hand;
 
@@ -15,99 +15,106 @@
     std::collections::BTreeSet,
 };
 
-/// Starts are refused.
-const FULL: Hook = |call| match call {
+/// Refuses starts for want of capacity.
+const REFUSE_STARTS: Hook = |call| match call {
     WorkerCall::Start(_) => Some(Ok(Reply::Refused(0, Refusal::Room))),
     _ => None,
 };
 
-/// A gang of three that fills a worker with each member, and its starts so far.
-fn gang(hand: &mut Hand) -> Vec<(Time, usize, Start)> {
-    hand.submit(1, "plain", job(Step { gang: true, saves: true, ..step(3, 4) }));
-    hand.until("its starts", 500, |h| h.starts().len() == 3);
-    hand.starts()
+/// Submits a gang of three, each of which fills a worker, and returns their starts.
+fn submit_gang(harness: &mut Hand) -> Vec<(Time, usize, Start)> {
+    harness.submit(1, "plain", job(Step { gang: true, saves: true, ..step(3, 4) }));
+    harness.until("the starts of the gang", 500, |h| h.starts().len() == 3);
+    harness.starts()
 }
 
-/// The runs and checkpoints of the starts after the first few.
-fn alike(hand: &Hand, after: usize) -> BTreeSet<(u32, Box<str>)> {
-    hand.starts()[after..].iter().map(|s| (s.2.run, s.2.saved.clone())).collect()
+/// The distinct runs and checkpoints of all starts but the first `after`.
+fn restarts(harness: &Hand, after: usize) -> BTreeSet<(u32, Box<str>)> {
+    harness.starts()[after..].iter().map(|s| (s.2.run, s.2.saved.clone())).collect()
 }
 
 #[test]
 fn the_others_are_stopped_and_all_start_again() {
-    // Story: one member's start is refused, as its worker has less room than was thought. The two
-    // others waited for it until they ended alone, and took up their workers all the while.
-    let mut hand = Hand::new(3);
-    hand.workers[1].hook = FULL;
-    let first = gang(&mut hand);
-    let refused = hand.now;
-    hand.until("the others are stopped", 200, |h| h.stops().len() == 2);
-    hand.run(200);
-    assert!((0..3).all(|i| hand.places(task(1, i)).is_empty()), "none waits alone");
-    hand.workers[1].hook = FINE;
-    hand.until("all start again", 3_000, |h| h.starts().len() == 6);
-    assert_eq!(alike(&hand, 3), [(first[0].2.run + 1, "".into())].into());
-    assert_eq!(hand.starts()[3].0, hand.starts()[5].0, "together, not from {refused} on");
+    // A member's start is refused, as its worker has less capacity than the owner assumed. Guards
+    // against the other two members waiting for it until they end for lack of a complete gang,
+    // while they occupy their workers.
+    let mut harness = Hand::new(3);
+    harness.workers[1].hook = REFUSE_STARTS;
+    let first = submit_gang(&mut harness);
+    let refused = harness.now;
+    harness.until("the stops of the others", 200, |h| h.stops().len() == 2);
+    harness.run(200);
+    assert!((0..3).all(|i| harness.places(task(1, i)).is_empty()), "no member may wait alone");
+    harness.workers[1].hook = FINE;
+    harness.until("the restart of all members", 3_000, |h| h.starts().len() == 6);
+    assert_eq!(restarts(&harness, 3), [(first[0].2.run + 1, "".into())].into());
+    assert_eq!(
+        harness.starts()[3].0,
+        harness.starts()[5].0,
+        "the members must start together; one was refused at {refused}"
+    );
 }
 
 #[test]
 fn all_go_on_from_one_checkpoint() {
-    // Story: one member fails, and the others, which are stopped, show other checkpoints than it.
-    // Members that start from different checkpoints break a rule, and their work is spoilt.
-    let mut hand = Hand::new(3);
-    gang(&mut hand);
-    hand.run(300);
+    // A member fails, and the others, which are stopped, report other checkpoints. Guards against
+    // members that start again from different checkpoints: that breaks an invariant and spoils
+    // their work.
+    let mut harness = Hand::new(3);
+    submit_gang(&mut harness);
+    harness.run(300);
     for (i, saved) in (0..).zip(["a3", "a4", ""]) {
-        let at = hand.places(task(1, i))[0];
-        hand.workers[at].row(&task(1, i)).saved = saved.into();
+        let at = harness.places(task(1, i))[0];
+        harness.workers[at].row(&task(1, i)).saved = saved.into();
     }
-    hand.end(task(1, 0), How::Failed);
-    hand.until("all start again", 5_000, |h| h.starts().len() == 6);
-    let again = alike(&hand, 3);
+    harness.end(task(1, 0), How::Failed);
+    harness.until("the restart of all members", 5_000, |h| h.starts().len() == 6);
+    let again = restarts(&harness, 3);
     assert_eq!(again.len(), 1, "{again:?}");
     assert!(again.iter().all(|(run, saved)| *run == 2 && !saved.is_empty()), "{again:?}");
 }
 
 #[test]
 fn an_end_heard_late_changes_the_checkpoint_of_all() {
-    // Story: a member's worker is cut off until its lease has ended; the gang waits for room. The
-    // worker is back and lists the member's end, with a newer checkpoint. Taken for that member
-    // alone, the members start from different checkpoints.
-    let mut hand = Hand::new(3);
-    gang(&mut hand);
-    hand.run(300);
+    // The worker of a member is cut off until its lease has expired, and the gang waits for
+    // capacity. Then the worker becomes reachable again and reports the member's end with a newer
+    // checkpoint. Guards against using this checkpoint for that member alone, so that the members
+    // start from different ones.
+    let mut harness = Hand::new(3);
+    submit_gang(&mut harness);
+    harness.run(300);
     for i in 0..3 {
-        let at = hand.places(task(1, i))[0];
-        hand.workers[at].row(&task(1, i)).saved = "a3".into();
+        let at = harness.places(task(1, i))[0];
+        harness.workers[at].row(&task(1, i)).saved = "a3".into();
     }
-    hand.run(300);
-    let at = hand.places(task(1, 1))[0];
-    hand.workers[at].hook = MUTE;
-    hand.until("the others are stopped", 30_000, |h| h.stops().len() == 2);
-    hand.run(2_000);
-    assert_eq!(hand.starts().len(), 3, "there is no room");
-    hand.workers[at].row(&task(1, 1)).saved = "a5".into();
-    hand.end(task(1, 1), How::Lapsed);
-    hand.workers[at].hook = FINE;
-    hand.until("all start again", 5_000, |h| h.starts().len() == 6);
-    let again = alike(&hand, 3);
+    harness.run(300);
+    let at = harness.places(task(1, 1))[0];
+    harness.workers[at].hook = MUTE;
+    harness.until("the stops of the others", 30_000, |h| h.stops().len() == 2);
+    harness.run(2_000);
+    assert_eq!(harness.starts().len(), 3, "there must be no room for the gang");
+    harness.workers[at].row(&task(1, 1)).saved = "a5".into();
+    harness.end(task(1, 1), How::Lapsed);
+    harness.workers[at].hook = FINE;
+    harness.until("the restart of all members", 5_000, |h| h.starts().len() == 6);
+    let again = restarts(&harness, 3);
     assert_eq!(again.len(), 1, "{again:?}");
 }
 
 #[test]
 fn ends_that_a_former_owner_has_not_heard_of_give_one_checkpoint() {
-    // Story: a gang's members end while its shard has no owner, each with its last checkpoint. The
-    // next owner hears of the ends one by one.
-    let mut hand = Hand::new(3);
-    gang(&mut hand);
-    hand.run(300);
+    // The members of a gang end while the shard has no owner, each with a different last
+    // checkpoint. The next owner gets the reports of the ends one by one.
+    let mut harness = Hand::new(3);
+    submit_gang(&mut harness);
+    harness.run(300);
     for (i, saved) in (0..).zip(["a3", "a4", "a5"]) {
-        let at = hand.places(task(1, i))[0];
-        hand.workers[at].row(&task(1, i)).saved = saved.into();
-        hand.end(task(1, i), How::Broken);
+        let at = harness.places(task(1, i))[0];
+        harness.workers[at].row(&task(1, i)).saved = saved.into();
+        harness.end(task(1, i), How::Broken);
     }
-    hand.succeed();
-    hand.until("all start again", 5_000, |h| h.starts().len() == 6);
-    let again = alike(&hand, 3);
+    harness.succeed();
+    harness.until("the restart of all members", 5_000, |h| h.starts().len() == 6);
+    let again = restarts(&harness, 3);
     assert_eq!(again.len(), 1, "{again:?}");
 }
--- a/tests/shard_gang_fits.rs
+++ b/tests/shard_gang_fits.rs
@@ -1,4 +1,4 @@
-//! A gang that takes all of its workers' room.
+//! A gang that takes the whole capacity of its workers.
 
 mod yard;
 
@@ -9,9 +9,9 @@
 
 #[test]
 fn a_gang_that_just_fits_has_its_room_kept() {
-    // Story: a gang needs all that its pool has, and small jobs come without end. Each end frees room
-    // for one task, the next small job takes it, and the gang waits as long as they come, unless the
-    // room is kept for it as for any smaller gang.
+    // A gang needs the whole capacity of its pool, and small jobs keep arriving. Each task that
+    // ends frees room for one task only, which the next small job takes. Guards against a gang that
+    // waits for as long as small jobs arrive: its room must be reserved as it is for smaller gangs.
     let mut yard = Yard::new(3, 4);
     let gang = Step { gang: true, ..step(8, 700) };
     yard.at(1_000, move |y| y.submit(1, "open", job([gang])));
@@ -21,5 +21,5 @@
     yard.run_until(40_000);
     let progress = yard.progress();
     let done = |no: u64| progress.get(&JobNo(no)).is_some_and(|p| p.state == State::Done);
-    assert!(done(1), "it waits on");
+    assert!(done(1), "the gang must be done");
 }
--- a/tests/shard_gang_stuck.rs
+++ b/tests/shard_gang_stuck.rs
@@ -1,4 +1,4 @@
-//! A gang that fits nowhere, and what waits behind it.
+//! Jobs behind a gang that can never start.
 
 mod yard;
 
@@ -9,9 +9,9 @@
 
 #[test]
 fn a_gang_that_fits_nowhere_holds_up_nothing_else() {
-    // Story: a caller hands in a gang of five cores, and advice lets it run at one worker of four
-    // only. It can never start, and the room that is kept for it must not keep small jobs from the
-    // workers for good.
+    // A caller submits a gang that needs five cores, and advice allows it one worker, which has
+    // four. The gang can never start. Guards against a reservation for it that keeps small jobs off
+    // the workers for good.
     for seed in 1..12 {
         let mut yard = Yard::new(seed, 6);
         let gang = Step { gang: true, ..step(5, 700) };
@@ -25,6 +25,6 @@
         let done = |n: &u64| progress.get(&JobNo(*n)).is_some_and(|p| p.state == State::Done);
         let open: Vec<u64> = (2..8).filter(|n| !done(n)).collect();
         println!("seed {seed}: gang done {}, open {open:?}", done(&1));
-        assert!(open.is_empty(), "seed {seed}: {open:?} wait on");
+        assert!(open.is_empty(), "seed {seed}: {open:?} must be done");
     }
 }
--- a/tests/shard_kept.rs
+++ b/tests/shard_kept.rs
@@ -1,4 +1,4 @@
-//! Room that is kept for gangs whose calls for advice no member is free to make.
+//! Reservations for gangs that get no advice because all members are busy.
 
 mod yard;
 
@@ -11,11 +11,12 @@
     yard::{Yard, job, step, worker::Worker},
 };
 
-/// The members that can call for advice.
+/// The number of members that can call for advice.
 const MEMBERS: u64 = 8;
 const WORKERS: usize = 40;
 
-/// `gangs` are more urgent, late after 3 s and worth nothing after 9; `tasks` could be in time.
+/// Steps of `gangs` are more urgent, late after 3 s and worthless after 9 s. Steps of `tasks` can
+/// still be in time.
 fn queues() -> Arc<Queues> {
     let old = yard::queues();
     let ms = Duration::from_millis;
@@ -33,42 +34,46 @@
     Arc::new(Queues { all, ..(*old).clone() })
 }
 
-/// For how long a worker may stand empty beside what waits: a gang keeps it for 4 s at the most, and
-/// its own calls take another 2.
-const IDLE: Duration = Duration::from_secs(6);
+/// The longest time that a worker may be idle while steps wait: a gang holds a reservation for at
+/// most 4 s, and the gang's own calls for advice take up to 2 s.
+const MAX_IDLE: Duration = Duration::from_secs(6);
 
 #[test]
-fn room_that_is_kept_for_gangs_is_used_or_given_back() {
-    // Story: at the end of a day with several times the usual traffic 550 jobs wait, and a pool empties
-    // beside them. Gangs were given room while they were among the first 400 steps in the order or starved.
-    // Then more urgent steps came before them, and no round looked at them any more: nobody asked for their
-    // tickets, and nobody gave the room back. What settled it: "cause="room that is kept for it" class=2
-    // asked=98 good=18 out=0 kept_ms=5035 at_ms=0 old=3", and the same gang with "its place in the order".
+fn reservations_for_gangs_are_used_or_released() {
+    // After a time with several times the usual traffic 550 jobs wait, and a pool becomes empty
+    // nonetheless. Gangs had got reservations while they were among the first 400 steps in the
+    // order or starved. Then more urgent steps came before them, and the scheduling rounds no
+    // longer reached them: nobody called for their tickets, and nobody released their reservations.
+    // The log showed a gang with the cause "room that is kept for it" for 5 s, and then the same
+    // gang with "its place in the order".
     for seed in 1..4 {
         let one = |at: usize| Worker::new("open", ["r1", "r2"][at % 2], Size::new(16, 65_536, 8));
         let mut yard = Yard::with(seed, queues(), (0..WORKERS).map(one).collect(), MEMBERS);
         yard.coarse = Duration::from_millis(1);
         yard.world.advice.share = 50;
         yard.world.spread = 0.0;
-        let whole = |count, ms| Step { size: Size::new(16, 4_096, 1), ..step(count, ms) };
-        yard.submit(1, "open", job([whole(40, 12_000)]));
+        let whole_worker = |count, ms| Step { size: Size::new(16, 4_096, 1), ..step(count, ms) };
+        yard.submit(1, "open", job([whole_worker(40, 12_000)]));
         for no in 0..6 {
-            let gang = Step { gang: true, ..whole(4, 3_000) };
+            let gang = Step { gang: true, ..whole_worker(4, 3_000) };
             yard.at(1_000 + no * 10, move |y| y.submit(2 + no, "gangs", job([gang])));
         }
         for no in 0..600 {
             let wide = Step { size: Size::new(2, 4_096, 1), ..step(10, 5_000) };
             yard.at(8_000 + no, move |y| y.submit(101 + no, "tasks", job([wide])));
         }
-        yard.at(11_000, move |y| y.submit(10, "open", job([whole(26, 3_000)])));
-        let mut idle = vec![yard.now; WORKERS];
+        yard.at(11_000, move |y| y.submit(10, "open", job([whole_worker(26, 3_000)])));
+        let mut busy_at = vec![yard.now; WORKERS];
         for ms in (100..26_000).step_by(100) {
             yard.run_until(ms);
-            for (at, since) in idle.iter_mut().enumerate() {
+            for (at, since) in busy_at.iter_mut().enumerate() {
                 if !yard.world.workers[at].runs.is_empty() {
                     *since = yard.now;
                 }
-                assert!(yard.now < *since + IDLE, "seed {seed}: worker {at} is idle since {since}");
+                assert!(
+                    yard.now < *since + MAX_IDLE,
+                    "seed {seed}: worker {at} is idle since {since}"
+                );
             }
         }
     }
