--- a/tests/hand/mod.rs
+++ b/tests/hand/mod.rs
@@ -112,6 +112,7 @@
     Step { count, estimate: 20_000_000, size: Size::new(cores, 512, 0), ..Step::default() }
 }
 
+/// A job with `step` as its only step.
 pub fn job(step: Step) -> Job {
     Job { text: "do it".into(), steps: [step].into(), times: None }
 }
@@ -395,8 +396,8 @@
 
     /// Indices of the workers on which a task runs.
     pub fn places(&self, task: TaskKey) -> Vec<usize> {
-        let there = |w: &Worker| w.rows.iter().any(|r| r.task == task);
-        (0..self.workers.len()).filter(|w| there(&self.workers[*w])).collect()
+        let runs_task = |w: &Worker| w.rows.iter().any(|r| r.task == task);
+        (0..self.workers.len()).filter(|w| runs_task(&self.workers[*w])).collect()
     }
 
     /// Ends a task on the one worker that runs it.
--- a/tests/hand/worker.rs
+++ b/tests/hand/worker.rs
@@ -19,6 +19,7 @@
 /// Gives no answer to any call.
 pub const MUTE: Hook = |_| Some(Err(Fault::Unknown));
 
+/// A worker with 4 cores in the pool `pool`, which a test controls by its fields.
 pub struct Worker {
     pub id: WorkerId,
     index: usize,
--- a/tests/shard_advice.rs
+++ b/tests/shard_advice.rs
@@ -13,7 +13,7 @@
 
 /// A queue of long-running tasks, whose calls for advice on 10 workers take 0.83 s.
 fn queues() -> Arc<Queues> {
-    let old = yard::queues();
+    let defaults = yard::queues();
     let us = Duration::from_micros;
     let cost = AdviceCost { base: us(728_000), each: us(10_400), valid: Duration::from_secs(2) };
     let feed = Queue {
@@ -21,9 +21,9 @@
         prefix: "/feed/".into(),
         priority: 1,
         advice: Some(cost),
-        ..old.named("open").expect("a queue").clone()
+        ..defaults.named("open").expect("a queue").clone()
     };
-    Arc::new(Queues { all: vec![feed], ..(*old).clone() })
+    Arc::new(Queues { all: vec![feed], ..(*defaults).clone() })
 }
 
 /// A long-running task fails without other faults while workers have capacity for it. Another owner
--- a/tests/shard_away.rs
+++ b/tests/shard_away.rs
@@ -47,8 +47,8 @@
 /// The report on the step of job `no`.
 fn report_for(harness: &Hand, no: u64) -> Away {
     let all = harness.shard.absent(harness.now);
-    let of = all.iter().find(|a| a.key.job == JobNo(no));
-    of.unwrap_or_else(|| panic!("job {no} is not reported: {all:?}")).clone()
+    let report = all.iter().find(|a| a.key.job == JobNo(no));
+    report.unwrap_or_else(|| panic!("job {no} is not reported: {all:?}")).clone()
 }
 
 /// Ends the task of job 9 on a worker.
@@ -124,9 +124,9 @@
     assert!(harness.starts_of(1).is_empty());
     harness.run(400);
     assert_eq!(harness.starts_of(1).len(), 1);
-    let kept = Sight { all: 2, usable: 2, ..Sight::default() };
-    let kept = Sight { wanted: 1, empty: 8, good: 2, gangs: 1, full: 1, ..kept };
-    assert_eq!(kept.cause(), Cause::Gangs);
+    let sight = Sight { all: 2, usable: 2, ..Sight::default() };
+    let sight = Sight { wanted: 1, empty: 8, good: 2, gangs: 1, full: 1, ..sight };
+    assert_eq!(sight.cause(), Cause::Gangs);
 }
 
 #[test]
--- a/tests/shard_course.rs
+++ b/tests/shard_course.rs
@@ -24,13 +24,13 @@
 /// that every bound applies again.
 const QUIET_MS: u64 = 13_000;
 
-/// The events of a simulation, in words.
+/// The events of a simulation, each as its time in milliseconds and a few words.
 type EventLog = Rc<RefCell<Vec<String>>>;
 
-/// An event that affects `many` workers.
+/// An event that affects `count` workers.
 struct Event {
     seed: u64,
-    many: usize,
+    count: usize,
     log: EventLog,
 }
 
@@ -50,15 +50,15 @@
         if rng.u32(0..3) > 0 {
             all.sort_by_key(|at| !long_running(&yard.world.workers[*at]));
         }
-        all.truncate(self.many);
+        all.truncate(self.count);
         all
     }
 }
 
-/// Lets workers leave as planned; others start at their addresses `back` milliseconds later.
-fn leave(yard: &mut Yard, event: &Event, back: u64) {
+/// Lets workers leave as planned; others start at their addresses `gap_ms` milliseconds later.
+fn leave(yard: &mut Yard, event: &Event, gap_ms: u64) {
     let (affected, now) = (event.workers(yard), yard.now);
-    event.record(yard, format!("leave {affected:?}, back {back}"));
+    event.record(yard, format!("leave {affected:?}, replaced after {gap_ms}"));
     for at in affected {
         let w = &mut yard.world.workers[at];
         if w.up && w.draining.is_none() {
@@ -67,7 +67,7 @@
             yard.at((now + NOTICE).0 / 1_000, move |y| {
                 // The worker may have ended before its time was over.
                 if y.world.workers[at].life == life {
-                    y.replace(at, Duration::from_millis(back));
+                    y.replace(at, Duration::from_millis(gap_ms));
                 }
             });
         }
@@ -138,39 +138,39 @@
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
         let count = rng.usize(8..=24);
         let mut all = workers(count);
-        let one = rng.bool();
-        if one {
+        let one_pool = rng.bool();
+        if one_pool {
             all.iter_mut().for_each(|w| w.pool = "open".into());
         }
         let mut yard = Yard::with(seed, queues(), all, 2);
         yard.often = true;
         yard.behind = Duration::from_millis(rng.u64(0..900));
         yard.world.advice.share = rng.u64(50..=100);
-        let queues = if one { 2 } else { 3 };
+        let queues = if one_pool { 2 } else { 3 };
         let log = EventLog::default();
         let mut sim = Simulation { rng, yard, count, log, faults, queues, last: 1_000 };
-        sim.submit_long_running(if one { count } else { count / 2 }, one);
+        sim.submit_long_running(if one_pool { count } else { count / 2 }, one_pool);
         sim
     }
 
     /// Submits long-running jobs that take at most a third of their pool, and perhaps a filler job.
-    /// `one` says whether there is only one pool, `pool` how many workers it has.
-    fn submit_long_running(&mut self, pool: usize, one: bool) {
-        let mut left = pool * 4 / 3;
+    /// `one_pool` says whether there is only one pool, `workers` how many workers it has.
+    fn submit_long_running(&mut self, workers: usize, one_pool: bool) {
+        let mut remaining = workers * 4 / 3;
         for no in 1..=self.rng.u64(2..=6) {
-            let queue = match (one, self.rng.u32(0..3)) {
+            let queue = match (one_pool, self.rng.u32(0..3)) {
                 (_, 0) => "open",
                 (_, 1) => "advised",
                 (true, _) => "open",
                 (false, _) => "plain",
             };
             let apart = self.rng.u32(0..3) == 0;
-            let most = if apart { pool / 4 } else { 8 }.min(left / 2);
-            if most == 0 {
+            let max_tasks = if apart { workers / 4 } else { 8 }.min(remaining / 2);
+            if max_tasks == 0 {
                 continue;
             }
-            let tasks = self.rng.usize(1..=most);
-            left -= tasks;
+            let tasks = self.rng.usize(1..=max_tasks);
+            remaining -= tasks;
             let serves = self.rng.bool();
             let step = Step {
                 lasts: true,
@@ -188,8 +188,8 @@
             self.yard.at(at, move |y| y.submit(no, queue, job([step])));
         }
         if self.rng.bool() {
-            let fills = Step { fills: true, image: "sift".into(), ..step(pool as u32, 60_000) };
-            self.yard.at(2_000, move |y| y.submit(90, "open", job([fills])));
+            let filler = Step { fills: true, image: "sift".into(), ..step(workers as u32, 60_000) };
+            self.yard.at(2_000, move |y| y.submit(90, "open", job([filler])));
         }
     }
 
@@ -210,44 +210,47 @@
     /// Schedules one random event at `at` and returns when it is over.
     fn add_event(&mut self, at: u64) -> u64 {
         let long = self.rng.u64(200..12_000);
-        let brief = self.rng.u64(100..3_500);
+        let short = self.rng.u64(100..3_500);
         let kind = if self.faults { self.rng.u32(0..22) } else { self.rng.u32(0..6) };
-        let many = if self.rng.u32(0..4) == 0 { self.rng.usize(1..=self.count / 3) } else { 1 };
-        let event = Event { seed: self.rng.u64(..), many, log: self.log.clone() };
+        let count = if self.rng.u32(0..4) == 0 { self.rng.usize(1..=self.count / 3) } else { 1 };
+        let event = Event { seed: self.rng.u64(..), count, log: self.log.clone() };
         let y = &mut self.yard;
         match kind {
             0 | 1 => {
-                y.at(at, move |y| leave(y, &event, brief));
+                y.at(at, move |y| leave(y, &event, short));
                 at + long
             }
             2 | 3 => {
                 y.at(at, move |y| {
-                    event.record(y, format!("release, gap {}", brief / 4));
-                    y.release(Duration::from_millis(brief / 4));
+                    event.record(y, format!("release, gap {}", short / 4));
+                    y.release(Duration::from_millis(short / 4));
                 });
-                at + brief / 4 + 1_200
+                at + short / 4 + 1_200
             }
             4 => {
-                let gone = [&["advised"][..], &["open"], &[]][brief as usize % 3];
+                let removed = [&["advised"][..], &["open"], &[]][short as usize % 3];
                 y.at(at, move |y| {
                     event.record(
                         y,
-                        format!("configuration without {gone:?} for {}, late {brief}", long / 2),
+                        format!(
+                            "configuration without {removed:?} for {}, heard after {short}",
+                            long / 2
+                        ),
                     );
-                    y.unread = Duration::from_millis(brief / 4);
-                    y.slow = Duration::from_millis(brief);
-                    y.configure(configuration(&y.world.queues, 2 + at, gone));
+                    y.unread = Duration::from_millis(short / 4);
+                    y.slow = Duration::from_millis(short);
+                    y.configure(configuration(&y.world.queues, 2 + at, removed));
                 });
                 y.at(at + long / 2, move |y| {
                     y.configure(configuration(&y.world.queues, 2 + at + long / 2, &[]));
                     (y.unread, y.slow) = (Duration::ZERO, Duration::ZERO);
                 });
-                at + long / 2 + brief
+                at + long / 2 + short
             }
             5 => {
                 y.at(at, move |y| {
                     let affected = event.workers(y);
-                    event.record(y, format!("close {affected:?} for {long}"));
+                    event.record(y, format!("drain {affected:?} for {long}"));
                     let turns = [Turn::Closing, Turn::Due, Turn::Forced];
                     let turns: Vec<_> =
                         (0..).zip(affected).map(|(i, w)| (w, turns[i % 3])).collect();
@@ -258,13 +261,15 @@
                 at + long
             }
             6 | 7 => {
-                let back = [0, 30, long][brief as usize % 3];
+                let downtime = [0, 30, long][short as usize % 3];
                 y.fault(at, move |y| {
                     let affected = event.workers(y);
-                    event.record(y, format!("crash {affected:?}, back {back}"));
-                    affected.into_iter().for_each(|at| y.crash(at, Duration::from_millis(back)));
+                    event.record(y, format!("crash {affected:?}, restart after {downtime}"));
+                    affected
+                        .into_iter()
+                        .for_each(|at| y.crash(at, Duration::from_millis(downtime)));
                 });
-                at + back
+                at + downtime
             }
             8 | 9 => {
                 y.fault(at, move |y| {
@@ -293,22 +298,25 @@
                 at + long
             }
             15 | 16 => {
-                let again = brief.is_multiple_of(4);
+                let again = short.is_multiple_of(4);
                 y.fault(at, move |y| {
-                    event.record(y, format!("kill, over {brief}, again {again} {}", long / 4));
+                    event.record(
+                        y,
+                        format!("kill, takeover after {short}, again {again} {}", long / 4),
+                    );
                     y.kill();
                 });
-                y.fault(at + brief, take_over);
+                y.fault(at + short, take_over);
                 if again {
-                    y.fault(at + brief + long / 8, Yard::kill);
-                    y.fault(at + brief + long / 4, take_over);
+                    y.fault(at + short + long / 8, Yard::kill);
+                    y.fault(at + short + long / 4, take_over);
                 }
-                at + brief + long / 4
+                at + short + long / 4
             }
             17 | 18 => {
-                let soon = brief.is_multiple_of(2);
+                let soon = short.is_multiple_of(2);
                 y.fault(at, move |y| {
-                    event.record(y, format!("pause for {long}, over {soon}"));
+                    event.record(y, format!("pause for {long}; early takeover: {soon}"));
                     let owner = y.owners.len() - 1;
                     y.pause(owner, true);
                     y.fault(y.now.0 / 1_000 + long, move |y| y.pause(owner, false));
@@ -319,7 +327,7 @@
                 at + long.max(4_000)
             }
             19 | 20 => {
-                let mode = [Mode::Down, Mode::Losing(3)][brief as usize % 2];
+                let mode = [Mode::Down, Mode::Losing(3)][short as usize % 2];
                 y.fault(at, move |y| {
                     event.record(y, format!("store {mode:?} for {long}"));
                     y.store.mode = mode;
@@ -329,7 +337,7 @@
             }
             _ => {
                 y.fault(at, move |y| {
-                    event.record(y, format!("late for {long}"));
+                    event.record(y, format!("late orders for {long}"));
                     y.late = 4;
                 });
                 for ms in (0..long).step_by(500) {
@@ -345,11 +353,11 @@
     /// events alone may be more in number, as all bounds apply during them.
     fn run(&mut self) {
         let (mut at, mut from) = (5_000, 2_000);
-        let (most, quiet) = if self.faults { (4, QUIET_MS) } else { (8, 1_000) };
+        let (max_events, quiet) = if self.faults { (4, QUIET_MS) } else { (8, 1_000) };
         for _ in 0..3 {
             let begin = at;
-            for _ in 0..self.rng.u32(1..=most) {
-                let wait = self.rng.u64(0..1_000 * u64::from(most));
+            for _ in 0..self.rng.u32(1..=max_events) {
+                let wait = self.rng.u64(0..1_000 * u64::from(max_events));
                 at = at.max(self.add_event(begin + wait));
             }
             at += quiet;
--- a/tests/shard_crash.rs
+++ b/tests/shard_crash.rs
@@ -83,8 +83,8 @@
     harness.run(5_000);
     for (no, count) in [(1, 4), (2, 4), (4, 3)] {
         assert_ne!(harness.state(no), Some(State::Failed), "job {no}");
-        let there = (0..count).filter(|i| !harness.places(task(no, *i)).is_empty()).count();
-        assert_eq!(there as u32, count, "tasks of job {no}");
+        let running = (0..count).filter(|i| !harness.places(task(no, *i)).is_empty()).count();
+        assert_eq!(running as u32, count, "tasks of job {no}");
     }
 }
 
--- a/tests/shard_cut_off.rs
+++ b/tests/shard_cut_off.rs
@@ -1,4 +1,5 @@
-//! Owners that have lost their connection to the store and may therefore have a successor.
+//! Owners that may have a successor: they have lost their connection to the store, or a worker has
+//! refused their token.
 
 mod hand;
 
--- a/tests/shard_kept.rs
+++ b/tests/shard_kept.rs
@@ -18,7 +18,7 @@
 /// Steps of `gangs` are more urgent, late after 3 s and worthless after 9 s. Steps of `tasks` can
 /// still be in time.
 fn queues() -> Arc<Queues> {
-    let old = yard::queues();
+    let defaults = yard::queues();
     let ms = Duration::from_millis;
     let queue = |name: &str, priority, slack, cost| Queue {
         name: name.into(),
@@ -27,11 +27,11 @@
         stretch: 1.0,
         slack: ms(slack),
         advice: Some(AdviceCost { base: ms(cost), each: ms(2), valid: ms(2_000) }),
-        ..old.named("open").expect("a queue").clone()
+        ..defaults.named("open").expect("a queue").clone()
     };
-    let open = old.named("open").expect("a queue").clone();
+    let open = defaults.named("open").expect("a queue").clone();
     let all = vec![queue("gangs", 0, 0, 900), queue("tasks", 1, 30_000, 280), open];
-    Arc::new(Queues { all, ..(*old).clone() })
+    Arc::new(Queues { all, ..(*defaults).clone() })
 }
 
 /// The longest time that a worker may be idle while steps wait: a gang holds a reservation for at
@@ -47,8 +47,9 @@
     // The log showed a gang with the cause "room that is kept for it" for 5 s, and then the same
     // gang with "its place in the order".
     for seed in 1..4 {
-        let one = |at: usize| Worker::new("open", ["r1", "r2"][at % 2], Size::new(16, 65_536, 8));
-        let mut yard = Yard::with(seed, queues(), (0..WORKERS).map(one).collect(), MEMBERS);
+        let new_worker =
+            |at: usize| Worker::new("open", ["r1", "r2"][at % 2], Size::new(16, 65_536, 8));
+        let mut yard = Yard::with(seed, queues(), (0..WORKERS).map(new_worker).collect(), MEMBERS);
         yard.coarse = Duration::from_millis(1);
         yard.world.advice.share = 50;
         yard.world.spread = 0.0;
--- a/tests/shard_leaving.rs
+++ b/tests/shard_leaving.rs
@@ -100,8 +100,8 @@
     harness.workers[at].left = Some(Duration::from_secs(20));
     harness.list();
     harness.run(10_000);
-    let there = |i| harness.places(task(1, i)).len();
-    assert_eq!((0..3).map(there).collect::<Vec<_>>(), [1; 3], "all tasks must run");
+    let run_count = |i| harness.places(task(1, i)).len();
+    assert_eq!((0..3).map(run_count).collect::<Vec<_>>(), [1; 3], "all tasks must run");
     let moved = (0..3).filter(|i| harness.places(task(1, *i)) == [1 - at]);
     assert_eq!(moved.count(), 1, "one task has capacity elsewhere");
     harness.end(task(3, 0), How::Done);
@@ -129,8 +129,8 @@
     harness.workers[at].left = Some(Duration::from_secs(20));
     harness.list();
     harness.run(10_000);
-    let there = |no| harness.places(task(no, 0));
-    let mut both = [there(1), there(2)].concat();
+    let places = |no| harness.places(task(no, 0));
+    let mut both = [places(1), places(2)].concat();
     both.sort_unstable();
     assert_eq!(both, [0, 1], "both tasks must run, one of them elsewhere");
 }
