--- a/tests/shard_fillers.rs
+++ b/tests/shard_fillers.rs
@@ -27,7 +27,7 @@
 
 /// A worker with a serving task whose target is 100 ms and whose tail latency is `load` ms, and a
 /// filler beside it.
-fn beside(load: u64) -> Hand {
+fn with_filler_beside_serving(load: u64) -> Hand {
     let mut harness = Hand::new(1);
     harness.submit(1, "plain", job(Step { lasts: true, target: 100, ..step(1, 2) }));
     harness.run(300);
@@ -46,7 +46,7 @@
     // A filler triples the tail latency of a serving task, whose callers have to wait. Guards
     // against returning the filler to full speed as soon as the tail latency is low, which would
     // raise it again and again.
-    let mut harness = beside(50);
+    let mut harness = with_filler_beside_serving(50);
     assert!(last_pace(&harness) <= 50, "a filler must start at half speed at most");
     harness.workers[0].row(&task(1, 0)).load = 150;
     harness.until("a pause", 100, |h| last_pace(h) == 0);
@@ -65,7 +65,7 @@
 fn filler_started_beside_paused_fillers_is_paused() {
     // The fillers on a worker are paused, as the tail latency is above the target. Guards against
     // another filler that is started there and keeps the full speed with which workers start tasks.
-    let mut harness = beside(150);
+    let mut harness = with_filler_beside_serving(150);
     assert_eq!(last_pace(&harness), 0);
     let now = harness.now;
     harness.submit(3, "plain", job(filler()));
@@ -81,7 +81,7 @@
     // filler for one at full speed and gives no order, so that it stays paused: in a simulation
     // five tasks of three jobs were still running, and nothing else was, two minutes after they had
     // started.
-    let mut harness = beside(50);
+    let mut harness = with_filler_beside_serving(50);
     harness.workers[0].row(&task(1, 0)).load = 150;
     harness.until("a pause", 100, |h| last_pace(h) == 0);
     harness.succeed();
