--- a/tests/shard_passing.rs
+++ b/tests/shard_passing.rs
@@ -11,8 +11,8 @@
 fn passing(seed: u64, reads: Duration) -> Yard {
     let mut yard = Yard::new(seed, 6);
     yard.at(500, |y| y.submit(1, "plain", job([step(4, 9_000)])));
-    yard.fault(2_000, |y| y.cut_off(0));
-    yard.fault(5_500, move |y| y.take_over_in(reads));
+    yard.fault(2_000, |y| y.cut_store(0));
+    yard.fault(5_500, move |y| y.take_over_after(reads));
     yard
 }
 
--- a/tests/shard_unlisted.rs
+++ b/tests/shard_unlisted.rs
@@ -12,7 +12,7 @@
 fn unlisted(seed: u64) -> (Yard, usize, usize) {
     let one = |at: usize| Worker::new("open", ["r1", "r2"][at % 2], Size::new(4, 16_384, 1));
     let mut yard = Yard::with(seed, queues(), (0..9).map(one).collect(), 2);
-    (yard.often, yard.blind) = (true, true);
+    (yard.often, yard.vm_list_down) = (true, true);
     yard.world.bounds.hold = Duration::from_secs(6);
     yard.kill();
     yard.take_over();
--- a/tests/shard_waits.rs
+++ b/tests/shard_waits.rs
@@ -203,7 +203,7 @@
 fn day(seed: u64) {
     let mut yard = plan(seed);
     yard.run_until(DAY + 4_000);
-    while !yard.open().is_empty() && yard.now < Time::from_millis(DAY + REST) {
+    while !yard.unfinished().is_empty() && yard.now < Time::from_millis(DAY + REST) {
         yard.run_until(yard.now.0 / 1_000 + 500);
     }
 }
@@ -290,7 +290,7 @@
         gangs(&mut yard, 0, 0, 4);
         yard.at(1_055, |y| y.submit(21, "plain", job([long])));
         yard.run_until(20_000);
-        assert!(yard.open().iter().all(|j| j.0.0 == 21), "{:?}", yard.open());
+        assert!(yard.unfinished().iter().all(|j| j.0.0 == 21), "{:?}", yard.unfinished());
     }
 }
 
--- a/tests/yard/mod.rs
+++ b/tests/yard/mod.rs
@@ -1,5 +1,6 @@
-//! Owners of one shard in virtual time, with workers, a store and advice that do as the protocol
-//! says, and the rules checked after every step.
+//! Simulates the successive owners of one shard in virtual time, with fake workers, a fake store
+//! and a fake advice service that follow the protocol. The rules of `judge` are checked after every
+//! step.
 
 #![allow(dead_code, unused_imports)] // each test file uses a part
 
@@ -38,147 +39,150 @@
     worker::{GRAIN, Worker, World},
 };
 
-/// The shard that the yard has.
+/// The only shard in the simulation.
 const SHARD: ShardNo = ShardNo(0);
-/// How long a call of the store is waited for.
-const STORE_LIMIT: Duration = Duration::from_secs(2);
-/// How long an owner that gives its shard back may take to write what is left.
-const RELEASE: Duration = Duration::from_millis(1_200);
-/// How much longer than it should take another owner waits for a call.
-const OTHER: Duration = Duration::from_millis(1_500);
-/// The shortest lease of a member.
-const LEASE: Duration = Duration::from_secs(2);
-/// How long a silent worker stays in the list.
-const SILENT: Duration = Duration::from_secs(3);
+/// Time-out of a call to the store.
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time that an owner has to write its remaining changes before it releases the shard.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Time that another shard's owner waits for an advice call beyond twice its expected duration.
+const OTHER_OWNER_MARGIN: Duration = Duration::from_millis(1_500);
+/// Shortest lease of a member.
+const MEMBER_LEASE: Duration = Duration::from_secs(2);
+/// Time without a report after which a worker is dropped from the worker list.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
 
-type Deed = Box<dyn FnOnce(&mut Yard)>;
+type Action = Box<dyn FnOnce(&mut Yard)>;
 
-/// A call of a worker under way.
+/// A call to a worker that is in flight.
 #[derive(Clone)]
-struct Ring {
+struct PendingCall {
     owner: usize,
     worker: WorkerId,
     at: usize,
     call: Box<WorkerCall>,
     sent: Time,
-    over: Time,
+    deadline: Time,
     late: bool,
 }
 
-/// What is on its way.
-enum Mail {
-    Tell(usize, Event),
-    Call(Ring),
+/// Something that is scheduled to happen at a later time.
+enum Delivery {
+    Event(usize, Event),
+    Call(PendingCall),
     Store(usize, u64, Txn),
-    /// A transaction that is done though its answer is lost.
-    Again(Txn),
+    /// A transaction that takes effect late; its answer is lost.
+    LateTxn(Txn),
     Reread(usize),
-    Ask(usize, Incarnation, Box<AdviceCall>, Time, Duration, Duration),
-    Advise(usize, Incarnation, Box<AdviceCall>, Time, u64),
-    /// A call for advice was given up.
-    Left(Incarnation, u64),
-    Do(Deed),
+    AskAdvice(usize, Incarnation, Box<AdviceCall>, Time, Duration, Duration),
+    AnswerAdvice(usize, Incarnation, Box<AdviceCall>, Time, u64),
+    /// A call for advice timed out.
+    AdviceTimeout(Incarnation, u64),
+    Act(Action),
 }
 
-/// One owner of the shard.
+/// A current or former owner of the shard.
 pub struct Owner {
     pub shard: Shard,
     pub me: Incarnation,
-    /// When it took over.
-    pub begun: Time,
-    /// When the store last confirmed its lease.
-    pub confirmed: Time,
-    /// Whether it has ended or was told to forget the shard.
+    /// Time at which it took the shard over.
+    pub taken_over_at: Time,
+    /// Time at which the store last last_confirmed the lease of its member.
+    pub last_confirmed: Time,
+    /// Whether its process has ended or it has dropped the shard.
     pub gone: bool,
     pub paused: bool,
-    /// Whether it takes in what comes, and comes to no round: its process stands still between both.
+    /// Whether it applies events but runs no scheduling round, as if its process stopped between
+    /// the two.
     pub stalled: bool,
-    /// Whether it only writes what is left, until it gives the shard back.
+    /// Whether it is releasing the shard: it only writes its remaining changes.
     pub releasing: bool,
-    /// Whether the store doesn't answer it.
-    pub cut: bool,
-    /// What came while it was paused.
-    held: Vec<Event>,
+    /// Whether it is cut off from the store.
+    pub store_cut: bool,
+    /// Events that arrived while it was paused.
+    held_events: Vec<Event>,
 }
 
-/// The yard.
+/// The simulated site: one shard, its owners, the workers and the store.
 pub struct Yard {
     pub now: Time,
     pub world: World,
     pub store: Store,
     pub rules: Rules,
     pub owners: Vec<Owner>,
-    /// Of so many orders one is carried out late; 0 is none.
+    /// One in this many orders to workers is carried out late; 0 means none.
     pub late: u32,
-    /// How much later than all else a new owner hears the configuration.
+    /// How much later than everything else a new owner receives the configuration.
     pub unread: Duration,
-    /// How much later than all else the owners hear a change of the configuration; a new one begins
-    /// with what its member has.
+    /// How much later than everything else the owners receive a change of the configuration. A new
+    /// owner begins with the configuration that its member has.
     pub slow: Duration,
-    /// Orders that the owners gave, for counting.
+    /// Number of orders that the owners have issued.
     pub orders: u64,
-    /// The configuration as the owners hear it; the world's own has all queues that it ever had.
+    /// The latest configuration sent to the owners. `world.queues` keeps every queue that ever
+    /// existed.
     pub told: Arc<Queues>,
-    /// The configuration that every member has heard by now.
+    /// The configuration that every member has received by now.
     pub heard: Arc<Queues>,
-    /// The workers that are emptied for their upkeep.
+    /// The workers that are being emptied for maintenance.
     pub closing: Arc<Closing>,
-    /// Whether the list of workers is told though nothing in it has changed, as members do.
+    /// Whether the worker list is sent even if nothing in it has changed, as members do.
     pub often: bool,
-    /// How long the list of machines still has a life that is over.
+    /// How long the VM list still names a worker incarnation that has ended.
     pub behind: Duration,
-    /// Whether the list of machines gives no answer.
-    pub blind: bool,
-    /// Lives that are over, and when they were.
-    died: Vec<(Time, WorkerId)>,
-    /// Whether the shard is given back and not taken over yet, by plan.
-    between: bool,
-    /// Workers that left or were lost, and don't come back: that is no fault that goes on.
-    lost: BTreeSet<usize>,
-    /// How many members can call for advice that no other owner uses.
+    /// Whether requests for the VM list fail.
+    pub vm_list_down: bool,
+    /// Worker incarnations that have ended, with the time of their end.
+    ended_workers: Vec<(Time, WorkerId)>,
+    /// Whether the shard was released on purpose and not yet taken over again.
+    released: bool,
+    /// Workers that left or were lost for good. They don't count as a fault in progress.
+    removed: BTreeSet<usize>,
+    /// Number of members that can call for advice for this shard's owner alone.
     members: u64,
-    /// The members that other owners use too.
-    shared: Vec<Incarnation>,
-    /// What each member has out for all who ask it.
-    desks: BTreeMap<Incarnation, Desk>,
-    /// How many calls for advice were turned away.
+    /// Members whose advice calls other shards' owners use too.
+    shared_members: Vec<Incarnation>,
+    /// Advice calls in flight at each member, for all owners that use it.
+    advice_desks: BTreeMap<Incarnation, Desk>,
+    /// Number of calls for advice that a member refused for lack of capacity.
     pub turned: u64,
-    /// What comes at a time comes with the next multiple of this: the fewer, the quicker a large yard.
+    /// Times of deliveries are rounded up to a multiple of this; a coarser value makes a large
+    /// simulation faster.
     pub coarse: Duration,
-    mail: BTreeMap<(Time, u64), Mail>,
-    count: u64,
-    /// When the owners have heard of the inbox's last change.
-    watch: Time,
-    /// Holds that wait for an end.
-    waits: Vec<(Ring, Time)>,
-    /// The list of workers, and when each was heard last.
+    deliveries: BTreeMap<(Time, u64), Delivery>,
+    sequence: u64,
+    /// Time at which the owners receive the latest change of the inbox.
+    inbox_seen: Time,
+    /// Hold calls that wait for a run to end, each with its time-out.
+    waiting_holds: Vec<(PendingCall, Time)>,
+    /// The worker list, with the time of each worker's last report.
     list: BTreeMap<usize, (Listed, Time)>,
     rng: fastrand::Rng,
 }
 
-/// Fails the test where a promise was broken.
-pub fn kept(promise: Result<(), Breach>) {
-    if let Err(breach) = promise {
+/// Fails the test if a rule was broken.
+pub fn assert_kept(result: Result<(), Breach>) {
+    if let Err(breach) = result {
         panic!("{breach}");
     }
 }
 
 impl Yard {
-    /// A yard with one owner.
+    /// Creates a site with the default queues, this many workers and one owner.
     pub fn new(seed: u64, count: usize) -> Self {
         Self::with(seed, queues(), workers(count), 2)
     }
 
-    /// A yard of these queues and workers, with one owner and so many members that can call for
-    /// advice.
+    /// Creates a site with these queues and workers, one owner and this number of members that can
+    /// call for advice.
     pub fn with(seed: u64, queues: Arc<Queues>, workers: Vec<Worker>, members: u64) -> Self {
         let (told, heard) = (queues.clone(), queues.clone());
         let world = World::new(seed, bounds(), queues, workers);
         let mut yard = Yard {
             now: Time::ZERO,
             members,
-            shared: Vec::new(),
-            desks: BTreeMap::new(),
+            shared_members: Vec::new(),
+            advice_desks: BTreeMap::new(),
             turned: 0,
             coarse: Duration::from_micros(1),
             world,
@@ -194,56 +198,56 @@
             closing: Arc::default(),
             often: false,
             behind: Duration::ZERO,
-            blind: false,
-            died: Vec::new(),
-            between: false,
-            lost: BTreeSet::new(),
-            mail: BTreeMap::new(),
-            count: 0,
-            watch: Time::ZERO,
-            waits: Vec::new(),
+            vm_list_down: false,
+            ended_workers: Vec::new(),
+            released: false,
+            removed: BTreeSet::new(),
+            deliveries: BTreeMap::new(),
+            sequence: 0,
+            inbox_seen: Time::ZERO,
+            waiting_holds: Vec::new(),
             list: BTreeMap::new(),
             rng: fastrand::Rng::with_seed(seed),
         };
         yard.world.spread = 0.2;
-        yard.look();
+        yard.update_list();
         yard.take_over();
         yard
     }
 
-    fn net(&mut self) -> Duration {
+    fn network_delay(&mut self) -> Duration {
         Duration::from_micros(self.rng.u64(200..3_000))
     }
 
-    fn post(&mut self, at: Time, mail: Mail) {
-        self.count += 1;
+    fn schedule(&mut self, at: Time, delivery: Delivery) {
+        self.sequence += 1;
         let coarse = self.coarse.as_micros() as u64;
         let at = Time(at.max(self.now).0.next_multiple_of(coarse));
-        self.mail.insert((at, self.count), mail);
+        self.deliveries.insert((at, self.sequence), delivery);
     }
 
-    fn tell(&mut self, at: Time, event: Event) {
+    fn broadcast(&mut self, at: Time, event: Event) {
         for owner in 0..self.owners.len() {
-            self.post(at, Mail::Tell(owner, event.clone()));
+            self.schedule(at, Delivery::Event(owner, event.clone()));
         }
     }
 
-    /// Does something at a time.
-    pub fn at(&mut self, ms: u64, deed: impl FnOnce(&mut Yard) + 'static) {
-        self.post(Time::from_millis(ms), Mail::Do(Box::new(deed)));
+    /// Schedules an action at this number of milliseconds.
+    pub fn at(&mut self, ms: u64, action: impl FnOnce(&mut Yard) + 'static) {
+        self.schedule(Time::from_millis(ms), Delivery::Act(Box::new(action)));
     }
 
-    /// Does something at a time that the bounds of time make allowance for.
-    pub fn fault(&mut self, ms: u64, deed: impl FnOnce(&mut Yard) + 'static) {
+    /// Schedules a fault at this number of milliseconds; the time bounds of the rules allow for it.
+    pub fn fault(&mut self, ms: u64, action: impl FnOnce(&mut Yard) + 'static) {
         self.at(ms, |y| {
             y.rules.fault(y.now);
-            deed(y);
+            action(y);
         });
     }
 
-    /// A caller's job is stored; later where the store is down.
+    /// Stores a job of a caller. While the store is down, tries again later.
     pub fn submit(&mut self, no: u64, queue: &str, job: Job) {
-        job.check().expect("a job that may be asked for");
+        job.check().expect("the job is valid");
         let queue: Box<str> = queue.into();
         if self.store.mode == Mode::Down {
             let later = self.now.0 / 1_000 + 500;
@@ -253,16 +257,18 @@
         let record = JobRecord { queue, came: UNIX + self.now.0 / 1_000, job, terms };
         self.store.put(SHARD.job(JobNo(no)), write(&record));
         self.world.jobs.insert(JobNo(no), record.clone());
-        self.watched(Event::Job(JobNo(no), Box::new(record)));
+        self.send_inbox_change(Event::Job(JobNo(no), Box::new(record)));
     }
 
-    /// The owners hear of a change of the inbox, each in its order.
-    fn watched(&mut self, event: Event) {
-        self.watch = self.watch.max(self.now + Duration::from_millis(self.rng.u64(1..50)));
-        self.tell(self.watch, event);
+    /// Sends a change of the inbox to the owners. Changes arrive in order.
+    fn send_inbox_change(&mut self, event: Event) {
+        self.inbox_seen =
+            self.inbox_seen.max(self.now + Duration::from_millis(self.rng.u64(1..50)));
+        self.broadcast(self.inbox_seen, event);
     }
 
-    /// A caller's cancel is stored; later where the store is down, never where there is no job.
+    /// Stores a cancellation by a caller. While the store is down, tries again later; does nothing
+    /// if there is no such job.
     pub fn cancel(&mut self, no: u64) {
         if !self.world.jobs.contains_key(&JobNo(no)) {
             return;
@@ -272,153 +278,161 @@
         }
         self.store.put(SHARD.cancel(JobNo(no)), "{}".into());
         self.rules.cancels.entry(JobNo(no)).or_insert(self.now);
-        self.watched(Event::Cancel(JobNo(no)));
+        self.send_inbox_change(Event::Cancel(JobNo(no)));
     }
 
-    /// Lets time pass.
+    /// Advances virtual time to this number of milliseconds.
     pub fn run_until(&mut self, ms: u64) {
         let to = Time::from_millis(ms);
         while self.now < to {
             let grain = GRAIN.as_micros() as u64;
-            let beat = Time((self.now.0 / grain + 1) * grain);
-            let mail = self.mail.keys().next().map_or(Time::NEVER, |k| k.0);
-            self.now = beat.min(mail).min(to);
+            let next_grain = Time((self.now.0 / grain + 1) * grain);
+            let next = self.deliveries.keys().next().map_or(Time::NEVER, |k| k.0);
+            self.now = next_grain.min(next).min(to);
             self.world.advance(self.now);
-            self.check();
-            while self.mail.keys().next().is_some_and(|k| k.0 <= self.now) {
-                let (_, mail) = self.mail.pop_first().expect("there is one");
-                self.handle(mail);
-                self.check();
+            self.check_rules();
+            while self.deliveries.keys().next().is_some_and(|k| k.0 <= self.now) {
+                let (_, delivery) =
+                    self.deliveries.pop_first().expect("the loop condition found a delivery");
+                self.handle(delivery);
+                self.check_rules();
             }
-            if self.now == beat {
-                self.beat();
+            if self.now == next_grain {
+                self.run_periodic();
             }
         }
     }
 
-    fn check(&mut self) {
-        let promise = self.rules.check(&mut self.world);
-        if promise.is_err() {
+    fn check_rules(&mut self) {
+        let result = self.rules.check(&mut self.world);
+        if result.is_err() {
             let there = self.owners.iter().filter(|o| !o.gone);
             let away = there.flat_map(|o| o.shard.absent(self.now));
-            away.for_each(|a| eprintln!("away, as its owner sees it: {} {a:?}", a.cause));
-            let stands = |no: &&JobNo| self.world.running(**no) == 0 && self.stored(no.0).is_none();
-            for no in self.world.jobs.keys().filter(stands) {
+            away.for_each(|a| eprintln!("absent tasks according to the owner: {} {a:?}", a.cause));
+            let not_running =
+                |no: &&JobNo| self.world.running(**no) == 0 && self.stored(no.0).is_none();
+            for no in self.world.jobs.keys().filter(not_running) {
                 let owner = self.owners.last().filter(|o| !o.gone);
                 let why = owner.map(|o| o.shard.explain(*no, self.now));
-                eprintln!("as its owner sees it: {}", why.unwrap_or("there is no owner".into()));
+                eprintln!(
+                    "reason according to the owner: {}",
+                    why.unwrap_or("the shard has no owner".into())
+                );
             }
         }
-        kept(promise);
+        assert_kept(result);
         for (key, value) in std::mem::take(&mut self.store.written) {
             let job = key.strip_prefix(&*SHARD.all_progress()).and_then(|j| j.parse().ok());
             if let Some(job) = job {
-                let progress = read(&value).expect("progress that can be read");
-                kept(self.rules.stored(&self.world, job, &progress));
+                let progress = read(&value).expect("stored progress is readable");
+                assert_kept(self.rules.stored(&self.world, job, &progress));
             }
         }
     }
 
-    /// What happens again and again.
-    fn beat(&mut self) {
+    /// Does the periodic work: marks faults in progress, ticks the owners, renews leases and
+    /// updates the worker list.
+    fn run_periodic(&mut self) {
         let ms = self.now.0 / 1_000;
         let trouble = |w: &Worker| w.cut || w.hung || w.unwell || w.grey || w.speed < 1.0;
         if self.store.mode != Mode::Up
-            || self.owners.iter().any(|o| o.paused || o.cut && !o.gone)
-            || (self.owners.iter().all(|o| o.gone) && !self.between)
+            || self.owners.iter().any(|o| o.paused || o.store_cut && !o.gone)
+            || (self.owners.iter().all(|o| o.gone) && !self.released)
             || (0..)
                 .zip(&self.world.workers)
-                .any(|(at, w)| (!w.up && !self.lost.contains(&at)) || trouble(w))
+                .any(|(at, w)| (!w.up && !self.removed.contains(&at)) || trouble(w))
         {
             self.rules.fault(self.now);
         }
-        self.poisoned();
-        for (ring, until) in std::mem::take(&mut self.waits) {
-            self.wait(ring, until);
+        self.crash_poisoned_workers();
+        for (pending, until) in std::mem::take(&mut self.waiting_holds) {
+            self.wait(pending, until);
         }
         if ms.is_multiple_of(20) {
-            self.tell(self.now, Event::Tick);
+            self.broadcast(self.now, Event::Tick);
         }
         if ms.is_multiple_of(100) {
             self.shown();
         }
         if ms.is_multiple_of(500) {
-            self.look();
-            // A member that stands still or has ended renews no lease.
-            let renews = self.owners.last().is_some_and(|o| !o.paused && !o.gone && !o.cut);
+            self.update_list();
+            // A member that is paused, has ended or is cut off renews no lease.
+            let renews = self.owners.last().is_some_and(|o| !o.paused && !o.gone && !o.store_cut);
             if self.store.mode != Mode::Down && renews {
-                let (at, owner) = (self.now + self.net(), self.owners.len() - 1);
-                self.owners[owner].confirmed = self.now;
-                self.post(at, Mail::Tell(owner, Event::Confirmed(self.now)));
+                let (at, owner) = (self.now + self.network_delay(), self.owners.len() - 1);
+                self.owners[owner].last_confirmed = self.now;
+                self.schedule(at, Delivery::Event(owner, Event::Confirmed(self.now)));
             }
         }
     }
 
-    /// What callers are told: by each owner that speaks, be it the newest or a former one.
+    /// Checks the job states that callers would be given by the newest owner and by each former one
+    /// that still answers.
     pub fn shown(&mut self) {
         let jobs: Vec<JobNo> = self.world.jobs.keys().copied().collect();
-        // What the newest says to a member by whose table it is the owner, confirmed or not.
+        // The state that the newest owner gives to a member whose table names it as owner, whether
+        // or not its lease is last_confirmed.
         let newest = self.owners.last().filter(|o| !o.gone && !o.paused);
         for job in &jobs {
             if let Some(state) = newest.and_then(|o| o.shard.known_state(*job)) {
-                kept(self.rules.shown(&self.world, *job, state));
+                assert_kept(self.rules.shown(&self.world, *job, state));
             }
         }
         for owner in self.owners.iter().filter(|o| !o.gone && !o.paused) {
             for job in &jobs {
                 if let Some(state) = owner.shard.state(*job, self.now) {
-                    kept(self.rules.told(&self.world, *job, state));
+                    assert_kept(self.rules.told(&self.world, *job, state));
                 }
             }
         }
     }
 
-    /// The workers report themselves.
-    fn look(&mut self) {
+    /// Lets the reachable workers report, drops silent ones and sends the list to the owners.
+    fn update_list(&mut self) {
         let before: Vec<Listed> = self.list.values().map(|l| l.0.clone()).collect();
         for (at, w) in self.world.workers.iter().enumerate() {
             if w.up && !w.cut && !w.hung {
                 self.list.insert(at, (self.world.listed(at), self.now));
             }
         }
-        self.list.retain(|_, l| self.now.since(l.1) < SILENT);
+        self.list.retain(|_, l| self.now.since(l.1) < REPORT_TIMEOUT);
         let listed: Vec<Listed> = self.list.values().map(|l| l.0.clone()).collect();
         if listed != before || self.often {
-            self.tell(self.now + Duration::from_millis(100), Event::Listed(listed));
+            self.broadcast(self.now + Duration::from_millis(100), Event::Listed(listed));
         }
     }
 
-    /// Lets time pass until every job is over, or its lasting tasks are all at work; errs with the
-    /// seed and the jobs that aren't when the bound is reached.
+    /// Advances time until every job is over or, for a job with lasting tasks, all of them run.
+    /// Panics with the seed and the unfinished jobs if that takes longer than `bound` milliseconds.
     pub fn settle(&mut self, bound: u64) {
-        while !self.open().is_empty() && self.now < Time::from_millis(bound) {
+        while !self.unfinished().is_empty() && self.now < Time::from_millis(bound) {
             self.run_until(self.now.0 / 1_000 + 100);
         }
-        let (open, seed) = (self.open(), self.rules.seed);
-        assert!(open.is_empty(), "seed {seed}: not over after {bound} ms: {open:?}");
+        let (open, seed) = (self.unfinished(), self.rules.seed);
+        assert!(open.is_empty(), "seed {seed}: unfinished after {bound} ms: {open:?}");
     }
 
-    /// How a job stands, as it is stored.
+    /// State of a job in the store.
     pub fn stored(&self, no: u64) -> Option<State> {
         let item = self.store.get(&SHARD.progress(JobNo(no)))?;
         Some(read::<Progress>(&item.value?)?.state)
     }
 
-    /// Jobs that aren't as they should be in the end.
-    pub fn open(&self) -> Vec<(JobNo, Option<State>)> {
+    /// Jobs that have not reached their expected final state.
+    pub fn unfinished(&self) -> Vec<(JobNo, Option<State>)> {
         let progress = self.progress();
         let state = |j: &JobNo| progress.get(j).map(|p| p.state);
-        let open = self.world.jobs.keys().filter(|j| !self.settled(**j, state(j)));
+        let open = self.world.jobs.keys().filter(|j| !self.is_final(**j, state(j)));
         open.map(|j| (*j, state(j))).collect()
     }
 
-    fn settled(&self, job: JobNo, state: Option<State>) -> bool {
+    fn is_final(&self, job: JobNo, state: Option<State>) -> bool {
         let steps = &self.world.jobs[&job].job.steps;
         if self.rules.cancels.contains_key(&job) {
             return state.is_some_and(State::over) && self.running(job) == 0;
         }
-        let poisoned = self.world.poison.iter().any(|t| t.step.job == job);
-        if poisoned || self.world.hopeless.iter().any(|h| h.0 == job) {
+        let crash_poisoned_workers = self.world.poison.iter().any(|t| t.step.job == job);
+        if crash_poisoned_workers || self.world.hopeless.iter().any(|h| h.0 == job) {
             return state == Some(State::Failed);
         }
         let lasting: u32 = steps.iter().filter(|s| s.lasts).map(|s| s.count).sum();
@@ -428,7 +442,7 @@
         }
     }
 
-    /// How many runs of a job are there.
+    /// Number of runs of a job that exist on workers.
     pub fn running(&self, job: JobNo) -> usize {
         self.world.running(job)
     }
--- a/tests/yard_worker.rs
+++ b/tests/yard_worker.rs
@@ -19,7 +19,7 @@
         time::Duration,
     },
     yard::{
-        bounds, job, kept, queues,
+        assert_kept, bounds, job, queues,
         rules::{Rules, UNIX},
         step,
         store::{Fate, Mode, Store},
@@ -326,13 +326,13 @@
         for i in 0..2 {
             start(&mut w, 2, order(task(s, i), 1));
             pass(&mut w, 300);
-            kept(rules.check(&mut w));
+            assert_kept(rules.check(&mut w));
         }
     }
     let last = hold(&mut w, 2, None, 4);
     assert!(last.ended.is_empty());
-    kept(rules.check(&mut w));
-    kept(rules.shown(&w, JobNo(1), State::Done));
+    assert_kept(rules.check(&mut w));
+    assert_kept(rules.shown(&w, JobNo(1), State::Done));
     assert_eq!(rules.count, 4);
 }
 
@@ -341,7 +341,7 @@
     let (mut world, mut rules) = ruled();
     let all = AssertUnwindSafe(|| {
         deed(&mut world, &mut rules);
-        kept(rules.check(&mut world));
+        assert_kept(rules.check(&mut world));
     });
     let text = catch_unwind(all).expect_err(expected);
     let text = text.downcast_ref::<String>().map_or("", String::as_str);
@@ -362,7 +362,7 @@
     breaks("5 cores", |w, rules| {
         (0..4).for_each(|i| assert_eq!(start(w, 2, order(task(0, i), 1)), None));
         stop(w, 2, task(0, 0), 1); // what is being stopped counts
-        kept(rules.check(w));
+        assert_kept(rules.check(w));
         start(w, 2, order(task(0, 4), 1));
     });
     breaks("which is none of its", |w, _| assert_eq!(start(w, 0, order(task(0, 0), 1)), None));
@@ -389,13 +389,13 @@
         start(w, 2, order(task(0, 0), 1));
         pass(w, 300);
         start(w, 3, order(task(0, 0), 2));
-        kept(rules.check(w)); // not yet: the end is noted only now
+        assert_kept(rules.check(w)); // not yet: the end is noted only now
         hold(w, 2, None, 1);
     });
     breaks("after 3 failures", |w, rules| {
         for run in 1..=4 {
             start(w, 2, order(task(0, 0), run));
-            kept(rules.check(w));
+            assert_kept(rules.check(w));
             w.fail(task(0, 0));
             w.advance(w.now + Duration::from_millis(10));
             hold(w, 2, None, u64::from(run));
@@ -411,7 +411,7 @@
         start(w, 2, order(task(0, 0), 1));
         rules.cancels.insert(JobNo(1), Time::ZERO);
         pass(w, 2_900);
-        kept(rules.check(w)); // 2 s for the order and 1 s for the stop
+        assert_kept(rules.check(w)); // 2 s for the order and 1 s for the stop
         pass(w, 200);
     });
     breaks("leaving at", |w, _| {
@@ -435,10 +435,10 @@
         start(w, 2, Start { saved: "00000001".into(), ..order(task(0, 0), 1) });
     });
     for state in [State::Done, State::Failed, State::Cancelled] {
-        breaks("without cause", |w, rules| kept(rules.shown(w, JobNo(1), state)));
+        breaks("without cause", |w, rules| assert_kept(rules.shown(w, JobNo(1), state)));
     }
     breaks("is stored as done", |w, rules| {
         let tasks = vec![TaskRow(0, 0, 0, 1, vec![], true, "".into())];
-        kept(rules.stored(w, JobNo(1), &Progress { tasks, ..Progress::default() }));
+        assert_kept(rules.stored(w, JobNo(1), &Progress { tasks, ..Progress::default() }));
     });
 }
