--- a/tests/shard_note.rs
+++ b/tests/shard_note.rs
@@ -1,4 +1,4 @@
-//! When an end counts as noted, and a job as done.
+//! Tests when the end of a run is acknowledged to its worker, and when a job is shown as done.
 
 mod hand;
 
@@ -17,8 +17,8 @@
     std::time::Duration,
 };
 
-/// A worker on which one of two tasks has just ended, while the store answers nothing.
-fn ended() -> Hand {
+/// A worker with two tasks, one of which has just ended, while the store does not answer.
+fn one_end_unstored() -> Hand {
     let mut hand = Hand::new(1);
     hand.submit(1, "plain", job(step(2, 1)));
     hand.run(300);
@@ -28,9 +28,10 @@
     hand
 }
 
-/// When the store has the end, and when the worker is told so; the next writes go so.
-fn told(fates: &[Fate]) -> (Time, Time) {
-    let mut hand = ended();
+/// Returns when the store has the end and when the worker receives its acknowledgement; the next
+/// writes have these outcomes.
+fn note_times(fates: &[Fate]) -> (Time, Time) {
+    let mut hand = one_end_unstored();
     assert_eq!(hand.noted(0), 0, "nothing is written");
     hand.fates = fates.iter().copied().collect();
     hand.answers = true;
@@ -42,8 +43,8 @@
 
 #[test]
 fn an_end_is_noted_once_the_write_is_done() {
-    // Story: the worker is told that an end was noted, forgets it, and the machine of the owner
-    // loses power before the write is done: the next owner starts the task a second time.
+    // If an end is acknowledged before its write is done, the worker forgets it. If the owner's
+    // machine then loses power, the next owner starts the task a second time.
     let late = Duration::from_secs(2);
     let soon = Duration::from_millis(100);
     for fates in [
@@ -55,17 +56,24 @@
         &[Lost(late), Answered],
         &[Unheard, Refused, Lost(Duration::ZERO)],
     ] {
-        let (stored, told) = told(fates);
-        assert!(stored <= told, "{fates:?}: told at {told}, stored at {stored}");
-        assert!(told <= stored + soon, "{fates:?}: told at {told}, stored at {stored}");
+        let (stored, acknowledged) = note_times(fates);
+        assert!(
+            stored <= acknowledged,
+            "{fates:?}: acknowledged at {acknowledged}, stored at {stored}"
+        );
+        assert!(
+            acknowledged <= stored + soon,
+            "{fates:?}: acknowledged at {acknowledged}, stored at {stored}"
+        );
     }
 }
 
 #[test]
 fn an_end_that_came_after_the_write_had_begun_waits_for_the_next() {
-    // Story: a second task of the job ends while the write with the first one's end is out. Noted
-    // with that write, it is lost with the owner: the store has nothing of it.
-    let mut hand = ended();
+    // A second task of the job ends while the write with the first end is in flight. If that write
+    // acknowledged the second end too, it would be lost with the owner, because the store doesn't
+    // have it.
+    let mut hand = one_end_unstored();
     hand.end(task(1, 1), How::Done);
     hand.run(500);
     hand.fates = [Answered, Refused, Refused, Refused].into();
@@ -79,11 +87,12 @@
 
 #[test]
 fn the_commit_row_says_what_an_unclear_write_has_done() {
-    // Story: the answer to a write is lost. Taken for done, ends that the store doesn't have are
-    // forgotten; taken for not done, it is made again, its condition fails, and the owner takes
-    // its own write for another owner's and gives the shard up.
+    // The answer to a write is lost. If the owner took the write for done, workers would forget
+    // ends that the store doesn't have. If it took the write for not done, it would repeat it, the
+    // condition would fail, and the owner would mistake its own write for another owner's and give
+    // up the shard.
     for (fate, writes) in [(Lost(Duration::ZERO), 1), (Unheard, 2)] {
-        let mut hand = ended();
+        let mut hand = one_end_unstored();
         let before = hand.store.writes;
         hand.fates = [fate].into();
         hand.answers = true;
@@ -95,9 +104,9 @@
 
 #[test]
 fn a_job_is_shown_as_done_once_that_is_stored() {
-    // Story: a caller is shown a job as completed, and the owner ends before that is stored: its
-    // last task runs again.
-    let mut hand = ended();
+    // If a caller is shown a job as completed and the owner ends before that is stored, the last
+    // task of the job runs again.
+    let mut hand = one_end_unstored();
     hand.answers = true;
     hand.run(300);
     hand.answers = false;
@@ -114,9 +123,9 @@
 
 #[test]
 fn an_end_of_a_job_that_is_stored_needs_no_further_write() {
-    // Story: a job is cancelled and stored so, and its runs end after that. Nothing else has to be
-    // written, so no write had their ends noted: the worker listed them in each answer, and was
-    // asked again eight times a second, until another job changed.
+    // A job is cancelled and stored as such, and its runs end after that. No further write was
+    // needed, so no write acknowledged these ends: the worker listed them in each answer and was
+    // polled eight times a second until another job changed.
     let mut hand = Hand::new(1);
     hand.submit(1, "plain", job(step(2, 1)));
     hand.run(300);
--- a/tests/shard_passing.rs
+++ b/tests/shard_passing.rs
@@ -1,4 +1,5 @@
-//! Jobs that come while a shard passes from an owner that is cut off from the store to its successor.
+//! Tests jobs that are submitted while a shard passes from an owner that is cut off from the store
+//! to its successor.
 
 mod yard;
 
@@ -7,7 +8,8 @@
     yard::{Yard, job, step},
 };
 
-/// An owner that the store stopped answering, and a successor that reads the store for so long.
+/// Creates a site whose owner is cut off from the store, with a successor that takes `reads` to
+/// load the store.
 fn passing(seed: u64, reads: Duration) -> Yard {
     let mut yard = Yard::new(seed, 6);
     yard.at(500, |y| y.submit(1, "plain", job([step(4, 9_000)])));
@@ -18,7 +20,7 @@
 
 #[test]
 fn a_job_stored_after_the_takeover_is_not_started_by_both_owners() {
-    // Both hear of the job, and only the successor knows of the takeover.
+    // Both owners receive the job, but only the successor knows of the takeover.
     for seed in 1..9 {
         let mut yard = passing(seed, Duration::from_millis(500));
         for no in 2..8 {
--- a/tests/shard_pools.rs
+++ b/tests/shard_pools.rs
@@ -1,4 +1,4 @@
-//! Pools whose steps need advice, and fewer members than their calls would take.
+//! Tests pools whose steps need advice, with fewer members than their calls need.
 
 mod yard;
 
@@ -11,11 +11,11 @@
     yard::{Yard, job, step, worker::Worker},
 };
 
-/// The members that can call for advice.
+/// Number of members that can call for advice.
 const MEMBERS: u64 = 7;
 
-/// Two queues, each on a pool of its own, whose calls on 10 workers take 0.6 s; `first` is the more
-/// urgent one.
+/// Two queues, each with its own pool; an advice call on 10 workers takes 0.6 s. `first` is the
+/// more urgent queue.
 fn queues() -> Arc<Queues> {
     let old = yard::queues();
     let us = Duration::from_micros;
@@ -31,7 +31,7 @@
     Arc::new(Queues { all, ..(*old).clone() })
 }
 
-/// Six workers of the pool of `first`, and twelve of the other.
+/// Six workers in the pool of `first`, twelve in the other.
 fn pools(seed: u64) -> Yard {
     let one = |at: usize| {
         let pool = if at.is_multiple_of(3) { "guarded" } else { "open" };
@@ -42,9 +42,9 @@
 
 #[test]
 fn steps_of_a_pool_with_room_are_asked_for_beside_a_pool_that_is_full() {
-    // Story: jobs wait for advice at the end of a day with several times the usual traffic, beside a
-    // pool that runs empty, and are never begun. Another pool is full, and its backlog is the more
-    // urgent: each member that gets free makes a call of that, and its tickets end unused.
+    // Under several times the usual traffic, jobs wait for advice and never start although their
+    // pool runs empty. Another pool is full and its backlog is more urgent, so each free member
+    // makes a call for that backlog, and the tickets expire unused.
     for seed in 1..4 {
         let mut yard = pools(seed);
         for no in 0..400 {
--- a/tests/shard_probe.rs
+++ b/tests/shard_probe.rs
@@ -1,4 +1,4 @@
-//! Lasting tasks and workers that are held in quarantine.
+//! Tests the placement of lasting tasks on workers that were in quarantine.
 
 mod yard;
 
@@ -7,7 +7,7 @@
     yard::{Yard, job, queues, step, worker::Worker},
 };
 
-/// Nine workers of one pool, of which the first three have the label that a lasting step needs.
+/// Nine workers of one pool; the first three have the label that a lasting step needs.
 fn labelled(seed: u64) -> Yard {
     let one = |at: usize| {
         let mut w = Worker::new("open", ["r1", "r2"][at % 2], Size::new(4, 16_384, 1));
@@ -23,14 +23,15 @@
 
 #[test]
 fn lasting_tasks_share_a_worker_that_was_in_quarantine() {
-    // Story: two workers fail all that they start for 3 s, and are sound again. Then the worker is
-    // lost on which three lasting tasks run, which may run on those two besides. One task tries each
-    // of them, and as it never ends it tells nothing: the third is away for 10 s more, beside room.
+    // Two workers fail everything they start for 3 s and then work again. Then the worker that runs
+    // three lasting tasks is lost, and these tasks fit only on the other two. Each of the two gets
+    // one task as a trial. A lasting task never ends, so the trial has no result, and the third
+    // task was absent for 10 s more although there was room.
     for seed in 1..4 {
         let mut yard = labelled(seed);
         yard.submit(1, "open", job([lasting(3)]));
         yard.run_until(1_000);
-        let home = yard.world.workers.iter().position(|w| !w.runs.is_empty()).expect("a place");
+        let home = yard.world.workers.iter().position(|w| !w.runs.is_empty()).expect("it runs");
         for no in 0..60 {
             yard.at(1_000 + 100 * no, move |y| y.submit(100 + no, "open", job([step(4, 600)])));
         }
@@ -45,24 +46,24 @@
 
 #[test]
 fn a_worker_that_was_in_quarantine_takes_no_task_from_all_the_others() {
-    // Story: fillers work on all workers but one, which has failed all that it started and is in
-    // quarantine. Then the worker is lost on which three tasks run that serve others. Each had better
-    // go where no fillers are, which is that one worker; it gets one as a trial, and as a task that
-    // lasts tells nothing, the others wait for 10 s more, beside six sound workers.
+    // Filler tasks run on all workers but one, which failed everything it started and is in
+    // quarantine. Then the worker that runs three serving tasks is lost. Each of them prefers a
+    // worker without fillers, which is only the quarantined one. It gets one task as a trial; a
+    // lasting task gives no result, so the others waited for 10 s more beside six healthy workers.
     for seed in 1..4 {
         let mut yard = labelled(seed);
         let serving = Step { needs: None, target: 100, image: "web".into(), ..lasting(3) };
         yard.submit(1, "open", job([serving]));
         yard.run_until(1_000);
-        let home = yard.world.workers.iter().position(|w| !w.runs.is_empty()).expect("a place");
-        let sick = if home == 8 { 0 } else { 8 };
-        yard.fault(1_000, move |y| y.world.workers[sick].grey = true);
+        let home = yard.world.workers.iter().position(|w| !w.runs.is_empty()).expect("it runs");
+        let quarantined = if home == 8 { 0 } else { 8 };
+        yard.fault(1_000, move |y| y.world.workers[quarantined].grey = true);
         for no in 0..20 {
             yard.at(1_000 + 100 * no, move |y| y.submit(100 + no, "open", job([step(6, 600)])));
         }
         let fills = Step { fills: true, image: "sift".into(), ..step(24, 60_000) };
         yard.at(7_000, move |y| y.submit(2, "open", job([fills])));
-        yard.fault(5_000, move |y| y.world.workers[sick].grey = false);
+        yard.fault(5_000, move |y| y.world.workers[quarantined].grey = false);
         yard.fault(9_000, move |y| y.lose(home));
         yard.run_until(25_000);
     }
--- a/tests/shard_settle.rs
+++ b/tests/shard_settle.rs
@@ -1,4 +1,4 @@
-//! What a new owner starts before it knows what runs.
+//! Tests what a new owner starts before it knows which tasks run.
 
 mod hand;
 
@@ -10,7 +10,7 @@
     std::time::Duration,
 };
 
-/// One job runs, and of another a task waits for room; one worker is cut off, and another owner
+/// One job runs and a task of another waits for room; then one worker is cut off, and a new owner
 /// takes over.
 fn taken_over() -> (Hand, usize) {
     let mut hand = Hand::new(3);
@@ -26,8 +26,8 @@
 
 #[test]
 fn old_jobs_wait_until_all_workers_have_answered() {
-    // Story: the former owner has started a task at a worker that the new one can't reach; the
-    // store says nothing of starts. Taken for waiting, the task runs twice.
+    // The former owner started a task on a worker that the new one can't reach. The store has no
+    // record of starts. If the new owner took the task for waiting, it would run twice.
     let (mut hand, at) = taken_over();
     hand.submit(3, "plain", job(step(1, 1)));
     hand.run(300);
@@ -42,8 +42,8 @@
 
 #[test]
 fn old_jobs_start_once_all_leases_have_ended() {
-    // Story: as above, and the worker is never heard again. The job must not wait for ever, nor
-    // start while the lease that the former owner may have given last still lasts on a slow clock.
+    // As above, but the worker never answers again. The job must not wait for ever, nor start
+    // before the last lease that the former owner may have granted has ended on a slow clock.
     let (mut hand, at) = taken_over();
     let over = hand.now + HOLD.div_f64(0.98);
     let runs: Vec<_> = (0..3).map(|i| hand.places(task(1, i)).len()).collect();
--- a/tests/shard_silent.rs
+++ b/tests/shard_silent.rs
@@ -1,4 +1,4 @@
-//! A worker that falls silent.
+//! Tests a worker that stops answering.
 
 mod hand;
 
@@ -10,9 +10,9 @@
 
 #[test]
 fn its_tasks_start_elsewhere_once_their_lease_has_ended() {
-    // Story: a worker is cut off, and its clock is 2% slow. Each look at it carried a new lease,
-    // which may arrive late, so that its tasks never started elsewhere; and with a lease counted on
-    // this machine's clock they would start while they still run there.
+    // A worker is cut off, and its clock is 2% slow. If each hold call to it carried a new lease,
+    // which may arrive late, its tasks would never start elsewhere. If the lease were measured on
+    // this machine's clock, they would start elsewhere while they still run there.
     let mut hand = Hand::new(2);
     hand.workers.iter_mut().for_each(|w| w.rate = 0.98);
     hand.run(5_000);
@@ -26,17 +26,20 @@
     let leases = hand.leases(at);
     let last = leases.last().expect("it had one").0;
     assert!(last <= cut + STEP, "no lease once it is silent, but one at {last}");
-    // All may have arrived.
+    // Any of the leases may have arrived.
     let until = leases.iter().map(|l| l.1).max().expect("it had one");
-    let lapse = Time((((until - 1_000) as f64 / 0.98) * 1e3) as u64);
-    assert!(start >= lapse, "{start}, and the lease ends at {lapse}");
-    assert!(start <= lapse + Duration::from_secs(1), "{start}, and the lease ended at {lapse}");
+    let lease_end = Time((((until - 1_000) as f64 / 0.98) * 1e3) as u64);
+    assert!(start >= lease_end, "{start}, and the lease ends at {lease_end}");
+    assert!(
+        start <= lease_end + Duration::from_secs(1),
+        "{start}, and the lease ended at {lease_end}"
+    );
 }
 
 #[test]
 fn a_start_sent_again_carries_no_new_lease() {
-    // Story: the worker falls silent just as a start goes out. Sent again with a lease of its own
-    // each time, the start puts off the end of all that runs there.
+    // The worker stops answering just as a start is sent. If each repeated start carried a new
+    // lease, it would delay the end of everything that runs there.
     let mut hand = Hand::new(1);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.run(300);
--- a/tests/shard_start_unanswered.rs
+++ b/tests/shard_start_unanswered.rs
@@ -1,4 +1,4 @@
-//! Orders that get no answer, or have no effect.
+//! Tests orders to workers that get no answer or have no effect.
 
 mod hand;
 
@@ -11,18 +11,18 @@
     std::time::Duration,
 };
 
-/// Starts and stops get no answer; looks do.
-const NO_ORDERS: Hook = |call| match call {
+/// Starts and stops get no answer; hold calls do.
+const ONLY_HOLDS: Hook = |call| match call {
     WorkerCall::Hold { .. } => None,
     _ => Some(Err(Fault::Unknown)),
 };
 
 #[test]
 fn a_start_without_an_answer_is_sent_again_then_stopped() {
-    // Story: a start gets no answer and may be carried out seconds later. Started elsewhere as soon
-    // as a look doesn't show it, the task runs twice.
+    // A start gets no answer and may be carried out seconds later. If the task were started
+    // elsewhere as soon as a hold call doesn't list it, it would run twice.
     let mut hand = Hand::new(2);
-    hand.workers.iter_mut().for_each(|w| w.hook = NO_ORDERS);
+    hand.workers.iter_mut().for_each(|w| w.hook = ONLY_HOLDS);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.until("a stop", 3_000, |h| !h.stops().is_empty());
     let first = hand.starts();
@@ -39,10 +39,10 @@
 
 #[test]
 fn a_look_from_before_the_stop_shows_nothing() {
-    // Story: as above, and a look went out before the stop had its answer. It may have been at the
-    // worker before a start that comes late; that it doesn't show the run says nothing.
+    // As above, but a hold call was sent before the stop was answered. It may have reached the
+    // worker before a delayed start does, so its not listing the run proves nothing.
     let mut hand = Hand::new(2);
-    hand.workers.iter_mut().for_each(|w| w.hook = NO_ORDERS);
+    hand.workers.iter_mut().for_each(|w| w.hook = ONLY_HOLDS);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.until("a stop", 3_000, |h| !h.stops().is_empty());
     let (at, starts) = (hand.stops()[0].1, hand.starts().len());
@@ -56,16 +56,16 @@
     hand.pass();
     hand.workers[at].hook = FINE;
     hand.pass();
-    assert_eq!(hand.starts().len(), starts, "the old look has its answer");
+    assert_eq!(hand.starts().len(), starts, "the answer to the earlier hold call starts nothing");
     hand.until("a start", 200, |h| h.starts().len() > starts);
 }
 
 #[test]
 fn a_start_that_comes_late_is_found_by_the_look() {
-    // Story: the start had no answer, and yet it was carried out. Stopped and begun elsewhere, its
-    // work would be lost.
+    // A start got no answer but was carried out. If it were stopped and begun elsewhere, its work
+    // would be lost.
     let mut hand = Hand::new(2);
-    hand.workers.iter_mut().for_each(|w| w.hook = NO_ORDERS);
+    hand.workers.iter_mut().for_each(|w| w.hook = ONLY_HOLDS);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.run(100);
     let (_, at, start) = hand.starts().remove(0);
@@ -81,8 +81,8 @@
 
 #[test]
 fn a_stop_that_had_an_answer_and_no_effect_is_sent_again() {
-    // Story: a worker answers a stop and the run goes on. Nothing was sent after it, and a task of
-    // a cancelled job ran on for ever.
+    // A worker answers a stop, but the run goes on. The stop was not sent again, and a task of a
+    // cancelled job ran on for ever.
     let mut hand = Hand::new(1);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.run(300);
@@ -100,5 +100,5 @@
     hand.workers[0].hook = FINE;
     hand.until("gone", 3_000, |h| h.places(task(1, 0)).is_empty());
     hand.run(5_000);
-    assert!(hand.stops().len() <= 4, "then it is left alone");
+    assert!(hand.stops().len() <= 4, "no more stops once the run has ended");
 }
