--- a/tests/shard_stays.rs
+++ b/tests/shard_stays.rs
@@ -1,5 +1,5 @@
 //! Tests sequences of events in which lasting tasks might be absent although there is room. The
-//! rules of the simulation check how duration they may be absent.
+//! rules of the simulation check how long they may be absent.
 
 mod yard;
 
--- a/tests/shard_store.rs
+++ b/tests/shard_store.rs
@@ -1,4 +1,4 @@
-//! What is noted is in the store, whatever the store answers.
+//! Tests that every acknowledged end is in the store, whatever the store answers.
 
 mod hand;
 
@@ -15,10 +15,11 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// What has ended at each worker, by its number there.
+/// Ended runs by worker and by the number of the end at that worker.
 type Ends = BTreeMap<(usize, u64), (TaskKey, u32, How)>;
 
-/// What becomes of a write: done, refused, unclear and done, not done, or done late.
+/// Draws the outcome of a write: done, refused, unknown but done, unknown and not done, or done
+/// late.
 fn fate(u: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<Fate> {
     Ok(match u.int_in_range(0..=5)? {
         0 => Refused,
@@ -29,7 +30,8 @@
     })
 }
 
-/// Each end that a worker was told is noted is in the store, and what is shown as over as well.
+/// Checks that the store has each end that a worker was acknowledged, and each job that is shown as
+/// over.
 fn check(hand: &Hand, ends: &Ends) {
     for ((worker, number), (task, run, how)) in ends {
         if hand.noted(*worker) < *number {
@@ -49,12 +51,16 @@
     }
     for no in 1..=3 {
         if let Some(state) = hand.state(no).filter(|s| s.over()) {
-            assert_eq!(hand.stored(no).state, state, "job {no} is shown so");
+            assert_eq!(
+                hand.stored(no).state,
+                state,
+                "job {no} is shown as over but not stored as such"
+            );
         }
     }
 }
 
-/// Ends one of the tasks that run.
+/// Ends one of the running tasks.
 fn end(
     hand: &mut Hand,
     ends: &mut Ends,
@@ -74,10 +80,10 @@
 
 #[test]
 fn nothing_that_is_noted_is_missing() {
-    // Story: writes are done, refused, or without an answer, and of those some are done at once,
-    // some never, and some late, after the owner has gone on. Whatever comes, an end that a worker
-    // was told to forget, or a job that is shown as over, must be in the store; and once the store
-    // is well, all of it is.
+    // Writes are done, refused or unanswered; of the unanswered ones some are done at once, some
+    // never, and some late, after the owner has gone on. In each case, an end that a worker was
+    // told to forget and a job that is shown as over must be in the store; once the store works
+    // again, every end is acknowledged.
     let day = |u: &mut Unstructured<'_>| {
         let (mut hand, mut ends) = (Hand::new(2), Ends::new());
         for no in 1..=3 {
@@ -106,7 +112,11 @@
         check(&hand, &ends);
         assert!(!hand.deposed);
         for (at, worker) in hand.workers.iter().enumerate() {
-            assert!(worker.ends.is_empty(), "all is noted at {at}: {:?}", worker.ends);
+            assert!(
+                worker.ends.is_empty(),
+                "ends not acknowledged at worker {at}: {:?}",
+                worker.ends
+            );
         }
         for (task, ..) in ends.values().filter(|e| e.2 == How::Done) {
             let StepKey { job: JobNo(no), .. } = task.step;
--- a/tests/shard_thaw.rs
+++ b/tests/shard_thaw.rs
@@ -1,4 +1,4 @@
-//! A new owner that stands still right after it has fenced the workers.
+//! Tests a new owner whose process freezes right after it has fenced the workers.
 
 mod yard;
 
@@ -6,10 +6,10 @@
 
 #[test]
 fn a_new_owner_that_freezes_after_its_first_holds_counts_the_former_owners_leases() {
-    // Story: an owner dies, its successor asks all workers what runs there, and the successor's
-    // machine freezes for a second and a half before it has renewed a single lease. When it wakes, it
-    // takes each worker's lease for ended, and starts all that runs there a second time elsewhere.
-    // Cause: it knew each worker's clock, but no lease, and counted an unknown lease as none.
+    // An owner dies. Its successor asks all workers what they run, and its machine then freezes for
+    // 1.5 s before it has renewed a single lease. When it resumed, it took each worker's lease for
+    // ended and started all tasks there a second time elsewhere. It knew the clock of each worker
+    // but no lease, and treated an unknown lease as none.
     for seed in 1..6 {
         let mut yard = Yard::new(seed, 6);
         for no in 1..9 {
--- a/tests/shard_tickets.rs
+++ b/tests/shard_tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets that are too old, are refused, or never come.
+//! Tests tickets that have expired, are refused, or never arrive.
 
 mod hand;
 
@@ -15,29 +15,29 @@
     std::time::Duration,
 };
 
-/// Starts with a ticket are refused for it.
-const OLD: Hook = |call| match call {
+/// The worker refuses every start that carries a ticket, because of the ticket.
+const REFUSE_TICKET: Hook = |call| match call {
     WorkerCall::Start(Start { ticket: Some(_), .. }) => {
         Some(Ok(Reply::Refused(0, Refusal::Ticket)))
     }
     _ => None,
 };
 
-/// When a start's ticket was given.
-fn given(start: &Start) -> Time {
+/// Time at which the ticket of a start was issued.
+fn issued_at(start: &Start) -> Time {
     let ticket = start.ticket.as_ref().expect("a ticket");
     Time::from_millis(ticket.parse().expect("a time"))
 }
 
-/// The starts of job 1, with the times of their tickets.
+/// Starts of job 1, with the issue times of their tickets.
 fn starts(hand: &Hand) -> Vec<(Time, Time)> {
-    hand.starts_of(1).iter().map(|s| (s.0, given(&s.2))).collect()
+    hand.starts_of(1).iter().map(|s| (s.0, issued_at(&s.2))).collect()
 }
 
 #[test]
 fn an_expired_ticket_is_not_used() {
-    // Story: tickets are valid for 2 s, and the pool is full for longer. The start that has room at
-    // last carries the old ticket; its worker refuses it, and each refusal costs.
+    // Tickets are valid for 2 s, and the pool is full for longer. When there is room, a start with
+    // the old ticket would be refused by its worker, and each refusal has a cost.
     let mut hand = Hand::new(1);
     hand.submit(9, "plain", job(step(1, 4)));
     hand.run(300);
@@ -46,16 +46,16 @@
     assert!(starts(&hand).is_empty());
     hand.end(task(9, 0), How::Done);
     hand.until("a start", 500, |h| !starts(h).is_empty());
-    let (at, given) = starts(&hand)[0];
-    assert!(at < given + Duration::from_secs(2), "at {at}, with a ticket of {given}");
+    let (at, issued_at) = starts(&hand)[0];
+    assert!(at < issued_at + Duration::from_secs(2), "at {at}, with a ticket of {issued_at}");
 }
 
 #[test]
 fn after_a_refusal_it_is_asked_for_anew() {
-    // Story: a worker refuses a ticket that should be valid still. Tried again with the same one,
-    // the start is refused for ever.
+    // A worker refuses a ticket that should still be valid. If the start were repeated with the
+    // same ticket, it would be refused for ever.
     let mut hand = Hand::new(1);
-    hand.workers[0].hook = OLD;
+    hand.workers[0].hook = REFUSE_TICKET;
     hand.submit(1, "advised", job(step(1, 1)));
     hand.until("a start", 500, |h| starts(h).len() == 1);
     hand.until("another", 1_000, |h| starts(h).len() == 2);
@@ -67,8 +67,8 @@
 
 #[test]
 fn advice_that_never_comes_holds_up_nothing_else() {
-    // Story: the service of advice is down. Steps that need none, and a step that has its tickets,
-    // must go on; and when it is back the others must as well.
+    // The advice service is down. Steps that need no advice and a step that has its tickets must
+    // still start, and the others once the service works again.
     let mut hand = Hand::new(1);
     hand.submit(1, "advised", job(step(5, 1)));
     hand.until("its starts", 500, |h| h.starts_of(1).len() == 4);
@@ -89,9 +89,9 @@
 
 #[test]
 fn a_worker_that_comes_later_is_asked_about() {
-    // Story: a lasting job has two tasks, at most one on a worker, and only one worker may run it;
-    // then another comes that may as well. As there was a worker that may, nobody asked about the
-    // new one, and the second task stayed away to the end of the day.
+    // A lasting job has two tasks, at most one per worker, and only one worker may run it; then
+    // another suitable worker joins. As one suitable worker was known already, nobody asked about
+    // the new one, and the second task stayed absent to the end of the day.
     let mut hand = Hand::new(1);
     let two = Step { apart: 1, lasts: true, ..step(2, 1) };
     hand.submit(1, "advised", job(two));
@@ -105,8 +105,9 @@
 
 #[test]
 fn a_wide_step_is_asked_about_beyond_one_call() {
-    // Story: a shard has more workers than one call for advice may name, and a step has more tasks, one
-    // on a worker, than one call finds workers for. Its other tasks never ran beside idle workers.
+    // A shard has more workers than one call for advice may name, and a step that allows one task
+    // per worker has more tasks than one call finds workers for. The other tasks never ran although
+    // workers were idle.
     let mut hand = Hand::new(150);
     hand.submit(1, "advised", job(Step { apart: 1, ..step(120, 1) }));
     hand.until("all run", 3_000, |h| h.starts_of(1).len() == 120);
--- a/tests/shard_told.rs
+++ b/tests/shard_told.rs
@@ -1,4 +1,4 @@
-//! What a member tells of a shard that it may no longer own.
+//! Tests what a member reports about a shard that it may no longer own.
 
 mod hand;
 mod yard;
@@ -11,9 +11,9 @@
 
 #[test]
 fn an_owner_that_wakes_does_not_tell_what_was_true_before() {
-    // Story: an owner's process stands still. Its successor runs a job to its end, and a caller is told
-    // that it is completed. The former owner wakes, and a caller who asks it is told that the same
-    // job is queued, until a worker refuses its token some milliseconds later.
+    // The process of an owner is paused. Its successor runs a job to its end, and a caller is told
+    // that the job is completed. When the former owner resumes, it would tell a caller that the
+    // same job is queued, until a worker refuses its token some milliseconds later.
     for seed in 1..6 {
         let mut yard = Yard::new(seed, 6);
         yard.fault(2_000, |y| y.pause(0, true));
@@ -22,9 +22,9 @@
         yard.run_until(5_000);
         yard.settle(10_000);
         assert_eq!(yard.stored(1), Some(State::Done));
-        let wakes = yard.now.0 / 1_000 + 200;
-        yard.fault(wakes, |y| y.pause(0, false));
-        for ms in wakes..wakes + 20 {
+        let resumed_at = yard.now.0 / 1_000 + 200;
+        yard.fault(resumed_at, |y| y.pause(0, false));
+        for ms in resumed_at..resumed_at + 20 {
             yard.run_until(ms + 1);
             yard.shown();
         }
@@ -33,9 +33,10 @@
 
 #[test]
 fn an_owner_that_the_store_does_not_confirm_tells_only_what_is_over() {
-    // Story: a member is cut off from the store and has most of its workers. Another may have taken
-    // its shard over, and callers come to both. What is over stands in the store and stays so; of
-    // what is not, and of how much waits, the former owner may know less than was told already.
+    // A member is cut off from the store but reaches most of its workers. Another member may have
+    // taken over its shard, and callers ask both. A finished job is final in the store. About
+    // unfinished jobs and the number of waiting ones, the former owner may know less than callers
+    // were already told.
     let mut hand = Hand::new(5);
     hand.submit(1, "plain", hand::job(hand::step(1, 1)));
     hand.run(300);
@@ -47,7 +48,10 @@
     hand.confirms = false;
     hand.run(2_500);
     assert_eq!(hand.state(2), None);
-    assert!(!hand.shard.may_tell(hand.now), "nor how many wait, nor what is at its workers");
+    assert!(
+        !hand.shard.may_tell(hand.now),
+        "it must not report the number of waiting jobs or its workers' tasks either"
+    );
     assert_eq!(hand.state(1), Some(State::Done), "job {} is over", JobNo(1));
     hand.confirms = true;
     hand.run(100);
@@ -56,8 +60,8 @@
 
 #[test]
 fn an_owner_that_stood_still_as_it_loaded_its_shard_tells_nothing() {
-    // Story: a member takes a shard over and its process stands still while it reads what the store has.
-    // When it wakes, another has taken the shard over, and nobody has told it yet.
+    // A member takes a shard over, and its process is paused while it loads the store. When it
+    // resumes, another member has taken the shard over, which it doesn't know yet.
     let mut hand = Hand::new(5);
     hand.submit(1, "plain", hand::job(hand::step(1, 1)));
     hand.run(5_000);
--- a/tests/shard_unlisted.rs
+++ b/tests/shard_unlisted.rs
@@ -1,4 +1,4 @@
-//! A new owner, a worker that is over, and no list of machines that says so.
+//! Tests a new owner with a worker that has ended, while no VM list confirms the end.
 
 mod yard;
 
@@ -8,7 +8,7 @@
     yard::{Yard, job, queues, step, worker::Worker},
 };
 
-/// Nine workers of one pool and no list of machines; lasting tasks, and long ones all over.
+/// Nine workers of one pool, no VM list, some lasting tasks, and long tasks on all workers.
 fn unlisted(seed: u64) -> (Yard, usize, usize) {
     let one = |at: usize| Worker::new("open", ["r1", "r2"][at % 2], Size::new(4, 16_384, 1));
     let mut yard = Yard::with(seed, queues(), (0..9).map(one).collect(), 2);
@@ -31,15 +31,16 @@
 
 #[test]
 fn a_shard_is_given_back_as_a_worker_ends() {
-    // Story: two workers leave by plan. As one ends, with long work on it that counts in the roster,
-    // the shard is given back, and the lasting tasks of the other have just been stopped. Nothing says
-    // that the first is over, so the next owner waits for the longest lease that the former one may
-    // have given, and 2.9 s more for a former one that goes on, though this one has given it back.
+    // Two workers leave on purpose. As one of them ends with long tasks, which the roster counts,
+    // the shard is released just after the lasting tasks of the other were stopped. Nothing
+    // confirms that the first worker has ended, so the next owner waits for the longest lease that
+    // the former one may have granted, and 2.9 s more in case that owner still acts, although it
+    // has released the shard.
     for seed in 1..4 {
-        for early in [0, 400, 800, 1_300] {
+        for lead in [0, 400, 800, 1_300] {
             let (mut yard, home, other) = unlisted(seed);
             yard.at(3_000, move |y| y.world.workers[other].draining = Some(y.now));
-            yard.at(6_000 - early, move |y| y.world.workers[home].draining = Some(y.now));
+            yard.at(6_000 - lead, move |y| y.world.workers[home].draining = Some(y.now));
             yard.at(6_000, move |y| y.replace(other, Duration::from_secs(20)));
             yard.at(6_000, |y| y.release(Duration::from_millis(300)));
             yard.run_until(20_000);
@@ -49,12 +50,12 @@
 
 #[test]
 fn an_owner_is_killed_and_a_worker_is_lost() {
-    // Story: a worker is lost for good as its owner is killed. The next owner takes over 3.5 s later,
-    // and waits as above from when most workers have answered it.
+    // A worker is lost for good as its owner is killed. The next owner takes over 3.5 s later and
+    // waits as above, starting when most workers have answered it.
     for seed in 1..4 {
-        for before in [0, 500, 1_000, 2_000] {
+        for lead in [0, 500, 1_000, 2_000] {
             let (mut yard, home, _) = unlisted(seed);
-            yard.fault(5_000 - before, move |y| y.lose(home));
+            yard.fault(5_000 - lead, move |y| y.lose(home));
             yard.fault(5_000, Yard::kill);
             yard.fault(8_500, Yard::take_over);
             yard.run_until(25_000);
@@ -64,8 +65,8 @@
 
 #[test]
 fn a_worker_is_lost() {
-    // Story: nobody says that the life of a lost worker is over, so that its lease has to end. All tasks
-    // of a job were there; nothing of it runs until then.
+    // Nothing confirms that a lost worker has ended, so its lease must run out first. All tasks of
+    // a job were on it; none of them runs until then.
     for seed in 1..4 {
         let (mut yard, home, _) = unlisted(seed);
         yard.fault(5_000, move |y| y.lose(home));
@@ -75,7 +76,8 @@
 
 #[test]
 fn a_worker_is_lost_under_a_longer_lease() {
-    // Story: as above, with leases of 8 s: nothing of the job runs for longer than callers are promised.
+    // As above, with leases of 8 s: no task of the job runs for longer than the bound that callers
+    // are promised.
     for seed in 1..4 {
         let (mut yard, home, _) = unlisted(seed);
         yard.world.bounds.hold = Duration::from_secs(8);
--- a/tests/shard_unread.rs
+++ b/tests/shard_unread.rs
@@ -1,4 +1,4 @@
-//! A new owner that hears the configuration after its workers.
+//! Tests a new owner that receives the configuration after its workers have answered.
 
 mod yard;
 
@@ -10,9 +10,9 @@
 
 #[test]
 fn failures_that_were_heard_before_the_configuration_count() {
-    // Story: a job's task fails for the last time while the store is down, and the owner dies before
-    // that is stored. Its successor hears of all the failures from the workers, and only then how
-    // many the queue allows. It took that as leave to start the task a fourth time.
+    // A task fails for the last time while the store is down, and the owner dies before that is
+    // stored. Its successor learns all failures from the workers, and only afterwards how many the
+    // queue allows. It took the missing limit as permission to start the task a fourth time.
     for seed in 1..6 {
         let mut yard = Yard::new(seed, 6);
         yard.at(100, |y| y.submit(1, "open", job([step(1, 600)])));
@@ -25,7 +25,7 @@
             y.take_over();
         });
         yard.run_until(12_000);
-        assert_eq!(yard.rules.count, 3, "seed {seed}: it started three times");
+        assert_eq!(yard.rules.count, 3, "seed {seed}: number of starts");
         assert_eq!(yard.progress()[&JobNo(1)].state, State::Failed, "seed {seed}");
     }
 }
--- a/tests/shard_upkeep.rs
+++ b/tests/shard_upkeep.rs
@@ -1,4 +1,4 @@
-//! Workers that are emptied for upkeep, as the owner of their tasks goes about it.
+//! Tests how the owner of a shard empties workers for maintenance.
 
 mod hand;
 
@@ -16,22 +16,22 @@
     std::{collections::BTreeMap, sync::Arc},
 };
 
-/// The owner hears that these workers have these turns, as the word of this number.
-fn turns(hand: &mut Hand, number: u64, turns: &[(usize, Turn)]) {
+/// Sends these turns of workers to the owner, as version `number` of the closing list.
+fn set_turns(hand: &mut Hand, number: u64, turns: &[(usize, Turn)]) {
     let turns = turns.iter().map(|(at, turn)| (hand.workers[*at].id.clone(), *turn));
     let closing =
         Closing { place: (1, number), turns: turns.collect::<BTreeMap<WorkerId, Turn>>() };
     hand.tell(Event::Closing(Arc::new(closing)));
 }
 
-/// Whether the owner says that a worker is clear.
+/// Whether the owner reports a worker as clear.
 fn clear(hand: &Hand, at: usize) -> bool {
     let held = hand.shard.held_at(&[hand.workers[at].id.clone()]);
     held.len() == 1 && held[0].clear()
 }
 
-/// All tasks are at work, as the next looks show.
-fn at_work(hand: &mut Hand) {
+/// Marks all tasks as working, which the next hold calls show.
+fn mark_working(hand: &mut Hand) {
     for worker in &mut hand.workers {
         worker.rows.iter_mut().for_each(|r| r.percent = 100);
     }
@@ -40,37 +40,37 @@
 
 #[test]
 fn a_worker_that_is_emptied_gets_nothing_new_and_its_tasks_may_end() {
-    // Story: a worker's VM is to have its upkeep. What starts there now ends with it; what runs
-    // there for a few seconds more would lose its work if it were stopped at once.
+    // The VM of a worker is due for maintenance. A task that starts there now would be lost with
+    // the VM; a task that ends within seconds would lose its work if it were stopped at once.
     let mut hand = Hand::new(2);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.run(100);
     let at = hand.places(task(1, 0))[0];
-    turns(&mut hand, 1, &[(at, Turn::Closing)]);
+    set_turns(&mut hand, 1, &[(at, Turn::Closing)]);
     hand.submit(2, "plain", job(step(6, 1)));
     hand.run(5_000);
-    assert!(hand.stops().is_empty(), "it may end by itself");
+    assert!(hand.stops().is_empty(), "the task may finish");
     assert!(hand.starts_of(2).iter().all(|s| s.1 != at));
     assert_eq!(hand.starts_of(2).len(), 4, "the rest waits");
     assert!(!clear(&hand, at));
     hand.end(task(1, 0), How::Done);
     hand.until("clear", 200, |h| clear(h, at));
-    turns(&mut hand, 2, &[]);
+    set_turns(&mut hand, 2, &[]);
     hand.until("the rest starts", 200, |h| h.starts_of(2).len() == 6);
     assert!(!clear(&hand, at));
 }
 
 #[test]
 fn what_is_waited_for_no_longer_goes_on_elsewhere_from_its_checkpoint() {
-    // Story: the wave would be late if the VM waited for a long task. It is stopped, and must
-    // not begin anew.
+    // The wave would be late if the VM waited for a long task. The task is stopped, and must
+    // continue from its checkpoint instead of beginning anew.
     let mut hand = Hand::new(2);
     hand.submit(1, "plain", job(Step { saves: true, ..step(1, 1) }));
     hand.run(100);
     let at = hand.places(task(1, 0))[0];
     hand.workers[at].row(&task(1, 0)).saved = "a7".into();
     hand.run(100);
-    turns(&mut hand, 1, &[(at, Turn::Forced)]);
+    set_turns(&mut hand, 1, &[(at, Turn::Forced)]);
     hand.until("it goes on", 500, |h| h.places(task(1, 0)) == [1 - at]);
     assert_eq!(&*hand.starts_of(1)[1].2.saved, "a7");
     hand.until("clear", 500, |h| clear(h, at));
@@ -78,36 +78,35 @@
 
 #[test]
 fn lasting_tasks_move_one_by_one_and_wait_until_the_one_before_is_at_work() {
-    // Story: three tasks of a step that may miss one are on the VM. The second is stopped while
-    // the first has started elsewhere and isn't at work there yet: two are away, though only one may
-    // be.
+    // Three tasks of a step that may miss one are on the VM. If the second is stopped after the
+    // first has started elsewhere but before that one works, two are absent where only one may be.
     let mut hand = Hand::new(2);
     let lasting = Step { lasts: true, may_miss: Some(1), ..step(3, 1) };
     hand.submit(1, "plain", job(lasting));
     hand.run(100);
     let at = hand.places(task(1, 0))[0];
-    assert_eq!(hand.workers[at].rows.len(), 3, "all on one");
-    at_work(&mut hand);
-    turns(&mut hand, 1, &[(at, Turn::Forced)]);
+    assert_eq!(hand.workers[at].rows.len(), 3, "all tasks run on one worker");
+    mark_working(&mut hand);
+    set_turns(&mut hand, 1, &[(at, Turn::Forced)]);
     for moved in 1..=3 {
         hand.until("the next has moved", 500, |h| h.starts_of(1).len() == 3 + moved);
         hand.run(3_000);
         assert_eq!(hand.stops().len(), moved, "its successor isn't at work yet");
         assert_eq!(clear(&hand, at), moved == 3);
-        at_work(&mut hand);
+        mark_working(&mut hand);
     }
 }
 
 #[test]
 fn a_step_that_may_miss_none_is_never_stopped() {
-    // Story: the wave is late, and the only task of a step that may miss none is on the VM. A
-    // late wave costs something; a task away breaks a promise.
+    // The wave is late, and the only task of a step that may miss none is on the VM. A late wave
+    // costs something, but an absent task breaks a promise.
     let mut hand = Hand::new(2);
     hand.submit(1, "plain", job(Step { lasts: true, may_miss: Some(0), ..step(1, 1) }));
     hand.run(100);
     let at = hand.places(task(1, 0))[0];
-    at_work(&mut hand);
-    turns(&mut hand, 1, &[(at, Turn::Forced)]);
+    mark_working(&mut hand);
+    set_turns(&mut hand, 1, &[(at, Turn::Forced)]);
     hand.run(20_000);
     assert!(hand.stops().is_empty());
     assert!(!clear(&hand, at));
@@ -115,18 +114,18 @@
 
 #[test]
 fn a_step_with_all_its_tasks_on_vms_of_the_wave_waits_for_room() {
-    // Story: both VMs are emptied, and there is no third one with room. Stopped at once, the
-    // tasks would be away until a VM is back; the first one back has room for them.
+    // Both VMs are to be emptied, and no third one has room. If the tasks were stopped at once,
+    // they would be absent until a VM returns. The first VM with room takes one of them.
     let mut hand = Hand::new(3);
     hand.workers[2].there = false;
     hand.list();
     let lasting = Step { lasts: true, may_miss: Some(1), apart: 1, ..step(2, 1) };
     hand.submit(1, "plain", job(lasting));
     hand.run(100);
-    at_work(&mut hand);
-    turns(&mut hand, 1, &[(0, Turn::Closing), (1, Turn::Closing)]);
+    mark_working(&mut hand);
+    set_turns(&mut hand, 1, &[(0, Turn::Closing), (1, Turn::Closing)]);
     hand.run(5_000);
-    assert!(hand.stops().is_empty(), "there is nowhere to go");
+    assert!(hand.stops().is_empty(), "no other worker has room");
     hand.workers[2].there = true;
     hand.list();
     hand.until("one moves", 2_500, |h| h.places(task(1, 0)) == [2] || h.places(task(1, 1)) == [2]);
@@ -135,12 +134,13 @@
 
 #[test]
 fn an_older_word_opens_no_worker() {
-    // Story: an owner begins with the newest word, and an older one comes in late, in which the
-    // worker wasn't closed yet. It was called clear; what starts there now ends with its VM.
+    // An owner begins with the newest closing list, and an older one, in which the worker wasn't
+    // closing, arrives late. If the owner followed it, tasks would start on a worker that was
+    // reported clear and be lost with its VM.
     let mut hand = Hand::new(1);
-    turns(&mut hand, 2, &[(0, Turn::Closing)]);
+    set_turns(&mut hand, 2, &[(0, Turn::Closing)]);
     hand.until("clear", 200, |h| clear(h, 0));
-    turns(&mut hand, 1, &[]);
+    set_turns(&mut hand, 1, &[]);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.run(1_000);
     assert!(hand.starts().is_empty());
@@ -149,25 +149,26 @@
 
 #[test]
 fn what_lasts_avoids_a_vm_whose_turn_is_yet_to_come() {
-    // Story: a fuller worker is taken first. With its VM's upkeep a few seconds away, the task
-    // would be moved for the second time then.
+    // Placement prefers the fuller worker. As the VM of that worker is due for maintenance within
+    // seconds, a lasting task placed there would soon be moved again.
     let mut hand = Hand::new(2);
     hand.submit(1, "plain", job(step(1, 2)));
     hand.run(100);
     let at = hand.places(task(1, 0))[0];
-    turns(&mut hand, 1, &[(at, Turn::Due)]);
+    set_turns(&mut hand, 1, &[(at, Turn::Due)]);
     hand.submit(2, "plain", job(Step { lasts: true, ..step(1, 1) }));
     hand.submit(3, "plain", job(step(1, 1)));
     hand.run(200);
     assert_eq!(hand.places(task(2, 0)), [1 - at]);
-    assert_eq!(hand.places(task(3, 0)), [at], "others start there as ever");
+    assert_eq!(hand.places(task(3, 0)), [at], "tasks that don't last still start there");
 }
 
 #[test]
 fn what_lasts_is_not_stopped_for_room_that_is_kept_for_a_gang() {
-    // Story: a worker is being emptied, with a lasting task and a long one. The only other room is kept for
-    // a gang. Taken for free, it had the lasting task stopped; it could not start there, started again at
-    // the worker that is being emptied, and was stopped again, for as long as the gang waited.
+    // A worker with a lasting task and a long task is being emptied. The only other room is
+    // reserved for a gang. That room counted as free, so the lasting task was stopped. It could not
+    // start there, started again on the worker that was being emptied, and was stopped again, for
+    // as long as the gang waited.
     let mut hand = Hand::new(3);
     hand.submit(9, "plain", job(step(1, 4)));
     hand.run(300);
@@ -179,9 +180,9 @@
     assert_eq!(hand.places(task(2, 0)), [at], "a fuller worker is taken first");
     hand.submit(3, "plain", job(Step { gang: true, ..step(2, 4) }));
     hand.run(300);
-    turns(&mut hand, 1, &[(at, Turn::Closing)]);
+    set_turns(&mut hand, 1, &[(at, Turn::Closing)]);
     for _ in 0..20 {
-        at_work(&mut hand);
+        mark_working(&mut hand);
         hand.run(400);
     }
     assert_eq!(hand.starts_of(1).len(), 1);
