--- a/tests/shard_stay.rs
+++ b/tests/shard_stay.rs
@@ -1,4 +1,4 @@
-//! Tasks that last beside work that comes and goes, on workers of which few may run them.
+//! Tests lasting tasks beside other load, on workers of which few may run them.
 
 mod yard;
 
@@ -15,15 +15,15 @@
     yard::{Yard, job, step, worker::Worker},
 };
 
-/// What a worker of size 1 has, in cores and megabytes.
-const WORKER: (u64, u64) = (16, 65_536);
-/// What the workers are of that, in hundredths, in turn.
+/// Cores and megabytes of a worker of size 100.
+const WORKER_SIZE: (u64, u64) = (16, 65_536);
+/// Sizes of the workers, in hundredths of `WORKER_SIZE`, in turn.
 const SIZES: [u64; 4] = [100, 100, 50, 200];
-/// How long work comes, in milliseconds.
-const DAY: u64 = 30_000;
+/// Time during which jobs are submitted, in milliseconds.
+const LOAD_MS: u64 = 30_000;
 
-/// The queues: a name, the priority, how late a job may be, the calls' cost, and who may run a step, in
-/// hundredths.
+/// The queues: name, priority, stretch (how late a job may be), base and per-worker cost of advice
+/// in microseconds, and the share of workers that may run a step, in hundredths.
 const QUEUES: [(&str, u8, f64, u64, u64, u64); 5] = [
     ("quote", 0, 1.5, 19_500, 270, 70),
     ("feed", 1, 2.0, 728_000, 10_400, 30),
@@ -48,11 +48,11 @@
     Arc::new(Queues { all: QUEUES.map(queue).into(), ..(*old).clone() })
 }
 
-/// A pool of so many workers and members.
+/// Creates a pool of this many workers and members.
 fn pool(seed: u64, workers: usize, members: u64) -> Yard {
     let one = |i: usize| {
         let part = SIZES[i % SIZES.len()];
-        let size = Size::new(WORKER.0 * part / 100, WORKER.1 * part / 100, 0);
+        let size = Size::new(WORKER_SIZE.0 * part / 100, WORKER_SIZE.1 * part / 100, 0);
         Worker::new("open", &format!("r{}", i / 8), size)
     };
     let mut yard = Yard::with(seed, queues(), (0..workers).map(one).collect(), members);
@@ -60,7 +60,7 @@
     yard
 }
 
-/// A job of one step.
+/// Submits a job of one step.
 fn submit(yard: &mut Yard, no: u64, queue: &str, step: Step) {
     let known = QUEUES.iter().find(|q| q.0 == queue).expect("a queue");
     yard.world.advice.shares.insert(JobNo(no), known.5);
@@ -74,39 +74,39 @@
     size
 }
 
-/// Short tasks of the most urgent work.
+/// Short, most urgent tasks.
 fn quote() -> Step {
     Step { size: size(27, 7_600), ..step(10, 700) }
 }
 
-/// Tasks that last.
+/// Lasting tasks.
 fn feed(count: u32, memory: u64, apart: u32) -> Step {
     Step { lasts: true, image: "web".into(), size: size(45, memory), apart, ..step(count, 1) }
 }
 
-/// Long tasks of the least urgent work.
+/// Long, least urgent tasks.
 fn accum() -> Step {
     Step { saves: true, size: size(45, 16_000), ..step(28, 3_600) }
 }
 
-/// What a day is like, in hundredths of the pool's cores.
+/// A load, in hundredths of the cores of the pool.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     quote: u64,
     feed: u64,
     accum: u64,
-    /// Gangs of each kind.
+    /// Share of the gangs of each kind.
     gangs: u64,
-    /// How much more there is in bursts.
+    /// Additional load in bursts, in hundredths.
     burst: u64,
-    /// The least and the most tasks of a step that lasts.
+    /// Smallest and largest task count of a lasting step.
     wide: (u32, u32),
-    /// How many of a hundred of them have at most one task at a worker.
+    /// Percentage of the lasting steps with at most one task per worker.
     apart: u32,
 }
 
 impl Load {
-    fn drawn(seed: u64) -> Self {
+    fn random(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let all = rng.u64(60..130);
         let feed = rng.u64(15..35);
@@ -118,9 +118,16 @@
     }
 }
 
-/// Work that comes at random: jobs like this one make up `part` of the pool's cores, and in each second
-/// burst `burst` hundredths more.
-fn crowd(yard: &mut Yard, first: u64, queue: &'static str, kind: &Step, part: u64, burst: u64) {
+/// Submits jobs at random times: jobs of this kind take `part` hundredths of the cores of the pool,
+/// and `burst` hundredths more of that during bursts, which fill every third interval of 4 s.
+fn submit_random(
+    yard: &mut Yard,
+    first: u64,
+    queue: &'static str,
+    kind: &Step,
+    part: u64,
+    burst: u64,
+) {
     let cores: u64 = yard.world.workers.iter().map(|w| w.size.cores.0).sum();
     let work = kind.size.cores.0 * u64::from(kind.count) * kind.estimate;
     if part == 0 || work == 0 {
@@ -128,7 +135,7 @@
     }
     let mut rng = fastrand::Rng::with_seed(yard.rules.seed ^ first);
     let (mut at, mut no) = (5_000.0, first);
-    while at < DAY as f64 {
+    while at < LOAD_MS as f64 {
         let more = if (at as u64 / 4_000) % 3 == 2 { 100 + burst } else { 100 };
         let gap = work as f64 * 1e4 / (cores * part * more) as f64;
         at += -gap * (1.0 - rng.f64()).ln();
@@ -138,8 +145,9 @@
     }
 }
 
-/// A day: what lasts comes first, then all else, and meanwhile tasks that last fail by themselves.
-fn day(seed: u64, workers: usize, members: u64, load: Load) -> Yard {
+/// Plans a load: lasting jobs arrive first, then all others, and meanwhile single lasting tasks
+/// fail.
+fn plan(seed: u64, workers: usize, members: u64, load: Load) -> Yard {
     let mut yard = pool(seed, workers, members);
     let mut rng = fastrand::Rng::with_seed(seed);
     let cores: u64 = yard.world.workers.iter().map(|w| w.size.cores.0).sum();
@@ -156,14 +164,14 @@
         let (no, at) = (lasting, rng.u64(500..2_000));
         yard.at(at, move |y| submit(y, no, "feed", step));
     }
-    crowd(&mut yard, 10_000, "quote", &quote(), load.quote, load.burst);
-    crowd(&mut yard, 200_000, "accum", &accum(), load.accum, load.burst);
+    submit_random(&mut yard, 10_000, "quote", &quote(), load.quote, load.burst);
+    submit_random(&mut yard, 200_000, "accum", &accum(), load.accum, load.burst);
     let wide = (workers as u32 / 12).max(3);
     let gang =
         |count, ms| Step { gang: true, saves: true, size: size(60, 12_000), ..step(count, ms) };
-    crowd(&mut yard, 300_000, "swarm", &gang(wide, 1_500), load.gangs, 0);
-    crowd(&mut yard, 400_000, "review", &gang(wide, 3_000), load.gangs, 0);
-    for at in (8_000..DAY).step_by(500) {
+    submit_random(&mut yard, 300_000, "swarm", &gang(wide, 1_500), load.gangs, 0);
+    submit_random(&mut yard, 400_000, "review", &gang(wide, 3_000), load.gangs, 0);
+    for at in (8_000..LOAD_MS).step_by(500) {
         let drawn = rng.u64(..);
         yard.at(at + drawn % 500, move |y| {
             let mine = |t: &TaskKey| t.step.job.0 <= lasting;
@@ -186,41 +194,42 @@
     let workers = env("WORKERS").unwrap_or(60) as usize;
     let mut bad = 0;
     for seed in from..to {
-        let load = Load::drawn(seed);
+        let load = Load::random(seed);
         let begun = std::time::Instant::now();
         let members = (workers as u64 / 6).max(3);
-        let mut yard = day(seed, workers, members, load);
-        let over = catch_unwind(AssertUnwindSafe(|| yard.run_until(DAY + 3_000)));
-        let secs = begun.elapsed().as_secs_f64();
+        let mut yard = plan(seed, workers, members, load);
+        let over = catch_unwind(AssertUnwindSafe(|| yard.run_until(LOAD_MS + 3_000)));
+        let seconds = begun.elapsed().as_secs_f64();
         bad += u64::from(over.is_err());
-        println!("seed {seed}: {} at {}, {secs:.1} s, {load:?}", over.is_err(), yard.now);
+        println!("seed {seed}: {} at {}, {seconds:.1} s, {load:?}", over.is_err(), yard.now);
     }
     println!("{bad} of {} days", to - from);
 }
 
 #[test]
 fn what_lasts_is_at_work_again_soon_on_a_full_day() {
-    // Story: a day on which more urgent work fills the pool. Of the tasks that last one fails now and
-    // then; some of them don't run again for 11 s and more, though room comes and goes all the while.
+    // More urgent work fills the pool, and single lasting tasks fail. Some of them did not run
+    // again for 11 s and more, although room became free all the time.
     for seed in [3, 19, 171] {
-        let mut yard = day(seed, 60, 10, Load::drawn(seed));
-        yard.run_until(DAY + 3_000);
+        let mut yard = plan(seed, 60, 10, Load::random(seed));
+        yard.run_until(LOAD_MS + 3_000);
     }
 }
 
 #[test]
 fn what_lasts_is_at_work_again_soon_beside_urgent_work_that_never_ends() {
-    // Story: short urgent steps come faster than they can run. Each new one could be in time, so it
-    // goes before the step that lasts, which comes to nothing in any round: it never asks for new
-    // tickets, with members free for the call, and stays away while 0.7 s after 0.7 s of room goes by.
+    // Short urgent steps arrive faster than they can run. Each new one could still be on time, so
+    // it goes before the lasting step, which gets no turn in any round. The lasting step never
+    // requested new tickets, although members were free for the call, and was absent while room
+    // became free every 0.7 s.
     for seed in 0..3 {
         let mut yard = pool(seed, 60, 10);
         yard.at(1_000, |y| submit(y, 1, "feed", feed(9, 13_000, 1)));
-        crowd(&mut yard, 10_000, "quote", &quote(), 115, 0);
+        submit_random(&mut yard, 10_000, "quote", &quote(), 115, 0);
         yard.at(12_000, |y| {
             let step = StepKey { job: JobNo(1), time: 0, step: 0 };
             y.world.fail(TaskKey { step, index: 0 });
         });
-        yard.run_until(DAY);
+        yard.run_until(LOAD_MS);
     }
 }
--- a/tests/shard_waits.rs
+++ b/tests/shard_waits.rs
@@ -1,4 +1,5 @@
-//! Days on which jobs of each kind wait beside room; the judge decides which of them should have begun.
+//! Tests random loads with all kinds of jobs. The rules of the simulation decide which waiting jobs
+//! should have started, given the free room.
 
 mod yard;
 
@@ -12,19 +13,19 @@
     yard::{Yard, job, rules::UNIX, step, store::Mode, worker::Worker},
 };
 
-/// The seeds that are always played; days on which a job waited are among them.
+/// Seeds that are always run; among them are loads in which a job once waited beside free room.
 const SEEDS: [u64; 12] = [1, 2, 3, 4, 9, 44, 97, 346, 452, 453, 536, 603];
-/// How long jobs come and faults begin, in milliseconds.
-const DAY: u64 = 40_000;
-/// How long the rest of the work is looked at after that.
-const REST: u64 = 60_000;
-/// How many members can call for advice. With two of them and calls of 0.4 s, thirty jobs that come at
-/// once wait for their first answers for longer than the judge allows, whatever their order.
+/// Time during which jobs are submitted and faults begin, in milliseconds.
+const LOAD_MS: u64 = 40_000;
+/// Time after that in which the remaining jobs are observed, in milliseconds.
+const REST_MS: u64 = 60_000;
+/// Number of members that can call for advice. With two of them and calls of 0.4 s, thirty jobs
+/// that arrive at once wait for their first answers longer than the rules allow, in any order.
 const MEMBERS: RangeInclusive<u64> = 8..=24;
-/// The longest that an order is late.
-const LATE: u64 = 12_000;
+/// Longest delay of an order, in milliseconds.
+const MAX_ORDER_DELAY_MS: u64 = 12_000;
 
-/// `plain` and `urgent` without advice; `quick`, `advised` and `slow` with.
+/// The queues `plain` and `urgent` need no advice; `quick`, `advised` and `slow` do.
 fn queues(rng: &mut fastrand::Rng) -> Arc<Queues> {
     let old = yard::queues();
     let ms = Duration::from_millis;
@@ -51,7 +52,7 @@
     Arc::new(Queues { all, ..(*old).clone() })
 }
 
-/// Workers of one pool: some larger, every third with accelerators.
+/// Workers of one pool; every third one has accelerators.
 fn pool(count: usize) -> Vec<Worker> {
     let one = |i: usize| {
         let (rack, gpu) = (format!("r{}", i / 4), i.is_multiple_of(3));
@@ -66,16 +67,16 @@
     (0..count).map(one).collect()
 }
 
-/// How many workers may run the first step of a job.
-fn good(yard: &Yard, no: u64, advised: bool) -> u32 {
+/// Number of workers that may run the first step of a job.
+fn suitable_workers(yard: &Yard, no: u64, advised: bool) -> u32 {
     let key = StepKey { job: JobNo(no), time: 0, step: 0 };
     let all = 0..yard.world.workers.len();
     let may = |at: &usize| !advised || yard.world.advice.good(key, &yard.world.id(*at));
     all.filter(may).count() as u32
 }
 
-/// The steps of a job of one kind, for so many workers that may run the first.
-fn draw(rng: &mut fastrand::Rng, good: u32, now: u64) -> Job {
+/// Draws a job of a random kind; `good` workers may run its first step.
+fn draw_job(rng: &mut fastrand::Rng, good: u32, now: u64) -> Job {
     let ms = rng.u64(300..4_000);
     let size = Size::new(rng.u64(1..=12), rng.u64(1..=24) * 1_024, 0);
     let some = |rng: &mut fastrand::Rng, most: u32| rng.u32(1..=most.max(1));
@@ -104,8 +105,8 @@
     }
 }
 
-/// Tasks that take a part of the pool all day.
-fn lasting(rng: &mut fastrand::Rng, workers: u32) -> Job {
+/// A job of lasting tasks that occupy a part of the pool all the time.
+fn lasting_tasks(rng: &mut fastrand::Rng, workers: u32) -> Job {
     let count = rng.u32(1..=workers.div_ceil(3));
     let size = Size::new(rng.u64(4..=14), 8_192, 0);
     job([Step {
@@ -118,7 +119,8 @@
     }])
 }
 
-/// A fault, and the time that it lasts at the most.
+/// Schedules a random fault and its end; late orders and an advice outage are marked as faults for
+/// as long as they may have effects.
 fn fault(yard: &mut Yard, rng: &mut fastrand::Rng, at: u64) {
     let count = yard.world.workers.len();
     let (one, over) = (rng.usize(0..count), at + rng.u64(500..6_000));
@@ -143,7 +145,7 @@
         7 => {
             yard.fault(at, |y| y.late = 8);
             yard.fault(over, |y| y.late = 0);
-            (at..over + LATE).step_by(1_000).for_each(|t| yard.fault(t, |_| ()));
+            (at..over + MAX_ORDER_DELAY_MS).step_by(1_000).for_each(|t| yard.fault(t, |_| ()));
         }
         8 => {
             yard.fault(at, |y| y.world.advice.down = true);
@@ -157,7 +159,7 @@
     }
 }
 
-/// A day to come: bursts of jobs, a few faults, and quiet stretches.
+/// Plans a random load: bursts of jobs, a few faults and quiet periods.
 fn plan(seed: u64) -> Yard {
     let mut rng = fastrand::Rng::with_seed(seed);
     let rng = &mut rng;
@@ -166,15 +168,15 @@
     yard.coarse = Duration::from_millis(2);
     let count = yard.world.workers.len() as u32;
     let mut no = 0;
-    let mut submit = |yard: &mut Yard, rng: &mut fastrand::Rng, at: u64, last: bool| {
+    let mut submit = |yard: &mut Yard, rng: &mut fastrand::Rng, at: u64, lasting_job: bool| {
         no += 1;
         let mine = no;
         let queue =
             ["plain", "urgent", "quick", "advised", "advised", "slow", "slow"][rng.usize(0..7)];
         let advised = !["plain", "urgent"].contains(&queue);
-        let job = match last {
-            true => lasting(rng, count),
-            false => draw(rng, good(yard, mine, advised), at),
+        let job = match lasting_job {
+            true => lasting_tasks(rng, count),
+            false => draw_job(rng, suitable_workers(yard, mine, advised), at),
         };
         yard.at(at, move |y| y.submit(mine, queue, job));
         if rng.u32(0..20) == 0 {
@@ -182,34 +184,35 @@
         }
     };
     for _ in 0..rng.u32(0..4) {
-        let at = rng.u64(0..DAY / 4);
+        let at = rng.u64(0..LOAD_MS / 4);
         submit(&mut yard, rng, at, true);
     }
     for _ in 0..rng.u32(1..5) {
-        let begin = rng.u64(0..DAY);
+        let begin = rng.u64(0..LOAD_MS);
         for _ in 0..rng.u32(1..=count) {
             let at = begin + rng.u64(0..4_000);
             submit(&mut yard, rng, at, false);
         }
     }
     for _ in 0..rng.u32(0..4) {
-        let at = rng.u64(1_000..DAY);
+        let at = rng.u64(1_000..LOAD_MS);
         fault(&mut yard, rng, at);
     }
     yard
 }
 
-/// One day; the yard fails the test where a job waits beside room.
-fn day(seed: u64) {
+/// Runs one load; the simulation fails the test if a job waits beside free room.
+fn play(seed: u64) {
     let mut yard = plan(seed);
-    yard.run_until(DAY + 4_000);
-    while !yard.unfinished().is_empty() && yard.now < Time::from_millis(DAY + REST) {
+    yard.run_until(LOAD_MS + 4_000);
+    while !yard.unfinished().is_empty() && yard.now < Time::from_millis(LOAD_MS + REST_MS) {
         yard.run_until(yard.now.0 / 1_000 + 500);
     }
 }
 
-/// A quiet pool of so many workers; advice names ten workers a call and lets a fifth of them run a step.
-fn quiet(seed: u64, workers: usize) -> Yard {
+/// Creates a quiet pool of this many workers; a call for advice names ten workers, a fifth of which
+/// may run a step.
+fn quiet_pool(seed: u64, workers: usize) -> Yard {
     let mut rng = fastrand::Rng::with_seed(seed);
     let ms = Duration::from_millis;
     let cost = AdviceCost { base: ms(60), each: ms(3), valid: ms(2_500) };
@@ -222,11 +225,12 @@
 
 #[test]
 fn no_job_waits_beside_room() {
-    // Story: jobs of each kind come in bursts to a small pool, of whose workers few may run them, beside
-    // tasks that last and a few faults. A job knows of full workers only and asks about no other, keeps
-    // room that it can't use, or is passed over by the others: nothing of it runs, and the pool is idle.
+    // Jobs of all kinds arrive in bursts at a small pool of which few workers may run them, beside
+    // lasting tasks and a few faults. A job that knows only of full workers and asks about no
+    // others, reserves room that it can't use, or is passed over by the others would have no
+    // running task while the pool is idle.
     for seed in SEEDS {
-        day(seed);
+        play(seed);
     }
 }
 
@@ -236,12 +240,13 @@
     let seeds = std::env::var("SEEDS").expect("seeds");
     let (from, to) = seeds.split_once("..").expect("a range");
     let (from, to): (u64, u64) = (from.parse().expect("a seed"), to.parse().expect("a seed"));
-    let failed = (from..to).filter(|seed| std::panic::catch_unwind(|| day(*seed)).is_err()).count();
+    let failed =
+        (from..to).filter(|seed| std::panic::catch_unwind(|| play(*seed)).is_err()).count();
     assert_eq!(failed, 0, "of {} days", to - from);
 }
 
-/// Twenty gangs of three: one each `every` milliseconds, from 1 s on.
-fn gangs(yard: &mut Yard, every: u64, apart: u32, cores: u64) {
+/// Submits twenty gangs of three, one every `every` milliseconds, from 1 s on.
+fn submit_gangs(yard: &mut Yard, every: u64, apart: u32, cores: u64) {
     for no in 1..21 {
         let size = Size::new(cores, 1_024, 0);
         let gang = Step { gang: true, apart, size, ..step(3, 500) };
@@ -251,12 +256,13 @@
 
 #[test]
 fn a_gang_asks_on_where_each_worker_takes_one_of_it() {
-    // Story: a gang of three, one a worker, comes to an idle pool of forty. The first call names ten
-    // workers, and two of them may run it. Empty they would hold it by their size, so they count as
-    // merely busy: no further call is made, and the gang waits for ever.
+    // A gang of three, one task per worker, arrives at an idle pool of forty. The first call names
+    // ten workers, and two of them may run it. By size alone the two would hold the gang if they
+    // were empty, so they counted as merely busy: no further call was made, and the gang waited for
+    // ever.
     for seed in 1..4 {
-        let mut yard = quiet(seed, 40);
-        gangs(&mut yard, 1_000, 1, 2);
+        let mut yard = quiet_pool(seed, 40);
+        submit_gangs(&mut yard, 1_000, 1, 2);
         yard.run_until(22_000);
         yard.settle(40_000);
     }
@@ -264,14 +270,15 @@
 
 #[test]
 fn a_gang_asks_on_where_lasting_tasks_have_its_workers() {
-    // Story: a gang learns of two workers that may run it, and while it asked tasks that last have come
-    // to them; what is left is enough for two of its three. Empty they would hold it twice, so they
-    // count as merely busy: the gang asks about no other, and waits as long as those tasks last.
+    // A gang learns of two workers that may run it, but while it asked, lasting tasks started on
+    // them; the remaining room is enough for two of its three tasks. Empty, the two workers could
+    // hold the gang twice, so they counted as merely busy: the gang asked about no others and
+    // waited as long as the lasting tasks ran.
     for seed in 1..4 {
-        let mut yard = quiet(seed, 40);
+        let mut yard = quiet_pool(seed, 40);
         let size = Size::new(9, 1_024, 0);
         let lasts = Step { lasts: true, apart: 1, size, ..step(32, 1) };
-        gangs(&mut yard, 0, 0, 4);
+        submit_gangs(&mut yard, 0, 0, 4);
         yard.at(1_055, |y| y.submit(21, "plain", job([lasts])));
         yard.run_until(1_100);
         yard.settle(20_000);
@@ -280,14 +287,14 @@
 
 #[test]
 fn a_gang_asks_on_where_long_tasks_have_its_workers() {
-    // Story: as above, with tasks of a minute. That the gang's workers are merely busy is true, and
-    // little help: it waits for their end, or keeps room there that comes in a minute, and other
-    // workers that may run it stand idle.
+    // As above, with tasks that take a minute. The gang's workers really are merely busy, but the
+    // gang would wait for the end of those tasks, or reserve room that gets free in a minute, while
+    // other workers that may run it are idle.
     for seed in 1..4 {
-        let mut yard = quiet(seed, 40);
+        let mut yard = quiet_pool(seed, 40);
         let size = Size::new(9, 1_024, 0);
         let long = Step { apart: 1, size, ..step(32, 60_000) };
-        gangs(&mut yard, 0, 0, 4);
+        submit_gangs(&mut yard, 0, 0, 4);
         yard.at(1_055, |y| y.submit(21, "plain", job([long])));
         yard.run_until(20_000);
         assert!(yard.unfinished().iter().all(|j| j.0.0 == 21), "{:?}", yard.unfinished());
@@ -296,10 +303,10 @@
 
 #[test]
 fn room_that_a_step_can_never_use_is_left_to_others() {
-    // Story: five tasks that last need a worker with accelerators, and there is room for four of them.
-    // The fifth starves, and what is left at the four workers is kept for it, though it is too small
-    // for it as long as the others run. A small job that needs such a worker never begins.
-    let mut yard = quiet(1, 12);
+    // Five lasting tasks need a worker with accelerators, and there is room for four. The fifth
+    // starves, and the room left at the four workers was reserved for it, although that room is too
+    // small for it as long as the others run. A small job that needs such a worker never started.
+    let mut yard = quiet_pool(1, 12);
     let gpu = |cores| Step {
         needs: Some("gpu".into()),
         size: Size::new(cores, 1_024, 0),
--- a/tests/shard_wide.rs
+++ b/tests/shard_wide.rs
@@ -1,4 +1,5 @@
-//! Gangs as wide as their pool allows, of whose workers few may run them and whose tickets end soon.
+//! Tests gangs as wide as their pool allows, when few of its workers may run them and tickets
+//! expire soon.
 
 mod yard;
 
@@ -11,14 +12,15 @@
     yard::{Yard, job, step, worker::Worker},
 };
 
-/// The workers of the pool.
+/// Number of workers in the pool.
 const WORKERS: usize = 350;
-/// The members that can call for advice.
+/// Number of members that can call for advice.
 const MEMBERS: u64 = 40;
-/// What a worker has, in cores and megabytes.
-const WORKER: (u64, u64) = (64, 131_072);
+/// Size of a worker, in cores and megabytes.
+const WORKER_SIZE: (u64, u64) = (64, 131_072);
 
-/// Wide gangs come in `review`, after `quick` and before `check`.
+/// Wide gangs are submitted to `review`, which is less urgent than `quick` and more urgent than
+/// `check`.
 fn queues() -> Arc<Queues> {
     let old = yard::queues();
     let ms = Duration::from_millis;
@@ -43,11 +45,11 @@
     Arc::new(Queues { all, ..(*old).clone() })
 }
 
-/// The pool; three workers in ten may run a step.
+/// Creates the pool; three in ten workers may run a step.
 fn pool(seed: u64) -> Yard {
     let one = |i: usize| {
         let rack = format!("r{}", i / 8);
-        Worker::new("open", &rack, Size::new(WORKER.0, WORKER.1, 0))
+        Worker::new("open", &rack, Size::new(WORKER_SIZE.0, WORKER_SIZE.1, 0))
     };
     let mut yard = Yard::with(seed, queues(), (0..WORKERS).map(one).collect(), MEMBERS);
     yard.world.advice.share = 30;
@@ -55,13 +57,14 @@
     yard
 }
 
-/// A gang of so many tasks that take nearly half a worker each.
+/// A gang of this many tasks, each of which takes nearly half a worker.
 fn gang(count: u32) -> Step {
     Step { gang: true, saves: true, size: Size::new(30, 26_000, 0), ..step(count, 4_000) }
 }
 
-/// Small tasks that take each bit of room, from the beginning to `until`: more than there is room for.
-fn crowd(yard: &mut Yard, until: u64) {
+/// Submits small tasks from the start until `until`, more than there is room for, so that they fill
+/// every gap.
+fn submit_small_jobs(yard: &mut Yard, until: u64) {
     let small = Step { saves: true, size: Size::new(7, 10_000, 0), ..step(30, 2_200) };
     for (no, at) in (0..until).step_by(25).enumerate() {
         let small = small.clone();
@@ -69,12 +72,12 @@
     }
 }
 
-/// How a job stands.
+/// Whether a job is stored as done.
 fn done(yard: &Yard, no: u64) -> bool {
     yard.stored(no) == Some(State::Done)
 }
 
-/// Lets time pass until these jobs are done; returns when the last was, in milliseconds.
+/// Advances time until these jobs are done, and returns when the last one was, in milliseconds.
 fn until_done(yard: &mut Yard, jobs: std::ops::Range<u64>, bound: u64) -> u64 {
     loop {
         let now = yard.now.0 / 1_000;
@@ -87,16 +90,16 @@
     }
 }
 
-/// The cores in use.
-fn used(yard: &Yard) -> u64 {
+/// Number of cores in use.
+fn used_cores(yard: &Yard) -> u64 {
     (0..WORKERS).map(|at| yard.world.used(at).cores.0 / 1_000).sum()
 }
 
 #[test]
 fn a_wide_gang_starts_where_its_pool_could_hold_it() {
-    // Story: a gang of 87 tasks comes to a pool that is free, of which 105 workers may run it. A call
-    // names 100 workers at the most and later ones ten each, and the tickets of the first calls are
-    // over before those of the last have come: it waits for ever.
+    // A gang of 87 tasks arrives at an idle pool in which 105 workers may run it. A call names 100
+    // workers at most and later calls ten each, so the tickets of the first calls expired before
+    // those of the last arrived, and the gang waited for ever.
     for width in [35, 87] {
         let mut yard = pool(1);
         yard.at(1_000, move |y| y.submit(1, "review", job([gang(width)])));
@@ -107,51 +110,51 @@
 
 #[test]
 fn a_wide_gang_starts_beside_small_tasks_that_take_each_bit_of_room() {
-    // Story: small tasks of less urgent jobs take each bit of room as it comes, and more of them wait.
-    // The gang needs 44 workers half empty at the same moment, with tickets for all of them.
+    // Small tasks of less urgent jobs fill every gap, and more of them wait. The gang needs 44
+    // workers that are half empty at the same time, with tickets for all of them.
     for width in [35, 87] {
         let mut yard = pool(2);
-        crowd(&mut yard, 10_000);
+        submit_small_jobs(&mut yard, 10_000);
         yard.at(4_000, move |y| y.submit(1, "review", job([gang(width)])));
         let over = until_done(&mut yard, 1..2, 60_000);
-        // 2.2 times its work and a second after its coming.
+        // 2.2 times its work and 1 s after its submission.
         assert!(over < 4_000 + 9_800, "{width} tasks: {over} ms");
     }
 }
 
 #[test]
 fn twenty_wide_gangs_end_in_bounded_time_and_the_room_is_used() {
-    // Story: twenty wide gangs come at once, together three times what the pool holds. Each keeps room
-    // that another needs, none comes together, and the pool stands half idle beside them.
+    // Twenty wide gangs arrive at once, which need three times the pool. If each reserved room that
+    // another needs, none would become complete, and half of the pool would be idle.
     let mut yard = pool(3);
     for no in 1..21 {
         let width = if no % 4 == 0 { 87 } else { 35 };
         yard.at(1_000, move |y| y.submit(no, "review", job([gang(width)])));
     }
-    let (mut looks, mut idle) = (0, 0);
+    let (mut samples, mut idle) = (0, 0);
     while !(1..21).all(|no| done(&yard, no)) {
         let now = yard.now.0 / 1_000;
         assert!(now < 90_000, "not done after {now} ms");
         let many = (1..21).filter(|no| !done(&yard, *no)).count() > 5;
         if many && now > 3_000 {
-            looks += 1;
-            // Of what gangs may take of a worker, 60 of 64 cores.
-            idle += u64::from(used(&yard) < WORKERS as u64 * 60 / 3);
+            samples += 1;
+            // Less than a third of the 60 of 64 cores per worker that gangs can use.
+            idle += u64::from(used_cores(&yard) < WORKERS as u64 * 60 / 3);
         }
         yard.run_until(now + 100);
     }
     let over = yard.now.0 / 1_000;
-    println!("over at {over} ms, idle in {idle} of {looks} looks");
+    println!("over at {over} ms, idle in {idle} of {samples} samples");
     assert!(over < 45_000, "{over} ms");
-    assert!(idle * 2 < looks, "idle in {idle} of {looks} looks");
+    assert!(idle * 2 < samples, "idle in {idle} of {samples} samples");
 }
 
 #[test]
 fn a_wide_gang_that_loses_a_member_starts_again_soon() {
-    // Story: a worker is lost while a wide gang runs. All its members end, and it has to come together
-    // a second time beside small tasks that have taken the room meanwhile.
+    // A worker is lost while a wide gang runs. All its tasks end, and it has to gather workers a
+    // second time among small tasks that have taken the room meanwhile.
     let mut yard = pool(4);
-    crowd(&mut yard, 10_000);
+    submit_small_jobs(&mut yard, 10_000);
     yard.at(4_000, move |y| y.submit(1, "review", job([gang(35)])));
     yard.fault(8_500, |y| {
         let of = |at: &usize| {
--- a/tests/shard_wish.rs
+++ b/tests/shard_wish.rs
@@ -1,4 +1,4 @@
-//! Room that is kept for a step that starves, and tasks behind it.
+//! Tests room that is reserved for a starving step, and lasting tasks that wait behind it.
 
 mod hand;
 mod yard;
@@ -15,10 +15,10 @@
 
 #[test]
 fn a_step_that_may_go_nowhere_keeps_no_room() {
-    // Story: four lasting tasks run on a worker each, and there are three workers. The fourth waits
-    // for a worker to come; as the pool has room to spare, room is kept for it soon, and that was
-    // on the three workers, where it may not go. Two lasting tasks of another job were away beside
-    // room for six, for as long as no worker came.
+    // A step of four lasting tasks allows one task per worker, and there are three workers. The
+    // fourth task waits for another worker. As the pool has spare room, room was soon reserved for
+    // the task on the three workers, where it may not run. Two lasting tasks of another job were
+    // absent beside room for six until another worker joined.
     let mut hand = Hand::new(3);
     hand.submit(1, "plain", job(Step { apart: 1, ..lasting(4, 2) }));
     hand.run(10_000);
@@ -28,8 +28,8 @@
     assert!((0..2).all(|i| hand.places(task(2, i)).len() == 1), "they run");
 }
 
-/// Nine workers of one pool, of which three have the label `gpu`, with a task of three cores on each
-/// of these, which lasts or takes a minute.
+/// Nine workers of one pool, three of which have the label `gpu`. On each of the three runs a task
+/// of three cores that lasts or takes a minute.
 fn labelled(seed: u64, lasts: bool) -> Yard {
     let one = |at: usize| {
         let mut w = Worker::new("open", ["r1", "r2"][at % 2], Size::new(4, 16_384, 1));
@@ -49,9 +49,10 @@
 
 #[test]
 fn no_room_is_kept_beside_what_lasts() {
-    // Story: lasting tasks of three cores run on each of the three workers of four that have a label.
-    // Three lasting tasks of two cores wait for such workers, and the one core that is left on each was kept
-    // for these, though the rest never gets free. Two tasks of one core were away beside room for three.
+    // Lasting tasks of three cores run on each of the three labelled workers of four cores. Three
+    // lasting tasks of two cores wait for such workers, and the one remaining core of each was
+    // reserved for them, although the other cores never become free. Two tasks of one core were
+    // absent beside room for three.
     for seed in 1..4 {
         let mut yard = labelled(seed, true);
         yard.submit(2, "open", job(gpu(3, 2)));
@@ -63,9 +64,10 @@
 
 #[test]
 fn room_is_not_kept_from_what_lasts_until_long_tasks_end() {
-    // Story: tasks of three cores that take a minute run on each of three workers of four. Three tasks
-    // of two cores that end wait for such workers, and starve; the one core that is left on each was
-    // kept for them until then. Two lasting tasks of one core were away beside room for three.
+    // Tasks of three cores that take a minute run on each of the three labelled workers of four
+    // cores. Three tasks of two cores that end by themselves wait for such workers and starve, and
+    // the one remaining core of each was reserved for them until the long tasks ended. Two lasting
+    // tasks of one core were absent beside room for three.
     for seed in 1..4 {
         let mut yard = labelled(seed, false);
         let ends = Step { lasts: false, ..gpu(3, 2) };
@@ -78,9 +80,10 @@
 
 #[test]
 fn room_is_not_kept_from_what_lasts_until_a_gang_can_start() {
-    // Story: tasks of three cores that take a minute run on each of three workers of four. A gang of
-    // three members of two cores waits for such workers, and the one core that is left on each was
-    // kept for it until then. Two lasting tasks of one core were away beside room for three.
+    // Tasks of three cores that take a minute run on each of the three labelled workers of four
+    // cores. A gang of three tasks of two cores waits for such workers, and the one remaining core
+    // of each was reserved for it until the long tasks ended. Two lasting tasks of one core were
+    // absent beside room for three.
     for seed in 1..4 {
         let mut yard = labelled(seed, false);
         let gang = Step { lasts: false, gang: true, saves: true, ..gpu(3, 2) };
--- a/tests/yard_crash.rs
+++ b/tests/yard_crash.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash each worker that starts them, among work that is sound, drawn.
+//! Tests tasks that crash every worker that starts them, among ordinary jobs; the load is random.
 
 #[path = "yard/mod.rs"]
 mod yard;
@@ -9,36 +9,37 @@
     yard::{Yard, job, step},
 };
 
-/// How long a day's jobs may take, in milliseconds.
-const LONG: u64 = 90_000;
-/// The numbers of the sound jobs, and of those with a task that crashes workers.
-const SOUND: u64 = 24;
-const POISON: u64 = 4;
+/// Bound for all jobs to finish, in milliseconds.
+const SETTLE_MS: u64 = 90_000;
+/// The highest number of an ordinary job, and the count of jobs with a task that crashes workers.
+const LAST_ORDINARY_JOB: u64 = 24;
+const POISONED_JOBS: u64 = 4;
 
-/// Plays a day: its judge allows few starts of what crashes workers, and each sound job is done.
+/// Runs one load. The rules allow few starts of a task that crashes workers, and each ordinary job
+/// must finish.
 fn play(seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut yard = Yard::new(seed, 16);
     yard.behind = Duration::from_millis(rng.u64(0..900));
     yard.submit(1, "open", job([Step { lasts: true, ..step(3, 1_000) }]));
-    for no in 2..=SOUND {
+    for no in 2..=LAST_ORDINARY_JOB {
         let (at, count) = (rng.u64(0..12_000), rng.u32(1..5));
         let size = step(count, rng.u64(300..3_000));
         let size = Step { gang: rng.u32(0..4) == 0, copies: rng.u32(0..5) == 0, ..size };
         yard.at(at, move |y| y.submit(no, "open", job([size])));
     }
-    for no in 100..100 + POISON {
+    for no in 100..100 + POISONED_JOBS {
         let (at, kind) = (rng.u64(1_000..8_000), rng.u32(0..4));
-        let bad = step(3, 1_500);
-        let bad = match kind {
-            0 => Step { lasts: true, ..bad },
-            1 => Step { gang: true, ..bad },
-            2 => Step { copies: true, ..bad },
-            _ => bad,
+        let poisoned = step(3, 1_500);
+        let poisoned = match kind {
+            0 => Step { lasts: true, ..poisoned },
+            1 => Step { gang: true, ..poisoned },
+            2 => Step { copies: true, ..poisoned },
+            _ => poisoned,
         };
         let key = StepKey { job: JobNo(no), time: 0, step: 0 };
         yard.world.poison.insert(TaskKey { step: key, index: rng.u32(0..3) });
-        yard.at(at, move |y| y.submit(no, "open", job([bad])));
+        yard.at(at, move |y| y.submit(no, "open", job([poisoned])));
     }
     for _ in 0..rng.u32(0..3) {
         yard.fault(rng.u64(2_000..14_000), |y| {
@@ -48,8 +49,8 @@
         });
     }
     yard.run_until(15_000);
-    yard.settle(LONG);
-    for no in 2..=SOUND {
+    yard.settle(SETTLE_MS);
+    for no in 2..=LAST_ORDINARY_JOB {
         assert_eq!(yard.stored(no), Some(State::Done), "seed {seed}: job {no}");
     }
 }
--- a/tests/yard_upkeep.rs
+++ b/tests/yard_upkeep.rs
@@ -1,5 +1,5 @@
-//! Waves of upkeep over an owner with real work: lasting tasks, tasks that checkpoint and tasks that
-//! don't, while owners and holders come and go.
+//! Tests maintenance waves over an owner with real jobs: lasting tasks, tasks with checkpoints and
+//! tasks without, while owners and wave holders are replaced.
 
 #[path = "yard/mod.rs"]
 mod yard;
@@ -10,7 +10,7 @@
         ids::{VmId, WaveNo},
         ports::{Fleet, Vm, VmCall, VmReply, VmState, Wave},
         shard::{
-            event::Event as Told,
+            event::Event as ShardEvent,
             record::{CLOSING, Closing, read},
         },
         upkeep::{Event, LEDGER, Order, Setup, Upkeep},
@@ -20,14 +20,14 @@
     yard::{Yard, job, step},
 };
 
-/// How long a VM is down for its upkeep.
+/// Time that a VM is down for its maintenance.
 const DOWN: Duration = Duration::from_secs(2);
-/// The time between two ticks.
-const STEP: u64 = 20;
-/// How many tasks the lasting step has; it may miss one.
+/// Time between two ticks, in milliseconds.
+const TICK_MS: u64 = 20;
+/// Task count of the lasting step, which may miss one.
 const LASTING: u32 = 4;
 
-/// A yard whose workers are VMs of a wave, and the wave's holder.
+/// A shard simulation whose workers run on the VMs of a wave, and the holder of the wave.
 struct Site {
     yard: Yard,
     upkeep: Upkeep,
@@ -35,11 +35,11 @@
     wave: Wave,
     begun: BTreeSet<usize>,
     down: BTreeSet<usize>,
-    most: usize,
-    /// Of so many orders one has no answer, and is carried out; 0 is none.
-    lose: u32,
+    max_down: usize,
+    /// One in this many VM orders is carried out without an answer; 0 means none.
+    unanswered_one_in: u32,
     rng: fastrand::Rng,
-    said: Closing,
+    sent_closing: Closing,
 }
 
 fn holder(token: u64) -> Upkeep {
@@ -49,12 +49,18 @@
         moved: Duration::from_millis(1_500),
         turn: Duration::from_secs(3),
     };
-    let told = |no, over: bool| (format!("told/{no}").into(), over.to_string().into());
-    Upkeep::new(Setup { holder: "node".into(), token, fleet, unix: 1_700_000_000_000, told })
+    let outcome = |no, over: bool| (format!("told/{no}").into(), over.to_string().into());
+    Upkeep::new(Setup {
+        holder: "node".into(),
+        token,
+        fleet,
+        unix: 1_700_000_000_000,
+        told: outcome,
+    })
 }
 
 impl Site {
-    /// Twelve workers with work of all kinds; those of the open pool are the wave.
+    /// Creates twelve workers with jobs of all kinds; those of the open pool form the wave.
     fn new(seed: u64, seconds: u64, cap: u32) -> Self {
         let mut yard = Yard::new(seed, 12);
         let lasting = Step { lasts: true, may_miss: Some(1), ..step(LASTING, 1_000) };
@@ -77,18 +83,18 @@
             wave,
             begun: BTreeSet::new(),
             down: BTreeSet::new(),
-            most: 0,
-            lose: 0,
+            max_down: 0,
+            unanswered_one_in: 0,
             rng: fastrand::Rng::with_seed(seed),
-            said: Closing::default(),
+            sent_closing: Closing::default(),
         };
-        site.hear();
+        site.send_waves();
         site
     }
 
-    fn hear(&mut self) {
+    fn send_waves(&mut self) {
         let wave = (1, self.wave.clone());
-        self.tell(Event::Waves(vec![wave], !self.closing().turns.is_empty()));
+        self.deliver(Event::Waves(vec![wave], !self.closing().turns.is_empty()));
     }
 
     fn closing(&self) -> Closing {
@@ -100,18 +106,18 @@
         self.yard.store.get("told/1").and_then(|i| i.value).is_some_and(|v| &v[..] == b"true")
     }
 
-    /// The holder and the owner die, and others begin.
-    fn succeed(&mut self) {
+    /// Ends the holder and the owner, and starts successors.
+    fn replace_holder(&mut self) {
         self.yard.kill();
         self.run(3_500);
         self.yard.take_over();
         self.token += 1;
         self.upkeep = holder(self.token);
-        self.said = Closing::default();
-        self.hear();
+        self.sent_closing = Closing::default();
+        self.send_waves();
     }
 
-    fn tell(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         let now = self.yard.now;
         for order in self.upkeep.on(event, now) {
             let reply = match order {
@@ -126,12 +132,13 @@
                 }
                 Order::Call(call) => {
                     let reply = Ok(self.order(&call));
-                    let lost = self.lose > 0 && self.rng.u32(0..self.lose) == 0;
+                    let lost =
+                        self.unanswered_one_in > 0 && self.rng.u32(0..self.unanswered_one_in) == 0;
                     let unknown = Err(dogwoodreach::ports::Fault::Unknown);
                     Event::Answered(call, if lost { unknown } else { reply })
                 }
             };
-            self.tell(reply);
+            self.deliver(reply);
         }
     }
 
@@ -164,13 +171,13 @@
         assert!(self.down.len() < self.wave.cap as usize, "seed {seed}: at {now} {:?}", self.down);
         self.begun.insert(at);
         self.down.insert(at);
-        self.most = self.most.max(self.down.len());
+        self.max_down = self.max_down.max(self.down.len());
         self.yard.crash(at, DOWN);
         VmReply::Begun
     }
 
-    /// How many tasks of a lasting job are at work.
-    fn at_work(&self, no: u64) -> usize {
+    /// Number of working tasks of a lasting job.
+    fn working_tasks(&self, no: u64) -> usize {
         let up = self.yard.world.workers.iter().filter(|w| w.up);
         let runs = up.flat_map(|w| &w.runs).filter(|r| r.start.task.step.job == JobNo(no));
         let begun = self.yard.world.bounds.notice / 2;
@@ -180,20 +187,23 @@
     fn run(&mut self, ms: u64) {
         let over = self.yard.now.0 / 1_000 + ms;
         while self.yard.now.0 / 1_000 < over {
-            self.yard.run_until(self.yard.now.0 / 1_000 + STEP);
+            self.yard.run_until(self.yard.now.0 / 1_000 + TICK_MS);
             let workers = &self.yard.world.workers;
             self.down.retain(|i| !workers[*i].up);
             let closing = self.closing();
-            if closing != self.said {
-                self.said = closing.clone();
+            if closing != self.sent_closing {
+                self.sent_closing = closing.clone();
                 let now = self.yard.now;
-                self.yard.owner().shard.take(Told::Closing(Arc::new(closing)), now);
+                self.yard.owner().shard.take(ShardEvent::Closing(Arc::new(closing)), now);
             }
-            self.tell(Event::Tick);
+            self.deliver(Event::Tick);
             let (seed, now) = (self.yard.rules.seed, self.yard.now);
             for (no, count) in [(1, LASTING as usize), (2, 3)] {
-                let there = self.at_work(no);
-                assert!(there + 1 >= count, "seed {seed}: at {now} {there} of job {no} are there");
+                let working = self.working_tasks(no);
+                assert!(
+                    working + 1 >= count,
+                    "seed {seed}: at {now} {working} of job {no} are working"
+                );
             }
         }
     }
@@ -212,27 +222,27 @@
 
 #[test]
 fn a_wave_over_real_work_takes_no_more_of_a_step_than_it_may_miss() {
-    // Story: six VMs with lasting tasks and long ones have their upkeep, two at a time. What is on a VM
-    // when it goes down is lost, and a step that misses two tasks is away for its users.
+    // Six VMs with lasting and long tasks have their maintenance, two at a time. Tasks on a VM that
+    // goes down are lost, and a step that misses two tasks is absent for its users.
     for seed in 1..=12 {
         let mut site = Site::new(seed, 60, 2);
         site.until_completed(60_000);
-        assert_eq!(site.most, 2, "seed {seed}");
+        assert_eq!(site.max_down, 2, "seed {seed}");
         site.yard.settle(120_000);
     }
 }
 
 #[test]
 fn a_wave_goes_on_when_owner_and_holder_die_and_orders_go_unanswered() {
-    // Story: as above, and the member that owns the shard and drives the wave dies twice in its
-    // middle; of its orders every third has no answer, though it was carried out.
+    // As above, but the member that owns the shard and drives the wave dies twice during the wave,
+    // and every third of its VM orders is carried out without an answer.
     for seed in 1..=12 {
         let mut site = Site::new(seed, 60, 2);
-        site.lose = 3;
+        site.unanswered_one_in = 3;
         for _ in 0..2 {
             let ms = site.rng.u64(500..9_000);
             site.run(ms);
-            site.succeed();
+            site.replace_holder();
         }
         site.until_completed(120_000);
         site.yard.settle(240_000);
@@ -244,7 +254,7 @@
     for seed in 1..=12 {
         let mut site = Site::new(seed, 5, 1);
         site.until_completed(120_000);
-        assert_eq!(site.most, 1);
+        assert_eq!(site.max_down, 1);
         site.yard.settle(240_000);
     }
 }
--- a/tests/yard_worker.rs
+++ b/tests/yard_worker.rs
@@ -1,4 +1,5 @@
-//! The fakes of the yard themselves: workers, store, advice and rules do as the pages say.
+//! Tests the fakes of the simulation themselves: that workers, store, advice and rules follow the
+//! protocol.
 
 mod yard;
 
@@ -28,7 +29,7 @@
     },
 };
 
-/// A world of four workers where job 1 is in a queue.
+/// A world of four workers in which job 1 is in a queue.
 fn world(queue: &str, job: Job) -> World {
     let mut world = World::new(1, bounds(), queues(), workers(4));
     world.jobs.insert(JobNo(1), JobRecord { queue: queue.into(), came: 0, job, terms: None });
@@ -49,7 +50,7 @@
     world.call(at, &id, &call, false)
 }
 
-/// Starts a run; why not, where it was refused.
+/// Starts a run; returns the reason if the worker refuses it.
 fn start(world: &mut World, at: usize, start: Start) -> Option<Refusal> {
     match call(world, at, WorkerCall::Start(start)) {
         Some(Reply::Done(_)) => None,
@@ -70,8 +71,8 @@
     }
 }
 
-/// Renews all leases while time passes.
-fn pass(world: &mut World, ms: u64) {
+/// Advances time while renewing all leases.
+fn advance_renewing(world: &mut World, ms: u64) {
     let to = world.now.0 / 1_000 + ms;
     while world.now < Time::from_millis(to) {
         world.advance(Time::from_millis(to.min(world.now.0 / 1_000 + 1_000)));
@@ -80,7 +81,7 @@
     }
 }
 
-fn hows(held: &Held) -> Vec<(u64, u32, How)> {
+fn end_kinds(held: &Held) -> Vec<(u64, u32, How)> {
     held.ended.iter().map(|e: &End| (e.number, e.task.index, e.how)).collect()
 }
 
@@ -89,12 +90,12 @@
     let mut w = world("plain", job([step(2, 60_000)]));
     w.workers[1].rate = 0.98;
     assert_eq!(start(&mut w, 1, order(task(0, 0), 1)), None);
-    assert_eq!(hold(&mut w, 1, Some(1), 0).running.len(), 1); // doesn't shorten
-    w.advance(Time::from_millis(8_100)); // 8 s at most, on a clock that is 2% slow
+    assert_eq!(hold(&mut w, 1, Some(1), 0).running.len(), 1); // the lease isn't shortened
+    w.advance(Time::from_millis(8_100)); // the lease is 8 s at most, on a clock that is 2% slow
     assert_eq!(hold(&mut w, 1, None, 0).running.len(), 1);
     w.advance(Time::from_millis(8_200));
     let held = hold(&mut w, 1, None, 0);
-    assert_eq!((held.running.len(), hows(&held)), (0, vec![(1, 0, How::Lapsed)]));
+    assert_eq!((held.running.len(), end_kinds(&held)), (0, vec![(1, 0, How::Lapsed)]));
     let late = Start { until: held.clock, ..order(task(0, 1), 1) };
     assert_eq!(start(&mut w, 1, late), Some(Refusal::Late));
 }
@@ -135,14 +136,14 @@
 fn a_stop_takes_its_time_and_room_and_bars_runs_not_higher() {
     let mut w = world("plain", job([step(5, 60_000)]));
     (0..4).for_each(|i| assert_eq!(start(&mut w, 0, order(task(0, i), 2)), None));
-    assert_eq!(start(&mut w, 0, order(task(0, 0), 2)), None); // it is there already
+    assert_eq!(start(&mut w, 0, order(task(0, 0), 2)), None); // it runs already
     stop(&mut w, 0, task(0, 0), 2);
     assert_eq!(start(&mut w, 0, order(task(0, 4), 1)), Some(Refusal::Room));
-    pass(&mut w, 1_100);
-    assert_eq!(hows(&hold(&mut w, 0, None, 0)), [(1, 0, How::Stopped)]);
+    advance_renewing(&mut w, 1_100);
+    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, How::Stopped)]);
     assert_eq!(start(&mut w, 0, order(task(0, 0), 2)), Some(Refusal::Old));
     assert_eq!(start(&mut w, 0, order(task(0, 0), 3)), None);
-    stop(&mut w, 1, task(0, 4), 2); // not there yet
+    stop(&mut w, 1, task(0, 4), 2); // the run hasn't arrived yet
     assert_eq!(start(&mut w, 1, order(task(0, 4), 1)), Some(Refusal::Old));
 }
 
@@ -151,7 +152,7 @@
     let mut w = world("plain", job([step(600, 100)]));
     w.workers[0].size = Size::new(600, 1 << 20, 0);
     (0..600).for_each(|i| assert_eq!(start(&mut w, 0, order(task(0, i), 1)), None));
-    pass(&mut w, 300);
+    advance_renewing(&mut w, 300);
     let first = hold(&mut w, 0, None, 0);
     assert_eq!(first.ended.len(), 500);
     assert_eq!(hold(&mut w, 0, None, 0), first);
@@ -167,7 +168,7 @@
     let mut w = world("plain", job([step(1, 100)]));
     start(&mut w, 0, order(task(0, 0), 1));
     w.advance(Time::from_millis(9_000));
-    assert_eq!(hows(&hold(&mut w, 0, None, 0)), [(1, 0, How::Done)]);
+    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, How::Done)]);
     assert!(hold(&mut w, 0, None, 1).ended.is_empty());
     assert!(!w.notes.iter().any(|n| matches!(n, Note::Seen { .. })));
 }
@@ -177,19 +178,19 @@
     let saves = Step { saves: true, ..step(1, 3_000) };
     let mut w = world("plain", job([saves]));
     start(&mut w, 0, order(task(0, 0), 1));
-    pass(&mut w, 1_500);
+    advance_renewing(&mut w, 1_500);
     let shown = hold(&mut w, 0, None, 0).running.remove(0);
-    assert!(shown.saved.starts_with("000003e8"), "{}", shown.saved); // each second of work
+    assert!(shown.saved.starts_with("000003e8"), "{}", shown.saved); // a checkpoint for each second of work
     assert_eq!(shown.percent, 50);
     stop(&mut w, 0, task(0, 0), 1);
-    pass(&mut w, 1_100);
+    advance_renewing(&mut w, 1_100);
     let end = hold(&mut w, 0, None, 0).ended.remove(0);
-    assert!(end.saved.starts_with("000005dc"), "{}", end.saved); // and at a stop
+    assert!(end.saved.starts_with("000005dc"), "{}", end.saved); // and one at a stop
     start(&mut w, 1, Start { saved: end.saved, ..order(task(0, 0), 2) });
-    pass(&mut w, 1_900);
-    assert!(hold(&mut w, 1, None, 0).ended.is_empty()); // half a second of restore
-    pass(&mut w, 200);
-    assert_eq!(hows(&hold(&mut w, 1, None, 0)), [(1, 0, How::Done)]);
+    advance_renewing(&mut w, 1_900);
+    assert!(hold(&mut w, 1, None, 0).ended.is_empty()); // the restore takes 0.5 s
+    advance_renewing(&mut w, 200);
+    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 0, How::Done)]);
     start(&mut w, 1, Start { saved: "00000001~none".into(), ..order(task(0, 0), 3) });
     assert!(w.notes.iter().any(|n| matches!(n, Note::Odd(_))));
 }
@@ -199,14 +200,14 @@
     let gang = Step { gang: true, tight: true, ..step(2, 1_000) };
     let mut w = world("plain", job([gang]));
     start(&mut w, 0, order(task(0, 0), 1));
-    pass(&mut w, 2_000);
+    advance_renewing(&mut w, 2_000);
     assert_eq!(hold(&mut w, 0, None, 0).running[0].percent, 0);
     start(&mut w, 1, order(task(0, 1), 1));
-    pass(&mut w, 1_400); // on two racks half as long again
+    advance_renewing(&mut w, 1_400); // 50% longer on two racks
     assert_eq!(hold(&mut w, 0, None, 0).running.len(), 1);
-    pass(&mut w, 200);
-    assert_eq!(hows(&hold(&mut w, 0, None, 0)), [(1, 0, How::Done)]);
-    assert_eq!(hows(&hold(&mut w, 1, None, 0)), [(1, 1, How::Done)]);
+    advance_renewing(&mut w, 200);
+    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, How::Done)]);
+    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 1, How::Done)]);
 }
 
 #[test]
@@ -214,20 +215,20 @@
     let gang = Step { gang: true, ..step(2, 60_000) };
     let mut w = world("plain", job([gang]));
     start(&mut w, 0, order(task(0, 0), 1));
-    start(&mut w, 1, order(task(0, 1), 2)); // another run
-    pass(&mut w, 5_100);
-    assert_eq!(hows(&hold(&mut w, 0, None, 0)), [(1, 0, How::Alone)]);
+    start(&mut w, 1, order(task(0, 1), 2)); // a different run
+    advance_renewing(&mut w, 5_100);
+    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, How::Alone)]);
     start(&mut w, 0, order(task(0, 0), 3));
     start(&mut w, 1, order(task(0, 1), 3));
-    pass(&mut w, 1_000);
+    advance_renewing(&mut w, 1_000);
     stop(&mut w, 0, task(0, 0), 3);
-    pass(&mut w, 1_100);
-    let ends = hows(&hold(&mut w, 1, None, 0));
+    advance_renewing(&mut w, 1_100);
+    let ends = end_kinds(&hold(&mut w, 1, None, 0));
     assert_eq!(ends, [(1, 1, How::Alone), (2, 1, How::Broken)]);
     start(&mut w, 0, order(task(0, 0), 4));
     start(&mut w, 1, order(task(0, 1), 4));
     w.crash(0);
-    assert_eq!(hows(&hold(&mut w, 1, None, 2)), [(3, 1, How::Broken)]);
+    assert_eq!(end_kinds(&hold(&mut w, 1, None, 2)), [(3, 1, How::Broken)]);
 }
 
 #[test]
@@ -240,15 +241,15 @@
     call(&mut w, 0, WorkerCall::Pace { task: task(0, 0), run: 1, percent: 50, token: 1 });
     start(&mut w, 1, order(task(1, 0), 1));
     start(&mut w, 1, order(task(2, 0), 1));
-    pass(&mut w, 900);
+    advance_renewing(&mut w, 900);
     let percent = |w: &mut World, at| hold(w, at, None, 0).running[0].percent;
     assert_eq!((percent(&mut w, 0), percent(&mut w, 1)), (30, 45));
     let serving = hold(&mut w, 1, None, 0).running.remove(1);
     assert_eq!((serving.percent, serving.load), (0, 75));
-    pass(&mut w, 1_000);
+    advance_renewing(&mut w, 1_000);
     assert_eq!(hold(&mut w, 1, None, 0).running[1].percent, 100);
     w.fail(task(2, 0));
-    assert_eq!(hows(&hold(&mut w, 1, None, 0)), [(1, 0, How::Failed)]);
+    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 0, How::Failed)]);
 }
 
 #[test]
@@ -258,10 +259,10 @@
     start(&mut w, 0, order(task(0, 0), 1));
     w.workers[1].grey = true;
     start(&mut w, 1, order(task(0, 1), 1));
-    pass(&mut w, 400);
-    assert_eq!(hows(&hold(&mut w, 1, None, 0)), [(1, 1, How::Failed)]);
-    pass(&mut w, 200);
-    assert_eq!(hows(&hold(&mut w, 0, None, 0)), [(1, 0, How::Failed)]);
+    advance_renewing(&mut w, 400);
+    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 1, How::Failed)]);
+    advance_renewing(&mut w, 200);
+    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, How::Failed)]);
     w.workers[0].unwell = true;
     assert_eq!(call(&mut w, 0, WorkerCall::Start(order(task(0, 2), 1))), Some(Reply::Unwell));
     w.workers[1].cut = true;
@@ -280,7 +281,7 @@
     let ask = AdviceCall { step: task(0, 0).step, workers: vec![w.id(2), w.id(3)] };
     let me = Incarnation(1);
     assert_eq!(w.advice.ask(me, &ask, cost, w.now), Ok(Time::from_millis(24)));
-    assert_eq!(w.advice.ask(me, &ask, cost, w.now), Ok(Time::from_millis(48))); // in turn
+    assert_eq!(w.advice.ask(me, &ask, cost, w.now), Ok(Time::from_millis(48))); // calls of one member are answered in turn
     assert_eq!(w.advice.ask(Incarnation(2), &ask, cost, w.now), Ok(Time::from_millis(24)));
     let waiting = (0..40).map(|_| w.advice.ask(me, &ask, cost, w.now));
     assert_eq!(waiting.filter(|a| *a == Err(Fault::Refused)).count(), 9);
@@ -312,20 +313,21 @@
     assert!((30..70).contains(&lost), "{lost}");
 }
 
-/// Two steps, the second after the first, in a pool that doesn't guard.
-fn ruled() -> (World, Rules) {
+/// A job of two steps, the second after the first, in a pool that doesn't guard, and the rules that
+/// check it.
+fn two_steps() -> (World, Rules) {
     let second = Step { after: [0].into(), apart: 1, needs: Some("gpu".into()), ..step(9, 200) };
     (world("open", job([step(9, 200), second])), Rules::new(0))
 }
 
 #[test]
 fn a_day_that_keeps_the_rules_passes() {
-    let (mut w, mut rules) = ruled();
+    let (mut w, mut rules) = two_steps();
     w.jobs.entry(JobNo(1)).and_modify(|r| r.job.steps.iter_mut().for_each(|s| s.count = 2));
     for s in 0..2 {
         for i in 0..2 {
             start(&mut w, 2, order(task(s, i), 1));
-            pass(&mut w, 300);
+            advance_renewing(&mut w, 300);
             assert_kept(rules.check(&mut w));
         }
     }
@@ -336,9 +338,9 @@
     assert_eq!(rules.count, 4);
 }
 
-/// Does something in a fresh world, and checks that the rules see it as this.
-fn breaks(expected: &str, deed: impl FnOnce(&mut World, &mut Rules)) {
-    let (mut world, mut rules) = ruled();
+/// Does something in a fresh world, and checks that the rules report this breach.
+fn assert_breach(expected: &str, deed: impl FnOnce(&mut World, &mut Rules)) {
+    let (mut world, mut rules) = two_steps();
     let all = AssertUnwindSafe(|| {
         deed(&mut world, &mut rules);
         assert_kept(rules.check(&mut world));
@@ -355,22 +357,24 @@
 
 #[test]
 fn rules_see_what_runs_where_it_should_not() {
-    breaks("runs twice at once", |w, _| {
+    assert_breach("runs twice at once", |w, _| {
         start(w, 2, order(task(0, 0), 1));
         start(w, 3, order(task(0, 0), 2));
     });
-    breaks("5 cores", |w, rules| {
+    assert_breach("5 cores", |w, rules| {
         (0..4).for_each(|i| assert_eq!(start(w, 2, order(task(0, i), 1)), None));
-        stop(w, 2, task(0, 0), 1); // what is being stopped counts
+        stop(w, 2, task(0, 0), 1); // a run that is being stopped counts
         assert_kept(rules.check(w));
         start(w, 2, order(task(0, 4), 1));
     });
-    breaks("which is none of its", |w, _| assert_eq!(start(w, 0, order(task(0, 0), 1)), None));
-    breaks("which is none of its", |w, _| {
+    assert_breach("which is none of its", |w, _| {
+        assert_eq!(start(w, 0, order(task(0, 0), 1)), None)
+    });
+    assert_breach("which is none of its", |w, _| {
         change(w, |s| s.needs = Some("gpu".into()));
         start(w, 3, order(task(0, 0), 1));
     });
-    breaks("2 of 0000000000000001.0.0 run at", |w, _| {
+    assert_breach("2 of 0000000000000001.0.0 run at", |w, _| {
         change(w, |s| s.apart = 1);
         start(w, 2, order(task(0, 0), 1));
         start(w, 2, order(task(0, 1), 1));
@@ -379,20 +383,22 @@
 
 #[test]
 fn rules_see_what_runs_when_it_should_not() {
-    breaks("before step 0 was done", |w, _| assert_eq!(start(w, 2, order(task(1, 0), 1)), None));
-    breaks("before it was due", |w, _| {
+    assert_breach("before step 0 was done", |w, _| {
+        assert_eq!(start(w, 2, order(task(1, 0), 1)), None)
+    });
+    assert_breach("before it was due", |w, _| {
         let times = Some(Times { count: 1, first: UNIX + 1_000, every: 0 });
         w.jobs.entry(JobNo(1)).and_modify(|r| r.job.times = times);
         start(w, 2, order(task(0, 0), 1));
     });
-    breaks("after it was done", |w, rules| {
+    assert_breach("after it was done", |w, rules| {
         start(w, 2, order(task(0, 0), 1));
-        pass(w, 300);
+        advance_renewing(w, 300);
         start(w, 3, order(task(0, 0), 2));
-        assert_kept(rules.check(w)); // not yet: the end is noted only now
+        assert_kept(rules.check(w)); // no breach yet: the end is acknowledged only now
         hold(w, 2, None, 1);
     });
-    breaks("after 3 failures", |w, rules| {
+    assert_breach("after 3 failures", |w, rules| {
         for run in 1..=4 {
             start(w, 2, order(task(0, 0), run));
             assert_kept(rules.check(w));
@@ -401,43 +407,43 @@
             hold(w, 2, None, u64::from(run));
         }
     });
-    breaks("started, its job was cancelled", |w, rules| {
+    assert_breach("started, its job was cancelled", |w, rules| {
         rules.cancels.insert(JobNo(1), Time::ZERO);
         w.advance(Time::from_millis(2_100));
         start(w, 2, order(task(0, 0), 1));
     });
-    breaks("runs on, cancelled", |w, rules| {
+    assert_breach("runs on, cancelled", |w, rules| {
         change(w, |s| s.estimate = 9_000);
         start(w, 2, order(task(0, 0), 1));
         rules.cancels.insert(JobNo(1), Time::ZERO);
-        pass(w, 2_900);
+        advance_renewing(w, 2_900);
         assert_kept(rules.check(w)); // 2 s for the order and 1 s for the stop
-        pass(w, 200);
+        advance_renewing(w, 200);
     });
-    breaks("leaving at", |w, _| {
+    assert_breach("leaving at", |w, _| {
         w.workers[2].draining = Some(w.now);
         w.advance(Time::from_millis(2_100));
         start(w, 2, order(task(0, 0), 1));
     });
-    breaks("ended alone", |w, _| {
+    assert_breach("ended alone", |w, _| {
         change(w, |s| s.gang = true);
         start(w, 2, order(task(0, 0), 1));
-        pass(w, 5_100);
+        advance_renewing(w, 5_100);
     });
 }
 
 #[test]
 fn rules_see_what_nobody_asked_for_and_what_is_not_so() {
-    breaks("was not asked for like this", |w, _| {
+    assert_breach("was not asked for like this", |w, _| {
         start(w, 2, Start { text: "do that".into(), ..order(task(0, 0), 1) });
     });
-    breaks("has no checkpoint", |w, _| {
+    assert_breach("has no checkpoint", |w, _| {
         start(w, 2, Start { saved: "00000001".into(), ..order(task(0, 0), 1) });
     });
     for state in [State::Done, State::Failed, State::Cancelled] {
-        breaks("without cause", |w, rules| assert_kept(rules.shown(w, JobNo(1), state)));
+        assert_breach("without cause", |w, rules| assert_kept(rules.shown(w, JobNo(1), state)));
     }
-    breaks("is stored as done", |w, rules| {
+    assert_breach("is stored as done", |w, rules| {
         let tasks = vec![TaskRow(0, 0, 0, 1, vec![], true, "".into())];
         assert_kept(rules.stored(w, JobNo(1), &Progress { tasks, ..Progress::default() }));
     });
