--- a/tests/shard_stay.rs
+++ b/tests/shard_stay.rs
@@ -172,14 +172,14 @@
     submit_random(&mut yard, 300_000, "swarm", &gang(wide, 1_500), load.gangs, 0);
     submit_random(&mut yard, 400_000, "review", &gang(wide, 3_000), load.gangs, 0);
     for at in (8_000..LOAD_MS).step_by(500) {
-        let drawn = rng.u64(..);
-        yard.at(at + drawn % 500, move |y| {
+        let random = rng.u64(..);
+        yard.at(at + random % 500, move |y| {
             let mine = |t: &TaskKey| t.step.job.0 <= lasting;
             let runs = y.world.workers.iter().flat_map(|w| &w.runs);
             let mut all: Vec<TaskKey> = runs.map(|r| r.start.task).filter(mine).collect();
             all.sort_unstable();
             if !all.is_empty() {
-                y.world.fail(all[drawn as usize % all.len()]);
+                y.world.fail(all[random as usize % all.len()]);
             }
         });
     }
--- a/tests/shard_store.rs
+++ b/tests/shard_store.rs
@@ -30,8 +30,8 @@
     })
 }
 
-/// Checks that the store has each end that a worker was acknowledged, and each job that is shown as
-/// over.
+/// Checks that the store has each end that was acknowledged to a worker, and each job that is shown
+/// as over.
 fn check(hand: &Hand, ends: &Ends) {
     for ((worker, number), (task, run, how)) in ends {
         if hand.noted(*worker) < *number {
--- a/tests/shard_takeover.rs
+++ b/tests/shard_takeover.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_task_waits_for_the_end_of_a_run_besides() {
+fn a_task_waits_for_the_end_of_its_second_run() {
     // The former owner started a task again elsewhere just before it was fenced there. The new
     // owner keeps the first run and orders the second to stop, which takes a while. Then the first
     // run is lost with its worker, and the task must not start while the second run still exists.
--- a/tests/shard_tickets.rs
+++ b/tests/shard_tickets.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn after_a_refusal_it_is_asked_for_anew() {
+fn a_refused_ticket_is_replaced_by_a_new_one() {
     // A worker refuses a ticket that should still be valid. If the start were repeated with the
     // same ticket, it would be refused for ever.
     let mut hand = Hand::new(1);
--- a/tests/shard_told.rs
+++ b/tests/shard_told.rs
@@ -26,7 +26,7 @@
         yard.fault(resumed_at, |y| y.pause(0, false));
         for ms in resumed_at..resumed_at + 20 {
             yard.run_until(ms + 1);
-            yard.shown();
+            yard.check_shown_states();
         }
     }
 }
--- a/tests/shard_unlisted.rs
+++ b/tests/shard_unlisted.rs
@@ -76,8 +76,8 @@
 
 #[test]
 fn a_worker_is_lost_under_a_longer_lease() {
-    // As above, with leases of 8 s: no task of the job runs for longer than the bound that callers
-    // are promised.
+    // As above, with leases of 8 s: the job has no running task for longer than callers are
+    // promised.
     for seed in 1..4 {
         let (mut yard, home, _) = unlisted(seed);
         yard.world.bounds.hold = Duration::from_secs(8);
--- a/tests/shard_unread.rs
+++ b/tests/shard_unread.rs
@@ -25,7 +25,7 @@
             y.take_over();
         });
         yard.run_until(12_000);
-        assert_eq!(yard.rules.count, 3, "seed {seed}: number of starts");
+        assert_eq!(yard.rules.count, 3, "seed {seed}: the task starts three times");
         assert_eq!(yard.progress()[&JobNo(1)].state, State::Failed, "seed {seed}");
     }
 }
--- a/tests/shard_upkeep.rs
+++ b/tests/shard_upkeep.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_is_waited_for_no_longer_goes_on_elsewhere_from_its_checkpoint() {
+fn a_stopped_task_continues_elsewhere_from_its_checkpoint() {
     // The wave would be late if the VM waited for a long task. The task is stopped, and must
     // continue from its checkpoint instead of beginning anew.
     let mut hand = Hand::new(2);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn an_older_word_opens_no_worker() {
+fn an_older_closing_list_does_not_reopen_a_worker() {
     // An owner begins with the newest closing list, and an older one, in which the worker wasn't
     // closing, arrives late. If the owner followed it, tasks would start on a worker that was
     // reported clear and be lost with its VM.
@@ -149,8 +149,8 @@
 
 #[test]
 fn what_lasts_avoids_a_vm_whose_turn_is_yet_to_come() {
-    // Placement prefers the fuller worker. As the VM of that worker is due for maintenance within
-    // seconds, a lasting task placed there would soon be moved again.
+    // Placement prefers the fuller worker, but the VM of that worker is due for maintenance within
+    // seconds. A lasting task placed there would soon be moved a second time.
     let mut hand = Hand::new(2);
     hand.submit(1, "plain", job(step(1, 2)));
     hand.run(100);
--- a/tests/shard_waits.rs
+++ b/tests/shard_waits.rs
@@ -257,9 +257,9 @@
 #[test]
 fn a_gang_asks_on_where_each_worker_takes_one_of_it() {
     // A gang of three, one task per worker, arrives at an idle pool of forty. The first call names
-    // ten workers, and two of them may run it. By size alone the two would hold the gang if they
-    // were empty, so they counted as merely busy: no further call was made, and the gang waited for
-    // ever.
+    // ten workers, and two of them may run it. By size alone the two would have room for the whole
+    // gang if they were empty, so they counted as merely busy although each may take one task only:
+    // no further call was made, and the gang waited for ever.
     for seed in 1..4 {
         let mut yard = quiet_pool(seed, 40);
         submit_gangs(&mut yard, 1_000, 1, 2);
--- a/tests/shard_wish.rs
+++ b/tests/shard_wish.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_step_that_may_go_nowhere_keeps_no_room() {
+fn a_step_that_fits_no_worker_reserves_no_room() {
     // A step of four lasting tasks allows one task per worker, and there are three workers. The
     // fourth task waits for another worker. As the pool has spare room, room was soon reserved for
     // the task on the three workers, where it may not run. Two lasting tasks of another job were
--- a/tests/yard/events.rs
+++ b/tests/yard/events.rs
@@ -33,7 +33,7 @@
         self.released = false;
         // The member already has the configuration that every member has received; the latest
         // change may still be on its way.
-        let known = [self.heard.clone(), self.told.clone()];
+        let known = [self.received_queues.clone(), self.sent_queues.clone()];
         for (queues, late) in known.into_iter().zip([self.unread, self.unread.max(self.slow)]) {
             self.schedule(now + late, Delivery::Event(owner, Event::Queues(queues)));
         }
@@ -150,9 +150,9 @@
 
     /// Sends another configuration to the owners.
     pub fn configure(&mut self, queues: Arc<Queues>) {
-        self.told = queues.clone();
+        self.sent_queues = queues.clone();
         let (heard, late) = (queues.clone(), self.unread.max(self.slow));
-        self.at((self.now + late).0 / 1_000, move |y| y.heard = heard);
+        self.at((self.now + late).0 / 1_000, move |y| y.received_queues = heard);
         self.broadcast(self.now + late, Event::Queues(queues));
     }
 
--- a/tests/yard/mail.rs
+++ b/tests/yard/mail.rs
@@ -54,7 +54,7 @@
 
     pub(super) fn execute(&mut self, owner: usize, order: Order) {
         let (now, there) = (self.now, self.now + self.network_delay());
-        self.orders += 1;
+        self.order_count += 1;
         match order {
             Order::Worker { worker, addr, call, limit } => {
                 let at = usize::from(addr.port()) - 1_000;
--- a/tests/yard/mod.rs
+++ b/tests/yard/mod.rs
@@ -1,6 +1,5 @@
 //! Simulates the successive owners of one shard in virtual time, with fake workers, a fake store
-//! and a fake advice service that follow the protocol. The rules of `judge` are checked after every
-//! step.
+//! and a fake advice service that follow the protocol. The [`rules`] are checked after every step.
 
 #![allow(dead_code, unused_imports)] // each test file uses a part
 
@@ -87,7 +86,7 @@
     pub me: Incarnation,
     /// Time at which it took the shard over.
     pub taken_over_at: Time,
-    /// Time at which the store last last_confirmed the lease of its member.
+    /// Time at which the store last confirmed the lease of its member.
     pub last_confirmed: Time,
     /// Whether its process has ended or it has dropped the shard.
     pub gone: bool,
@@ -118,12 +117,12 @@
     /// owner begins with the configuration that its member has.
     pub slow: Duration,
     /// Number of orders that the owners have issued.
-    pub orders: u64,
+    pub order_count: u64,
     /// The latest configuration sent to the owners. `world.queues` keeps every queue that ever
     /// existed.
-    pub told: Arc<Queues>,
+    pub sent_queues: Arc<Queues>,
     /// The configuration that every member has received by now.
-    pub heard: Arc<Queues>,
+    pub received_queues: Arc<Queues>,
     /// The workers that are being emptied for maintenance.
     pub closing: Arc<Closing>,
     /// Whether the worker list is sent even if nothing in it has changed, as members do.
@@ -176,7 +175,7 @@
     /// Creates a site with these queues and workers, one owner and this number of members that can
     /// call for advice.
     pub fn with(seed: u64, queues: Arc<Queues>, workers: Vec<Worker>, members: u64) -> Self {
-        let (told, heard) = (queues.clone(), queues.clone());
+        let (sent_queues, received_queues) = (queues.clone(), queues.clone());
         let world = World::new(seed, bounds(), queues, workers);
         let mut yard = Yard {
             now: Time::ZERO,
@@ -192,9 +191,9 @@
             late: 0,
             unread: Duration::ZERO,
             slow: Duration::ZERO,
-            orders: 0,
-            told,
-            heard,
+            order_count: 0,
+            sent_queues,
+            received_queues,
             closing: Arc::default(),
             often: false,
             behind: Duration::ZERO,
@@ -306,9 +305,10 @@
     fn check_rules(&mut self) {
         let result = self.rules.check(&mut self.world);
         if result.is_err() {
-            let there = self.owners.iter().filter(|o| !o.gone);
-            let away = there.flat_map(|o| o.shard.absent(self.now));
-            away.for_each(|a| eprintln!("absent tasks according to the owner: {} {a:?}", a.cause));
+            let active = self.owners.iter().filter(|o| !o.gone);
+            let absent = active.flat_map(|o| o.shard.absent(self.now));
+            absent
+                .for_each(|a| eprintln!("absent tasks according to the owner: {} {a:?}", a.cause));
             let not_running =
                 |no: &&JobNo| self.world.running(**no) == 0 && self.stored(no.0).is_none();
             for no in self.world.jobs.keys().filter(not_running) {
@@ -334,13 +334,13 @@
     /// updates the worker list.
     fn run_periodic(&mut self) {
         let ms = self.now.0 / 1_000;
-        let trouble = |w: &Worker| w.cut || w.hung || w.unwell || w.grey || w.speed < 1.0;
+        let impaired = |w: &Worker| w.cut || w.hung || w.unwell || w.grey || w.speed < 1.0;
         if self.store.mode != Mode::Up
             || self.owners.iter().any(|o| o.paused || o.store_cut && !o.gone)
             || (self.owners.iter().all(|o| o.gone) && !self.released)
             || (0..)
                 .zip(&self.world.workers)
-                .any(|(at, w)| (!w.up && !self.removed.contains(&at)) || trouble(w))
+                .any(|(at, w)| (!w.up && !self.removed.contains(&at)) || impaired(w))
         {
             self.rules.fault(self.now);
         }
@@ -352,7 +352,7 @@
             self.broadcast(self.now, Event::Tick);
         }
         if ms.is_multiple_of(100) {
-            self.shown();
+            self.check_shown_states();
         }
         if ms.is_multiple_of(500) {
             self.update_list();
@@ -368,10 +368,10 @@
 
     /// Checks the job states that callers would be given by the newest owner and by each former one
     /// that still answers.
-    pub fn shown(&mut self) {
+    pub fn check_shown_states(&mut self) {
         let jobs: Vec<JobNo> = self.world.jobs.keys().copied().collect();
         // The state that the newest owner gives to a member whose table names it as owner, whether
-        // or not its lease is last_confirmed.
+        // or not its lease is confirmed.
         let newest = self.owners.last().filter(|o| !o.gone && !o.paused);
         for job in &jobs {
             if let Some(state) = newest.and_then(|o| o.shard.known_state(*job)) {
@@ -408,8 +408,8 @@
         while !self.unfinished().is_empty() && self.now < Time::from_millis(bound) {
             self.run_until(self.now.0 / 1_000 + 100);
         }
-        let (open, seed) = (self.unfinished(), self.rules.seed);
-        assert!(open.is_empty(), "seed {seed}: unfinished after {bound} ms: {open:?}");
+        let (unfinished, seed) = (self.unfinished(), self.rules.seed);
+        assert!(unfinished.is_empty(), "seed {seed}: unfinished after {bound} ms: {unfinished:?}");
     }
 
     /// State of a job in the store.
@@ -422,8 +422,8 @@
     pub fn unfinished(&self) -> Vec<(JobNo, Option<State>)> {
         let progress = self.progress();
         let state = |j: &JobNo| progress.get(j).map(|p| p.state);
-        let open = self.world.jobs.keys().filter(|j| !self.is_final(**j, state(j)));
-        open.map(|j| (*j, state(j))).collect()
+        let unfinished = self.world.jobs.keys().filter(|j| !self.is_final(**j, state(j)));
+        unfinished.map(|j| (*j, state(j))).collect()
     }
 
     fn is_final(&self, job: JobNo, state: Option<State>) -> bool {
@@ -431,8 +431,8 @@
         if self.rules.cancels.contains_key(&job) {
             return state.is_some_and(State::over) && self.running(job) == 0;
         }
-        let crash_poisoned_workers = self.world.poison.iter().any(|t| t.step.job == job);
-        if crash_poisoned_workers || self.world.hopeless.iter().any(|h| h.0 == job) {
+        let poisoned = self.world.poison.iter().any(|t| t.step.job == job);
+        if poisoned || self.world.hopeless.iter().any(|h| h.0 == job) {
             return state == Some(State::Failed);
         }
         let lasting: u32 = steps.iter().filter(|s| s.lasts).map(|s| s.count).sum();
--- a/tests/yard_crash.rs
+++ b/tests/yard_crash.rs
@@ -11,8 +11,9 @@
 
 /// Bound for all jobs to finish, in milliseconds.
 const SETTLE_MS: u64 = 90_000;
-/// The highest number of an ordinary job, and the count of jobs with a task that crashes workers.
+/// Highest number of an ordinary job.
 const LAST_ORDINARY_JOB: u64 = 24;
+/// Number of jobs with a task that crashes workers.
 const POISONED_JOBS: u64 = 4;
 
 /// Runs one load. The rules allow few starts of a task that crashes workers, and each ordinary job
--- a/tests/yard_upkeep.rs
+++ b/tests/yard_upkeep.rs
@@ -25,7 +25,7 @@
 /// Time between two ticks, in milliseconds.
 const TICK_MS: u64 = 20;
 /// Task count of the lasting step, which may miss one.
-const LASTING: u32 = 4;
+const LASTING_TASKS: u32 = 4;
 
 /// A shard simulation whose workers run on the VMs of a wave, and the holder of the wave.
 struct Site {
@@ -63,7 +63,7 @@
     /// Creates twelve workers with jobs of all kinds; those of the open pool form the wave.
     fn new(seed: u64, seconds: u64, cap: u32) -> Self {
         let mut yard = Yard::new(seed, 12);
-        let lasting = Step { lasts: true, may_miss: Some(1), ..step(LASTING, 1_000) };
+        let lasting = Step { lasts: true, may_miss: Some(1), ..step(LASTING_TASKS, 1_000) };
         yard.submit(1, "open", job([lasting]));
         yard.submit(
             2,
@@ -198,7 +198,7 @@
             }
             self.deliver(Event::Tick);
             let (seed, now) = (self.yard.rules.seed, self.yard.now);
-            for (no, count) in [(1, LASTING as usize), (2, 3)] {
+            for (no, count) in [(1, LASTING_TASKS as usize), (2, 3)] {
                 let working = self.working_tasks(no);
                 assert!(
                     working + 1 >= count,
--- a/tests/yard_worker.rs
+++ b/tests/yard_worker.rs
@@ -180,12 +180,12 @@
     start(&mut w, 0, order(task(0, 0), 1));
     advance_renewing(&mut w, 1_500);
     let shown = hold(&mut w, 0, None, 0).running.remove(0);
-    assert!(shown.saved.starts_with("000003e8"), "{}", shown.saved); // a checkpoint for each second of work
+    assert!(shown.saved.starts_with("000003e8"), "{}", shown.saved); // one per second of work
     assert_eq!(shown.percent, 50);
     stop(&mut w, 0, task(0, 0), 1);
     advance_renewing(&mut w, 1_100);
     let end = hold(&mut w, 0, None, 0).ended.remove(0);
-    assert!(end.saved.starts_with("000005dc"), "{}", end.saved); // and one at a stop
+    assert!(end.saved.starts_with("000005dc"), "{}", end.saved); // and at a stop
     start(&mut w, 1, Start { saved: end.saved, ..order(task(0, 0), 2) });
     advance_renewing(&mut w, 1_900);
     assert!(hold(&mut w, 1, None, 0).ended.is_empty()); // the restore takes 0.5 s
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn work_is_slower_away_at_a_share_and_on_what_is_left() {
+fn work_is_slower_off_its_rack_at_a_reduced_pace_and_as_a_filler() {
     let near = Step { near: Some("r2".into()), ..step(1, 1_000) };
     let fills = Step { fills: true, size: Size::new(4, 512, 0), ..step(1, 1_000) };
     let serves = Step { lasts: true, target: 100, size: Size::new(2, 512, 0), ..step(1, 1) };
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn workers_that_are_amiss() {
+fn faulty_workers_fail_tasks_refuse_starts_or_do_not_answer() {
     let mut w = world("plain", job([step(3, 1_000)]));
     w.hopeless.insert((JobNo(1), 0));
     start(&mut w, 0, order(task(0, 0), 1));
@@ -281,7 +281,7 @@
     let ask = AdviceCall { step: task(0, 0).step, workers: vec![w.id(2), w.id(3)] };
     let me = Incarnation(1);
     assert_eq!(w.advice.ask(me, &ask, cost, w.now), Ok(Time::from_millis(24)));
-    assert_eq!(w.advice.ask(me, &ask, cost, w.now), Ok(Time::from_millis(48))); // calls of one member are answered in turn
+    assert_eq!(w.advice.ask(me, &ask, cost, w.now), Ok(Time::from_millis(48))); // in sequence
     assert_eq!(w.advice.ask(Incarnation(2), &ask, cost, w.now), Ok(Time::from_millis(24)));
     let waiting = (0..40).map(|_| w.advice.ask(me, &ask, cost, w.now));
     assert_eq!(waiting.filter(|a| *a == Err(Fault::Refused)).count(), 9);
@@ -339,10 +339,10 @@
 }
 
 /// Does something in a fresh world, and checks that the rules report this breach.
-fn assert_breach(expected: &str, deed: impl FnOnce(&mut World, &mut Rules)) {
+fn assert_breach(expected: &str, action: impl FnOnce(&mut World, &mut Rules)) {
     let (mut world, mut rules) = two_steps();
     let all = AssertUnwindSafe(|| {
-        deed(&mut world, &mut rules);
+        action(&mut world, &mut rules);
         assert_kept(rules.check(&mut world));
     });
     let text = catch_unwind(all).expect_err(expected);
