--- a/src/common.rs
+++ b/src/common.rs
@@ -1,5 +1,5 @@
-//! What the duties of a member on a site share: the clock, the settings, the configuration and the
-//! table as they are known now.
+//! The state that the threads of a member on a site share: the clock, the settings, and the latest
+//! known configuration, maintenance waves and table.
 
 use {
     crate::{
@@ -10,7 +10,7 @@
         ports::{Forms, Item, Rev, Site, Wave},
         relay::Ways,
         store::Outside,
-        table::View,
+        table::TableView,
         time::{Time, millis},
         watch::Seen,
         work::Queues,
@@ -26,30 +26,30 @@
     tokio::sync::watch,
 };
 
-/// How long the store may be silent before this member isn't ready.
-const CONTACT: Duration = Duration::from_millis(1500);
+/// A member is not ready if the store has not answered it for this long.
+const MAX_STORE_SILENCE: Duration = Duration::from_millis(1500);
 
-/// The part of the time that the configuration may be behind which is left for the way of a request,
-/// and for clocks that differ.
-const SPARE: u32 = 20;
+/// The divisor that gives the safety margin of the configuration's maximum age, as a part of that
+/// age. The margin covers the transit time of a request and clocks that differ.
+const CONFIG_MARGIN_DIVISOR: u32 = 20;
 
-/// A version of the configuration, and the revision of its item in the store.
+/// A version of the configuration and the revision of its item in the store.
 #[derive(Clone, Debug)]
 pub(crate) struct Config {
     /// The item's revision.
     pub rev: Rev,
-    /// What it says.
+    /// The queues and the other contents.
     pub queues: Arc<Queues>,
 }
 
-/// The waves of upkeep that are ordered, each with the revision and the key of its item.
+/// The ordered maintenance waves by the key of their item, each with the item's revision.
 pub(crate) type Waves = BTreeMap<Box<str>, (Rev, Wave)>;
 
-/// What the duties share.
+/// The state that the threads of a member share.
 pub(crate) struct Common {
-    /// How the outside is spoken to.
+    /// The formats and addresses of the services that the member calls.
     pub forms: &'static Forms,
-    /// This process.
+    /// The id of this process.
     pub me: Incarnation,
     /// The Unix time, in milliseconds, at [`Time::ZERO`].
     pub unix: u64,
@@ -57,24 +57,25 @@
     pub metrics: Arc<Metrics>,
     /// The settings.
     pub site: watch::Sender<Arc<Site>>,
-    /// The configuration, once one is known.
+    /// The configuration, once it has been read.
     pub config: watch::Sender<Option<Config>>,
-    /// The waves of upkeep that are ordered.
+    /// The ordered maintenance waves.
     pub waves: watch::Sender<Waves>,
-    /// The table.
-    pub view: watch::Sender<Arc<View>>,
+    /// The latest snapshot of the member table.
+    pub view: watch::Sender<Arc<TableView>>,
     /// Whether this member is stopping.
     pub stop: watch::Sender<bool>,
-    /// The ways to the store.
+    /// The ways to reach the store: directly or through other members.
     pub ways: Arc<Ways>,
-    /// The calls for advice that this member has out, for all who ask it.
+    /// The advice calls that this member has under way, on behalf of all members that asked for
+    /// one.
     pub desk: Mutex<Desk>,
     start: Instant,
-    contact: AtomicU64,
-    overtaken: AtomicU64,
-    confirmed: AtomicU64,
+    last_answer: AtomicU64,
+    outdated_rev: AtomicU64,
+    confirmed_at: AtomicU64,
     registered: AtomicBool,
-    configured: AtomicU64,
+    configured_at: AtomicU64,
 }
 
 /// The Unix time, in milliseconds.
@@ -83,7 +84,7 @@
 }
 
 impl Common {
-    /// What is known at the start.
+    /// Creates the state at the start of the member.
     pub fn new(forms: &'static Forms, site: Site, me: Incarnation, metrics: Arc<Metrics>) -> Self {
         Common {
             forms,
@@ -98,11 +99,11 @@
             ways: Arc::default(),
             desk: Mutex::default(),
             start: Instant::now(),
-            contact: AtomicU64::new(0),
-            overtaken: AtomicU64::new(0),
-            confirmed: AtomicU64::new(0),
+            last_answer: AtomicU64::new(0),
+            outdated_rev: AtomicU64::new(0),
+            confirmed_at: AtomicU64::new(0),
             registered: AtomicBool::new(false),
-            configured: AtomicU64::new(0),
+            configured_at: AtomicU64::new(0),
         }
     }
 
@@ -111,55 +112,55 @@
         Time::ZERO + self.start.elapsed()
     }
 
-    /// A client of the outside, for the thread that asks for it; it speaks to all directly.
+    /// Creates a client for the calling thread that calls all services directly, without a relay.
     pub fn outside(self: &Arc<Self>) -> Outside {
         let common = self.clone();
-        let heard = move || common.contact.store(common.now().0, Ordering::Relaxed);
-        Outside::new(self.forms, self.site.subscribe(), self.metrics.clone(), Arc::new(heard))
+        let note_answer = move || common.last_answer.store(common.now().0, Ordering::Relaxed);
+        Outside::new(self.forms, self.site.subscribe(), self.metrics.clone(), Arc::new(note_answer))
     }
 
-    /// When the store last answered.
+    /// When the store last answered; none if it never has.
     pub fn contact(&self) -> Option<Time> {
-        Some(Time(self.contact.load(Ordering::Relaxed))).filter(|t| *t > Time::ZERO)
+        Some(Time(self.last_answer.load(Ordering::Relaxed))).filter(|t| *t > Time::ZERO)
     }
 
-    /// When the last change of the configuration was taken in.
-    pub fn configured(&self) -> Time {
-        Time(self.configured.load(Ordering::Relaxed))
+    /// When the configuration last changed here.
+    pub fn configured_at(&self) -> Time {
+        Time(self.configured_at.load(Ordering::Relaxed))
     }
 
     /// Notes that the store has a newer configuration than the one of this revision.
     pub fn overtake(&self, rev: Rev) {
-        self.overtaken.fetch_max(rev, Ordering::Relaxed);
+        self.outdated_rev.fetch_max(rev, Ordering::Relaxed);
     }
 
     /// Whether the store is known to have a newer configuration than the one known here.
-    pub fn is_overtaken(&self) -> bool {
+    pub fn config_outdated(&self) -> bool {
         self.config.borrow().as_ref().is_some_and(|c| self.overtakes(c))
     }
 
     /// Whether the store is known to have a newer configuration than this one.
     pub fn overtakes(&self, config: &Config) -> bool {
-        config.rev <= self.overtaken.load(Ordering::Relaxed)
+        config.rev <= self.outdated_rev.load(Ordering::Relaxed)
     }
 
-    /// Notes that the configuration known here was the store's at a time.
+    /// Notes that the configuration known here was the store's latest at this time.
     pub fn confirm(&self, at: Time) {
-        self.confirmed.fetch_max(at.0, Ordering::Relaxed);
+        self.confirmed_at.fetch_max(at.0, Ordering::Relaxed);
     }
 
-    /// When the configuration known here was last certainly the store's.
+    /// The last time at which the configuration known here was certainly the store's latest.
     pub fn confirmed(&self) -> Time {
-        Time(self.confirmed.load(Ordering::Relaxed))
+        Time(self.confirmed_at.load(Ordering::Relaxed))
     }
 
-    /// Whether the configuration known here is no older than any may be that is in force.
+    /// Whether the configuration known here was confirmed recently enough to answer by it.
     ///
-    /// Guards against a member that answers by one that was replaced seconds ago: it hears of nothing,
-    /// or the newer one is still on its way.
+    /// Guards against a member that answers by a configuration that was replaced seconds ago,
+    /// because no change reaches it or the newer one is still on its way.
     pub fn is_current(&self) -> bool {
         let bound = self.site.borrow().bounds.config;
-        self.now() - self.confirmed() <= bound - bound / SPARE
+        self.now() - self.confirmed() <= bound - bound / CONFIG_MARGIN_DIVISOR
     }
 
     /// Whether this member is stopping.
@@ -168,41 +169,43 @@
     }
 
     /// Waits until this member is told to stop.
-    pub async fn stopped(&self) {
+    pub async fn wait_for_stop(&self) {
         let mut stop = self.stop.subscribe();
-        // An end of the sender means the same.
+        // A closed channel means the same.
         let _ = stop.wait_for(|s| *s).await;
     }
 
-    /// Notes whether this member's row stands in the table.
-    pub fn register(&self, registered: bool) {
+    /// Notes whether this member has a row in the table.
+    pub fn set_registered(&self, registered: bool) {
         self.registered.store(registered, Ordering::Relaxed);
     }
 
-    /// Whether the store answers this member; each asks it twice a second at least.
+    /// Whether the store has answered this member recently. Every member calls the store at least
+    /// twice a second.
     pub fn in_touch(&self) -> bool {
-        self.contact().is_some_and(|at| self.now() - at <= CONTACT)
+        self.contact().is_some_and(|at| self.now() - at <= MAX_STORE_SILENCE)
     }
 
-    /// Whether callers can be served here.
+    /// Whether this member can serve callers.
     pub fn ready(&self) -> bool {
-        let heard = self.in_touch();
+        let in_touch = self.in_touch();
         let registered = self.registered.load(Ordering::Relaxed);
         let configured = self.config.borrow().is_some() && self.is_current();
-        heard && registered && configured && !self.stopping()
+        in_touch && registered && configured && !self.stopping()
     }
 
-    /// Takes in what was seen of the waves among all that the operators have written.
+    /// Applies the maintenance waves among the operators' items.
     ///
-    /// It comes with the watch of the configuration, so that a site without waves pays for no call.
-    pub fn take_waves(&self, seen: &Seen) {
+    /// They arrive with the watch of the configuration, so that a site without waves needs no
+    /// further calls.
+    pub fn apply_waves(&self, seen: &Seen) {
         let prefix = self.forms.waves;
         let mut waves = self.waves.borrow().clone();
         let (Seen::All(items, _) | Seen::Changes(items, _)) = seen;
         let items = || items.iter().filter(|i| i.key.starts_with(prefix));
         if matches!(seen, Seen::All(..)) {
-            let there: BTreeSet<_> = items().map(|i| &i.key).collect();
-            waves.retain(|key, _| there.contains(key));
+            let present: BTreeSet<_> = items().map(|i| &i.key).collect();
+            waves.retain(|key, _| present.contains(key));
         }
         for item in items() {
             let Some(value) = &item.value else {
@@ -211,7 +214,7 @@
             };
             match (self.forms.wave)(value) {
                 Ok(wave) => drop(waves.insert(item.key.clone(), (item.rev, wave))),
-                Err(e) => log::error!(target: "upkeep", "A wave can't be read: {e}."),
+                Err(e) => log::error!(target: "upkeep", "A maintenance wave can't be parsed: {e}."),
             }
         }
         self.waves.send_if_modified(|known| {
@@ -221,10 +224,10 @@
         });
     }
 
-    /// Takes in the configuration's item.
+    /// Applies the item of the configuration.
     ///
-    /// Nothing goes back: neither to an earlier change nor to a lower version. Guards against a
-    /// caller's answer, which may carry an older item than the watch has brought by then.
+    /// Never goes back to an earlier revision or a lower version. Guards against an item read on
+    /// behalf of a caller, which may be older than what the watch has delivered meanwhile.
     pub fn take_config(&self, item: &Item) {
         let known = self.config.borrow().clone();
         let Some(value) = &item.value else { return };
@@ -234,7 +237,7 @@
         let queues = match (self.forms.queues)(value) {
             Ok(queues) => queues,
             Err(e) => {
-                log::error!(target: "config", "The configuration can't be read: {e}.");
+                log::error!(target: "config", "The configuration can't be parsed: {e}.");
                 return;
             }
         };
@@ -250,7 +253,7 @@
         });
         if taken {
             log::info!(target: "config", rev = item.rev, version, before = known.map_or(0, |k| k.rev); "Configuration is in force.");
-            self.configured.store(self.now().0, Ordering::Relaxed);
+            self.configured_at.store(self.now().0, Ordering::Relaxed);
         }
     }
 }
--- a/src/keeper.rs
+++ b/src/keeper.rs
@@ -1,4 +1,7 @@
-//! A duty on a site: waves of upkeep, driven by the owner of the first shard.
+//! Drives the maintenance waves (`upkeep`) of a site; runs at the owner of the first shard.
+//!
+//! Feeds the state machine [`Upkeep`] with the ordered waves, the list of VMs and what runs on the
+//! workers, and carries out its orders.
 
 use {
     crate::{
@@ -16,38 +19,38 @@
     tokio::time::sleep,
 };
 
-/// The shard whose owner drives the waves.
-pub(crate) const HOLDER: ShardNo = ShardNo(0);
-/// How often time is let pass while a wave is under way.
+/// The shard whose owner drives the maintenance waves.
+pub(crate) const WAVE_SHARD: ShardNo = ShardNo(0);
+/// The interval of the state machine's ticks while a wave is under way.
 const TICK: Duration = Duration::from_millis(50);
-/// How long the list of VMs may take, and an order.
-const VMS: Duration = Duration::from_millis(800);
-/// How long an owner may take to say what is at its workers.
-const ASKED: Duration = Duration::from_millis(400);
-/// How many answers may wait to be taken in.
-const NEWS: usize = 256;
+/// Time-out of reading the list of VMs and of a call for one VM.
+const VM_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time-out for another owner to report what runs on its workers.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
+/// The length of the queue of answers.
+const QUEUE_LEN: usize = 256;
 
-/// The duty: what it reaches.
+/// Drives maintenance waves by means of the store, the VM service and the other owners.
 #[derive(Clone)]
-pub(crate) struct Keeper {
-    /// What the duties share.
+pub(crate) struct WaveDriver {
+    /// The state that the threads of this member share.
     pub common: Arc<Common>,
-    /// The store and the VMs.
+    /// Clients of the store and the VM service.
     pub outside: Outside,
-    /// Other owners.
+    /// Clients of the other owners.
     pub peers: Peers,
-    /// This member's own shards.
-    pub told: Sender<Told>,
+    /// Sends queries to this member's own shards.
+    pub decisions: Sender<Told>,
 }
 
-impl Keeper {
-    /// Drives the waves with a token until it is dropped.
-    pub async fn keep(self, token: u64) {
+impl WaveDriver {
+    /// Drives the waves, using this token of the shard, until the future is dropped.
+    pub async fn drive(self, token: u64) {
         let (common, site) = (&self.common, self.common.site.borrow().clone());
         let told = common.forms.told_wave;
         let (holder, fleet, unix) = (site.node.clone(), site.fleet, common.unix);
         let mut upkeep = Upkeep::new(Setup { holder, token, fleet, unix, told });
-        let (tell, news) = async_channel::bounded(NEWS);
+        let (sender, events) = async_channel::bounded(QUEUE_LEN);
         let mut waves = common.waves.subscribe();
         waves.mark_changed();
         let mut config = common.config.subscribe();
@@ -64,14 +67,14 @@
                     let pools = config.iter().flat_map(|c| &c.queues.pools);
                     Event::Pools(pools.filter(|p| p.standby).map(|p| p.name.clone()).collect())
                 }
-                Ok(event) = news.recv() => event,
+                Ok(event) = events.recv() => event,
                 () = sleep(TICK), if upkeep.busy() => Event::Tick,
             };
             for order in upkeep.on(event, common.now()) {
-                let (this, tell) = (self.clone(), tell.clone());
+                let (this, sender) = (self.clone(), sender.clone());
                 tokio::spawn(async move {
                     let event = this.carry(order).await;
-                    let _ = tell.send(event).await;
+                    let _ = sender.send(event).await;
                 });
             }
         }
@@ -85,37 +88,39 @@
             Order::Store(number, txn) => {
                 Event::Stored(number, self.outside.store(&StoreCall::Txn(txn), CALL).await)
             }
-            Order::List => Event::Listed(sent, self.outside.vms(VMS).await),
+            Order::List => Event::Listed(sent, self.outside.vms(VM_TIMEOUT).await),
             Order::Ask(workers) => {
-                let (held, needs) = self.held(workers).await;
+                let (held, needs) = self.collect_held(workers).await;
                 Event::Held(sent, held, needs)
             }
             Order::Call(call) => {
-                let reply = self.outside.vm(&call, VMS).await;
+                let reply = self.outside.vm(&call, VM_TIMEOUT).await;
                 Event::Answered(call, reply)
             }
         }
     }
 
-    /// What is at these workers, and how long work waits, as far as owners say.
-    async fn held(&self, workers: Vec<WorkerId>) -> (Vec<Held>, Vec<Need>) {
+    /// Asks all owners what runs on these workers and how long tasks wait in each pool. Owners that
+    /// don't answer in time are left out.
+    async fn collect_held(&self, workers: Vec<WorkerId>) -> (Vec<Held>, Vec<Need>) {
         let view = self.common.view.borrow().clone();
-        let mut asked: BTreeMap<(Incarnation, SocketAddr), Vec<ShardNo>> = BTreeMap::new();
+        let mut shards_by_owner: BTreeMap<(Incarnation, SocketAddr), Vec<ShardNo>> =
+            BTreeMap::new();
         for shard in (0..view.shards()).map(ShardNo) {
             if let Some(owner) = view.owner(shard) {
-                asked.entry(owner).or_default().push(shard);
+                shards_by_owner.entry(owner).or_default().push(shard);
             }
         }
         let (mut held, mut needs) = (vec![], vec![]);
-        for ((owner, addr), shards) in asked {
-            let said = if owner == self.common.me {
-                held_here(&self.told, workers.clone().into(), shards.into()).await
+        for ((owner, addr), shards) in shards_by_owner {
+            let answer = if owner == self.common.me {
+                held_here(&self.decisions, workers.clone().into(), shards.into()).await
             } else {
-                self.peers.held(addr, &workers, &shards, ASKED).await
+                self.peers.held(addr, &workers, &shards, OWNER_TIMEOUT).await
             };
-            let said = said.unwrap_or_default();
-            held.extend(said.0);
-            needs.extend(said.1);
+            let answer = answer.unwrap_or_default();
+            held.extend(answer.0);
+            needs.extend(answer.1);
         }
         (held, needs)
     }
--- a/src/layout.rs
+++ b/src/layout.rs
@@ -1,6 +1,6 @@
-//! How the layout of a cell is made: how many shards there are, and which workers belong to each.
+//! Creates the layout of a cell: the number of shards and the workers that belong to each.
 //!
-//! The layout is made once, by the member that writes it first, and never changes. Nothing here has
+//! The layout is written once, by the member that writes first, and never changes. Nothing here has
 //! a clock or does I/O.
 
 use {
@@ -19,83 +19,85 @@
 };
 
 /// The most workers of a deployment that has one shard for all its pools.
-const SMALL: usize = 100;
+const MAX_SINGLE_SHARD_WORKERS: usize = 100;
 /// The most workers of one shard.
 ///
-/// Guards against a step that no shard can hold, though its pool could: it runs one task on a worker
-/// at the most, and three workers in ten may run it. 18 of 84 did where it had 24 tasks, and the
-/// others waited for ever beside a pool that was mostly free. The widest steps have some 90 tasks; a
-/// gang of as many that take half a worker each needs 44 at once, and of half a pool of 350 it has 52.
-const SHARE: usize = 400;
-/// The most shards.
-const SHARDS: usize = 64;
-/// How long the list of workers has to be still.
-pub const STILL: Duration = Duration::from_millis(1500);
-/// How long the list of workers is watched at the most.
-pub const MOST: Duration = Duration::from_secs(5);
+/// Guards against a step that fits into no shard although it fits into its pool. Such a step runs
+/// at most one task on each worker, and three workers in ten can run it. In a shard of
+/// 84 workers, 18 of 24 tasks ran and the others never started, while most of the pool was free.
+/// The widest steps have about 90 tasks. A gang of 90 tasks that take half a worker each needs 44
+/// workers at once; half of a pool of 350 workers has 52 that can run it.
+const MAX_SHARD_WORKERS: usize = 400;
+const MAX_SHARDS: usize = 64;
+/// The list of workers counts as complete once it has not grown for this long.
+pub const STABLE_PERIOD: Duration = Duration::from_millis(1500);
+/// The longest time to wait for a complete list of workers.
+pub const MAX_LIST_WAIT: Duration = Duration::from_secs(5);
 
-/// Watches the list of workers until it is whole.
+/// Decides when the list of workers is complete enough to create the layout.
 ///
-/// Guards against a layout for the few workers that are listed first: all machines start at the same
-/// moment, and the first member reads the list while the workers are still registering, one after the
-/// other. The number of shards never changes, so that one member would own hundreds of workers.
+/// Guards against a layout for the few workers that are listed first. All machines start at the
+/// same moment, and the first member reads the list while the workers are still registering one
+/// after the other. As the number of shards never changes, one member would own hundreds of
+/// workers.
 #[derive(Debug)]
-pub struct Census {
-    begun: Time,
-    most: usize,
-    since: Time,
+pub struct ListMonitor {
+    started_at: Time,
+    max_count: usize,
+    last_growth: Time,
 }
 
-impl Census {
-    /// A census that begins now.
+impl ListMonitor {
+    /// Starts to monitor the list at this time.
     pub fn new(now: Time) -> Self {
-        Census { begun: now, most: 0, since: now }
+        ListMonitor { started_at: now, max_count: 0, last_growth: now }
     }
 
-    /// The list was read, with so many workers; whether it counts as whole.
-    pub fn seen(&mut self, count: usize, now: Time) -> bool {
-        if count > self.most {
-            self.most = count;
-            self.since = now;
+    /// Notes a read of the list with this number of workers. Returns whether the list counts as
+    /// complete.
+    pub fn observe(&mut self, count: usize, now: Time) -> bool {
+        if count > self.max_count {
+            self.max_count = count;
+            self.last_growth = now;
         }
-        let still = self.most > 0 && now - self.since >= STILL;
-        still || now - self.begun >= MOST
+        let stable = self.max_count > 0 && now - self.last_growth >= STABLE_PERIOD;
+        stable || now - self.started_at >= MAX_LIST_WAIT
     }
 }
 
-/// A layout for the workers that are listed.
+/// Creates a layout for the listed workers.
 ///
-/// Small deployments have one shard. In others each pool has shards of its own: a gang may need most
-/// of the workers that may run it, so that a pool is divided only where it is too large for one
-/// owner, and jobs of one pool are not held up by those of another.
+/// A small deployment has one shard. Otherwise each pool has shards of its own, so that jobs of one
+/// pool don't delay those of another. A pool is divided only if it is too large for one owner, as a
+/// gang may need most of the workers that can run it.
 pub fn layout(workers: &[Listed], secret: Box<str>) -> Layout {
-    let mut of: BTreeMap<&PoolId, Vec<&Listed>> = BTreeMap::new();
+    let mut by_pool: BTreeMap<&PoolId, Vec<&Listed>> = BTreeMap::new();
     for worker in workers {
-        of.entry(&worker.pool).or_default().push(worker);
+        by_pool.entry(&worker.pool).or_default().push(worker);
     }
-    let small = workers.len() <= SMALL;
+    let small = workers.len() <= MAX_SINGLE_SHARD_WORKERS;
     let (mut first, mut pools, mut homes) = (0, BTreeMap::new(), BTreeMap::new());
-    for (pool, all) in of {
-        let span = if small { Span(0, 1) } else { Span(first, parts(all.len())) };
+    for (pool, all) in by_pool {
+        let span = if small { Span(0, 1) } else { Span(first, shard_count(all.len())) };
         first += if small { 0 } else { span.1 };
         pools.insert(pool.clone(), span);
-        homes.extend(spread(&all, span));
+        homes.extend(assign(&all, span));
     }
     Layout { shards: first.max(1), secret, homes: homes.into_iter().collect(), pools }
 }
 
-/// The number of shards for so many workers.
-fn parts(workers: usize) -> u16 {
-    u16::try_from(workers.div_ceil(SHARE).clamp(1, SHARDS)).unwrap_or(1)
+/// The number of shards for a pool with this number of workers.
+fn shard_count(workers: usize) -> u16 {
+    u16::try_from(workers.div_ceil(MAX_SHARD_WORKERS).clamp(1, MAX_SHARDS)).unwrap_or(1)
 }
 
-/// Which shard the worker at each address belongs to, of one pool.
+/// Assigns the worker addresses of one pool to its shards.
 ///
-/// Each shard gets as many workers as any other, but for one, as jobs are spread evenly too. Racks
-/// stay together as far as that allows; those that follow each other are of different zones, so that
-/// no shard loses all its workers with a zone. An address keeps its shard: its next worker belongs
-/// there as well.
-fn spread(workers: &[&Listed], span: Span) -> Vec<(SocketAddr, ShardNo)> {
+/// The shards get equal numbers of workers, up to a difference of one, as jobs are spread evenly
+/// too. Workers of a rack stay together as far as that allows. Consecutive racks are in different
+/// zones, so that no shard loses all its workers with a zone. An address keeps its shard, so that a
+/// later worker at the address belongs to the same shard.
+fn assign(workers: &[&Listed], span: Span) -> Vec<(SocketAddr, ShardNo)> {
     let mut zones: BTreeMap<&Zone, BTreeMap<&str, BTreeSet<SocketAddr>>> = BTreeMap::new();
     for w in workers {
         zones.entry(&w.zone).or_default().entry(w.rack()).or_default().insert(w.addr);
@@ -109,23 +111,25 @@
 }
 
 impl Layout {
-    /// The shard of a worker: that of its address, or by its rack where it came later.
+    /// The shard of a worker: the one that the layout assigns to its address, or one chosen by its
+    /// rack if the address is not in the layout.
     ///
-    /// Guards against an address that another pool's worker has got: in the shard of the one before
-    /// it would get no work.
-    pub fn shard(&self, worker: &Listed) -> ShardNo {
+    /// An address that now belongs to a worker of another pool doesn't count: in the shard of the
+    /// former worker the new one would get no tasks.
+    pub fn worker_shard(&self, worker: &Listed) -> ShardNo {
         let span = self.span(&worker.pool);
         let known = self.homes.binary_search_by_key(&worker.addr, |(addr, _)| *addr).ok();
         let home = known.map(|at| self.homes[at].1).filter(|home| span.has(*home));
         home.unwrap_or_else(|| span.of(xxh3_64(worker.rack().as_bytes())))
     }
 
-    /// The shard of a job of a queue with this pool, which no version of the configuration changes.
+    /// The shard of a job whose queue uses this pool. It depends on the layout alone, which no
+    /// version of the configuration changes.
     pub fn of(&self, job: JobNo, pool: &PoolId) -> ShardNo {
         self.span(pool).of(xxh3_64(&job.0.to_le_bytes()))
     }
 
-    /// The shards of a pool; one that came later has all.
+    /// The shards of a pool; a pool that is not in the layout uses all shards.
     fn span(&self, pool: &PoolId) -> Span {
         self.pools.get(pool).copied().unwrap_or(Span(0, self.shards))
     }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,4 +1,7 @@
-//! This member's row and lease: registered, renewed, and told anew where they change.
+//! Keeps this member registered: holds its lease in the store and writes its row under the lease.
+//!
+//! The row is written again if it is lost or its contents change. A member whose lease ends counts
+//! as gone, and other members take its shards over.
 
 use {
     crate::{
@@ -21,47 +24,48 @@
     },
 };
 
-/// How long this member's lease lasts, where the store allows it.
-const LEASE: Duration = Duration::from_secs(2);
-/// How often the lease is renewed.
-pub(crate) const KEEP: Duration = Duration::from_millis(500);
-/// How long a renewal may take: two fit into a lease, so that a slow store doesn't end it.
-const KEPT: Duration = Duration::from_millis(900);
+/// The lease's time to live, unless the store demands a longer one.
+const LEASE_TTL: Duration = Duration::from_secs(2);
+/// The interval at which the lease is renewed.
+pub(crate) const RENEW_INTERVAL: Duration = Duration::from_millis(500);
+/// Time-out of a renewal: two fit into the lease, so that a slow store doesn't end it.
+const RENEW_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// This member's row and lease.
+/// Keeps this member's lease and row.
 pub(crate) struct Membership {
-    /// What the duties share.
+    /// The state that the threads of this member share.
     pub common: Arc<Common>,
     /// The store.
     pub outside: Outside,
-    /// The way to the decisions.
-    pub told: Sender<Told>,
-    /// The lease, for who ends it.
+    /// Sends events to the owned shards.
+    pub decisions: Sender<Told>,
+    /// Publishes the lease's id, so that it can be ended at shutdown; 0 if there is none.
     pub lease: watch::Sender<u64>,
 }
 
-/// What of a member's row changes while it runs.
+/// The fields of the member row that change while the member runs.
 #[derive(Clone, Copy, PartialEq)]
-struct Standing {
+struct Status {
     draining: bool,
     relayed: bool,
 }
 
 impl Membership {
-    /// Keeps this member registered.
+    /// Acquires a lease and keeps this member registered under it; acquires a new one if the lease
+    /// ends.
     pub async fn run(self) {
         let mut pause = Pause::default();
         loop {
-            let ttl = LEASE.max(self.common.site.borrow().bounds.ttl);
-            let made = self.outside.store(&StoreCall::Lease { ttl }, CALL).await;
-            let Ok(StoreReply::Lease(lease, _)) = made else {
+            let ttl = LEASE_TTL.max(self.common.site.borrow().bounds.ttl);
+            let acquired = self.outside.store(&StoreCall::Lease { ttl }, CALL).await;
+            let Ok(StoreReply::Lease(lease, _)) = acquired else {
                 pause.wait().await;
                 continue;
             };
             pause.good();
             self.lease.send_replace(lease);
             self.keep(lease).await;
-            self.common.register(false);
+            self.common.set_registered(false);
             log::warn!(target: "table", member:% = self.common.me, lease; "The lease has ended; this member registers again.");
         }
     }
@@ -69,19 +73,19 @@
     /// Registers under a lease and renews it until the store has ended it.
     async fn keep(&self, lease: u64) {
         let mut pause = Pause::default();
-        let mut registered: Option<(Rev, Standing)> = None;
+        let mut registered: Option<(Rev, Status)> = None;
         loop {
-            let due = Instant::now() + KEEP;
+            let due = Instant::now() + RENEW_INTERVAL;
             let draining = self.common.stopping();
-            let standing = Standing { draining, relayed: self.common.ways.yields() };
-            let gone = registered.is_some_and(|(r, s)| {
-                s != standing || self.common.view.borrow().lost(self.common.me, r)
+            let status = Status { draining, relayed: self.common.ways.yields() };
+            let stale = registered.is_some_and(|(r, s)| {
+                s != status || self.common.view.borrow().must_register(self.common.me, r)
             });
-            if registered.is_none() || gone {
-                match self.register(lease, standing).await {
+            if registered.is_none() || stale {
+                match self.register(lease, status).await {
                     Ok(StoreReply::Done(rev)) => {
-                        self.common.register(true);
-                        registered = Some((rev, standing));
+                        self.common.set_registered(true);
+                        registered = Some((rev, status));
                     }
                     Ok(StoreReply::NoLease) => return,
                     _ => {
@@ -91,16 +95,17 @@
                 }
             }
             let sent = self.common.now();
-            match self.outside.store(&StoreCall::Keep { lease }, KEPT).await {
+            match self.outside.store(&StoreCall::Keep { lease }, RENEW_TIMEOUT).await {
                 Ok(StoreReply::Kept) => {
                     pause.good();
-                    // Guards against an owner whose lease had ended and that was taken over before it
-                    // registered again: it counts as confirmed once it has read the table since.
-                    let read = self.common.view.borrow().rev;
-                    if registered.is_some_and(|(rev, _)| read >= rev) {
-                        let _ = self.told.send(Told::All(Event::Confirmed(sent))).await;
+                    // Guards against an owner whose lease had ended and whose shards were taken
+                    // over before it registered again: a renewal counts as a confirmation only if
+                    // the table has been read since the registration.
+                    let table_rev = self.common.view.borrow().rev;
+                    if registered.is_some_and(|(rev, _)| table_rev >= rev) {
+                        let _ = self.decisions.send(Told::All(Event::Confirmed(sent))).await;
                     }
-                    self.rest(due, draining).await;
+                    self.wait(due, draining).await;
                 }
                 Ok(StoreReply::NoLease) => return,
                 _ => pause.wait().await,
@@ -108,22 +113,23 @@
         }
     }
 
-    /// Waits for the next renewal; a stop is told to the others at once.
-    async fn rest(&self, due: Instant, draining: bool) {
+    /// Waits for the next renewal. A stop of this member ends the wait, so that the row says so at
+    /// once.
+    async fn wait(&self, due: Instant, draining: bool) {
         tokio::select! {
             () = sleep_until(due) => {}
-            () = self.common.stopped(), if !draining => {}
+            () = self.common.wait_for_stop(), if !draining => {}
         }
     }
 
-    async fn register(&self, lease: u64, standing: Standing) -> Result<StoreReply, Fault> {
+    async fn register(&self, lease: u64, status: Status) -> Result<StoreReply, Fault> {
         let site = self.common.site.borrow().clone();
         let row = MemberRow {
             control: site.control,
             zone: site.zone.clone(),
-            draining: standing.draining,
+            draining: status.draining,
             cores: site.cores,
-            relayed: standing.relayed,
+            relayed: status.relayed,
         };
         let put = Put { key: member_key(self.common.me), value: record::write(&row), lease };
         let txn = Txn { puts: vec![put], ..Txn::default() };
--- a/src/owner.rs
+++ b/src/owner.rs
@@ -1,5 +1,5 @@
-//! What the owner of shards does outside of the decisions: loads them, watches their inboxes, reads
-//! the list of workers, and carries out orders.
+//! The I/O of owning shards: loads each shard from the store, watches its inbox, reads the list of
+//! workers, and carries out the orders of the decisions.
 
 use {
     crate::{
@@ -7,7 +7,7 @@
         control::{Peers, advise_here},
         decisions::{Out, Told},
         ids::Incarnation,
-        keeper::{HOLDER, Keeper},
+        keeper::{WAVE_SHARD, WaveDriver},
         ports::{Advice, AdviceCall, Fault, Item, Rev, StoreCall},
         shard::{
             event::{Event, Load, Order},
@@ -27,109 +27,114 @@
     tokio::{sync::Notify, task::AbortHandle, time::timeout},
 };
 
-/// How long a watch of an inbox waits.
-const WAIT: Duration = Duration::from_secs(3);
-/// How long a page of the list of machines may take.
-const LIVES: Duration = Duration::from_millis(800);
-/// How often the list of workers is read.
-const LIST: Duration = Duration::from_millis(600);
+/// How long the store holds a watch of an inbox open without a change.
+const INBOX_WATCH_WAIT: Duration = Duration::from_secs(3);
+/// Time-out of reading a page of the list of machines.
+const MACHINES_TIMEOUT: Duration = Duration::from_millis(800);
+/// The interval at which the list of workers is read.
+const LIST_INTERVAL: Duration = Duration::from_millis(600);
 
-/// The shards that this member owns, as the outside sees them.
+/// The shards that this member owns, with the clients that their orders need.
 #[derive(Clone)]
-pub(crate) struct Owner {
+pub(crate) struct OwnedShards {
     common: Arc<Common>,
     outside: Outside,
     peers: Peers,
-    told: Sender<Told>,
-    notes: Sender<Out>,
-    owned: Arc<Mutex<BTreeMap<ShardNo, Owned>>>,
-    begun: Arc<Notify>,
+    decisions: Sender<Told>,
+    /// Reports lost ownership to the task that applies the table.
+    notices: Sender<Out>,
+    /// The owned shards, each with its task that loads it and follows its inbox.
+    owned: Arc<Mutex<BTreeMap<ShardNo, OwnedShard>>>,
+    /// Notified when a shard has been loaded.
+    loaded: Arc<Notify>,
 }
 
-struct Owned {
+struct OwnedShard {
     token: u64,
     task: AbortHandle,
 }
 
-impl Owner {
-    /// Owns nothing yet.
+impl OwnedShards {
+    /// Starts without any owned shard.
     pub fn new(
         common: Arc<Common>,
         outside: Outside,
         peers: Peers,
-        told: Sender<Told>,
-        notes: Sender<Out>,
+        decisions: Sender<Told>,
+        notices: Sender<Out>,
     ) -> Self {
-        let (owned, begun) = Default::default();
-        Owner { common, outside, peers, told, notes, owned, begun }
+        let (owned, loaded) = Default::default();
+        OwnedShards { common, outside, peers, decisions, notices, owned, loaded }
     }
 
-    /// Begins to own a shard whose commit row was written with this revision; `lapsed` says whether the
-    /// former owner's lease had ended, or it gave the shard back.
+    /// Starts to own a shard. `commit` is the revision at which the takeover wrote the commit row.
+    /// `lapsed` tells that the former owner's lease had ended or that it released the shard.
     pub fn begin(&self, shard: ShardNo, token: u64, commit: Rev, lapsed: bool) {
         let this = self.clone();
-        let task = tokio::spawn(async move { this.own(shard, token, commit, lapsed).await });
-        let owned = Owned { token, task: task.abort_handle() };
-        let before = self.owned.lock().expect("no holder panics").insert(shard, owned);
-        if let Some(before) = before {
-            before.task.abort();
+        let task = tokio::spawn(async move { this.run_shard(shard, token, commit, lapsed).await });
+        let owned = OwnedShard { token, task: task.abort_handle() };
+        let previous = self.owned.lock().expect("no holder panics").insert(shard, owned);
+        if let Some(previous) = previous {
+            previous.task.abort();
         }
     }
 
-    /// Ends to own a shard.
+    /// Stops owning a shard.
     pub async fn end(&self, shard: ShardNo) {
-        let before = self.owned.lock().expect("no holder panics").remove(&shard);
-        if let Some(before) = before {
-            before.task.abort();
+        let previous = self.owned.lock().expect("no holder panics").remove(&shard);
+        if let Some(previous) = previous {
+            previous.task.abort();
         }
-        let _ = self.told.send(Told::Forget(shard)).await;
+        let _ = self.decisions.send(Told::Forget(shard)).await;
     }
 
-    async fn own(self, shard: ShardNo, token: u64, commit: Rev, lapsed: bool) {
+    /// Loads a shard, then follows its inbox; the owner of [`WAVE_SHARD`] also drives the waves.
+    async fn run_shard(self, shard: ShardNo, token: u64, commit: Rev, lapsed: bool) {
         let mut pause = Pause::default();
         let (mut load, rev) = loop {
             match self.load(shard, commit).await {
                 Ok(loaded) => break loaded,
                 Err(fault) => {
                     let name = fault_name(&fault);
-                    log::warn!(target: "owner", shard:% = shard, token, fault = name; "Shard can't be read yet.");
+                    log::warn!(target: "owner", shard:% = shard, token, fault = name; "Shard can't be read; the read will be repeated.");
                     pause.wait().await;
                 }
             }
         };
         load.lapsed = lapsed;
         log::info!(target: "owner", did = "owned", shard:% = shard, token, jobs = load.jobs.len(), roster = load.roster.workers.len(), rev; "Shard is owned.");
-        let _ = self.told.send(Told::Own(shard, token, Box::new(load))).await;
-        self.begun.notify_one();
-        if shard != HOLDER {
+        let _ = self.decisions.send(Told::Own(shard, token, Box::new(load))).await;
+        self.loaded.notify_one();
+        if shard != WAVE_SHARD {
             return self.follow(shard, token, rev).await;
         }
-        let keeper = Keeper {
+        let driver = WaveDriver {
             common: self.common.clone(),
             outside: self.outside.clone(),
             peers: self.peers.clone(),
-            told: self.told.clone(),
+            decisions: self.decisions.clone(),
         };
-        // Both end when the shard is no longer owned here.
-        tokio::join!(self.follow(shard, token, rev), keeper.keep(token));
+        // Both futures are dropped when this member no longer owns the shard.
+        tokio::join!(self.follow(shard, token, rev), driver.drive(token));
     }
 
-    /// Follows a shard's inbox.
+    /// Sends the items of a shard's inbox to the decisions as they are written.
     async fn follow(&self, shard: ShardNo, token: u64, rev: Rev) {
         let inbox = shard.inbox();
-        let mut follow = Follow::from(self.outside.clone(), &inbox, WAIT, rev);
+        let mut follow = Follow::from(self.outside.clone(), &inbox, INBOX_WATCH_WAIT, rev);
         loop {
             let (Seen::All(items, _) | Seen::Changes(items, _)) = follow.next().await;
-            for event in items.iter().filter_map(|i| arrival(&inbox, i)) {
-                let _ = self.told.send(Told::Event(shard, token, event)).await;
+            for event in items.iter().filter_map(|i| inbox_event(&inbox, i)) {
+                let _ = self.decisions.send(Told::Event(shard, token, event)).await;
             }
         }
     }
 
-    /// Reads what the store holds of a shard; the revision is that from which its inbox goes on.
+    /// Reads the stored state of a shard. Returns it with the revision from which its inbox has to
+    /// be followed.
     ///
-    /// All at once: nobody but its owner changes what has been begun, and a shard stands still for as
-    /// long as a slow store takes.
+    /// The three reads run concurrently, as the shard makes no progress for as long as they take
+    /// with a slow store. This is safe because only the owner writes the progress and the roster.
     async fn load(&self, shard: ShardNo, commit: Rev) -> Result<(Load, Rev), Fault> {
         let (inbox, begun, roster) = (shard.inbox(), shard.all_progress(), shard.roster());
         let (arrived, begun, roster) = tokio::try_join!(
@@ -138,26 +143,26 @@
             self.outside.get(&roster, CALL),
         )?;
         let mut load = Load { commit, ..Load::default() };
-        for event in arrived.0.iter().filter_map(|i| arrival(&inbox, i)) {
+        for event in arrived.0.iter().filter_map(|i| inbox_event(&inbox, i)) {
             match event {
                 Event::Job(job, record) => load.jobs.push((job, *record)),
                 Event::Cancel(job) => load.cancels.push(job),
                 _ => {}
             }
         }
-        let progress = |i: &Item| Some((job(&i.key)?, record::read(i.value.as_ref()?)?));
+        let progress = |i: &Item| Some((job_number(&i.key)?, record::read(i.value.as_ref()?)?));
         load.progress = begun.0.iter().filter_map(progress).collect();
         if let Some(item) = roster {
             let value = item.value.unwrap_or_default();
             load.roster = record::read(&value).ok_or(Fault::Bad("not a roster".into()))?;
         }
-        // Whatever was stored after the owner's own row is heard of by the watch, whatever before is
-        // in the range: no change can fall between the two.
+        // The watch delivers what was stored after the takeover's commit row, and the range
+        // contains all that was stored before it: no change can fall between the two.
         Ok((load, commit))
     }
 
-    /// Reads the list of workers, again and again, while this member owns a shard.
-    pub async fn list(self) {
+    /// Reads the list of workers periodically while this member owns a shard.
+    pub async fn poll_workers(self) {
         let mut known: FxHashMap<Box<str>, (Rev, Listed)> = FxHashMap::default();
         loop {
             let owned: Vec<(ShardNo, u64)> = {
@@ -166,20 +171,20 @@
             };
             if owned.is_empty() {
                 known.clear();
-                self.begun.notified().await;
+                self.loaded.notified().await;
                 continue;
             }
             if let Ok((items, _)) = self.outside.all(self.common.forms.workers, false).await {
-                known = self.read(items, known);
-                self.tell(&owned, &known).await;
+                known = self.parse_changed(items, known);
+                self.send_listed(&owned, &known).await;
             }
-            // A shard that begins is told at once.
-            let _ = timeout(LIST, self.begun.notified()).await;
+            // A shard that has just been loaded gets the list at once.
+            let _ = timeout(LIST_INTERVAL, self.loaded.notified()).await;
         }
     }
 
-    /// Reads the entries that have changed; the others stay as they were read.
-    fn read(
+    /// Parses the entries that have changed and reuses the others.
+    fn parse_changed(
         &self,
         items: Vec<Item>,
         mut known: FxHashMap<Box<str>, (Rev, Listed)>,
@@ -202,33 +207,37 @@
         all
     }
 
-    async fn tell(&self, owned: &[(ShardNo, u64)], known: &FxHashMap<Box<str>, (Rev, Listed)>) {
+    async fn send_listed(
+        &self,
+        owned: &[(ShardNo, u64)],
+        known: &FxHashMap<Box<str>, (Rev, Listed)>,
+    ) {
         let Some(layout) = self.common.view.borrow().layout.clone() else { return };
-        let mut of: BTreeMap<ShardNo, Vec<Listed>> = BTreeMap::new();
+        let mut by_shard: BTreeMap<ShardNo, Vec<Listed>> = BTreeMap::new();
         for (_, worker) in known.values() {
-            of.entry(layout.shard(worker)).or_default().push(worker.clone());
+            by_shard.entry(layout.worker_shard(worker)).or_default().push(worker.clone());
         }
         for (shard, token) in owned {
-            let mut workers = of.remove(shard).unwrap_or_default();
+            let mut workers = by_shard.remove(shard).unwrap_or_default();
             workers.sort_by(|a, b| a.id.cmp(&b.id));
             let event = Event::Listed(workers);
-            let _ = self.told.send(Told::Event(*shard, *token, event)).await;
+            let _ = self.decisions.send(Told::Event(*shard, *token, event)).await;
         }
     }
 
-    /// Carries out orders until their ring is closed.
-    pub async fn work(self, orders: Receiver<Out>) {
+    /// Carries out orders until their channel is closed.
+    pub async fn run_orders(self, orders: Receiver<Out>) {
         while let Ok(out) = orders.recv().await {
             let Out::Order(shard, token, order) = out else { continue };
             let this = self.clone();
             tokio::spawn(async move {
-                let Some(event) = this.carry(shard, token, order).await else { return };
-                let _ = this.told.send(Told::Event(shard, token, event)).await;
+                let Some(event) = this.execute(shard, token, order).await else { return };
+                let _ = this.decisions.send(Told::Event(shard, token, event)).await;
             });
         }
     }
 
-    async fn carry(&self, shard: ShardNo, token: u64, order: Order) -> Option<Event> {
+    async fn execute(&self, shard: ShardNo, token: u64, order: Order) -> Option<Event> {
         let sent = self.common.now();
         match order {
             Order::Worker { worker, addr, call, limit } => {
@@ -244,7 +253,7 @@
                 Some(Event::Advised { call, via, sent, reply })
             }
             Order::Lives => {
-                let reply = self.outside.lives(LIVES).await;
+                let reply = self.outside.lives(MACHINES_TIMEOUT).await;
                 Some(Event::Lives { sent, reply })
             }
             Order::Store(number, txn) => {
@@ -253,7 +262,7 @@
             }
             Order::Reread => match self.reread(shard).await {
                 Ok((_, row)) if row.token != token => {
-                    let _ = self.notes.send(Out::Deposed(shard)).await;
+                    let _ = self.notices.send(Out::Deposed(shard)).await;
                     None
                 }
                 read => Some(Event::Reread(read)),
@@ -281,21 +290,21 @@
     }
 }
 
-/// The job of a key that ends with it.
-fn job(key: &str) -> Option<JobNo> {
+/// The job number at the end of a key.
+fn job_number(key: &str) -> Option<JobNo> {
     key.rsplit('/').next()?.parse().ok()
 }
 
-/// What came with an item of an inbox; nothing where it was removed.
-fn arrival(inbox: &str, item: &Item) -> Option<Event> {
+/// The event for an item of an inbox; none if the item was removed.
+fn inbox_event(inbox: &str, item: &Item) -> Option<Event> {
     let value = item.value.as_ref()?;
     let (kind, _) = item.key.strip_prefix(inbox)?.split_once('/')?;
-    let job = job(&item.key)?;
+    let job = job_number(&item.key)?;
     match kind {
         "j" => {
             let record = record::read(value);
             if record.is_none() {
-                log::error!(target: "owner", job:% = job, rev = item.rev; "The record of a job can't be read.");
+                log::error!(target: "owner", job:% = job, rev = item.rev; "The record of a job can't be parsed.");
             }
             Some(Event::Job(job, Box::new(record?)))
         }
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -1,20 +1,25 @@
-//! The table as the store has it, and what is taken over and released.
+//! Follows the member table and the operators' items in the store, writes takeovers and releases of
+//! shards, and creates the layout of a new site.
+//!
+//! The decisions about takeovers are made by [`MemberTable`]; this module does the calls to the store.
+//! Members of a large site that come and go together could overload the store with watches, so that
+//! watches of the table are spaced out by the number of members.
 
 use {
     crate::{
         common::Common,
         decisions::{Out, Told},
         ids::Incarnation,
-        layout::{Census, MOST, layout},
-        membership::KEEP,
-        owner::Owner,
+        layout::{ListMonitor, MAX_LIST_WAIT, layout},
+        membership::RENEW_INTERVAL,
+        owner::OwnedShards,
         ports::{Fault, Item, Put, Rev, StoreCall, StoreReply, Txn},
         shard::{
             event::Event,
             record::{self, CommitRow, LAYOUT, OwnerRow, ShardNo, TABLE},
         },
         store::{CALL, Outside},
-        table::{Fate, Table, Take, member_key},
+        table::{MemberTable, Outcome, Takeover, member_key},
         time::Time,
         watch::{Follow, Pause, Seen},
         work::{Listed, Queues},
@@ -24,313 +29,330 @@
     tokio::time::{sleep, timeout},
 };
 
-/// How long a watch of the table waits.
-const WAIT: Duration = Duration::from_secs(10);
-/// How many watches of the configuration fit into the time that it may be behind: where one has no
-/// answer, the next reading still comes in time.
-const CONFIG_WAITS: u32 = 2;
-/// How often the table is looked at while a shard has no live owner, or the store doesn't serve this
-/// member.
-const STEP: Duration = Duration::from_millis(100);
-/// How often a shard's release is written while its outcome is not known.
-const RELEASES: u32 = 3;
-/// How often a member that the store doesn't serve gives up the shards that it has; those that it has
-/// again meanwhile nobody else has taken.
-const YIELD: Duration = Duration::from_secs(10);
+/// How long the store holds a watch of the table open without a change.
+const TABLE_WATCH_WAIT: Duration = Duration::from_secs(10);
+/// How many watches of the configuration fit into its maximum age: if one of them gets no answer,
+/// the next one still completes in time.
+const CONFIG_WATCHES: u32 = 2;
+/// Interval at which the table is checked while a shard has no live owner or the store doesn't
+/// serve this member.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The most attempts to write the release of a shard while the outcome is unknown.
+const RELEASE_ATTEMPTS: u32 = 3;
+/// The shortest interval at which a member that the store doesn't serve gives up its shards. If it
+/// owns shards again by then, no other member was able to take them over.
+const GIVE_UP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The pause between two watches of the table, for each member: all make 500 in a second at the most.
-const EACH: Duration = Duration::from_millis(2);
+/// Pause between two watches of the table, per member: all members together make at most 500
+/// watches per second.
+const WATCH_PAUSE_PER_MEMBER: Duration = Duration::from_millis(2);
 
-/// Follows the configuration.
-pub(crate) async fn config(common: Arc<Common>, outside: Outside, told: Sender<Told>) {
-    let wait = common.site.borrow().bounds.config / CONFIG_WAITS;
+/// Follows the items that the operators write: the configuration and the maintenance waves.
+pub(crate) async fn follow_config(common: Arc<Common>, outside: Outside, decisions: Sender<Told>) {
+    let wait = common.site.borrow().bounds.config / CONFIG_WATCHES;
     let mut follow = Follow::whole(outside, common.forms.operators, wait);
     let mut sent: Option<Arc<Queues>> = None;
     loop {
         match follow.turn().await {
-            Some(seen) => take_operators(&common, &seen),
-            // A write has found a newer configuration than the watch brings.
-            None if common.is_overtaken() => follow.afresh(),
+            Some(seen) => apply_operator_items(&common, &seen),
+            // A write has shown that the store has a newer configuration than the watch has
+            // delivered.
+            None if common.config_outdated() => follow.afresh(),
             None => {}
         }
         if let Some(at) = follow.current() {
             common.confirm(common.now() - at.elapsed());
         }
-        // The callers' duty may have taken it in before: what counts is what the shards know.
+        // The thread that serves callers may have applied this configuration already, so compare
+        // with what was last sent to the shards.
         let queues = common.config.borrow().as_ref().map(|c| c.queues.clone());
         let Some(queues) = queues else { continue };
         if !sent.as_ref().is_some_and(|s| Arc::ptr_eq(s, &queues)) {
             sent = Some(queues.clone());
-            let _ = told.send(Told::All(Event::Queues(queues))).await;
+            let _ = decisions.send(Told::All(Event::Queues(queues))).await;
         }
     }
 }
 
-/// Takes in what the operators have written.
-fn take_operators(common: &Common, seen: &Seen) {
-    common.take_waves(seen);
+/// Applies the maintenance waves and the last configuration among the operators' items.
+fn apply_operator_items(common: &Common, seen: &Seen) {
+    common.apply_waves(seen);
     let (Seen::All(items, _) | Seen::Changes(items, _)) = seen;
-    // Versions may come many a second: only the last is read.
+    // Many versions may arrive per second, so that only the last one is parsed.
     let last = items.iter().filter(|i| &*i.key == common.forms.config).max_by_key(|i| i.rev);
     if let Some(item) = last {
         common.take_config(item);
     }
 }
 
-/// Follows the table, no more often than the store bears from all members together.
+/// Follows the table at a rate that the store sustains for all members together.
 ///
-/// Guards against a table that keeps its members from renewing their leases: each change answers the
-/// watch of every member, which asks again at once. With 300 members that come and go one by one
-/// these calls took all that the store serves, leases ended for want of renewal, and each end was one
-/// more change.
-async fn follow_table(common: Arc<Common>, mut follow: Follow, seen: Sender<News>) {
+/// Guards against watches that keep members from renewing their leases. Each change answers the
+/// watch of every member, and each member watches again at once. With 300 members that started and
+/// stopped one by one, these calls used the whole capacity of the store; leases ended because they
+/// could not be renewed, and each end was one more change.
+async fn follow_table(common: Arc<Common>, mut follow: Follow, seen: Sender<Message>) {
     loop {
-        if seen.send(News::Seen(follow.next().await)).await.is_err() {
+        if seen.send(Message::Seen(follow.next().await)).await.is_err() {
             return;
         }
         let members = u32::try_from(common.view.borrow().members.len()).unwrap_or(u32::MAX);
-        sleep(EACH.saturating_mul(members)).await;
+        sleep(WATCH_PAUSE_PER_MEMBER.saturating_mul(members)).await;
     }
 }
 
-/// The table's duty.
-pub(crate) struct Registry {
+/// The task that applies changes of the table and carries out takeovers and releases.
+pub(crate) struct TableSync {
     common: Arc<Common>,
     outside: Outside,
-    owner: Owner,
-    table: Table,
-    told: Sender<Told>,
-    tell: Sender<News>,
-    making: bool,
-    /// Since when this member is told to stop.
+    owner: OwnedShards,
+    table: MemberTable,
+    decisions: Sender<Told>,
+    sender: Sender<Message>,
+    making_layout: bool,
+    /// When this member was told to stop.
     stopping: Option<Time>,
-    /// When it last gave up its shards as the store doesn't serve it.
-    yielded: Option<Time>,
+    /// When this member last gave up its shards because the store didn't serve it.
+    last_give_up: Option<Time>,
 }
 
-/// What the table's duty is told.
-enum News {
+/// The messages to the [`TableSync`].
+enum Message {
     Seen(Seen),
-    Taken(Take, Fate),
-    Made,
+    TakeoverDone(Takeover, Outcome),
+    LayoutDone,
     Released(ShardNo, usize),
-    Out(Out),
+    Notice(Out),
     Stop,
 }
 
-impl Registry {
-    /// Runs until this member is told to stop and owns nothing any more.
+impl TableSync {
+    /// Runs until this member has been told to stop and owns no shards.
     pub async fn run(
         common: Arc<Common>,
         outside: Outside,
-        owner: Owner,
-        told: Sender<Told>,
+        owner: OwnedShards,
+        decisions: Sender<Told>,
         notes: Receiver<Out>,
     ) {
-        let (tell, news) = async_channel::bounded(256);
-        let follow = Follow::steady(outside.clone(), TABLE, WAIT);
-        tokio::spawn(follow_table(common.clone(), follow, tell.clone()));
-        let noted = tell.clone();
+        let (sender, messages) = async_channel::bounded(256);
+        let follow = Follow::steady(outside.clone(), TABLE, TABLE_WATCH_WAIT);
+        tokio::spawn(follow_table(common.clone(), follow, sender.clone()));
+        let notice_tx = sender.clone();
         tokio::spawn(async move {
             while let Ok(out) = notes.recv().await {
-                let _ = noted.send(News::Out(out)).await;
+                let _ = notice_tx.send(Message::Notice(out)).await;
             }
         });
-        let (stop, stopping) = (tell.clone(), common.clone());
+        let (stop, stopping) = (sender.clone(), common.clone());
         tokio::spawn(async move {
-            stopping.stopped().await;
-            let _ = stop.send(News::Stop).await;
+            stopping.wait_for_stop().await;
+            let _ = stop.send(Message::Stop).await;
         });
-        let table = Table::new(common.me);
-        let (making, stopping, yielded) = (false, None, None);
-        let this =
-            Registry { common, outside, owner, table, told, tell, making, stopping, yielded };
-        this.work(news).await;
+        let table = MemberTable::new(common.me);
+        let (making_layout, stopping, last_give_up) = (false, None, None);
+        let this = TableSync {
+            common,
+            outside,
+            owner,
+            table,
+            decisions,
+            sender,
+            making_layout,
+            stopping,
+            last_give_up,
+        };
+        this.work(messages).await;
     }
 
-    async fn work(mut self, news: Receiver<News>) {
+    async fn work(mut self, messages: Receiver<Message>) {
         loop {
-            let often = self.table.waits() || self.common.ways.is_lost();
-            let rest = if often { STEP } else { KEEP };
-            let got = timeout(rest, news.recv()).await;
+            let unsettled = self.table.has_unowned() || self.common.ways.is_lost();
+            let interval = if unsettled { CHECK_INTERVAL } else { RENEW_INTERVAL };
+            let got = timeout(interval, messages.recv()).await;
             if let Some(at) = self.common.contact() {
-                self.table.answered(at);
+                self.table.note_answer(at);
             }
             if let Ok(Ok(got)) = got {
-                self.take(got).await;
+                self.handle(got).await;
             }
-            self.table.relayed(self.common.ways.is_lost());
+            self.table.set_relayed(self.common.ways.is_lost());
             self.give_up().await;
-            let takes = self.table.step(self.common.now());
-            takes.into_iter().for_each(|t| self.fly(t));
-            if self.table.bare() && !self.making && self.stopping.is_none() {
-                self.making = true;
-                self.make();
+            let takeovers = self.table.due_takeovers(self.common.now());
+            takeovers.into_iter().for_each(|t| self.spawn_takeover(t));
+            if self.table.lacks_layout() && !self.making_layout && self.stopping.is_none() {
+                self.making_layout = true;
+                self.spawn_layout();
             }
-            if self.stopping.is_some() && self.table.running().is_empty() && !self.table.flying() {
+            if self.stopping.is_some() && self.table.owned().is_empty() && !self.table.has_pending()
+            {
                 return;
             }
         }
     }
 
-    async fn take(&mut self, news: News) {
+    async fn handle(&mut self, message: Message) {
         let now = self.common.now();
-        match news {
-            News::Seen(Seen::All(items, rev)) => {
+        match message {
+            Message::Seen(Seen::All(items, rev)) => {
                 let lost = self.table.load(items, rev, now);
-                self.moved(lost).await;
+                self.publish(lost).await;
             }
-            News::Seen(Seen::Changes(items, rev)) => {
-                let lost = self.table.changed(items, rev, now);
-                self.moved(lost).await;
+            Message::Seen(Seen::Changes(items, rev)) => {
+                let lost = self.table.apply_changes(items, rev, now);
+                self.publish(lost).await;
             }
-            News::Taken(take, fate) => {
-                let lost = self.table.taken(&take, fate.clone(), now);
-                if let Fate::Done(rev, token) = fate
-                    && self.table.running().contains_key(&take.shard)
+            Message::TakeoverDone(takeover, outcome) => {
+                let lost = self.table.finish_takeover(&takeover, outcome.clone(), now);
+                if let Outcome::Done(rev, token) = outcome
+                    && self.table.owned().contains_key(&takeover.shard)
                 {
                     self.common.metrics.moved("taken_over");
-                    self.owner.begin(take.shard, token, rev, take.lapsed);
+                    self.owner.begin(takeover.shard, token, rev, takeover.lapsed);
                 }
-                self.moved(lost).await;
+                self.publish(lost).await;
             }
-            News::Made => self.making = false,
-            News::Out(Out::Settled(shard, left)) => self.release(shard, left),
-            News::Out(Out::Deposed(shard)) => {
-                self.table.dropped(shard, now);
-                self.moved(vec![shard]).await;
+            Message::LayoutDone => self.making_layout = false,
+            Message::Notice(Out::Settled(shard, left)) => self.release(shard, left),
+            Message::Notice(Out::Deposed(shard)) => {
+                self.table.remove_owned(shard, now);
+                self.publish(vec![shard]).await;
             }
-            News::Out(Out::Order(..)) => {}
-            News::Released(shard, left) => {
-                self.table.dropped(shard, now);
+            Message::Notice(Out::Order(..)) => {}
+            Message::Released(shard, left) => {
+                self.table.remove_owned(shard, now);
                 self.common.metrics.moved("released");
                 let after_ms = self.stopping.map_or(0, |s| (now - s).as_millis() as u64);
                 log::info!(target: "table", did = "released", shard:% = shard, after_ms, unwritten = left; "Shard is released.");
                 self.owner.end(shard).await;
             }
-            News::Stop => {
+            Message::Stop => {
                 self.stopping = self.stopping.or(Some(now));
                 self.table.stop();
-                let _ = self.told.send(Told::Release).await;
+                let _ = self.decisions.send(Told::Release).await;
             }
         }
     }
 
-    /// Gives up all shards while the store serves other members and not this one.
+    /// Gives up all shards while the store serves other members directly, but not this one.
     async fn give_up(&mut self) {
         let (now, me) = (self.common.now(), self.common.me);
-        let again = self.yielded.is_none_or(|at| at + YIELD <= now);
-        let owns = self.stopping.is_none() && !self.table.running().is_empty();
+        let allowed = self.last_give_up.is_none_or(|at| at + GIVE_UP_INTERVAL <= now);
+        let owns = self.stopping.is_none() && !self.table.owned().is_empty();
         let others = || !self.common.view.borrow().relays(me).is_empty();
-        if owns && again && self.common.ways.yields() && others() {
-            self.yielded = Some(now);
-            let shards = self.table.running().len();
+        if owns && allowed && self.common.ways.yields() && others() {
+            self.last_give_up = Some(now);
+            let shards = self.table.owned().len();
             log::warn!(target: "table", did = "yields", shards; "The store doesn't serve this member; its shards are given up.");
-            let _ = self.told.send(Told::Release).await;
+            let _ = self.decisions.send(Told::Release).await;
         }
     }
 
-    /// Tells what has changed to the duties that it concerns.
-    async fn moved(&mut self, lost: Vec<ShardNo>) {
+    /// Publishes the changed table and notifies the tasks that the change concerns.
+    async fn publish(&mut self, lost: Vec<ShardNo>) {
         for shard in lost {
             self.common.metrics.moved("passed");
-            log::info!(target: "table", did = "passed", shard:% = shard, to:? = self.table.view().owners.get(&shard); "Shard has passed on.");
+            log::info!(target: "table", did = "passed", shard:% = shard, to:? = self.table.view().owners.get(&shard); "Shard is no longer owned by this member.");
             self.owner.end(shard).await;
         }
         let view = self.table.view();
-        self.tell_members(&view.members.keys().copied().collect());
-        self.common.metrics.level("shards", self.table.running().len());
+        self.log_members(&view.members.keys().copied().collect());
+        self.common.metrics.level("shards", self.table.owned().len());
         self.common.metrics.level("members", view.members.len());
-        let peers = view.able();
+        let peers = view.available_members();
         let (before, old) = {
             let old = self.common.view.borrow();
-            (old.able(), old.closing.clone())
+            (old.available_members(), old.closing.clone())
         };
         let closing = view.closing.clone();
         self.common.view.send_replace(Arc::new(view));
         if closing != old {
-            let _ = self.told.send(Told::All(Event::Closing(closing))).await;
+            let _ = self.decisions.send(Told::All(Event::Closing(closing))).await;
         }
         if peers != before {
-            let _ = self.told.send(Told::Peers).await;
+            let _ = self.decisions.send(Told::Peers).await;
         }
     }
 
-    /// Tells of members that have come or gone.
-    fn tell_members(&self, now: &BTreeSet<Incarnation>) {
+    /// Logs members that have registered or whose rows are gone.
+    fn log_members(&self, now: &BTreeSet<Incarnation>) {
         let (view, members) = (self.common.view.borrow(), now.len());
         for gone in view.members.keys().filter(|m| !now.contains(m)) {
             log::info!(target: "table", member:% = gone, members, rev = view.rev; "Member is gone.");
         }
-        for come in now.iter().filter(|m| !view.members.contains_key(m)) {
-            log::info!(target: "table", member:% = come, members, rev = view.rev; "Member has come.");
+        for joined in now.iter().filter(|m| !view.members.contains_key(m)) {
+            log::info!(target: "table", member:% = joined, members, rev = view.rev; "Member has joined.");
         }
     }
 
-    fn fly(&self, take: Take) {
-        let (outside, tell, me) = (self.outside.clone(), self.tell.clone(), self.common.me);
+    fn spawn_takeover(&self, takeover: Takeover) {
+        let (outside, sender, me) = (self.outside.clone(), self.sender.clone(), self.common.me);
         let control = self.table.control();
         tokio::spawn(async move {
-            let fate = take_over(&outside, me, control, &take).await;
-            tell_taken(me, &take, &fate);
-            let _ = tell.send(News::Taken(take, fate)).await;
+            let outcome = take_over(&outside, me, control, &takeover).await;
+            log_takeover(me, &takeover, &outcome);
+            let _ = sender.send(Message::TakeoverDone(takeover, outcome)).await;
         });
     }
 
-    /// Gives a shard back; its token stays, so that its next owner's is higher.
+    /// Writes the release of a shard. The token stays in the row, so that the next owner has a
+    /// higher one.
     fn release(&self, shard: ShardNo, left: usize) {
-        let (outside, tell) = (self.outside.clone(), self.tell.clone());
-        let mine = self.table.mine(shard);
-        let tries = if self.stopping.is_some() { 1 } else { RELEASES };
+        let (outside, sender) = (self.outside.clone(), self.sender.clone());
+        let row = self.table.owner_row(shard);
+        let attempts = if self.stopping.is_some() { 1 } else { RELEASE_ATTEMPTS };
         tokio::spawn(async move {
-            if let Some((rev, row)) = mine {
-                give_back(&outside, shard, rev, row, tries).await;
+            if let Some((rev, row)) = row {
+                write_release(&outside, shard, rev, row, attempts).await;
             }
-            let _ = tell.send(News::Released(shard, left)).await;
+            let _ = sender.send(Message::Released(shard, left)).await;
         });
     }
 
-    /// Makes the layout, where no other member does.
-    fn make(&self) {
-        let (outside, tell) = (self.outside.clone(), self.tell.clone());
+    /// Creates the layout, unless another member does.
+    fn spawn_layout(&self) {
+        let (outside, sender) = (self.outside.clone(), self.sender.clone());
         let common = self.common.clone();
         tokio::spawn(async move {
-            // Members that start together have to be seen first. Two of them count the workers, for
-            // the case that one is lost; each reading is paid for, and one layout is enough.
-            sleep(KEEP).await;
-            let place = common.view.borrow().place(common.me);
-            if place > 1 {
-                sleep(MOST + STEP * u32::try_from(place.min(50)).unwrap_or(50)).await;
+            // Members that start together have to see each other first. Two members count the
+            // workers, in case that one of them fails; the others wait, as each read of the list
+            // costs capacity of the store and one layout is enough.
+            sleep(RENEW_INTERVAL).await;
+            let rank = common.view.borrow().id_rank(common.me);
+            if rank > 1 {
+                sleep(MAX_LIST_WAIT + CHECK_INTERVAL * u32::try_from(rank.min(50)).unwrap_or(50))
+                    .await;
             }
             if common.view.borrow().layout.is_none() {
                 make_layout(&outside, &common).await;
-                sleep(KEEP).await;
+                sleep(RENEW_INTERVAL).await;
             }
-            let _ = tell.send(News::Made).await;
+            let _ = sender.send(Message::LayoutDone).await;
         });
     }
 }
 
-/// Tells what became of a takeover.
-fn tell_taken(me: Incarnation, take: &Take, fate: &Fate) {
-    let token = if let Fate::Done(_, token) = fate { *token } else { take.token };
-    log::info!(target: "table", did = "taken_over", shard:% = take.shard, member:% = me, token, row = take.row, answer = fate.name(); "Takeover was tried.");
+/// Logs the outcome of a takeover.
+fn log_takeover(me: Incarnation, takeover: &Takeover, outcome: &Outcome) {
+    let token = if let Outcome::Done(_, token) = outcome { *token } else { takeover.token };
+    log::info!(target: "table", did = "taken_over", shard:% = takeover.shard, member:% = me, token, row = takeover.owner_rev, answer = outcome.name(); "Takeover was tried.");
 }
 
-/// Writes that a shard has no owner; an unclear answer is settled by the next try.
-async fn give_back(outside: &Outside, shard: ShardNo, rev: Rev, row: OwnerRow, tries: u32) {
+/// Writes that a shard has no owner. An unclear answer is resolved by the next attempt.
+async fn write_release(outside: &Outside, shard: ShardNo, rev: Rev, row: OwnerRow, attempts: u32) {
     let key = shard.owner();
     let value = record::write(&OwnerRow { owner: None, token: row.token, control: None });
     let put = Put { key: key.clone(), value, lease: 0 };
     let txn = Txn { expect: vec![(key, rev)], puts: vec![put], remove: vec![] };
     let call = StoreCall::Txn(txn);
     let mut pause = Pause::default();
-    for tried in 1..=tries {
+    for attempt in 1..=attempts {
         match outside.store(&call, CALL).await {
-            // Where the row has changed, an earlier try was done, or another has the shard.
+            // If the row has changed, an earlier attempt has succeeded or another member owns the
+            // shard.
             Ok(StoreReply::Done(_) | StoreReply::Conflict(_)) => return,
-            answer if tried == tries => {
-                // It passes on when this member's row has ended.
+            answer if attempt == attempts => {
+                // Another member takes the shard over once this member's row has ended.
                 log::warn!(target: "table", shard:% = shard, answer:? = answer; "Shard could not be released.");
             }
             _ => pause.wait().await,
@@ -338,18 +360,18 @@
     }
 }
 
-/// Writes the layout for the workers that are listed, once their list is still.
+/// Writes the layout for the listed workers, once their list has stopped growing.
 async fn make_layout(outside: &Outside, common: &Common) {
-    let mut census = Census::new(common.now());
+    let mut monitor = ListMonitor::new(common.now());
     let mut workers = vec![];
     loop {
         if let Ok((items, _)) = outside.all(common.forms.workers, false).await {
             workers = items;
         }
-        if common.view.borrow().layout.is_some() || census.seen(workers.len(), common.now()) {
+        if common.view.borrow().layout.is_some() || monitor.observe(workers.len(), common.now()) {
             break;
         }
-        sleep(KEEP).await;
+        sleep(RENEW_INTERVAL).await;
     }
     let read = |item: &Item| {
         let id = item.key.strip_prefix(common.forms.workers)?;
@@ -362,39 +384,47 @@
     let value = record::write(&layout);
     let put = Put { key: LAYOUT.into(), value, lease: 0 };
     let txn = Txn { expect: vec![(LAYOUT.into(), 0)], puts: vec![put], remove: vec![] };
-    // Whatever the answer, the watch brings the layout that stands.
+    // Whatever the answer, the watch delivers the layout that is in force.
     let _ = outside.store(&StoreCall::Txn(txn), CALL).await;
-    log::info!(target: "table", shards, workers = count; "A layout was offered.");
+    log::info!(target: "table", shards, workers = count; "A layout was written, unless another member was first.");
 }
 
-/// Writes a takeover; an unclear answer is settled by reading.
+/// Writes a takeover. If the answer is unclear, reads the owner row back.
 async fn take_over(
     outside: &Outside,
     me: Incarnation,
     control: Option<SocketAddr>,
-    take: &Take,
-) -> Fate {
-    let Ok(commit) = outside.get(&take.shard.commit(), CALL).await else { return Fate::Not };
+    takeover: &Takeover,
+) -> Outcome {
+    let Ok(commit) = outside.get(&takeover.shard.commit(), CALL).await else {
+        return Outcome::NotWritten;
+    };
     let row: Option<CommitRow> =
         commit.as_ref().and_then(|c| record::read(c.value.as_ref().map_or(&[], |v| &v[..])));
-    let token = take.token.max(row.map_or(0, |r| r.token) + 1);
+    let token = takeover.token.max(row.map_or(0, |r| r.token) + 1);
     let put = |key, value| Put { key, value, lease: 0 };
-    // Guards against a takeover from an owner that has registered again, by a member that hasn't heard
-    // so: the owner's lease is good, and it would go on without knowing better.
-    let gone = take.gone.map(|former| (member_key(former), 0));
-    let rows = [(take.shard.owner(), take.row), (take.shard.commit(), commit.map_or(0, |c| c.rev))];
+    // Guards against taking over from an owner that has registered again without this member having
+    // seen it: that owner's lease is valid, and it would continue to act as the owner.
+    let former_row = takeover.former.map(|former| (member_key(former), 0));
+    let rows = [
+        (takeover.shard.owner(), takeover.owner_rev),
+        (takeover.shard.commit(), commit.map_or(0, |c| c.rev)),
+    ];
     let txn = Txn {
-        expect: rows.into_iter().chain(gone).collect(),
+        expect: rows.into_iter().chain(former_row).collect(),
         puts: vec![
-            put(take.shard.owner(), record::write(&OwnerRow { owner: Some(me), token, control })),
-            put(take.shard.commit(), record::write(&CommitRow { token, number: 0 })),
+            put(
+                takeover.shard.owner(),
+                record::write(&OwnerRow { owner: Some(me), token, control }),
+            ),
+            put(takeover.shard.commit(), record::write(&CommitRow { token, number: 0 })),
         ],
         remove: vec![],
     };
     match outside.store(&StoreCall::Txn(txn), CALL).await {
-        Ok(StoreReply::Done(rev)) => Fate::Done(rev, token),
-        Ok(StoreReply::Conflict(items)) => Fate::Lost(items),
-        Err(Fault::Refused | Fault::Unsent) => Fate::Not,
-        _ => Fate::Unclear(outside.get(&take.shard.owner(), CALL).await.ok().flatten()),
+        Ok(StoreReply::Done(rev)) => Outcome::Done(rev, token),
+        Ok(StoreReply::Conflict(items)) => Outcome::Conflict(items),
+        Err(Fault::Refused | Fault::Unsent) => Outcome::NotWritten,
+        _ => Outcome::Unclear(outside.get(&takeover.shard.owner(), CALL).await.ok().flatten()),
     }
 }
--- a/src/session.rs
+++ b/src/session.rs
@@ -1,5 +1,6 @@
-//! The session's duty: this member's session with the key-value service, that is its lease, the record
-//! under it, its watch, and the reads and writes that the decisions order; and the list of VMs.
+//! A member's session with the key-value service: its lease, the member record under the lease, the
+//! watch of the shared keys, and the reads and writes that the decisions order. Also polls the
+//! platform's list of VMs.
 
 use {
     crate::{
@@ -18,22 +19,23 @@
     tokio::{sync::watch, time::sleep},
 };
 
-/// How often the list of VMs is read: it lags anyway, and a leaving VM has seconds.
-const LIST: Duration = Duration::from_secs(1);
+/// The interval at which the list of VMs is read, and the time-out of a read. More often would
+/// bring little, as the list lags anyway, and a VM that leaves has seconds until it is gone.
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// The first and the longest pause after a failed call.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
 
-/// What the session's duty needs.
+/// The session's connections and channels.
 pub struct Session {
     /// The key-value service.
     pub kv: Kv,
-    /// The address of the VM list.
+    /// The address of the service that lists VMs.
     pub vms: SocketAddr,
-    /// This member's record.
+    /// This member's record at the start.
     pub record: MemberRecord,
-    /// The way to the decisions.
+    /// Sends events to the decisions.
     pub inbox: Inbox,
-    /// What the decisions order.
+    /// Receives the orders of the decisions.
     pub orders: Receiver<Order>,
     /// The member's clock.
     pub clock: Clock,
@@ -42,44 +44,44 @@
 }
 
 impl Session {
-    /// Works until the decisions' ring is closed, then gives the lease back.
+    /// Runs until the decisions close the channel of orders, then ends the lease.
     pub async fn run(self) {
         let (record, records) = watch::channel(self.record.clone());
-        let (ended, end) = watch::channel(0);
-        let keep = Keep {
+        let (lease_tx, lease_rx) = watch::channel(0);
+        let connection = Connection {
             kv: self.kv.clone(),
             inbox: self.inbox.clone(),
             clock: self.clock,
             metrics: self.metrics.clone(),
         };
-        tokio::spawn(keep.clone().lease(records, ended));
-        tokio::spawn(keep.clone().watch());
-        tokio::spawn(list(self.vms, self.inbox.clone()));
+        tokio::spawn(connection.clone().lease(records, lease_tx));
+        tokio::spawn(connection.clone().watch());
+        tokio::spawn(poll_vms(self.vms, self.inbox.clone()));
         while let Ok(order) = self.orders.recv().await {
-            let keep = keep.clone();
+            let connection = connection.clone();
             match order {
                 Order::Register(next) => {
                     record.send_replace(next);
                 }
                 Order::Get(purpose, key) => {
                     tokio::spawn(async move {
-                        let entry = keep.kv.get(&key).await;
-                        keep.count("get", entry.is_ok());
-                        let _ = keep.inbox.send(Event::Got(purpose, entry)).await;
+                        let entry = connection.kv.get(&key).await;
+                        connection.count("get", entry.is_ok());
+                        let _ = connection.inbox.send(Event::Got(purpose, entry)).await;
                     });
                 }
                 Order::Put(purpose, key, put) => {
-                    keep.metrics.sent("session", put.value.as_ref().map_or(0, |v| v.len()));
+                    connection.metrics.sent("session", put.value.as_ref().map_or(0, |v| v.len()));
                     tokio::spawn(async move {
-                        let reply = keep.kv.put(&key, &put).await;
-                        keep.count("put", reply.is_ok());
-                        let _ = keep.inbox.send(Event::Put(purpose, reply)).await;
+                        let reply = connection.kv.put(&key, &put).await;
+                        connection.count("put", reply.is_ok());
+                        let _ = connection.inbox.send(Event::Put(purpose, reply)).await;
                     });
                 }
                 _ => {}
             }
         }
-        let lease = *end.borrow();
+        let lease = *lease_rx.borrow();
         if lease != 0 {
             let _ = self.kv.end(lease).await;
         }
@@ -87,18 +89,18 @@
 }
 
 #[derive(Clone)]
-struct Keep {
+struct Connection {
     kv: Kv,
     inbox: Inbox,
     clock: Clock,
     metrics: Arc<Metrics>,
 }
 
-impl Keep {
-    /// Holds the lease and the record under it.
-    async fn lease(self, mut records: watch::Receiver<MemberRecord>, held: watch::Sender<u64>) {
+impl Connection {
+    /// Renews the lease and keeps the record under it up to date.
+    async fn lease(self, mut records: watch::Receiver<MemberRecord>, lease_tx: watch::Sender<u64>) {
         let mut lease = 0;
-        let mut stands = Revision(0);
+        let mut revision = Revision(0);
         let mut pause = BACKOFF.0;
         loop {
             let sent = self.clock.now();
@@ -107,13 +109,13 @@
             match renewed {
                 Ok(l) => {
                     if l.id != lease {
-                        (lease, stands) = (l.id, Revision(0));
-                        held.send_replace(lease);
+                        (lease, revision) = (l.id, Revision(0));
+                        lease_tx.send_replace(lease);
                     }
                 }
                 Err(Failure::Broken) if lease != 0 => {
-                    // The service knows the lease no more: it lapsed while this member was paused
-                    // or cut off.
+                    // The service no longer knows the lease: it expired while this member was
+                    // paused or cut off.
                     lease = 0;
                     pause = self.back_off(pause).await;
                     continue;
@@ -123,8 +125,8 @@
                     continue;
                 }
             }
-            if (stands == Revision(0) || records.has_changed().unwrap_or(false))
-                && !self.register(lease, &mut records, &mut stands).await
+            if (revision == Revision(0) || records.has_changed().unwrap_or(false))
+                && !self.register(lease, &mut records, &mut revision).await
             {
                 pause = self.back_off(pause).await;
                 continue;
@@ -147,28 +149,29 @@
         &self,
         lease: u64,
         records: &mut watch::Receiver<MemberRecord>,
-        stands: &mut Revision,
+        revision: &mut Revision,
     ) -> bool {
         let record = records.borrow_and_update().clone();
         let key = member_key(record.incarnation);
         let value = serde_json::to_string(&record).ok().map(Into::into);
-        let put = KvPut { expect: *stands, value, lease: Some(lease) };
+        let put = KvPut { expect: *revision, value, lease: Some(lease) };
         let reply = self.kv.put(&key, &put).await;
         self.count("put", reply.is_ok());
         match reply {
             Ok(r) if r.done => {
-                *stands = r.revision;
+                *revision = r.revision;
                 true
             }
-            // Refused: an earlier write of this member took effect with its answer lost.
+            // The revision did not match: an earlier write of this member took effect but its
+            // answer was lost.
             Ok(r) => {
-                *stands = r.revision;
+                *revision = r.revision;
                 records.mark_changed();
                 false
             }
             Err(_) => {
                 if let Ok(e) = self.kv.get(&key).await {
-                    *stands = e.revision;
+                    *revision = e.revision;
                 }
                 records.mark_changed();
                 false
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Passes on what changes.
+    /// Watches the shared keys and sends changes to the decisions.
     async fn watch(self) {
         let mut after = Revision(0);
         let mut pause = BACKOFF.0;
@@ -196,7 +199,8 @@
         }
     }
 
-    /// Waits, with jitter, so that the members don't all come back at once after an outage.
+    /// Waits with jitter, so that the members don't all retry at the same moment after an outage.
+    /// Returns the next pause.
     async fn back_off(&self, pause: Duration) -> Duration {
         sleep(pause.mul_f64(0.5 + fastrand::f64())).await;
         (pause * 2).min(BACKOFF.1)
@@ -208,17 +212,17 @@
     }
 }
 
-/// Passes on the platform's list of VMs.
-async fn list(addr: SocketAddr, inbox: Inbox) {
+/// Polls the platform's list of VMs and sends it to the decisions.
+async fn poll_vms(addr: SocketAddr, inbox: Inbox) {
     let client = Client::new(1);
     loop {
         let list: Result<VmList, Failure> =
-            client.json("GET", &uri(addr, "/v1/vms"), &(), LIST).await;
+            client.json("GET", &uri(addr, "/v1/vms"), &(), VM_LIST_INTERVAL).await;
         if let Ok(list) = list
             && inbox.send(Event::Vms(list)).await.is_err()
         {
             return;
         }
-        sleep(LIST).await;
+        sleep(VM_LIST_INTERVAL).await;
     }
 }
--- a/src/site.rs
+++ b/src/site.rs
@@ -1,8 +1,8 @@
-//! One member on a site: its threads, its signals, and how it stops.
+//! A member on a site: its threads, its signals, and its shutdown.
 //!
-//! Three threads, each with a runtime of its own: one for callers, one for other members, and one
-//! for all that concerns owning shards. More would only wake each other: a machine has a part of
-//! one core.
+//! A member has three threads, each with a runtime of its own: one serves callers, one serves other
+//! members, and one owns shards. A machine has a fraction of a core for the member, so that more
+//! threads would only cause more context switches.
 
 use {
     crate::{
@@ -17,9 +17,9 @@
         logs,
         membership::Membership,
         metrics::Metrics,
-        owner::Owner,
+        owner::OwnedShards,
         ports::{Forms, Site, StoreCall},
-        registry::{self, Registry},
+        registry::{self, TableSync},
     },
     async_channel::{Receiver, Sender, bounded},
     std::{
@@ -40,25 +40,26 @@
     },
 };
 
-/// What is logged where the environment doesn't say.
-const LOG: &str = "info,hyper=warn,jsonrpsee=warn,soketto=warn";
-/// How many events may wait for the decisions.
-const INBOX: usize = 8 * 1024;
-/// How many orders may wait to be carried out.
-const ORDERS: usize = 4 * 1024;
-/// How long callers are served after the signal to stop; the balancer notices later than that.
-const LINGER: Duration = Duration::from_secs(2);
-/// How much of the time that a stop may take is left unused.
-const SPARE: Duration = Duration::from_millis(1500);
-/// How long the end of the lease may take.
-const END: Duration = Duration::from_millis(400);
-/// How often the calls so far are told.
-const CALLS: Duration = Duration::from_secs(10);
-/// Limits of the callers' side.
-const CALLERS: Limits =
+/// The log filter if the environment sets none.
+const DEFAULT_LOG_FILTER: &str = "info,hyper=warn,jsonrpsee=warn,soketto=warn";
+/// The length of the queue of events for the decisions.
+const EVENT_QUEUE_LEN: usize = 8 * 1024;
+/// The length of the queues of orders and of notices from the decisions.
+const ORDER_QUEUE_LEN: usize = 4 * 1024;
+/// How long callers are served after the signal to stop, as the load balancer notices the stop with
+/// a delay.
+const CALLER_DRAIN_TIME: Duration = Duration::from_secs(2);
+/// The part of the grace period of a shutdown that is left unused.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(1500);
+/// Time-out of ending the lease.
+const LEASE_END_TIMEOUT: Duration = Duration::from_millis(400);
+/// The interval at which the counts of calls are logged.
+const CALL_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Limits of the server for callers.
+const CALLER_LIMITS: Limits =
     Limits { body: 1 << 20, connections: 2500, patience: Duration::from_secs(20) };
-/// Limits of the pages that this member shows of itself.
-const PAGES: Limits = Limits { body: 0, connections: 64, patience: Duration::from_secs(5) };
+/// Limits of the servers for readiness and metrics.
+const PAGE_LIMITS: Limits = Limits { body: 0, connections: 64, patience: Duration::from_secs(5) };
 
 /// The addresses that a member listens on.
 struct Listeners {
@@ -68,16 +69,16 @@
     metrics: TcpListener,
 }
 
-/// The signals that a member heeds.
+/// The signals that a member handles.
 struct Signals {
-    hang: Signal,
-    term: Signal,
-    int: Signal,
+    hangup: Signal,
+    terminate: Signal,
+    interrupt: Signal,
 }
 
-/// Runs a member until it is told to stop and has released all that it owns.
+/// Runs a member until it is told to stop and has released all its shards.
 pub fn run(forms: &'static Forms, settings: &Path) -> Exit {
-    logs::begin(LOG);
+    logs::begin(DEFAULT_LOG_FILTER);
     let exit = match start(forms, settings) {
         Ok(()) => Exit::Done,
         Err(e) => cli::fail(e.kind().into(), &e.to_string(), false),
@@ -89,99 +90,115 @@
 fn start(forms: &'static Forms, settings: &Path) -> Result<(), Error> {
     let failed = |e: io::Error| Error::new(Kind::BadSettings, e.to_string());
     let runtime = runtime().map_err(failed)?;
-    // First of all: until then the signal to read the settings again would end the process.
+    // The handlers come first: without them, the signal to reload the settings would end the
+    // process.
     let signals = {
         let _inside = runtime.enter();
         Signals::new().map_err(failed)?
     };
     let site = read(forms, settings)?;
     let listeners = Listeners::bind(&site)?;
-    let me = Incarnation(draw(&site).max(1));
+    let me = Incarnation(random_id(&site).max(1));
     seed(me, "shards");
     let metrics = listeners.metrics.local_addr().map_err(failed)?.port();
     log::info!(target: "site", did = "started", member:% = me, node = &*site.node, zone:% = site.zone, callers:% = site.callers, store:% = site.store, metrics; "Member starts.");
     let common = Arc::new(Common::new(forms, site, me, Arc::new(Metrics::new())));
-    let (told, events) = bounded(INBOX);
+    let (decisions, events) = bounded(EVENT_QUEUE_LEN);
     let (ended, end) = oneshot::channel();
     let Listeners { callers, ready, control, metrics } = listeners;
-    let (shared, to) = (common.clone(), told.clone());
-    duty("callers", me, move || async move {
+    let (shared, to) = (common.clone(), decisions.clone());
+    spawn_thread("callers", me, move || async move {
         let served = serve_callers(shared, callers, ready, metrics, to).await;
         let _ = ended.send(());
         served
     })
     .map_err(failed)?;
-    let (shared, to) = (common.clone(), told.clone());
-    duty("control", me, move || control::serve(shared, control, to)).map_err(failed)?;
-    runtime.block_on(work(common, signals, settings.into(), (told, events), end))
+    let (shared, to) = (common.clone(), decisions.clone());
+    spawn_thread("control", me, move || control::serve(shared, control, to)).map_err(failed)?;
+    runtime.block_on(own_shards(common, signals, settings.into(), (decisions, events), end))
 }
 
-/// Owns shards until this member stops, and stops in order.
-async fn work(
+/// Owns shards until this member is told to stop, then shuts down in order: shards, callers, lease.
+async fn own_shards(
     common: Arc<Common>,
     signals: Signals,
     settings: PathBuf,
-    (told, events): (Sender<Told>, Receiver<Told>),
+    (decisions, events): (Sender<Told>, Receiver<Told>),
     mut callers: oneshot::Receiver<()>,
 ) -> Result<(), Error> {
     let peers = control::Peers::new(common.clone());
     let outside = control::outside(&common, &peers);
-    let (out, orders) = bounded(ORDERS);
-    let (notes, noted) = bounded(ORDERS);
-    let owner = Owner::new(common.clone(), outside.clone(), peers, told.clone(), notes.clone());
-    let (lease, leased) = watch::channel(0);
-    tokio::spawn(signals.heed(common.clone(), settings));
-    tokio::spawn(Decisions::new(common.clone(), events, out, notes).run());
-    tokio::spawn(owner.clone().list());
-    tokio::spawn(tell_calls(common.clone()));
-    tokio::spawn(owner.clone().work(orders));
-    tokio::spawn(registry::config(common.clone(), outside.clone(), told.clone()));
-    let membership =
-        Membership { common: common.clone(), outside: outside.clone(), told: told.clone(), lease };
+    let (order_tx, orders) = bounded(ORDER_QUEUE_LEN);
+    let (notices, notice_rx) = bounded(ORDER_QUEUE_LEN);
+    let owner = OwnedShards::new(
+        common.clone(),
+        outside.clone(),
+        peers,
+        decisions.clone(),
+        notices.clone(),
+    );
+    let (lease, lease_rx) = watch::channel(0);
+    tokio::spawn(signals.handle(common.clone(), settings));
+    tokio::spawn(Decisions::new(common.clone(), events, order_tx, notices).run());
+    tokio::spawn(owner.clone().poll_workers());
+    tokio::spawn(log_calls(common.clone()));
+    tokio::spawn(owner.clone().run_orders(orders));
+    tokio::spawn(registry::follow_config(common.clone(), outside.clone(), decisions.clone()));
+    let membership = Membership {
+        common: common.clone(),
+        outside: outside.clone(),
+        decisions: decisions.clone(),
+        lease,
+    };
     tokio::spawn(membership.run());
-    let released = tokio::spawn(Registry::run(common.clone(), outside.clone(), owner, told, noted));
+    let released =
+        tokio::spawn(TableSync::run(common.clone(), outside.clone(), owner, decisions, notice_rx));
     tokio::select! {
-        () = common.stopped() => {}
-        _ = &mut callers => return Err(Error::new(Kind::BadSettings, "callers can't be served")),
+        () = common.wait_for_stop() => {}
+        _ = &mut callers => return Err(Error::new(Kind::BadSettings, "caller server failed")),
     }
     let grace = common.site.borrow().bounds.grace;
-    let until = Instant::now() + grace.saturating_sub(SPARE);
-    if timeout_at(until, released).await.is_err() {
-        log::warn!(target: "site", "Shards are left to be taken over.");
+    let deadline = Instant::now() + grace.saturating_sub(SHUTDOWN_MARGIN);
+    if timeout_at(deadline, released).await.is_err() {
+        log::warn!(target: "site", "Shards were not released in time; other members will take them over.");
     }
-    if timeout_at(until, callers).await.is_err() {
-        log::warn!(target: "site", "Requests are left unanswered.");
+    if timeout_at(deadline, callers).await.is_err() {
+        log::warn!(target: "site", "Requests were not answered before the shutdown.");
     }
-    let lease = *leased.borrow();
+    let lease = *lease_rx.borrow();
     if lease != 0 {
-        let _ = timeout(END, outside.store(&StoreCall::EndLease { lease }, END)).await;
+        let _ = timeout(
+            LEASE_END_TIMEOUT,
+            outside.store(&StoreCall::EndLease { lease }, LEASE_END_TIMEOUT),
+        )
+        .await;
     }
     log::info!(target: "site", calls = &*common.metrics.calls(), received = &*common.metrics.all_received(); "Calls of the outside so far.");
     log::info!(target: "site", did = "stopped", member:% = common.me; "Stopped.");
     Ok(())
 }
 
-/// Tells how many calls of the outside were made, again and again: a process that is killed takes
-/// its counters along.
-async fn tell_calls(common: Arc<Common>) {
+/// Logs the counts of calls periodically, because a process that is killed loses its counters.
+async fn log_calls(common: Arc<Common>) {
     loop {
-        sleep(CALLS).await;
+        sleep(CALL_LOG_INTERVAL).await;
         log::info!(target: "site", calls = &*common.metrics.calls(), received = &*common.metrics.all_received(); "Calls of the outside so far.");
     }
 }
 
-/// Serves callers, the balancer and who reads metrics, until some time after the signal to stop.
+/// Serves callers, the load balancer's readiness checks and metrics, until [`CALLER_DRAIN_TIME`]
+/// after the signal to stop.
 async fn serve_callers(
     common: Arc<Common>,
     callers: TcpListener,
     ready: TcpListener,
     metrics: TcpListener,
-    told: Sender<Told>,
+    decisions: Sender<Told>,
 ) -> io::Result<()> {
     let listen = tokio::net::TcpListener::from_std;
     let (callers, ready, metrics) = (listen(callers)?, listen(ready)?, listen(metrics)?);
     let shared = common.clone();
-    tokio::spawn(serve(ready, PAGES, pending(), move |head, _| {
+    tokio::spawn(serve(ready, PAGE_LIMITS, pending(), move |head, _| {
         let ready = shared.ready();
         shared.metrics.ready(ready);
         let status = match (head.uri.path() == shared.forms.ready, ready) {
@@ -192,20 +209,20 @@
         async move { answer(status, "") }
     }));
     let (pages, shared) = (common.metrics.clone(), common.clone());
-    tokio::spawn(serve(metrics, PAGES, pending(), move |head, _| {
+    tokio::spawn(serve(metrics, PAGE_LIMITS, pending(), move |head, _| {
         let now = shared.now();
-        pages.age("configuration", now - shared.configured());
+        pages.age("configuration", now - shared.configured_at());
         pages.age("configuration_confirmed", now - shared.confirmed());
         pages.age("store", shared.contact().map_or(Duration::MAX, |at| now - at));
         let page = pages.page(head.uri.path());
         async move { page }
     }));
-    let entry = Arc::new(Entry::new(common.clone(), told));
+    let entry = Arc::new(Entry::new(common.clone(), decisions));
     let stop = async move {
-        common.stopped().await;
-        sleep(LINGER).await;
+        common.wait_for_stop().await;
+        sleep(CALLER_DRAIN_TIME).await;
     };
-    serve(callers, CALLERS, stop, move |head, body| entry.clone().serve(head, body)).await;
+    serve(callers, CALLER_LIMITS, stop, move |head, body| entry.clone().serve(head, body)).await;
     Ok(())
 }
 
@@ -227,12 +244,12 @@
     }
 }
 
-/// Listens at the first address that is free.
+/// Listens on the first address that is free.
 fn bind_first(
     all: &[SocketAddr],
     bind: impl Fn(SocketAddr) -> Result<TcpListener, Error>,
 ) -> Result<TcpListener, Error> {
-    let mut failed = Error::new(Kind::BadSettings, "there is no address for metrics");
+    let mut failed = Error::new(Kind::BadSettings, "no address for metrics is configured");
     for addr in all {
         match bind(*addr) {
             Ok(listener) => return Ok(listener),
@@ -245,19 +262,19 @@
 impl Signals {
     fn new() -> io::Result<Self> {
         Ok(Signals {
-            hang: signal(SignalKind::hangup())?,
-            term: signal(SignalKind::terminate())?,
-            int: signal(SignalKind::interrupt())?,
+            hangup: signal(SignalKind::hangup())?,
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
         })
     }
 
-    /// Reads the settings again when told so, and stops the member when told so.
-    async fn heed(mut self, common: Arc<Common>, settings: PathBuf) {
+    /// Reloads the settings or stops the member, as signals demand.
+    async fn handle(mut self, common: Arc<Common>, settings: PathBuf) {
         loop {
             tokio::select! {
-                _ = self.hang.recv() => reload(&common, &settings),
-                _ = self.term.recv() => stop(&common),
-                _ = self.int.recv() => stop(&common),
+                _ = self.hangup.recv() => reload(&common, &settings),
+                _ = self.terminate.recv() => stop(&common),
+                _ = self.interrupt.recv() => stop(&common),
             }
         }
     }
@@ -265,23 +282,25 @@
 
 fn stop(common: &Common) {
     if !common.stop.send_replace(true) {
-        log::info!(target: "site", did = "stopping", member:% = common.me; "Told to stop.");
+        log::info!(target: "site", did = "stopping", member:% = common.me; "Member is stopping.");
     }
 }
 
-/// Takes over what may change while the process runs; the addresses it listens on may not.
+/// Reloads the settings. The addresses that this member listens on can't change while it runs.
 fn reload(common: &Common, settings: &Path) {
     match read(common.forms, settings) {
         Ok(site) => {
             let old = common.site.send_replace(Arc::new(site.clone()));
             let same = (old.callers, old.ready, old.control, &old.metrics)
                 == (site.callers, site.ready, site.control, &site.metrics);
-            log::info!(target: "site", did = "reloaded", same_store = old.store == site.store, same_advice = old.advice == site.advice; "The settings were read again.");
+            log::info!(target: "site", did = "reloaded", same_store = old.store == site.store, same_advice = old.advice == site.advice; "Settings were reloaded.");
             if !same {
-                log::warn!(target: "site", "New addresses to listen on count from the next start.");
+                log::warn!(target: "site", "New addresses to listen on take effect at the next start.");
             }
         }
-        Err(e) => log::error!(target: "site", "The settings stay as they were: {e}."),
+        Err(e) => {
+            log::error!(target: "site", "Settings could not be reloaded, the old ones stay in force: {e}.")
+        }
     }
 }
 
@@ -293,23 +312,24 @@
     (forms.settings)(&text)
 }
 
-/// A number that no other process draws.
+/// Draws an id that no other process draws.
 ///
-/// Guards against machines that start at the same moment with alike clocks and memory: a number
-/// drawn from these alone would come twice, and two members would hold one row of the table.
-fn draw(site: &Site) -> u64 {
+/// Guards against machines that start at the same moment with equal clocks and memory contents: an
+/// id drawn from these alone could be drawn twice, and two members would use the same row of the
+/// table.
+fn random_id(site: &Site) -> u64 {
     let time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let random = RandomState::new().hash_one(std::process::id());
     let what = format!("{} {} {} {random}", site.node, site.control, time.as_nanos());
     xxhash_rust::xxh3::xxh3_64(what.as_bytes())
 }
 
-/// Lets this thread draw other numbers than any other thread of any member.
+/// Seeds this thread's random numbers differently from all other threads of all members.
 fn seed(me: Incarnation, thread: &str) {
     fastrand::seed(xxhash_rust::xxh3::xxh3_64(format!("{me} {thread}").as_bytes()));
 }
 
-fn duty<F>(
+fn spawn_thread<F>(
     name: &'static str,
     me: Incarnation,
     run: impl FnOnce() -> F + Send + 'static,
@@ -321,7 +341,7 @@
         seed(me, name);
         let done = runtime().and_then(|r| r.block_on(run()));
         if let Err(e) = done {
-            log::error!(target: "site", "The duty {name} has ended: {e}.");
+            log::error!(target: "site", "The thread {name} has ended: {e}.");
         }
     })?;
     Ok(())
--- a/src/table.rs
+++ b/src/table.rs
@@ -1,9 +1,11 @@
-//! Who is alive and who owns each shard, and when this member takes a shard over.
+//! The member table: which members are alive, which member owns each shard, and when this member
+//! takes over a shard.
 //!
-//! The table stands in the store under [`record::TABLE`]. A member is
-//! alive while its row is there: the row ends with its lease. A shard whose owner is gone is taken
-//! over by one conditional write; who writes first is decided by rendezvous hashing and a wait for
-//! each rank, so that members rarely meet. The state machine has no clock and does no I/O.
+//! The store holds the table under [`record::TABLE`]. A member is alive as long as its row exists;
+//! the store deletes the row when the member's lease ends. A shard whose owner is gone is taken
+//! over with one conditional write. Rendezvous hashing and a delay for each rank decide which
+//! member writes first, so that members rarely compete for a shard. The state machine has no clock
+//! and does no I/O.
 
 use {
     crate::{
@@ -27,23 +29,23 @@
 
 /// How long an owner's row has to be missing before its shards are taken over.
 ///
-/// After an outage of the store every lease may have ended. Without it, the first member back would
-/// take over all shards from owners that are about to register again.
-pub const GRACE: Duration = Duration::from_secs(1);
-/// How much longer each further candidate waits.
-pub const RANK: Duration = Duration::from_millis(300);
-/// How much longer a member waits that the store serves through others only: those that it serves may
-/// hear late of a shard without an owner.
-pub const RELAYED: Duration = Duration::from_secs(2);
-/// How long the store may be silent before this member takes nothing over.
-pub const SILENT: Duration = Duration::from_millis(1500);
-/// The least share of a processor that counts; one that isn't told counts as this.
-const LEAST: f64 = 0.01;
-/// How long a takeover that failed waits for its repeat.
-const AGAIN: Duration = Duration::from_millis(200);
+/// After an outage of the store every lease may have ended. Without this delay, the first member to
+/// reach the store again would take over all shards from owners that are about to register again.
+pub const TAKEOVER_GRACE: Duration = Duration::from_secs(1);
+/// Additional delay per rank of a candidate.
+pub const RANK_DELAY: Duration = Duration::from_millis(300);
+/// Additional delay of a member that reaches the store only through other members. The members that
+/// the store serves directly may learn late that a shard has no owner.
+pub const RELAYED_DELAY: Duration = Duration::from_secs(2);
+/// If the store has not answered for this long, this member takes over no shards.
+pub const MAX_STORE_SILENCE: Duration = Duration::from_millis(1500);
+/// The smallest share of a processor that is counted; a member that reports none counts with this.
+const MIN_CORES: f64 = 0.01;
+/// Delay before a takeover of the same shard is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The table as one member knows it.
-pub struct Table {
+pub struct MemberTable {
     me: Incarnation,
     rev: Rev,
     loaded: bool,
@@ -51,77 +53,84 @@
     closing: (Rev, Arc<Closing>),
     members: BTreeMap<Incarnation, (Rev, MemberRow)>,
     owners: BTreeMap<ShardNo, (Rev, OwnerRow)>,
-    /// Shards without a live owner: which one they had, and since when.
-    free: BTreeMap<ShardNo, Free>,
-    /// Shards that this member runs, with their tokens.
-    running: BTreeMap<ShardNo, u64>,
-    flying: BTreeSet<ShardNo>,
-    held: BTreeMap<ShardNo, Time>,
+    /// Shards without a live owner.
+    unowned: BTreeMap<ShardNo, Unowned>,
+    /// Shards that this member owns, with their tokens.
+    owned: BTreeMap<ShardNo, u64>,
+    /// Shards whose takeover is being written.
+    pending: BTreeSet<ShardNo>,
+    /// When a takeover of a shard may be tried again.
+    not_before: BTreeMap<ShardNo, Time>,
     stopping: bool,
-    /// Whether the store serves this member through others only.
+    /// Whether this member reaches the store only through other members.
     relayed: bool,
-    answered: Option<Time>,
-    resumed: Time,
+    last_answer: Option<Time>,
+    /// Since when the store has answered without a gap of [`MAX_STORE_SILENCE`].
+    answering_since: Time,
 }
 
 /// A shard without a live owner.
 #[derive(Clone, Copy, PartialEq)]
-struct Free {
-    /// The owner that it had.
+struct Unowned {
+    /// The last owner, if the row names one.
     owner: Option<Incarnation>,
-    /// Whether that process is known to be over.
-    over: bool,
+    /// Whether the process of that owner is known to have ended.
+    ended: bool,
     since: Time,
 }
 
-/// A takeover to be written.
+/// A takeover that has to be written to the store.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Take {
-    /// The shard.
+pub struct Takeover {
+    /// The shard to take over.
     pub shard: ShardNo,
-    /// The revision that the owner's row must still have; 0 where there must be none.
-    pub row: Rev,
-    /// The new token; more where the commit row has seen a higher one.
+    /// The revision that the owner row must still have; 0 if the row must not exist.
+    pub owner_rev: Rev,
+    /// The new token. The writer raises it if the commit row holds a token that is at least as
+    /// high.
     pub token: u64,
-    /// The former owner, whose lease must have ended.
-    pub gone: Option<Incarnation>,
-    /// Whether the former owner can't take itself for confirmed any more.
+    /// The former owner if its lease must have ended: the write requires that its member row is
+    /// gone.
+    pub former: Option<Incarnation>,
+    /// Whether the former owner can't consider its ownership confirmed any more, because its lease
+    /// has ended or it has released the shard. False if the takeover comes early because the former
+    /// owner's process is known to have ended.
     pub lapsed: bool,
 }
 
-/// What became of a takeover.
+/// The outcome of a takeover.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate {
-    /// It was done, with this revision and token.
+pub enum Outcome {
+    /// The takeover was written, with this revision and token.
     Done(Rev, u64),
-    /// Nothing was done: how the items stand.
-    Lost(Vec<Item>),
-    /// Nothing was done, and nothing will be.
-    Not,
-    /// No answer; the owner's row as it was read after, where that could be read.
+    /// Nothing was written because a row had changed; holds the present items.
+    Conflict(Vec<Item>),
+    /// Nothing was written, and the write can't take effect later.
+    NotWritten,
+    /// The store did not answer. Holds the owner row as it was read afterwards, if that succeeded.
     Unclear(Option<Item>),
 }
 
-impl Fate {
-    /// What the log says of it.
+impl Outcome {
+    /// The outcome as it is logged.
     pub fn name(&self) -> &'static str {
         match self {
-            Fate::Done(..) => "done",
-            Fate::Lost(_) => "lost to another",
-            Fate::Not => "not done",
-            Fate::Unclear(_) => "unclear",
+            Outcome::Done(..) => "done",
+            Outcome::Conflict(_) => "lost to another",
+            Outcome::NotWritten => "not done",
+            Outcome::Unclear(_) => "unclear",
         }
     }
 }
 
-/// The table as other duties see it.
+/// A snapshot of the table for the other threads and tasks of this member.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct View {
+pub struct TableView {
     /// The table's revision.
     pub rev: Rev,
-    /// The layout, once there is one.
+    /// The layout, once it has been written.
     pub layout: Option<Arc<Layout>>,
-    /// The workers that are to be emptied.
+    /// The workers that maintenance waves empty.
     pub closing: Arc<Closing>,
     /// The live members.
     pub members: BTreeMap<Incarnation, MemberRow>,
@@ -129,25 +138,27 @@
     pub owners: BTreeMap<ShardNo, Incarnation>,
 }
 
-impl View {
-    /// The owner of a shard, where it is alive.
+impl TableView {
+    /// The owner of a shard and the address of its control port, if the owner is alive.
     pub fn owner(&self, shard: ShardNo) -> Option<(Incarnation, SocketAddr)> {
         let owner = self.owners.get(&shard)?;
         Some((*owner, self.members.get(owner)?.control))
     }
 
-    /// The members through which a shard may call for advice.
+    /// The members through which a shard may make advice calls.
     ///
-    /// Guards against shards that meet at one member: each knows only of its own calls, and a short
-    /// one that comes behind another's long one waits for up to two seconds, while other members
-    /// have nothing to do. Each shard has a part of the members; the first half of it no other uses.
+    /// Guards against several shards calling through the same member: each shard knows only its own
+    /// calls, so that a short call queued behind another shard's long call waits for up to two
+    /// seconds while other members are idle. Each shard is assigned a part of the members, and no
+    /// other shard uses the first half of that part.
     pub fn peers(&self, shard: ShardNo) -> Peers {
-        let able = self.able();
+        let available = self.available_members();
         let shards = usize::from(self.shards().max(1));
         let no = usize::from(shard.0) % shards;
         let mut peers = Peers::default();
         for part in (no..shards).chain(0..no) {
-            let part = &able[able.len() * part / shards..able.len() * (part + 1) / shards];
+            let part =
+                &available[available.len() * part / shards..available.len() * (part + 1) / shards];
             let half = if shards > 1 { part.len().div_ceil(2) } else { part.len() };
             if peers.own.is_empty() {
                 peers.own.extend(&part[..half]);
@@ -155,47 +166,49 @@
             peers.shared.extend(&part[half..]);
         }
         if peers.own.is_empty() {
-            peers.own = able;
+            peers.own = available;
         }
         peers
     }
 
-    /// A member's place among those alive, by their numbers.
-    pub fn place(&self, me: Incarnation) -> usize {
+    /// The number of live members with a lower id than this one.
+    pub fn id_rank(&self, me: Incarnation) -> usize {
         self.members.keys().take_while(|m| **m < me).count()
     }
 
-    /// How many shards there are; 0 where it isn't known.
+    /// The number of shards; 0 if the layout is not known yet.
     pub fn shards(&self) -> u16 {
         self.layout.as_ref().map_or(0, |l| l.shards)
     }
 
-    /// The members that may be asked for something.
-    pub fn able(&self) -> Vec<Incarnation> {
+    /// The members that accept calls from other members: all that are not draining.
+    pub fn available_members(&self) -> Vec<Incarnation> {
         self.members.iter().filter(|(_, m)| !m.draining).map(|(i, _)| *i).collect()
     }
 
-    /// The members that a member may ask to relay a call of the store.
+    /// The members that a member may ask to relay a call to the store.
     ///
-    /// Guards against a member that is cut off just as others are served again and has not heard so:
-    /// where by its table the store serves nobody directly, it asks all.
+    /// Members that the store serves directly are preferred. If the table lists none, all are
+    /// candidates: a member that was cut off just as the others were served again has not seen
+    /// their new rows.
     pub fn relays(&self, me: Incarnation) -> Vec<Incarnation> {
-        let able: Vec<Incarnation> = self.able().into_iter().filter(|m| *m != me).collect();
+        let available: Vec<Incarnation> =
+            self.available_members().into_iter().filter(|m| *m != me).collect();
         let served: Vec<Incarnation> =
-            able.iter().copied().filter(|m| !self.members[m].relayed).collect();
-        if served.is_empty() { able } else { served }
+            available.iter().copied().filter(|m| !self.members[m].relayed).collect();
+        if served.is_empty() { available } else { served }
     }
 
-    /// Whether a member that registered at a revision must do so again: its row is gone.
-    pub fn lost(&self, me: Incarnation, registered: Rev) -> bool {
+    /// Whether a member that registered at this revision has lost its row and must register again.
+    pub fn must_register(&self, me: Incarnation, registered: Rev) -> bool {
         self.rev > registered && !self.members.contains_key(&me)
     }
 }
 
-impl Table {
-    /// A table in which nothing is known yet.
+impl MemberTable {
+    /// Creates an empty table for this member.
     pub fn new(me: Incarnation) -> Self {
-        Table {
+        MemberTable {
             me,
             rev: 0,
             loaded: false,
@@ -203,157 +216,166 @@
             closing: Default::default(),
             members: BTreeMap::new(),
             owners: BTreeMap::new(),
-            free: BTreeMap::new(),
-            running: BTreeMap::new(),
-            flying: BTreeSet::new(),
-            held: BTreeMap::new(),
+            unowned: BTreeMap::new(),
+            owned: BTreeMap::new(),
+            pending: BTreeSet::new(),
+            not_before: BTreeMap::new(),
             stopping: false,
             relayed: false,
-            answered: None,
-            resumed: Time::ZERO,
+            last_answer: None,
+            answering_since: Time::ZERO,
         }
     }
 
-    /// Takes in the whole table, as it was read from this revision on; returns the shards that this
+    /// Applies a read of the whole table that began at this revision. Returns the shards that this
     /// member no longer owns.
     pub fn load(&mut self, items: Vec<Item>, rev: Rev, now: Time) -> Vec<ShardNo> {
-        let there: BTreeSet<Box<str>> = items.iter().map(|i| i.key.clone()).collect();
-        // What changed after the reading began is not undone by it.
-        self.members.retain(|id, (r, _)| *r > rev || there.contains(&*member_key(*id)));
-        self.owners.retain(|s, (r, _)| *r > rev || there.contains(&s.owner()));
+        let present: BTreeSet<Box<str>> = items.iter().map(|i| i.key.clone()).collect();
+        // Rows that changed after the read began are newer than the read and stay.
+        self.members.retain(|id, (r, _)| *r > rev || present.contains(&*member_key(*id)));
+        self.owners.retain(|s, (r, _)| *r > rev || present.contains(&s.owner()));
         self.loaded = true;
-        self.changed(items, rev, now)
+        self.apply_changes(items, rev, now)
     }
 
-    /// Takes in changes up to a revision; returns the shards that this member no longer owns.
-    pub fn changed(&mut self, items: Vec<Item>, rev: Rev, now: Time) -> Vec<ShardNo> {
-        items.into_iter().for_each(|i| self.put(i));
+    /// Applies changes up to a revision. Returns the shards that this member no longer owns.
+    pub fn apply_changes(&mut self, items: Vec<Item>, rev: Rev, now: Time) -> Vec<ShardNo> {
+        items.into_iter().for_each(|i| self.apply(i));
         self.rev = self.rev.max(rev);
-        self.refresh(now);
-        self.drop_lost()
+        self.update_unowned(now);
+        self.remove_lost()
     }
 
-    /// The store answered a call.
-    pub fn answered(&mut self, now: Time) {
-        if self.answered.is_none_or(|a| now - a > SILENT) {
-            self.resumed = now;
+    /// Notes that the store answered a call at this time.
+    pub fn note_answer(&mut self, now: Time) {
+        if self.last_answer.is_none_or(|a| now - a > MAX_STORE_SILENCE) {
+            self.answering_since = now;
         }
-        self.answered = Some(now);
+        self.last_answer = Some(now);
     }
 
-    /// From now on this member takes nothing over.
+    /// Stops taking over shards, as this member is shutting down.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
 
-    /// Whether the store serves this member through others only: it takes a shard over after all others.
-    pub fn relayed(&mut self, relayed: bool) {
+    /// Notes whether this member reaches the store only through other members. If so, it takes over
+    /// a shard after all others.
+    pub fn set_relayed(&mut self, relayed: bool) {
         self.relayed = relayed;
     }
 
-    /// The takeovers to be written now.
-    pub fn step(&mut self, now: Time) -> Vec<Take> {
-        let mut takes = vec![];
-        while let Some(shard) = self.due(now) {
-            self.flying.insert(shard);
-            let (row, token) = self.owners.get(&shard).map_or((0, 0), |(r, o)| (*r, o.token));
-            let over = self.free.get(&shard).is_some_and(|f| f.over);
-            let former = self.owners.get(&shard).and_then(|(_, o)| o.owner);
-            let gone = former.filter(|o| *o != self.me && !over);
-            takes.push(Take { shard, row, token: token + 1, gone, lapsed: !over });
+    /// Returns the takeovers that have to be written now.
+    pub fn due_takeovers(&mut self, now: Time) -> Vec<Takeover> {
+        let mut takeovers = vec![];
+        while let Some(shard) = self.next_due(now) {
+            self.pending.insert(shard);
+            let (owner_rev, token) = self.owners.get(&shard).map_or((0, 0), |(r, o)| (*r, o.token));
+            let ended = self.unowned.get(&shard).is_some_and(|u| u.ended);
+            let last = self.owners.get(&shard).and_then(|(_, o)| o.owner);
+            let former = last.filter(|o| *o != self.me && !ended);
+            takeovers.push(Takeover { shard, owner_rev, token: token + 1, former, lapsed: !ended });
         }
-        takes
-    }
-
-    /// What became of a takeover; returns the shards that this member no longer owns.
-    pub fn taken(&mut self, take: &Take, fate: Fate, now: Time) -> Vec<ShardNo> {
-        let shard = take.shard;
-        self.flying.remove(&shard);
-        self.held.insert(shard, now + AGAIN);
-        match fate {
-            Fate::Done(rev, token) => {
+        takeovers
+    }
+
+    /// Applies the outcome of a takeover. Returns the shards that this member no longer owns.
+    pub fn finish_takeover(
+        &mut self,
+        takeover: &Takeover,
+        outcome: Outcome,
+        now: Time,
+    ) -> Vec<ShardNo> {
+        let shard = takeover.shard;
+        self.pending.remove(&shard);
+        self.not_before.insert(shard, now + RETRY_DELAY);
+        match outcome {
+            Outcome::Done(rev, token) => {
                 let row = OwnerRow { owner: Some(self.me), token, control: self.control() };
-                self.running.insert(shard, token);
+                self.owned.insert(shard, token);
                 if self.owners.get(&shard).is_none_or(|(r, _)| *r < rev) {
                     self.owners.insert(shard, (rev, row));
                 }
             }
-            Fate::Lost(items) => items.into_iter().for_each(|i| self.put(i)),
-            // Where the row names this member, the next step takes it again with a higher token:
-            // what the lost write made of the commit row is not guessed.
-            Fate::Unclear(Some(item)) => self.put(item),
-            Fate::Not | Fate::Unclear(None) => {}
+            Outcome::Conflict(items) => items.into_iter().for_each(|i| self.apply(i)),
+            // If the row names this member, the next step takes the shard over again with a higher
+            // token, because it is unknown whether the unanswered write changed the commit row.
+            Outcome::Unclear(Some(item)) => self.apply(item),
+            Outcome::NotWritten | Outcome::Unclear(None) => {}
         }
-        self.refresh(now);
-        self.drop_lost()
+        self.update_unowned(now);
+        self.remove_lost()
     }
 
-    /// This member no longer runs a shard.
-    pub fn dropped(&mut self, shard: ShardNo, now: Time) {
-        self.running.remove(&shard);
-        self.held.insert(shard, now + AGAIN);
-        self.refresh(now);
+    /// Notes that this member no longer owns a shard.
+    pub fn remove_owned(&mut self, shard: ShardNo, now: Time) {
+        self.owned.remove(&shard);
+        self.not_before.insert(shard, now + RETRY_DELAY);
+        self.update_unowned(now);
     }
 
-    /// The row of a shard that this member runs, with its revision, so that it can be released.
-    pub fn mine(&self, shard: ShardNo) -> Option<(Rev, OwnerRow)> {
-        self.running.get(&shard)?;
+    /// The owner row of a shard that this member owns, with the row's revision; used to release the
+    /// shard.
+    pub fn owner_row(&self, shard: ShardNo) -> Option<(Rev, OwnerRow)> {
+        self.owned.get(&shard)?;
         self.owners.get(&shard).cloned()
     }
 
-    /// The shards that this member runs, with their tokens.
-    pub fn running(&self) -> &BTreeMap<ShardNo, u64> {
-        &self.running
+    /// The shards that this member owns, with their tokens.
+    pub fn owned(&self) -> &BTreeMap<ShardNo, u64> {
+        &self.owned
     }
 
-    /// Whether a takeover is under way.
-    pub fn flying(&self) -> bool {
-        !self.flying.is_empty()
+    /// Whether the outcome of a takeover is outstanding.
+    pub fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 
-    /// Whether a shard has no live owner.
-    pub fn waits(&self) -> bool {
-        !self.free.is_empty()
+    /// Whether at least one shard has no live owner.
+    pub fn has_unowned(&self) -> bool {
+        !self.unowned.is_empty()
     }
 
-    /// Whether the table has been read, and has no layout.
-    pub fn bare(&self) -> bool {
+    /// Whether the table has been read and holds no layout.
+    pub fn lacks_layout(&self) -> bool {
         self.loaded && self.layout.is_none()
     }
 
-    /// What other duties see.
-    pub fn view(&self) -> View {
+    /// Takes a snapshot for the other threads and tasks of this member.
+    pub fn view(&self) -> TableView {
         let owned = |(s, (_, o)): (&ShardNo, &(Rev, OwnerRow))| Some((*s, o.owner?));
-        View {
+        TableView {
             rev: self.rev,
             layout: self.layout.clone(),
             closing: self.closing.1.clone(),
-            members: self.living().map(|(i, m)| (*i, m.clone())).collect(),
+            members: self.live_members().map(|(i, m)| (*i, m.clone())).collect(),
             owners: self.owners.iter().filter_map(owned).collect(),
         }
     }
 
-    /// The members but for those whose address a later one has: they were killed and are back.
+    /// The members without those whose address has been registered again by a later process: such a
+    /// member was killed and restarted.
     ///
-    /// Guards against asking a machine twice: after the loss of all members each stood in the table
-    /// twice until the old leases had ended, and of two long calls to one machine one ran out of time.
-    fn living(&self) -> impl Iterator<Item = (&Incarnation, &MemberRow)> {
+    /// Guards against calling one machine twice. After all members had been killed, the table
+    /// listed each machine twice until the old leases had ended, and of two long calls to one
+    /// machine one timed out.
+    fn live_members(&self) -> impl Iterator<Item = (&Incarnation, &MemberRow)> {
         let mut last: BTreeMap<SocketAddr, Rev> = BTreeMap::new();
         for (rev, m) in self.members.values() {
             let known = last.entry(m.control).or_default();
             *known = (*known).max(*rev);
         }
-        let there = move |(_, (rev, m)): &(_, &(Rev, MemberRow))| last[&m.control] == *rev;
-        self.members.iter().filter(there).map(|(i, (_, m))| (i, m))
+        let latest = move |(_, (rev, m)): &(_, &(Rev, MemberRow))| last[&m.control] == *rev;
+        self.members.iter().filter(latest).map(|(i, (_, m))| (i, m))
     }
 
-    /// Takes in one item, unless a later change of it is known.
-    fn put(&mut self, item: Item) {
+    /// Applies one item, unless a later change of it is known.
+    fn apply(&mut self, item: Item) {
         let value = item.value.as_deref();
         if let Some(id) = item.key.strip_prefix(MEMBERS).and_then(|i| i.parse().ok()) {
-            place(&mut self.members, id, item.rev, value.and_then(record::read));
+            insert_newer(&mut self.members, id, item.rev, value.and_then(record::read));
         } else if let Some(no) = item.key.strip_prefix(OWNERS).and_then(|n| n.parse().ok()) {
-            place(&mut self.owners, ShardNo(no), item.rev, value.and_then(record::read));
+            insert_newer(&mut self.owners, ShardNo(no), item.rev, value.and_then(record::read));
         } else if &*item.key == LAYOUT && self.layout.is_none() {
             self.layout = value.and_then(record::read).map(Arc::new);
         } else if &*item.key == CLOSING && self.closing.0 < item.rev {
@@ -362,106 +384,106 @@
         }
     }
 
-    /// Notes which shards have no live owner, and since when.
-    fn refresh(&mut self, now: Time) {
+    /// Updates which shards have no live owner, and since when.
+    fn update_unowned(&mut self, now: Time) {
         for shard in (0..self.layout.as_ref().map_or(0, |l| l.shards)).map(ShardNo) {
             let row = self.owners.get(&shard).map(|(_, o)| o);
             let owner = row.and_then(|o| o.owner);
-            let over = row.is_some_and(|o| self.over(o));
+            let ended = row.is_some_and(|o| self.has_ended(o));
             let held = match owner {
-                Some(me) if me == self.me => self.running.contains_key(&shard),
-                Some(owner) => self.members.contains_key(&owner) && !over,
+                Some(me) if me == self.me => self.owned.contains_key(&shard),
+                Some(owner) => self.members.contains_key(&owner) && !ended,
                 None => false,
             };
-            let known = self.free.get(&shard).filter(|f| f.owner == owner);
-            let since = known.map_or(now, |f| f.since);
+            let known = self.unowned.get(&shard).filter(|u| u.owner == owner);
+            let since = known.map_or(now, |u| u.since);
             if held {
-                self.free.remove(&shard);
+                self.unowned.remove(&shard);
             } else {
-                self.free.insert(shard, Free { owner, over, since });
+                self.unowned.insert(shard, Unowned { owner, ended, since });
             }
         }
     }
 
-    /// Whether the process that a row names is known to be over: another one has its address, and
-    /// registered after the row was written by it.
+    /// Whether the process that an owner row names is known to have ended: another process has
+    /// registered its address after it.
     ///
-    /// Guards against waiting for the lease of a process that was killed and is back: its shards
-    /// would stand still for three seconds although it can't do anything any more. It is no proof
-    /// for what must not happen, which rests on the tokens alone.
-    fn over(&self, row: &OwnerRow) -> bool {
+    /// Guards against waiting for the lease of a process that was killed and restarted: its shards
+    /// would have no working owner for three seconds although that process can't act any more. This
+    /// is only a hint to act early. Exclusive ownership rests on the tokens alone.
+    fn has_ended(&self, row: &OwnerRow) -> bool {
         let Some(owner) = row.owner else { return false };
         let known = self.members.get(&owner);
         let control = row.control.or(known.map(|(_, m)| m.control));
         let since = known.map_or(0, |(rev, _)| *rev);
-        let other = |(id, (rev, m)): (&Incarnation, &(Rev, MemberRow))| {
+        let successor = |(id, (rev, m)): (&Incarnation, &(Rev, MemberRow))| {
             *id != owner && Some(m.control) == control && *rev > since
         };
-        self.members.iter().any(other)
+        self.members.iter().any(successor)
     }
 
-    /// Where this member takes calls of others, as its row says.
+    /// The address at which this member accepts calls of other members, according to its row.
     pub fn control(&self) -> Option<SocketAddr> {
         self.members.get(&self.me).map(|(_, m)| m.control)
     }
 
-    fn drop_lost(&mut self) -> Vec<ShardNo> {
+    fn remove_lost(&mut self) -> Vec<ShardNo> {
         let mine = |shard: &ShardNo, token: u64| {
             let row = self.owners.get(shard).map(|(_, o)| o);
             row.is_some_and(|o| o.owner == Some(self.me) && o.token == token)
         };
         let lost: Vec<ShardNo> =
-            self.running.iter().filter(|(s, t)| !mine(s, **t)).map(|(s, _)| *s).collect();
+            self.owned.iter().filter(|(s, t)| !mine(s, **t)).map(|(s, _)| *s).collect();
         for shard in &lost {
-            self.running.remove(shard);
+            self.owned.remove(shard);
         }
         lost
     }
 
-    /// A shard that this member takes over now.
-    fn due(&self, now: Time) -> Option<ShardNo> {
-        let heard = self.answered.is_some_and(|a| now - a <= SILENT);
-        let able = self.members.get(&self.me).is_some_and(|(_, m)| !m.draining);
-        if !self.loaded || !heard || !able || self.stopping {
+    /// The next shard that this member has to take over now.
+    fn next_due(&self, now: Time) -> Option<ShardNo> {
+        let in_touch = self.last_answer.is_some_and(|a| now - a <= MAX_STORE_SILENCE);
+        let eligible = self.members.get(&self.me).is_some_and(|(_, m)| !m.draining);
+        if !self.loaded || !in_touch || !eligible || self.stopping {
             return None;
         }
-        let mut free = self.free.iter().filter(|(s, _)| !self.flying.contains(s));
-        free.find(|(s, f)| self.wait(**s, f) <= now).map(|(s, _)| *s)
+        let mut unowned = self.unowned.iter().filter(|(s, _)| !self.pending.contains(s));
+        unowned.find(|(s, u)| self.takeover_at(**s, u) <= now).map(|(s, _)| *s)
     }
 
-    /// When this member takes over a free shard.
-    fn wait(&self, shard: ShardNo, free: &Free) -> Time {
-        let held = self.held.get(&shard).copied().unwrap_or(Time::ZERO);
-        if free.owner == Some(self.me) {
-            return held;
+    /// The time at which this member takes over a shard without a live owner.
+    fn takeover_at(&self, shard: ShardNo, unowned: &Unowned) -> Time {
+        let not_before = self.not_before.get(&shard).copied().unwrap_or(Time::ZERO);
+        if unowned.owner == Some(self.me) {
+            return not_before;
         }
-        let since = free.since.max(self.resumed);
-        let sure = free.owner.is_none() || free.over;
-        let grace = if sure { Duration::ZERO } else { GRACE };
-        let late = if self.relayed { RELAYED } else { Duration::ZERO };
+        let since = unowned.since.max(self.answering_since);
+        let skips_grace = unowned.owner.is_none() || unowned.ended;
+        let grace = if skips_grace { Duration::ZERO } else { TAKEOVER_GRACE };
+        let relay_delay = if self.relayed { RELAYED_DELAY } else { Duration::ZERO };
         let Some(rank) = self.rank(shard) else { return Time::NEVER };
-        (since + grace + late + RANK * rank).max(held)
+        (since + grace + relay_delay + RANK_DELAY * rank).max(not_before)
     }
 
-    /// This member's place among those that could take a shard: who would own fewer for its share of
-    /// a processor comes first, and among equals the hash decides.
+    /// This member's rank among the candidates for a shard. The member that would own the fewest
+    /// shards for its share of a processor comes first; the rendezvous hash orders equals.
     ///
-    /// Guards against an owner that can't read its shard: one that the store serves through others only
-    /// comes behind all that it serves.
+    /// Members that reach the store only through others rank behind all that the store serves
+    /// directly. Guards against an owner that can't read its shard.
     fn rank(&self, shard: ShardNo) -> Option<u32> {
         let mut counts: BTreeMap<Incarnation, usize> = BTreeMap::new();
         for owner in self.owners.values().filter_map(|(_, o)| o.owner) {
             *counts.entry(owner).or_default() += 1;
         }
-        *counts.entry(self.me).or_default() += self.flying.len();
+        *counts.entry(self.me).or_default() += self.pending.len();
         let mut ring = RendezvousNodes::new(Rendezvous);
-        for (id, _) in self.living().filter(|(_, m)| !m.draining) {
+        for (id, _) in self.live_members().filter(|(_, m)| !m.draining) {
             ring.insert(IdNode::new(*id));
         }
         let mut order: Vec<Incarnation> =
             ring.calc_candidates(&shard).map(|n| *n.node_id()).collect();
         let load = |id: &Incarnation| {
-            let share = self.members.get(id).map_or(0.0, |(_, m)| m.cores).max(LEAST);
+            let share = self.members.get(id).map_or(0.0, |(_, m)| m.cores).max(MIN_CORES);
             (counts.get(id).copied().unwrap_or(0) + 1) as f64 / share
         };
         let relayed = |id: &Incarnation| match *id == self.me {
@@ -473,13 +495,13 @@
     }
 }
 
-/// The key of a member's row.
+/// The key of a member's row in the store.
 pub fn member_key(member: Incarnation) -> Box<str> {
     format!("{MEMBERS}{member}").into()
 }
 
-/// Puts a row in its place, unless a later one is there.
-fn place<K: Ord, V>(rows: &mut BTreeMap<K, (Rev, V)>, key: K, rev: Rev, value: Option<V>) {
+/// Sets or removes a row, unless a later revision of it is known.
+fn insert_newer<K: Ord, V>(rows: &mut BTreeMap<K, (Rev, V)>, key: K, rev: Rev, value: Option<V>) {
     if rows.get(&key).is_some_and(|(known, _)| *known > rev) {
         return;
     }
--- a/tests/layout.rs
+++ b/tests/layout.rs
@@ -1,10 +1,11 @@
-//! How the layout is made: when the list of workers counts as whole, and which shard each is in.
+//! How the layout is created: when the list of workers counts as complete, and which shard each
+//! worker belongs to.
 
 use {
     dogwoodreach::{
         Time,
         ids::{PoolId, WorkerId, Zone},
-        layout::{Census, MOST, STILL, layout},
+        layout::{ListMonitor, MAX_LIST_WAIT, STABLE_PERIOD, layout},
         shard::record::ShardNo,
         work::{JobNo, Listed},
     },
@@ -19,11 +20,11 @@
 }
 
 /// Workers of two pools over three zones: 756 in racks of 20, 98 in racks of 12.
-fn grown() -> Vec<Listed> {
+fn large_deployment() -> Vec<Listed> {
     two_pools(252)
 }
 
-/// So many workers of a pool in each zone, and 98 of another.
+/// This number of workers of one pool in each zone, and 98 workers of another pool.
 fn two_pools(each: usize) -> Vec<Listed> {
     let mut all = vec![];
     for (pool, each, rack) in [("quoting", [each; 3], 20), ("engineering", [33, 33, 32], 12)] {
@@ -51,48 +52,49 @@
 
 #[test]
 fn the_list_is_whole_once_it_is_still() {
-    // Story: all machines start within a third of a second, and the first member reads the list
-    // when one worker of 350 has registered. A layout made then has one shard for ever.
-    let mut census = Census::new(ms(0));
-    assert!(!census.seen(1, ms(0)));
-    assert!(!census.seen(19, ms(500)));
-    assert!(!census.seen(350, ms(1000)));
-    assert!(!census.seen(350, ms(1000) + STILL - Duration::from_millis(1)));
-    assert!(census.seen(350, ms(1000) + STILL));
+    // All machines start within a third of a second, and the first member reads the list when one
+    // worker of 350 has registered. A layout created then would have one shard for good.
+    let mut monitor = ListMonitor::new(ms(0));
+    assert!(!monitor.observe(1, ms(0)));
+    assert!(!monitor.observe(19, ms(500)));
+    assert!(!monitor.observe(350, ms(1000)));
+    assert!(!monitor.observe(350, ms(1000) + STABLE_PERIOD - Duration::from_millis(1)));
+    assert!(monitor.observe(350, ms(1000) + STABLE_PERIOD));
 }
 
 #[test]
 fn a_list_that_is_never_still_or_stays_empty_is_not_waited_for_for_ever() {
-    // Story: workers come one by one without end, or none comes at all. Callers' jobs wait for the
-    // layout, so it has to be made in the end.
+    // Workers register one by one without end, or none registers at all. Jobs of callers wait for
+    // the layout, so it has to be created in the end.
     for step in [0, 1] {
-        let mut census = Census::new(ms(0));
+        let mut monitor = ListMonitor::new(ms(0));
         let times = (0..).map(|n| (n, ms(n * 500)));
-        let whole = times.map(|(n, t)| (census.seen(n as usize * step, t), t)).find(|(w, _)| *w);
-        assert_eq!(whole.expect("whole at last").1, Time::ZERO + MOST);
+        let whole =
+            times.map(|(n, t)| (monitor.observe(n as usize * step, t), t)).find(|(w, _)| *w);
+        assert_eq!(whole.expect("complete at last").1, Time::ZERO + MAX_LIST_WAIT);
     }
 }
 
 #[test]
 fn small_deployments_have_one_shard() {
     for count in [0, 1, 48, 100] {
-        let workers: Vec<_> = grown().into_iter().rev().take(count).collect();
+        let workers: Vec<_> = large_deployment().into_iter().rev().take(count).collect();
         let layout = layout(&workers, "s".into());
         assert_eq!(layout.shards, 1);
-        assert!(workers.iter().all(|w| layout.shard(w) == ShardNo(0)));
+        assert!(workers.iter().all(|w| layout.worker_shard(w) == ShardNo(0)));
         assert_eq!(layout.of(JobNo(7), &PoolId::from("quoting")), ShardNo(0));
     }
 }
 
 #[test]
 fn a_pool_that_one_owner_bears_is_not_divided() {
-    // Story: gangs of up to 20 tasks, each of a whole worker, where 3 of 10 workers may run a step.
-    // Of 98 workers that is 29; divided over six shards it was 5, and such a gang never ran.
-    let workers = grown();
+    // Gangs have up to 20 tasks that take a whole worker each, and 3 of 10 workers can run a step:
+    // 29 of 98 workers. Divided over six shards these were 5 per shard, and such a gang never ran.
+    let workers = large_deployment();
     let layout = layout(&workers, "s".into());
     assert_eq!(layout.shards, 3);
     let shards = |pool: &str| -> BTreeSet<ShardNo> {
-        workers.iter().filter(|w| w.pool.as_str() == pool).map(|w| layout.shard(w)).collect()
+        workers.iter().filter(|w| w.pool.as_str() == pool).map(|w| layout.worker_shard(w)).collect()
     };
     assert_eq!(shards("engineering").len(), 1);
     assert_eq!(shards("quoting").len(), 2);
@@ -101,12 +103,13 @@
 
 #[test]
 fn a_pool_is_divided_only_where_each_part_holds_its_widest_steps() {
-    // Story: a lasting step of 24 tasks, one on a worker at the most, where 3 of 10 workers may run
-    // it. Of the 84 workers of its shard 18 did; 6 tasks never ran while most of the pool's 252
-    // workers had room.
+    // A long-running step has 24 tasks, at most one per worker, and 3 of 10 workers can run it. In
+    // a shard of 84 workers 18 tasks ran; 6 never started while most of the pool's 252 workers had
+    // room.
     let layout = layout(&two_pools(84), "s".into());
     assert_eq!(layout.shards, 2, "one for each pool");
-    // And a gang of 87 tasks that take half a worker each, of 350 workers that three in ten may run.
+    // A gang of 87 tasks that take half a worker each, and 350 workers of which three in ten can
+    // run it.
     let wide: Vec<_> =
         two_pools(300).into_iter().filter(|w| w.pool.as_str() == "quoting").take(350).collect();
     assert_eq!(crate::layout(&wide, "s".into()).shards, 1);
@@ -119,31 +122,31 @@
 
 #[test]
 fn a_job_is_where_workers_of_its_pool_are() {
-    // Story: a shard without any worker of a pool would keep that pool's jobs for ever.
-    let workers = grown();
+    // A shard without workers of a pool would keep that pool's jobs waiting for ever.
+    let workers = large_deployment();
     let layout = layout(&workers, "s".into());
     for pool in ["engineering", "quoting", "later"].map(PoolId::from) {
         let jobs: BTreeSet<_> = (0..500).map(|n| layout.of(JobNo(n), &pool)).collect();
         let there: BTreeSet<_> =
-            workers.iter().filter(|w| w.pool == pool).map(|w| layout.shard(w)).collect();
+            workers.iter().filter(|w| w.pool == pool).map(|w| layout.worker_shard(w)).collect();
         let later = (0..3).map(ShardNo).collect();
         assert_eq!(jobs, if there.is_empty() { later } else { there });
         for n in 0..20 {
             let new = worker(1000 + n, pool.as_str(), 0, &format!("new{n}"));
-            assert!(jobs.contains(&layout.shard(&new)));
+            assert!(jobs.contains(&layout.worker_shard(&new)));
         }
     }
 }
 
 #[test]
 fn each_shard_has_its_part_of_a_pool_over_several_zones() {
-    // Story: jobs are spread evenly over shards. By a hash of the racks one shard had a third of a
-    // pool and another none of it, and its jobs never ran.
-    let workers = grown();
+    // Jobs are spread evenly over the shards. When a hash of the rack chose the shard, one shard
+    // had a third of a pool and another none of it, so that its jobs never ran.
+    let workers = large_deployment();
     let layout = layout(&workers, "s".into());
     let mut of: BTreeMap<ShardNo, Vec<&Listed>> = BTreeMap::new();
     for w in workers.iter().filter(|w| w.pool.as_str() == "quoting") {
-        of.entry(layout.shard(w)).or_default().push(w);
+        of.entry(layout.worker_shard(w)).or_default().push(w);
     }
     for (shard, all) in of {
         assert_eq!(all.len(), 378, "{shard}");
@@ -154,50 +157,50 @@
 
 #[test]
 fn a_worker_s_next_life_is_in_the_same_shard() {
-    // Story: a worker crashes and comes back with another id. Were its shard to change, its new
-    // owner's token might be lower than the one that it has seen.
-    let workers = grown();
+    // A worker crashes and restarts with another id. If its shard changed, the new owner's token
+    // might be lower than the one that the worker has seen.
+    let workers = large_deployment();
     let layout = layout(&workers, "s".into());
     for w in &workers {
         let next = Listed { id: WorkerId::from("next"), ..w.clone() };
-        assert_eq!(layout.shard(&next), layout.shard(w));
+        assert_eq!(layout.worker_shard(&next), layout.worker_shard(w));
     }
 }
 
 #[test]
 fn an_address_that_passes_to_another_pool_changes_the_shard() {
-    // Story: a worker crashes for good, and its address goes to a worker of another pool. In the
-    // shard of the old one there is no job for it.
-    let workers = grown();
+    // A worker crashes for good, and its address is reused by a worker of another pool. The shard
+    // of the old worker has no jobs for the new one.
+    let workers = large_deployment();
     let layout = layout(&workers, "s".into());
     let there = |pool: &str| -> BTreeSet<ShardNo> {
-        workers.iter().filter(|w| w.pool.as_str() == pool).map(|w| layout.shard(w)).collect()
+        workers.iter().filter(|w| w.pool.as_str() == pool).map(|w| layout.worker_shard(w)).collect()
     };
     for w in &workers {
         for pool in ["quoting", "engineering"] {
             let next = Listed { id: WorkerId::from("next"), pool: pool.into(), ..w.clone() };
-            assert!(there(pool).contains(&layout.shard(&next)));
+            assert!(there(pool).contains(&layout.worker_shard(&next)));
         }
     }
 }
 
 #[test]
 fn workers_of_a_rack_that_came_later_are_in_one_shard() {
-    let layout = layout(&grown(), "s".into());
+    let layout = layout(&large_deployment(), "s".into());
     let pool = "quoting";
     let shards: BTreeSet<_> =
-        (0..20).map(|n| layout.shard(&worker(1000 + n, pool, 1, "r1-3"))).collect();
+        (0..20).map(|n| layout.worker_shard(&worker(1000 + n, pool, 1, "r1-3"))).collect();
     assert_eq!(shards.len(), 1);
     let alone: BTreeSet<_> = (0..20)
         .map(|n| Listed { labels: [].into(), ..worker(1000 + n, pool, 1, "") })
-        .map(|w| layout.shard(&w))
+        .map(|w| layout.worker_shard(&w))
         .collect();
     assert!(alone.len() > 1);
 }
 
 #[test]
 fn the_order_of_the_list_does_not_matter() {
-    let mut workers = grown();
+    let mut workers = large_deployment();
     let before = layout(&workers, "s".into());
     workers.reverse();
     assert_eq!(layout(&workers, "s".into()), before);
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -1,4 +1,4 @@
-//! Who takes over a shard, and when, in virtual time.
+//! Which member takes over a shard, and when, in virtual time.
 
 use {
     dogwoodreach::{
@@ -7,7 +7,10 @@
         ids::{Incarnation, Zone},
         ports::{Item, Rev},
         shard::record::{self, LAYOUT, Layout, MemberRow, OwnerRow, ShardNo},
-        table::{Fate, GRACE, RANK, RELAYED, SILENT, Table, Take, member_key},
+        table::{
+            MAX_STORE_SILENCE, MemberTable, Outcome, RANK_DELAY, RELAYED_DELAY, TAKEOVER_GRACE,
+            Takeover, member_key,
+        },
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -16,7 +19,7 @@
     },
 };
 
-const LONG: Duration = Duration::from_secs(60);
+const SETTLE_TIME: Duration = Duration::from_secs(60);
 
 fn ms(n: u64) -> Time {
     Time::from_millis(n)
@@ -30,16 +33,17 @@
     format!("127.0.0.1:{}", member.0).parse().expect("an address")
 }
 
-/// The store's table, and the members that follow it.
+/// The table in the store, and the members that follow it.
 struct Cell {
     now: Time,
     rev: Rev,
     items: BTreeMap<Box<str>, Item>,
-    tables: BTreeMap<Incarnation, Table>,
+    tables: BTreeMap<Incarnation, MemberTable>,
 }
 
 impl Cell {
-    /// A cell with so many shards, whose members 1 to `members` are registered and have read it.
+    /// A cell with this number of shards, whose members 1 to `members` are registered and have read
+    /// the table.
     fn new(shards: u16, members: u64) -> Self {
         let (items, tables) = Default::default();
         let mut cell = Cell { now: ms(5000), rev: 0, items, tables };
@@ -65,12 +69,12 @@
         self.put(key, Some(value))
     }
 
-    /// Changes an item, and tells all that follow.
+    /// Changes an item in the store and notifies all members.
     fn put(&mut self, key: Box<str>, value: Option<bytes::Bytes>) -> Rev {
         self.rev += 1;
         let item = Item { key: key.clone(), value, rev: self.rev };
         for table in self.tables.values_mut() {
-            table.changed(vec![item.clone()], self.rev, self.now);
+            table.apply_changes(vec![item.clone()], self.rev, self.now);
         }
         if item.value.is_some() {
             self.items.insert(key, item)
@@ -89,15 +93,15 @@
         self.write(member_key(member), record::write(&row));
     }
 
-    /// A member begins to follow.
+    /// Starts a member that reads the whole table.
     fn start(&mut self, member: Incarnation) {
-        let mut table = Table::new(member);
-        table.answered(self.now);
+        let mut table = MemberTable::new(member);
+        table.note_answer(self.now);
         table.load(self.items.values().cloned().collect(), self.rev, self.now);
         self.tables.insert(member, table);
     }
 
-    /// A member is gone, and after it its row.
+    /// Ends a member and removes its row.
     fn leave(&mut self, member: Incarnation) {
         self.tables.remove(&member);
         self.put(member_key(member), None);
@@ -107,26 +111,29 @@
         record::read(self.items.get(&shard.owner())?.value.as_ref()?)
     }
 
-    /// The store's part of a takeover.
-    fn land(&mut self, member: Incarnation, take: &Take) -> Fate {
-        let rev = self.items.get(&take.shard.owner()).map_or(0, |i| i.rev);
-        if rev != take.row {
-            return Fate::Lost(self.items.get(&take.shard.owner()).cloned().into_iter().collect());
+    /// Applies a takeover as the store does.
+    fn apply(&mut self, member: Incarnation, takeover: &Takeover) -> Outcome {
+        let rev = self.items.get(&takeover.shard.owner()).map_or(0, |i| i.rev);
+        if rev != takeover.owner_rev {
+            return Outcome::Conflict(
+                self.items.get(&takeover.shard.owner()).cloned().into_iter().collect(),
+            );
         }
         let row =
-            OwnerRow { owner: Some(member), token: take.token, control: Some(address(member)) };
-        let rev = self.write(take.shard.owner(), record::write(&row));
-        Fate::Done(rev, take.token)
+            OwnerRow { owner: Some(member), token: takeover.token, control: Some(address(member)) };
+        let rev = self.write(takeover.shard.owner(), record::write(&row));
+        Outcome::Done(rev, takeover.token)
     }
 
-    /// Lets time pass in steps of 20 ms, all members in touch, and lands what they take.
-    fn pass(&mut self, time: Duration) {
+    /// Advances the time in steps of 20 ms, with the store answering all members, and applies their
+    /// takeovers.
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now = self.now + Duration::from_millis(20);
             for member in self.tables.keys().copied().collect::<Vec<_>>() {
                 let now = self.now;
-                self.table(member).answered(now);
+                self.table(member).note_answer(now);
                 self.step(member);
             }
         }
@@ -134,24 +141,23 @@
 
     fn step(&mut self, member: Incarnation) {
         let now = self.now;
-        for take in self.table(member).step(now) {
-            let fate = self.land(member, &take);
-            self.table(member).taken(&take, fate, now);
+        for takeover in self.table(member).due_takeovers(now) {
+            let outcome = self.apply(member, &takeover);
+            self.table(member).finish_takeover(&takeover, outcome, now);
         }
     }
 
-    fn table(&mut self, member: Incarnation) -> &mut Table {
+    fn table(&mut self, member: Incarnation) -> &mut MemberTable {
         self.tables.get_mut(&member).expect("a member")
     }
 }
 
 #[test]
 fn free_shards_are_spread_at_once() {
-    // Story: all members start together and nobody owns anything. Were the hash alone to decide,
-    // some would own several shards and others none, and every tick would be paid for more often
-    // than needed.
+    // All members start together and no shard has an owner. If the hash alone decided, some members
+    // would own several shards and others none.
     let mut cell = Cell::new(6, 6);
-    cell.pass(Duration::from_millis(200));
+    cell.advance(Duration::from_millis(200));
     let owners: BTreeSet<_> =
         (0..6).map(|s| cell.owner(ShardNo(s)).expect("owned").owner).collect();
     assert_eq!(owners.len(), 6);
@@ -162,15 +168,16 @@
 
 #[test]
 fn a_lost_owner_is_followed_after_the_grace_and_with_a_higher_token() {
-    // Story: an owner's machine loses power. Its shard stands still until another member takes it,
-    // and one that takes it too early would take it from an owner that is only registering again.
+    // An owner's machine loses power. Its shard has no working owner until another member takes it
+    // over. A takeover that is too early would take it from an owner that is only registering
+    // again.
     let mut cell = Cell::new(1, 3);
-    cell.pass(LONG);
+    cell.advance(SETTLE_TIME);
     let first = cell.owner(ShardNo(0)).expect("owned").owner.expect("a member");
     cell.leave(first);
-    cell.pass(GRACE - Duration::from_millis(40));
+    cell.advance(TAKEOVER_GRACE - Duration::from_millis(40));
     assert_eq!(cell.owner(ShardNo(0)).expect("owned").owner, Some(first));
-    cell.pass(Duration::from_millis(100));
+    cell.advance(Duration::from_millis(100));
     let row = cell.owner(ShardNo(0)).expect("owned");
     assert_ne!(row.owner, Some(first));
     assert_eq!(row.token, 2);
@@ -178,17 +185,17 @@
 
 #[test]
 fn an_owner_whose_address_another_process_has_is_not_waited_for() {
-    // Story: an owner is killed and its machine starts it again at once. The new process registers
-    // at the same address while the old one's lease goes on for two seconds: the shard must not
-    // wait for that lease and the grace after it, as the old process can't do anything any more.
+    // An owner is killed and its machine restarts it at once. The new process registers the same
+    // address while the old lease runs for two more seconds. The takeover must not wait for that
+    // lease and the grace period, as the old process can't act any more.
     let mut cell = Cell::new(1, 3);
-    cell.pass(LONG);
+    cell.advance(SETTLE_TIME);
     let first = cell.owner(ShardNo(0)).expect("owned").owner.expect("a member");
     cell.tables.remove(&first);
-    cell.pass(GRACE * 2);
+    cell.advance(TAKEOVER_GRACE * 2);
     assert_eq!(cell.owner(ShardNo(0)).expect("owned").owner, Some(first), "its row is there");
     cell.join_at(id(9), address(first), false, 1.0);
-    cell.pass(RANK * 3);
+    cell.advance(RANK_DELAY * 3);
     let row = cell.owner(ShardNo(0)).expect("owned");
     assert_ne!(row.owner, Some(first));
     assert_eq!(row.token, 2);
@@ -196,42 +203,42 @@
 
 #[test]
 fn after_all_were_killed_the_owner_s_row_tells_where_it_was() {
-    // Story: all processes are killed, and their leases end before the new ones have read the
-    // table. No row of the old owner is left to compare with, but the shard's own row says where
-    // it was; the new process at that address is the proof.
+    // All processes are killed, and their leases end before the new ones have read the table. The
+    // old owner has no member row any more, but the owner row of the shard holds its address; a new
+    // process at that address proves that the old one has ended.
     let mut cell = Cell::new(1, 2);
-    cell.pass(LONG);
+    cell.advance(SETTLE_TIME);
     let first = cell.owner(ShardNo(0)).expect("owned").owner.expect("a member");
     let other = if first == id(1) { id(2) } else { id(1) };
     cell.leave(first);
     cell.leave(other);
     cell.join_at(id(9), address(first), false, 1.0);
     cell.start(id(9));
-    cell.pass(GRACE / 4);
+    cell.advance(TAKEOVER_GRACE / 4);
     assert_eq!(cell.owner(ShardNo(0)).expect("owned").owner, Some(id(9)));
 }
 
 #[test]
 fn an_older_process_at_the_same_address_proves_nothing() {
-    // Story: a process was killed, and its successor at the same address owns a shard; the row of
-    // the first is still there until its lease ends. The live one must not be taken for dead.
+    // A process was killed, and its successor at the same address owns a shard. The row of the
+    // first process exists until its lease ends; it must not make the live one count as ended.
     let mut cell = Cell::new(1, 1);
     cell.join_at(id(2), address(id(1)), false, 100.0);
     cell.tables.remove(&id(1));
     cell.start(id(2));
-    cell.pass(GRACE);
+    cell.advance(TAKEOVER_GRACE);
     assert_eq!(cell.owner(ShardNo(0)).expect("owned").owner, Some(id(2)));
     cell.join(id(3), false);
     cell.start(id(3));
-    cell.pass(GRACE * 3);
+    cell.advance(TAKEOVER_GRACE * 3);
     assert_eq!(cell.owner(ShardNo(0)).expect("owned").owner, Some(id(2)));
 }
 
 #[test]
 fn a_machine_that_is_back_is_asked_once() {
-    // Story: all processes are killed and start again at once. Until the old leases have ended the
-    // table has two rows for each machine; the owner sends calls for advice to both, and a machine
-    // makes one after the other, so that every second one runs out of time.
+    // All processes are killed and restart at once. Until the old leases have ended, the table has
+    // two rows for each machine. An owner that sends advice calls to both makes every second one
+    // time out, as a machine makes one call after the other.
     let mut cell = Cell::new(4, 3);
     for n in 1..=3 {
         cell.join_at(id(10 + n), address(id(n)), false, 1.0);
@@ -239,7 +246,7 @@
     cell.start(id(11));
     let view = cell.table(id(11)).view();
     let back: Vec<_> = (11..=13).map(id).collect();
-    assert_eq!(view.able(), back);
+    assert_eq!(view.available_members(), back);
     let mut asked = BTreeSet::new();
     for shard in (0..4).map(ShardNo) {
         let Peers { own, shared } = view.peers(shard);
@@ -253,8 +260,8 @@
 
 #[test]
 fn shards_prefer_different_members_for_their_calls() {
-    // Story: four shards make calls that take over a second each, and none knows of the others'.
-    // All began with the same members, and calls waited there while others had nothing to do.
+    // Four shards make calls that take over a second each, without knowing each other's. If all
+    // start with the same members, calls queue there while other members are idle.
     let mut cell = Cell::new(4, 42);
     let view = cell.table(id(1)).view();
     let mut first = BTreeSet::new();
@@ -272,15 +279,15 @@
 
 #[test]
 fn shards_go_to_members_with_processors_first() {
-    // Story: six machines of half a core and 36 of an eighth. An owner's work doesn't fit on an
-    // eighth of a core, so these may own a shard only when the others have several.
+    // Six machines have half a core and 36 an eighth. An owner needs more than an eighth of a core,
+    // so that the small ones may own a shard only when the others have several.
     let mut cell = Cell::new(6, 0);
     let strong: Vec<_> = (1..=42).filter(|n| n % 7 == 0).map(id).collect();
     for n in (1..=42).map(id) {
         cell.join_at(n, address(n), false, if strong.contains(&n) { 0.5 } else { 0.12 });
     }
     (1..=42).for_each(|n| cell.start(id(n)));
-    cell.pass(Duration::from_secs(1));
+    cell.advance(Duration::from_secs(1));
     let owners: BTreeSet<_> =
         (0..6).map(|s| cell.owner(ShardNo(s)).expect("owned").owner.expect("a member")).collect();
     assert_eq!(owners, strong.into_iter().collect());
@@ -288,42 +295,42 @@
 
 #[test]
 fn a_dead_first_candidate_is_not_waited_for_forever() {
-    // Story: the member that is first in line has a row, but its process hangs and never writes.
-    // The second in line has to take the shard after its own wait, and not before.
+    // The first candidate has a row, but its process hangs and never writes. The second candidate
+    // has to take the shard over after its own delay, and not before.
     let mut cell = Cell::new(1, 3);
-    let frozen: Vec<_> = (1..=3).map(id).filter(|m| takes_at_once(&mut cell, *m)).collect();
+    let frozen: Vec<_> = (1..=3).map(id).filter(|m| takes_over_at_once(&mut cell, *m)).collect();
     assert_eq!(frozen.len(), 1, "one member is first");
     cell.tables.remove(&frozen[0]);
-    cell.pass(RANK - Duration::from_millis(40));
+    cell.advance(RANK_DELAY - Duration::from_millis(40));
     assert_eq!(cell.owner(ShardNo(0)), None);
-    cell.pass(Duration::from_millis(100));
+    cell.advance(Duration::from_millis(100));
     assert!(cell.owner(ShardNo(0)).is_some());
 }
 
-/// Whether a member would take shard 0 now; what it would write is not landed.
-fn takes_at_once(cell: &mut Cell, member: Incarnation) -> bool {
+/// Whether a member would take over shard 0 now; the takeover is not written.
+fn takes_over_at_once(cell: &mut Cell, member: Incarnation) -> bool {
     let now = cell.now;
-    let takes = cell.table(member).step(now);
-    for take in &takes {
-        cell.table(member).taken(take, Fate::Not, now);
+    let takeovers = cell.table(member).due_takeovers(now);
+    for takeover in &takeovers {
+        cell.table(member).finish_takeover(takeover, Outcome::NotWritten, now);
     }
-    !takes.is_empty()
+    !takeovers.is_empty()
 }
 
 #[test]
 fn a_released_shard_is_taken_without_a_grace() {
-    // Story: a planned stop. The owner releases its shard and its row stays for a while, draining;
-    // the shard must not wait for a lease to end.
+    // During a planned stop the owner releases its shard while its row still exists, as draining.
+    // The takeover must not wait for the lease to end.
     let mut cell = Cell::new(1, 2);
-    cell.pass(LONG);
+    cell.advance(SETTLE_TIME);
     let first = cell.owner(ShardNo(0)).expect("owned").owner.expect("a member");
     let now = cell.now;
     cell.table(first).stop();
     cell.join(first, true);
     let row = OwnerRow { owner: None, token: 1, control: None };
     cell.write(ShardNo(0).owner(), record::write(&row));
-    cell.table(first).dropped(ShardNo(0), now);
-    cell.pass(Duration::from_millis(20));
+    cell.table(first).remove_owned(ShardNo(0), now);
+    cell.advance(Duration::from_millis(20));
     let row = cell.owner(ShardNo(0)).expect("owned");
     assert!(row.owner.is_some_and(|o| o != first));
     assert_eq!(row.token, 2);
@@ -331,31 +338,31 @@
 
 #[test]
 fn a_member_that_the_store_is_silent_to_takes_nothing() {
-    // Story: a member is cut off from the store and remembers an old table. What it would take
-    // over may long have another owner, and its write, held up on the way, could arrive later.
+    // A member is cut off from the store and knows an old table. The shards it would take over may
+    // have other owners by now, and a delayed write could arrive later.
     let mut cell = Cell::new(1, 1);
-    let late = cell.now + SILENT + Duration::from_millis(1);
-    assert!(cell.table(id(1)).step(late).is_empty());
-    cell.table(id(1)).answered(late);
-    assert_eq!(cell.table(id(1)).step(late).len(), 1);
+    let late = cell.now + MAX_STORE_SILENCE + Duration::from_millis(1);
+    assert!(cell.table(id(1)).due_takeovers(late).is_empty());
+    cell.table(id(1)).note_answer(late);
+    assert_eq!(cell.table(id(1)).due_takeovers(late).len(), 1);
 }
 
 #[test]
 fn after_an_outage_owners_get_their_grace_again() {
-    // Story: the store was down and all leases have ended. The first member that reaches it again
-    // sees no owner alive, but they are all about to register: it must give them their second.
+    // The store was down and all leases have ended. The first member that reaches it again sees no
+    // live owner, but the owners are about to register again: the grace period has to start anew.
     let mut cell = Cell::new(1, 2);
-    cell.pass(LONG);
+    cell.advance(SETTLE_TIME);
     let owner = cell.owner(ShardNo(0)).expect("owned").owner.expect("a member");
     let other = if owner == id(1) { id(2) } else { id(1) };
     cell.put(member_key(owner), None);
-    // The other hears nothing for long enough that the grace alone would be over.
-    cell.now = cell.now + GRACE + SILENT * 2;
+    // The other member gets no answer for longer than the grace period.
+    cell.now = cell.now + TAKEOVER_GRACE + MAX_STORE_SILENCE * 2;
     let now = cell.now;
-    cell.table(other).answered(now);
-    assert!(cell.table(other).step(now).is_empty());
+    cell.table(other).note_answer(now);
+    assert!(cell.table(other).due_takeovers(now).is_empty());
     cell.join(owner, false);
-    cell.pass(LONG);
+    cell.advance(SETTLE_TIME);
     assert_eq!(
         cell.owner(ShardNo(0)).expect("owned"),
         OwnerRow { owner: Some(owner), token: 1, control: Some(address(owner)) }
@@ -364,110 +371,111 @@
 
 #[test]
 fn a_member_without_its_row_takes_nothing_and_must_register() {
-    // Story: this member's lease has ended without its noticing. Others may not see it, so it must
-    // not take anything before its row is back.
+    // This member's lease has ended without its notice. Other members may not see it, so that it
+    // must not take over a shard before its row exists again.
     let mut cell = Cell::new(1, 1);
     let registered = cell.rev;
-    assert!(!cell.table(id(1)).view().lost(id(1), registered));
+    assert!(!cell.table(id(1)).view().must_register(id(1), registered));
     cell.put(member_key(id(1)), None);
-    assert!(cell.table(id(1)).view().lost(id(1), registered));
-    cell.pass(Duration::from_secs(1));
+    assert!(cell.table(id(1)).view().must_register(id(1), registered));
+    cell.advance(Duration::from_secs(1));
     assert_eq!(cell.owner(ShardNo(0)), None);
     cell.join(id(1), false);
-    cell.pass(Duration::from_secs(1));
+    cell.advance(Duration::from_secs(1));
     assert!(cell.owner(ShardNo(0)).is_some());
 }
 
 #[test]
 fn a_takeover_whose_answer_was_lost_is_made_again_with_a_higher_token() {
-    // Story: the store did the takeover and its answer was lost. The member reads its own name in
-    // the row; what stands in the commit row it doesn't know, so it begins with a token of its own.
+    // The store applied the takeover but the answer was lost. The member reads its own id in the
+    // owner row. It doesn't know the commit row, so it takes the shard over again with a new token.
     let mut cell = Cell::new(1, 1);
     let now = cell.now;
-    let take = cell.table(id(1)).step(now).remove(0);
-    cell.land(id(1), &take);
+    let takeover = cell.table(id(1)).due_takeovers(now).remove(0);
+    cell.apply(id(1), &takeover);
     let read = cell.items.get(&ShardNo(0).owner()).cloned();
-    cell.table(id(1)).taken(&take, Fate::Unclear(read), now);
-    assert!(cell.table(id(1)).running().is_empty(), "nothing is assumed");
-    cell.pass(Duration::from_secs(1));
-    assert_eq!(cell.table(id(1)).running().get(&ShardNo(0)), Some(&2));
+    cell.table(id(1)).finish_takeover(&takeover, Outcome::Unclear(read), now);
+    assert!(cell.table(id(1)).owned().is_empty(), "nothing is assumed");
+    cell.advance(Duration::from_secs(1));
+    assert_eq!(cell.table(id(1)).owned().get(&ShardNo(0)), Some(&2));
 }
 
 #[test]
 fn a_takeover_that_lands_after_the_reading_is_found_by_the_watch() {
-    // Story: the answer was lost and the row read back unchanged; then the write landed after all.
-    // Two writes are under way, and only one of them may count.
+    // The answer was lost and the row was read back unchanged; then the write was applied after
+    // all. Two writes are under way, and only one of them may count.
     let mut cell = Cell::new(1, 1);
     let now = cell.now;
-    let take = cell.table(id(1)).step(now).remove(0);
-    cell.table(id(1)).taken(&take, Fate::Unclear(None), now);
-    cell.land(id(1), &take);
-    cell.pass(Duration::from_secs(1));
+    let takeover = cell.table(id(1)).due_takeovers(now).remove(0);
+    cell.table(id(1)).finish_takeover(&takeover, Outcome::Unclear(None), now);
+    cell.apply(id(1), &takeover);
+    cell.advance(Duration::from_secs(1));
     let row = cell.owner(ShardNo(0)).expect("owned");
-    assert_eq!(cell.table(id(1)).running().get(&ShardNo(0)), Some(&row.token));
+    assert_eq!(cell.table(id(1)).owned().get(&ShardNo(0)), Some(&row.token));
     assert_eq!(row.token, 2);
 }
 
 #[test]
 fn a_deposed_owner_learns_it_from_the_table() {
-    // Story: an owner was frozen, and another has taken its shard. When it thaws, the table is
-    // the first to tell it; it must drop the shard and not take it back.
+    // An owner was frozen, and another member has taken over its shard. When the owner resumes, the
+    // table is the first to show this; the owner must drop the shard and not take it back.
     let mut cell = Cell::new(1, 2);
-    cell.pass(LONG);
+    cell.advance(SETTLE_TIME);
     let owner = cell.owner(ShardNo(0)).expect("owned").owner.expect("a member");
     let other = if owner == id(1) { id(2) } else { id(1) };
     cell.rev += 1;
     let row = OwnerRow { owner: Some(other), token: 2, control: None };
     let item = Item { key: ShardNo(0).owner(), value: Some(record::write(&row)), rev: cell.rev };
     let (now, rev) = (cell.now, cell.rev);
-    assert_eq!(cell.table(owner).changed(vec![item], rev, now), [ShardNo(0)]);
-    assert!(cell.table(owner).running().is_empty());
-    assert!(cell.table(owner).step(now + GRACE * 2).is_empty());
+    assert_eq!(cell.table(owner).apply_changes(vec![item], rev, now), [ShardNo(0)]);
+    assert!(cell.table(owner).owned().is_empty());
+    assert!(cell.table(owner).due_takeovers(now + TAKEOVER_GRACE * 2).is_empty());
 }
 
 #[test]
 fn an_older_item_changes_nothing() {
-    // Story: a range that was read before this member's takeover arrives after it. Taken at its
-    // word, it would take the shard away from the one who has just got it.
+    // A range that was read before this member's takeover arrives after it. It must not take the
+    // shard away from this member.
     let mut cell = Cell::new(1, 1);
     let row = OwnerRow { owner: None, token: 4, control: None };
     cell.write(ShardNo(0).owner(), record::write(&row));
     let old: Vec<Item> = cell.items.values().cloned().collect();
     let rev = cell.rev;
-    cell.pass(Duration::from_secs(1));
+    cell.advance(Duration::from_secs(1));
     let now = cell.now;
     assert!(cell.table(id(1)).load(old, rev, now).is_empty());
-    assert_eq!(cell.table(id(1)).running().get(&ShardNo(0)), Some(&5));
+    assert_eq!(cell.table(id(1)).owned().get(&ShardNo(0)), Some(&5));
     let bare: Vec<Item> =
         cell.items.values().filter(|i| i.key != ShardNo(0).owner()).cloned().collect();
     assert!(cell.table(id(1)).load(bare, rev, now).is_empty());
-    assert_eq!(cell.table(id(1)).running().get(&ShardNo(0)), Some(&5));
+    assert_eq!(cell.table(id(1)).owned().get(&ShardNo(0)), Some(&5));
 }
 
-/// A cell of five whose owner is about to leave: the owner, the one member that the store serves, and
-/// the three that know that it doesn't serve them.
+/// A cell of five members: returns the owner of the shard, the one other member that the store
+/// serves directly, and the three that know that it doesn't serve them.
 fn cut_off() -> (Cell, Incarnation, Incarnation, Vec<Incarnation>) {
     let mut cell = Cell::new(1, 5);
-    cell.pass(LONG);
+    cell.advance(SETTLE_TIME);
     let first = cell.owner(ShardNo(0)).expect("owned").owner.expect("a member");
     let mut cut: Vec<Incarnation> = cell.tables.keys().copied().filter(|m| *m != first).collect();
     let served = cut.pop().expect("four others");
     for member in &cut {
-        cell.table(*member).relayed(true);
+        cell.table(*member).set_relayed(true);
     }
     (cell, first, served, cut)
 }
 
 #[test]
 fn a_member_that_the_store_does_not_serve_takes_a_shard_over_after_all_others() {
-    // It took 11 s to read the shard through others, and nobody owned it meanwhile.
+    // Reading the shard through other members took 11 s, and the shard had no working owner
+    // meanwhile.
     let (mut cell, first, served, cut) = cut_off();
     cell.leave(first);
-    cell.pass(GRACE + RANK * 4);
+    cell.advance(TAKEOVER_GRACE + RANK_DELAY * 4);
     assert_eq!(cell.owner(ShardNo(0)).expect("owned").owner, Some(served));
     cell.leave(served);
-    // Each knows of itself alone, so that it waits for all that are left.
-    cell.pass(GRACE + RELAYED + RANK * 2 + Duration::from_millis(60));
+    // Each member knows only its own state, so that it waits for all that are left.
+    cell.advance(TAKEOVER_GRACE + RELAYED_DELAY + RANK_DELAY * 2 + Duration::from_millis(60));
     assert!(cut.contains(&cell.owner(ShardNo(0)).expect("owned").owner.expect("a member")));
 }
 
@@ -480,6 +488,6 @@
         cell.write(member_key(member), record::write(&row));
     }
     cell.leave(first);
-    cell.pass(GRACE + Duration::from_millis(60));
+    cell.advance(TAKEOVER_GRACE + Duration::from_millis(60));
     assert_eq!(cell.owner(ShardNo(0)).expect("owned").owner, Some(served));
 }
