--- a/src/common.rs
+++ b/src/common.rs
@@ -71,10 +71,15 @@
     /// one.
     pub desk: Mutex<Desk>,
     start: Instant,
+    /// When the store last answered; [`Time::ZERO`] if it never has.
     last_answer: AtomicU64,
+    /// The highest revision of the configuration that is known to have been replaced.
     outdated_rev: AtomicU64,
+    /// When the configuration known here was last certainly the store's latest.
     confirmed_at: AtomicU64,
+    /// Whether this member has a row in the table.
     registered: AtomicBool,
+    /// When the configuration last changed here.
     configured_at: AtomicU64,
 }
 
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -64,14 +64,14 @@
             };
             pause.good();
             self.lease.send_replace(lease);
-            self.keep(lease).await;
+            self.hold_lease(lease).await;
             self.common.set_registered(false);
             log::warn!(target: "table", member:% = self.common.me, lease; "The lease has ended; this member registers again.");
         }
     }
 
     /// Registers under a lease and renews it until the store has ended it.
-    async fn keep(&self, lease: u64) {
+    async fn hold_lease(&self, lease: u64) {
         let mut pause = Pause::default();
         let mut registered: Option<(Rev, Status)> = None;
         loop {
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -1,9 +1,9 @@
 //! Follows the member table and the operators' items in the store, writes takeovers and releases of
 //! shards, and creates the layout of a new site.
 //!
-//! The decisions about takeovers are made by [`MemberTable`]; this module does the calls to the store.
-//! Members of a large site that come and go together could overload the store with watches, so that
-//! watches of the table are spaced out by the number of members.
+//! [`MemberTable`] decides about takeovers; this module makes the calls to the store. The watches
+//! of the table are spaced out by the number of members, as members of a large site that start and
+//! stop together could otherwise overload the store.
 
 use {
     crate::{
@@ -105,10 +105,12 @@
 pub(crate) struct TableSync {
     common: Arc<Common>,
     outside: Outside,
-    owner: OwnedShards,
+    owned_shards: OwnedShards,
     table: MemberTable,
     decisions: Sender<Told>,
+    /// Sends messages to this task itself.
     sender: Sender<Message>,
+    /// Whether a task is creating the layout.
     making_layout: bool,
     /// When this member was told to stop.
     stopping: Option<Time>,
@@ -118,11 +120,17 @@
 
 /// The messages to the [`TableSync`].
 enum Message {
+    /// What the watch of the table has delivered.
     Seen(Seen),
     TakeoverDone(Takeover, Outcome),
+    /// The attempt to create the layout has ended.
     LayoutDone,
+    /// The release of a shard has been written or given up; with the number of jobs whose writes
+    /// are not settled.
     Released(ShardNo, usize),
+    /// A notice of the decisions about a shard.
     Notice(Out),
+    /// This member is told to stop.
     Stop,
 }
 
@@ -131,16 +139,16 @@
     pub async fn run(
         common: Arc<Common>,
         outside: Outside,
-        owner: OwnedShards,
+        owned_shards: OwnedShards,
         decisions: Sender<Told>,
-        notes: Receiver<Out>,
+        notices: Receiver<Out>,
     ) {
         let (sender, messages) = async_channel::bounded(256);
         let follow = Follow::steady(outside.clone(), TABLE, TABLE_WATCH_WAIT);
         tokio::spawn(follow_table(common.clone(), follow, sender.clone()));
         let notice_tx = sender.clone();
         tokio::spawn(async move {
-            while let Ok(out) = notes.recv().await {
+            while let Ok(out) = notices.recv().await {
                 let _ = notice_tx.send(Message::Notice(out)).await;
             }
         });
@@ -154,7 +162,7 @@
         let this = TableSync {
             common,
             outside,
-            owner,
+            owned_shards,
             table,
             decisions,
             sender,
@@ -162,19 +170,19 @@
             stopping,
             last_give_up,
         };
-        this.work(messages).await;
+        this.run_loop(messages).await;
     }
 
-    async fn work(mut self, messages: Receiver<Message>) {
+    async fn run_loop(mut self, messages: Receiver<Message>) {
         loop {
             let unsettled = self.table.has_unowned() || self.common.ways.is_lost();
             let interval = if unsettled { CHECK_INTERVAL } else { RENEW_INTERVAL };
-            let got = timeout(interval, messages.recv()).await;
+            let received = timeout(interval, messages.recv()).await;
             if let Some(at) = self.common.contact() {
                 self.table.note_answer(at);
             }
-            if let Ok(Ok(got)) = got {
-                self.handle(got).await;
+            if let Ok(Ok(message)) = received {
+                self.handle(message).await;
             }
             self.table.set_relayed(self.common.ways.is_lost());
             self.give_up().await;
@@ -208,7 +216,7 @@
                     && self.table.owned().contains_key(&takeover.shard)
                 {
                     self.common.metrics.moved("taken_over");
-                    self.owner.begin(takeover.shard, token, rev, takeover.lapsed);
+                    self.owned_shards.begin(takeover.shard, token, rev, takeover.lapsed);
                 }
                 self.publish(lost).await;
             }
@@ -224,7 +232,7 @@
                 self.common.metrics.moved("released");
                 let after_ms = self.stopping.map_or(0, |s| (now - s).as_millis() as u64);
                 log::info!(target: "table", did = "released", shard:% = shard, after_ms, unwritten = left; "Shard is released.");
-                self.owner.end(shard).await;
+                self.owned_shards.end(shard).await;
             }
             Message::Stop => {
                 self.stopping = self.stopping.or(Some(now));
@@ -253,7 +261,7 @@
         for shard in lost {
             self.common.metrics.moved("passed");
             log::info!(target: "table", did = "passed", shard:% = shard, to:? = self.table.view().owners.get(&shard); "Shard is no longer owned by this member.");
-            self.owner.end(shard).await;
+            self.owned_shards.end(shard).await;
         }
         let view = self.table.view();
         self.log_members(&view.members.keys().copied().collect());
--- a/src/site.rs
+++ b/src/site.rs
@@ -106,15 +106,15 @@
     let (decisions, events) = bounded(EVENT_QUEUE_LEN);
     let (ended, end) = oneshot::channel();
     let Listeners { callers, ready, control, metrics } = listeners;
-    let (shared, to) = (common.clone(), decisions.clone());
+    let (shared, sender) = (common.clone(), decisions.clone());
     spawn_thread("callers", me, move || async move {
-        let served = serve_callers(shared, callers, ready, metrics, to).await;
+        let served = serve_callers(shared, callers, ready, metrics, sender).await;
         let _ = ended.send(());
         served
     })
     .map_err(failed)?;
-    let (shared, to) = (common.clone(), decisions.clone());
-    spawn_thread("control", me, move || control::serve(shared, control, to)).map_err(failed)?;
+    let (shared, sender) = (common.clone(), decisions.clone());
+    spawn_thread("control", me, move || control::serve(shared, control, sender)).map_err(failed)?;
     runtime.block_on(own_shards(common, signals, settings.into(), (decisions, events), end))
 }
 
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -155,7 +155,7 @@
 #[test]
 fn free_shards_are_spread_at_once() {
     // All members start together and no shard has an owner. If the hash alone decided, some members
-    // would own several shards and others none.
+    // would own several shards and others none, and the ticks would cost more than needed.
     let mut cell = Cell::new(6, 6);
     cell.advance(Duration::from_millis(200));
     let owners: BTreeSet<_> =
