--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,4 +1,6 @@
-//! The clocks of a member: the one that all its duties share, and the Unix time. Calls no other module but [`time`](crate::time).
+//! The clocks of a member: the monotonic clock that its threads share, and the Unix time.
+//!
+//! Calls no other module but [`time`](crate::time). Also holds whether the member is draining.
 
 use {
     crate::time::Time,
@@ -8,21 +10,22 @@
     },
 };
 
-/// The clock that all duties of a member share.
+/// The monotonic clock that all threads of a member share.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
     start: Instant,
 }
 
+/// Whether the member is stopping.
 static DRAINING: AtomicBool = AtomicBool::new(false);
 
 impl Clock {
-    /// A clock that begins now, at [`Time::ZERO`].
+    /// Creates a clock that reads [`Time::ZERO`] now.
     pub fn start() -> Self {
         Clock { start: Instant::now() }
     }
 
-    /// The present time.
+    /// The time since the clock was started.
     pub fn now(&self) -> Time {
         Time::ZERO + self.start.elapsed()
     }
@@ -32,13 +35,13 @@
         DRAINING.load(Ordering::Relaxed)
     }
 
-    /// Notes that the member is stopping.
+    /// Marks the member as stopping, for all clocks of this process.
     pub fn drain(&self) {
         DRAINING.store(true, Ordering::Relaxed);
     }
 }
 
-/// The Unix time, zero where the machine's clock stands before it.
+/// The Unix time; zero if the machine's clock is set to before 1970.
 pub(crate) fn unix() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/src/contact.rs
+++ b/src/contact.rs
@@ -1,92 +1,100 @@
-//! Whether a dependency answers, and how fast: the lines that are logged when it is lost, slow, and
-//! as it was again.
+//! Whether a service that this member depends on answers, and how fast: detects when to log that a
+//! service is lost or slow, and when it has recovered.
+//!
+//! A single failed call or late answer is normal. Without a threshold the log would have a line for
+//! each of them; without these lines nothing would tell why jobs are late at all members alike.
 
 use {
     crate::time::Time,
     std::{collections::VecDeque, time::Duration},
 };
 
-/// So many calls on end without an answer mean that it is lost.
-pub const LOST: u32 = 3;
+/// A service counts as lost after this number of consecutive calls without an answer.
+pub const LOST_AFTER: u32 = 3;
 
-/// What the last calls of one dependency say of it.
+/// Tracks whether a service answers.
 #[derive(Clone, Debug, Default)]
-pub struct Contact {
-    failed: u32,
+pub struct Reachability {
+    /// Number of consecutive calls without an answer.
+    failures: u32,
+    /// When the first of them failed.
     since: Time,
     lost: bool,
 }
 
-/// A change that is worth a line.
+/// A change of whether a service answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
-    /// No answer since then.
+pub enum ReachabilityChange {
+    /// The service has not answered since this time.
     Lost(Time),
-    /// It answers again, after so long.
-    Back(Duration),
+    /// The service answers again, after it was lost for this time.
+    Restored(Duration),
 }
 
-impl Contact {
-    /// Takes in a call: whether it had an answer.
-    pub fn called(&mut self, answered: bool, now: Time) -> Option<News> {
+impl Reachability {
+    /// Records whether a call was answered; returns a change if there is one.
+    pub fn record(&mut self, answered: bool, now: Time) -> Option<ReachabilityChange> {
         if answered {
-            let was = std::mem::take(self);
-            return was.lost.then(|| News::Back(now - was.since));
+            let previous = std::mem::take(self);
+            return previous.lost.then(|| ReachabilityChange::Restored(now - previous.since));
         }
-        if self.failed == 0 {
+        if self.failures == 0 {
             self.since = now;
         }
-        self.failed += 1;
-        if self.lost || self.failed < LOST {
+        self.failures += 1;
+        if self.lost || self.failures < LOST_AFTER {
             return None;
         }
         self.lost = true;
-        Some(News::Lost(self.since))
+        Some(ReachabilityChange::Lost(self.since))
     }
 }
 
-/// So many last answers are looked at.
-pub const ANSWERS: usize = 9;
-/// Their median is slow from here on, and quick again below the second: the store answers in 4 ms,
-/// and a burst of our own makes it 10 or 20.
-pub const SLOW: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(25));
+/// Number of latest answers whose median is compared with [`SLOW_THRESHOLDS`].
+pub const SAMPLES: usize = 9;
+/// Medians from which a service counts as slow, and below which it counts as quick again.
+///
+/// The store usually answers in 4 ms, and in 10 to 20 ms during a burst of this member's own calls.
+pub const SLOW_THRESHOLDS: (Duration, Duration) =
+    (Duration::from_millis(50), Duration::from_millis(25));
 
-/// How fast a dependency answers.
+/// Tracks how fast a service answers.
 ///
-/// Guards against a cause that nobody sees: a slow store refuses nothing and loses nothing, and each
-/// job that comes is late by as much twice.
+/// A slow store refuses and loses nothing, so no error shows the cause, yet its delay makes each
+/// submitted job late, twice over.
 #[derive(Clone, Debug, Default)]
-pub struct Speed {
-    last: VecDeque<Duration>,
+pub struct Latency {
+    samples: VecDeque<Duration>,
     slow: bool,
 }
 
-/// A change of the speed that is worth a line, with the median of the last answers.
+/// A change of how fast a service answers, with the median duration of the latest answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tempo {
-    /// Answers take long.
+pub enum LatencyChange {
+    /// The service has become slow.
     Slow(Duration),
-    /// They don't any more.
+    /// The service is no longer slow.
     Quick(Duration),
 }
 
-impl Speed {
-    /// Takes in how long an answer took.
-    pub fn answered(&mut self, time: Duration) -> Option<Tempo> {
-        if self.last.len() == ANSWERS {
-            self.last.pop_front();
+impl Latency {
+    /// Records the duration of a call; returns a change if there is one.
+    pub fn record(&mut self, duration: Duration) -> Option<LatencyChange> {
+        if self.samples.len() == SAMPLES {
+            self.samples.pop_front();
         }
-        self.last.push_back(time);
-        if self.last.len() < ANSWERS {
+        self.samples.push_back(duration);
+        if self.samples.len() < SAMPLES {
             return None;
         }
-        let mut sorted: Vec<Duration> = self.last.iter().copied().collect();
+        let mut sorted: Vec<Duration> = self.samples.iter().copied().collect();
         sorted.sort_unstable();
-        let median = sorted[ANSWERS / 2];
-        let slow = if self.slow { median >= SLOW.1 } else { median >= SLOW.0 };
+        let median = sorted[SAMPLES / 2];
+        let slow =
+            if self.slow { median >= SLOW_THRESHOLDS.1 } else { median >= SLOW_THRESHOLDS.0 };
         if std::mem::replace(&mut self.slow, slow) == slow {
             return None;
         }
-        Some(if slow { Tempo::Slow(median) } else { Tempo::Quick(median) })
+        Some(if slow { LatencyChange::Slow(median) } else { LatencyChange::Quick(median) })
     }
 }
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,4 +1,11 @@
-//! Control calls between members: advice by another machine's hand, a job's state, a queue's length.
+//! Calls between members over JSON-RPC: the server that answers other members, and their clients.
+//!
+//! A member asks the owner of a shard for the states of jobs, for the number of jobs that a queue
+//! has waiting, and for the tasks that its workers hold; it tells the owner of a job that was
+//! stored or cancelled; and it asks other members to call the store or the advice service for it.
+//! Without these calls members would read the store for each caller's question, a job would wait
+//! until a watch brings it to its shard's owner, and a member that is cut off from the store could
+//! not serve its callers.
 
 use {
     crate::{
@@ -7,7 +14,7 @@
         gate::Gate,
         ids::WorkerId,
         ports::{Advice, AdviceCall, Fault, Wire},
-        relay::{self, RelayAnswer, RelayAsk, Relayed, Relayer},
+        relay::{self, RelayReply, RelayRequest, RelayedCall, Relayer},
         rpc,
         shard::{
             Held, Need,
@@ -33,28 +40,28 @@
     tokio::{sync::oneshot, time::timeout},
 };
 
-/// The longest that any call may take; each has its own limit besides.
-const LONGEST: Duration = Duration::from_secs(30);
-/// What the codes of JSON-RPC leave to an application.
-const REFUSED: i32 = -32000;
+/// Upper bound of the time limit of any call; each call also has a limit of its own.
+const MAX_TIMEOUT: Duration = Duration::from_secs(30);
+/// An error code of the range that JSON-RPC reserves for applications.
+const BAD_PARAMS: i32 = -32000;
 
-/// A call for advice, as a member passes it to another.
+/// An advice call that one member asks another to make.
 #[derive(Debug, Serialize, Deserialize)]
-struct AdviseAsk {
+struct AdviseRequest {
     job: Box<str>,
     time: u32,
     step: u16,
     workers: Vec<WorkerId>,
     limit_ms: u64,
-    /// How long the service should take; members of an earlier version don't say.
+    /// How long the service is expected to take; members of an earlier version don't send it.
     #[serde(default)]
     takes_ms: u64,
 }
 
-/// How advice went at the member that called for it.
+/// The result of an advice call, from the member that made it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum AdviseAnswer {
+enum AdviseReply {
     Told { good: Vec<(WorkerId, Box<str>)>, valid_ms: Option<u64> },
     Refused,
     Unsent,
@@ -62,63 +69,63 @@
     Bad(Box<str>),
 }
 
-/// A question for the states of jobs.
+/// A request for the states of jobs.
 #[derive(Debug, Serialize, Deserialize)]
-struct StatesAsk {
+struct StatesRequest {
     jobs: Box<[(ShardNo, Box<str>)]>,
-    /// Whether who asks has a table of late, by which the member that is asked is the owner.
+    /// Whether the asking member has a recent table that names the receiver as the owner.
     sure: bool,
 }
 
-/// Word of a job that was stored, or of its cancel.
+/// Notice of a job that was stored, or of its cancel if `record` is absent.
 #[derive(Debug, Serialize, Deserialize)]
-struct HeardAsk {
+struct JobNotice {
     shard: ShardNo,
     job: Box<str>,
     record: Option<JobRecord>,
 }
 
-/// A question for a queue's length.
+/// A request for the number of jobs of a queue that have not begun.
 #[derive(Debug, Serialize, Deserialize)]
-struct WaitingAsk {
+struct QueueLengthRequest {
     queue: Box<str>,
     shards: Box<[ShardNo]>,
 }
 
-/// A question for what is at workers.
+/// A request for the tasks that workers hold.
 #[derive(Debug, Serialize, Deserialize)]
-struct HeldAsk {
+struct HeldRequest {
     workers: Box<[WorkerId]>,
     shards: Box<[ShardNo]>,
 }
 
-impl From<Result<Advice, Fault>> for AdviseAnswer {
+impl From<Result<Advice, Fault>> for AdviseReply {
     fn from(reply: Result<Advice, Fault>) -> Self {
         match reply {
-            Ok(a) => AdviseAnswer::Told { good: a.good, valid_ms: a.valid.map(millis) },
-            Err(Fault::Refused | Fault::TooLarge) => AdviseAnswer::Refused,
-            Err(Fault::Unsent) => AdviseAnswer::Unsent,
-            Err(Fault::Unknown) => AdviseAnswer::Unknown,
-            Err(Fault::Bad(why)) => AdviseAnswer::Bad(why),
+            Ok(a) => AdviseReply::Told { good: a.good, valid_ms: a.valid.map(millis) },
+            Err(Fault::Refused | Fault::TooLarge) => AdviseReply::Refused,
+            Err(Fault::Unsent) => AdviseReply::Unsent,
+            Err(Fault::Unknown) => AdviseReply::Unknown,
+            Err(Fault::Bad(why)) => AdviseReply::Bad(why),
         }
     }
 }
 
-impl From<AdviseAnswer> for Result<Advice, Fault> {
-    fn from(answer: AdviseAnswer) -> Self {
+impl From<AdviseReply> for Result<Advice, Fault> {
+    fn from(answer: AdviseReply) -> Self {
         match answer {
-            AdviseAnswer::Told { good, valid_ms } => {
+            AdviseReply::Told { good, valid_ms } => {
                 Ok(Advice { good, valid: valid_ms.map(Duration::from_millis) })
             }
-            AdviseAnswer::Refused => Err(Fault::Refused),
-            AdviseAnswer::Unsent => Err(Fault::Unsent),
-            AdviseAnswer::Unknown => Err(Fault::Unknown),
-            AdviseAnswer::Bad(why) => Err(Fault::Bad(why)),
+            AdviseReply::Refused => Err(Fault::Refused),
+            AdviseReply::Unsent => Err(Fault::Unsent),
+            AdviseReply::Unknown => Err(Fault::Unknown),
+            AdviseReply::Bad(why) => Err(Fault::Bad(why)),
         }
     }
 }
 
-/// Clients of the outside for one thread; other members relay what the store doesn't serve here.
+/// Service clients for one thread; other members relay calls that the store doesn't serve here.
 pub(crate) fn outside(common: &Arc<Common>, peers: &Peers) -> Outside {
     let peers = peers.clone();
     let relayer: Relayer = Arc::new(move |wire, repeats, limit| {
@@ -128,13 +135,14 @@
     common.outside().with_relay(common.ways.clone(), relayer)
 }
 
-/// Serves other members until this one stops.
+/// Serves other members until the process ends.
 ///
-/// The secret that they show stands in the layout, so nobody is served before there is one.
+/// The secret that authenticates them is part of the layout, so no member is served before the
+/// layout is known.
 pub(crate) async fn serve(
     common: Arc<Common>,
     listener: TcpListener,
-    told: Sender<Told>,
+    input: Sender<Told>,
 ) -> io::Result<()> {
     let mut views = common.view.subscribe();
     let secret = match views.wait_for(|v| v.layout.is_some()).await {
@@ -142,147 +150,153 @@
         Err(_) => return Ok(()),
     };
     let gate = Gate::new(&secret, common.metrics.clone());
-    let module = module(&common, told).map_err(io::Error::other)?;
+    let module = module(&common, input).map_err(io::Error::other)?;
     let server = rpc::serve(listener, gate, module).await?;
-    // It ends with the process: other members ask a stopping one until its shards have moved.
+    // The server runs until the process ends: other members call a stopping member until its
+    // shards have moved.
     server.stopped().await;
     Ok(())
 }
 
 fn module(
     common: &Arc<Common>,
-    told: Sender<Told>,
+    input: Sender<Told>,
 ) -> Result<RpcModule<()>, jsonrpsee::core::RegisterMethodError> {
     let mut module = RpcModule::new(());
-    let (outside, here) = (common.outside(), common.clone());
+    let (services, common_clone) = (common.outside(), common.clone());
     module.register_async_method("advise", move |params, _, _| {
-        let (outside, here) = (outside.clone(), here.clone());
+        let (services, common) = (services.clone(), common_clone.clone());
         async move {
-            let ask: AdviseAsk = params.one()?;
-            let job: JobNo = ask.job.parse().map_err(bad)?;
-            let step = StepKey { job, time: ask.time, step: ask.step };
-            let call = AdviceCall { step, workers: ask.workers };
-            let limit = Duration::from_millis(ask.limit_ms).min(LONGEST);
-            let takes = Duration::from_millis(ask.takes_ms).min(LONGEST);
-            let answer = advise_here(&here, &outside, &call, takes, limit).await;
-            Ok::<_, ErrorObjectOwned>(AdviseAnswer::from(answer))
+            let request: AdviseRequest = params.one()?;
+            let job: JobNo = request.job.parse().map_err(bad_params)?;
+            let step = StepKey { job, time: request.time, step: request.step };
+            let call = AdviceCall { step, workers: request.workers };
+            let limit = Duration::from_millis(request.limit_ms).min(MAX_TIMEOUT);
+            let expected = Duration::from_millis(request.takes_ms).min(MAX_TIMEOUT);
+            let answer = advise_here(&common, &services, &call, expected, limit).await;
+            Ok::<_, ErrorObjectOwned>(AdviseReply::from(answer))
         }
     })?;
-    let (outside, ways) = (common.outside(), common.ways.clone());
+    let (services, routes) = (common.outside(), common.ways.clone());
     module.register_async_method("relay", move |params, _, _| {
-        let (outside, ways) = (outside.clone(), ways.clone());
+        let (services, routes) = (services.clone(), routes.clone());
         async move {
-            let ask: RelayAsk = params.one()?;
-            if ways.is_lost() {
-                return Ok::<_, ErrorObjectOwned>(RelayAnswer::Unsent);
+            let request: RelayRequest = params.one()?;
+            if routes.is_lost() {
+                return Ok::<_, ErrorObjectOwned>(RelayReply::Unsent);
             }
-            let limit = Duration::from_millis(ask.limit_ms).min(LONGEST);
-            let repeats = ask.repeats;
-            let relayed = outside.relay(ask.call, repeats, limit);
-            // Guards against a watch that waits here although this member has lost its way as well.
+            let limit = Duration::from_millis(request.limit_ms).min(MAX_TIMEOUT);
+            let repeats = request.repeats;
+            let relayed = services.relay(request.call, repeats, limit);
+            // A watch must not wait here if this member has lost its connection to the store, too.
             Ok(tokio::select! {
-                answer = relayed => RelayAnswer::from(answer),
-                () = ways.lost(), if repeats => RelayAnswer::Unknown,
+                answer = relayed => RelayReply::from(answer),
+                () = routes.wait_lost(), if repeats => RelayReply::Unknown,
             })
         }
     })?;
-    let asked = told.clone();
+    let states_input = input.clone();
     module.register_async_method("states", move |params, _, _| {
-        let told = asked.clone();
+        let input = states_input.clone();
         async move {
-            let ask: StatesAsk = params.one()?;
+            let request: StatesRequest = params.one()?;
             let read = |(shard, job): &(ShardNo, Box<str>)| Ok((*shard, job.parse()?));
-            let jobs: Result<Box<[_]>, crate::Error> = ask.jobs.iter().map(read).collect();
-            Ok::<_, ErrorObjectOwned>(states_here(&told, jobs.map_err(bad)?, ask.sure).await)
+            let jobs: Result<Box<[_]>, crate::Error> = request.jobs.iter().map(read).collect();
+            Ok::<_, ErrorObjectOwned>(
+                states_here(&input, jobs.map_err(bad_params)?, request.sure).await,
+            )
         }
     })?;
-    let heard = told.clone();
+    let notice_input = input.clone();
     module.register_async_method("heard", move |params, _, _| {
-        let told = heard.clone();
+        let input = notice_input.clone();
         async move {
-            let ask: HeardAsk = params.one()?;
-            let job: JobNo = ask.job.parse().map_err(bad)?;
-            heard_here(&told, ask.shard, job, ask.record);
+            let request: JobNotice = params.one()?;
+            let job: JobNo = request.job.parse().map_err(bad_params)?;
+            heard_here(&input, request.shard, job, request.record);
             Ok::<_, ErrorObjectOwned>(())
         }
     })?;
-    let held = told.clone();
+    let held_input = input.clone();
     module.register_async_method("held", move |params, _, _| {
-        let told = held.clone();
+        let input = held_input.clone();
         async move {
-            let ask: HeldAsk = params.one()?;
-            Ok::<_, ErrorObjectOwned>(held_here(&told, ask.workers, ask.shards).await)
+            let request: HeldRequest = params.one()?;
+            Ok::<_, ErrorObjectOwned>(held_here(&input, request.workers, request.shards).await)
         }
     })?;
     module.register_async_method("waiting", move |params, _, _| {
-        let told = told.clone();
+        let input = input.clone();
         async move {
-            let ask: WaitingAsk = params.one()?;
-            Ok::<_, ErrorObjectOwned>(waiting_here(&told, ask.queue, ask.shards).await)
+            let request: QueueLengthRequest = params.one()?;
+            Ok::<_, ErrorObjectOwned>(waiting_here(&input, request.queue, request.shards).await)
         }
     })?;
     Ok(module)
 }
 
-fn bad(e: crate::Error) -> ErrorObjectOwned {
-    ErrorObjectOwned::owned(REFUSED, e.to_string(), None::<()>)
+fn bad_params(e: crate::Error) -> ErrorObjectOwned {
+    ErrorObjectOwned::owned(BAD_PARAMS, e.to_string(), None::<()>)
 }
 
-/// A call for advice that counts at this member's desk until it is dropped.
-struct Out<'a> {
+/// An advice call in flight; it counts in [`Common::desk`] until it is dropped.
+struct AdviceInFlight<'a> {
     common: &'a Common,
     number: u64,
-    /// Whether the service has done with it.
-    over: bool,
+    /// Whether the service has finished the call.
+    finished: bool,
 }
 
-impl Drop for Out<'_> {
+impl Drop for AdviceInFlight<'_> {
     fn drop(&mut self) {
         let mut desk = self.common.desk.lock().expect("no holder panics");
-        match self.over {
+        match self.finished {
             true => desk.done(self.number, self.common.now()),
             false => desk.left(self.number),
         }
     }
 }
 
-/// Calls for advice, if by all calls that this member has out it would come in time.
+/// Calls the advice service from this member.
+///
+/// Refuses the call if, after the advice calls that this member already has in flight, its answer
+/// would come too late.
 pub(crate) async fn advise_here(
     common: &Common,
-    outside: &Outside,
+    services: &Outside,
     call: &AdviceCall,
-    takes: Duration,
+    expected: Duration,
     limit: Duration,
 ) -> Result<Advice, Fault> {
     let admitted = {
         let mut desk = common.desk.lock().expect("no holder panics");
-        desk.admit(takes, limit, common.now())
+        desk.admit(expected, limit, common.now())
     };
     let Some(number) = admitted else {
         common.metrics.called("advice", "busy");
         return Err(Fault::Refused);
     };
-    // Its asker may be gone before the answer has come; the service works on.
-    let mut out = Out { common, number, over: false };
-    let reply = outside.advice(call, limit).await;
-    out.over = reply != Err(Fault::Unknown);
+    // The caller may stop waiting before the answer arrives; the service still works on the call.
+    let mut in_flight = AdviceInFlight { common, number, finished: false };
+    let reply = services.advice(call, limit).await;
+    in_flight.finished = reply != Err(Fault::Unknown);
     reply
 }
 
-/// How jobs stand, by this member's own decisions; nothing where these have too much to do.
+/// The states of jobs, as the shards of this member know them; `None` if their input queue is full.
 pub(crate) async fn states_here(
-    told: &Sender<Told>,
+    input: &Sender<Told>,
     jobs: Box<[(ShardNo, JobNo)]>,
     sure: bool,
 ) -> Option<Vec<Option<State>>> {
-    let (to, from) = oneshot::channel();
-    told.try_send(Told::States(jobs, sure, to)).ok()?;
-    from.await.ok()
+    let (reply, receiver) = oneshot::channel();
+    input.try_send(Told::States(jobs, sure, reply)).ok()?;
+    receiver.await.ok()
 }
 
-/// Passes word of a stored job, or of its cancel, to this member's decisions.
+/// Passes the notice of a stored job, or of its cancel, to this member's shards.
 pub(crate) fn heard_here(
-    told: &Sender<Told>,
+    input: &Sender<Told>,
     shard: ShardNo,
     job: JobNo,
     record: Option<JobRecord>,
@@ -291,33 +305,35 @@
         Some(record) => Event::Job(job, Box::new(record)),
         None => Event::Cancel(job),
     };
-    // What a full ring drops is read from the store.
-    let _ = told.try_send(Told::Word(shard, event));
+    // A notice that a full queue drops is read from the store later.
+    let _ = input.try_send(Told::Word(shard, event));
 }
 
-/// What is at workers of these shards, and how long work waits, by this member's own decisions.
+/// What workers of these shards hold, and how long work waits, as this member's shards know it.
 pub(crate) async fn held_here(
-    told: &Sender<Told>,
+    input: &Sender<Told>,
     workers: Box<[WorkerId]>,
     shards: Box<[ShardNo]>,
 ) -> Option<(Vec<Held>, Vec<Need>)> {
-    let (to, from) = oneshot::channel();
-    told.try_send(Told::Held(workers, shards, to)).ok()?;
-    from.await.ok().flatten()
+    let (reply, receiver) = oneshot::channel();
+    input.try_send(Told::Held(workers, shards, reply)).ok()?;
+    receiver.await.ok().flatten()
 }
 
-/// How many jobs of a queue have not begun, by this member's own decisions.
+/// How many jobs of a queue have not begun, as this member's shards know it.
 pub(crate) async fn waiting_here(
-    told: &Sender<Told>,
+    input: &Sender<Told>,
     queue: Box<str>,
     shards: Box<[ShardNo]>,
 ) -> Option<u64> {
-    let (to, from) = oneshot::channel();
-    told.try_send(Told::Waiting(queue, shards, to)).ok()?;
-    from.await.ok().flatten()
+    let (reply, receiver) = oneshot::channel();
+    input.try_send(Told::Waiting(queue, shards, reply)).ok()?;
+    receiver.await.ok().flatten()
 }
 
-/// Clients of other members, kept for each address; belongs to one thread.
+/// Clients of other members, one for each address.
+///
+/// Belongs to one thread: connections live on the runtime that opened them.
 #[derive(Clone)]
 pub(crate) struct Peers {
     common: Arc<Common>,
@@ -325,72 +341,75 @@
 }
 
 impl Peers {
-    /// No client yet.
+    /// Creates a set without clients; each is made by the first call to its address.
     pub fn new(common: Arc<Common>) -> Self {
         Peers { common, clients: Arc::default() }
     }
 
-    /// Asks another member to call for advice.
+    /// Asks another member to call the advice service.
     pub async fn advise(
         &self,
         addr: SocketAddr,
         call: &AdviceCall,
-        takes: Duration,
+        expected: Duration,
         limit: Duration,
     ) -> Result<Advice, Fault> {
-        let ask = AdviseAsk {
+        let request = AdviseRequest {
             job: call.step.job.to_string().into(),
             time: call.step.time,
             step: call.step.step,
             workers: call.workers.clone(),
             limit_ms: millis(limit),
-            takes_ms: millis(takes),
+            takes_ms: millis(expected),
         };
-        let answer: AdviseAnswer =
-            self.call(addr, "advise", &ask, limit).await.ok_or(Fault::Unknown)?;
+        let answer: AdviseReply =
+            self.call(addr, "advise", &request, limit).await.ok_or(Fault::Unknown)?;
         answer.into()
     }
 
-    /// Has other members call the store; nothing where none is known.
+    /// Asks other members, one after the other, to make a call of the store; `None` if no other
+    /// member is known.
     ///
-    /// They call it themselves or not at all, so no call goes round in a circle.
-    async fn relay(&self, wire: Wire, repeats: bool, limit: Duration) -> Option<relay::Answer> {
-        let (end, ways) = (Instant::now() + limit, &self.common.ways);
+    /// The members that are asked call the store directly or not at all, so that a call can't be
+    /// relayed in a circle.
+    async fn relay(&self, wire: Wire, repeats: bool, limit: Duration) -> Option<relay::WireReply> {
+        let (deadline, routes) = (Instant::now() + limit, &self.common.ways);
         let view = self.common.view.borrow().clone();
         let mut answer = None;
-        for member in ways.members(&view.relays(self.common.me), self.common.me) {
-            let left = end.saturating_duration_since(Instant::now());
+        for member in routes.candidates(&view.relays(self.common.me), self.common.me) {
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return answer;
             }
             let Some(addr) = view.members.get(&member).map(|m| m.control) else { continue };
-            let ask = RelayAsk { call: Relayed::new(&wire)?, limit_ms: millis(left), repeats };
-            let begun = Instant::now();
-            let said: Option<RelayAnswer> = self.call(addr, "relay", &ask, left).await;
-            let said = said.map_or(Err(Fault::Unknown), relay::Answer::from);
-            let served = matches!(&said, Ok((status, _)) if *status < 429);
+            let request =
+                RelayRequest { call: RelayedCall::new(&wire)?, limit_ms: millis(left), repeats };
+            let started = Instant::now();
+            let reply: Option<RelayReply> = self.call(addr, "relay", &request, left).await;
+            let reply = reply.map_or(Err(Fault::Unknown), relay::WireReply::from);
+            let served = matches!(&reply, Ok((status, _)) if *status < 429);
             if !served {
                 let (path, limit_ms) = (&*wire.path, millis(left));
-                let took_ms = millis(begun.elapsed());
-                let said = said.as_ref().map(|(status, _)| *status);
-                log::info!(target: "outside", did = "unrelayed", by:% = member, path, said:? = said, took_ms, limit_ms; "Member did not relay a call.");
+                let took_ms = millis(started.elapsed());
+                let status = reply.as_ref().map(|(status, _)| *status);
+                log::info!(target: "outside", did = "unrelayed", by:% = member, path, said:? = status, took_ms, limit_ms; "Member did not relay a call.");
             }
-            ways.relayed(member, served);
-            // What may have been done must not be done twice.
-            let over = served || (!repeats && !matches!(said, Err(Fault::Unsent)));
-            answer = Some(said);
-            if over {
+            routes.record_relayed(member, served);
+            // A call that may have taken effect must not be made twice.
+            let finished = served || (!repeats && !matches!(reply, Err(Fault::Unsent)));
+            answer = Some(reply);
+            if finished {
                 return answer;
             }
         }
         if answer.is_some() {
-            ways.unrelayed();
+            routes.record_unrelayed();
         }
         answer
     }
 
-    /// How jobs stand at the member that owns their shards, each as far as it says; nothing where it
-    /// doesn't answer.
+    /// The states of jobs, asked of the member that owns their shards: `None` for each job whose
+    /// state it doesn't know, and `None` for all if it doesn't answer.
     pub async fn states(
         &self,
         addr: SocketAddr,
@@ -399,11 +418,11 @@
         limit: Duration,
     ) -> Option<Vec<Option<State>>> {
         let jobs = jobs.iter().map(|(shard, job)| (*shard, job.to_string().into())).collect();
-        let ask = StatesAsk { jobs, sure };
-        self.call(addr, "states", &ask, limit).await.flatten()
+        let request = StatesRequest { jobs, sure };
+        self.call(addr, "states", &request, limit).await.flatten()
     }
 
-    /// Tells the owner of a shard of a job that was stored, or of its cancel.
+    /// Notifies the owner of a shard of a job that was stored, or of its cancel if `record` is `None`.
     pub async fn heard(
         &self,
         addr: SocketAddr,
@@ -412,11 +431,12 @@
         record: Option<JobRecord>,
         limit: Duration,
     ) {
-        let ask = HeardAsk { shard, job: job.to_string().into(), record };
-        let _: Option<()> = self.call(addr, "heard", &ask, limit).await;
+        let request = JobNotice { shard, job: job.to_string().into(), record };
+        let _: Option<()> = self.call(addr, "heard", &request, limit).await;
     }
 
-    /// What is at workers of shards that a member owns; nothing where it doesn't say.
+    /// What workers of shards that a member owns hold, and how long work waits; `None` if the
+    /// member doesn't answer or doesn't know for certain.
     pub async fn held(
         &self,
         addr: SocketAddr,
@@ -424,12 +444,12 @@
         shards: &[ShardNo],
         limit: Duration,
     ) -> Option<(Vec<Held>, Vec<Need>)> {
-        let ask = HeldAsk { workers: workers.into(), shards: shards.into() };
-        self.call(addr, "held", &ask, limit).await.flatten()
+        let request = HeldRequest { workers: workers.into(), shards: shards.into() };
+        self.call(addr, "held", &request, limit).await.flatten()
     }
 
-    /// How many jobs of a queue have not begun, of shards that a member owns; nothing where it
-    /// doesn't say.
+    /// How many jobs of a queue have not begun in shards that a member owns; `None` if the member
+    /// doesn't answer or doesn't know for certain.
     pub async fn waiting(
         &self,
         addr: SocketAddr,
@@ -437,30 +457,30 @@
         shards: &[ShardNo],
         limit: Duration,
     ) -> Option<u64> {
-        let ask = WaitingAsk { queue: queue.into(), shards: shards.into() };
-        self.call(addr, "waiting", &ask, limit).await.flatten()
+        let request = QueueLengthRequest { queue: queue.into(), shards: shards.into() };
+        self.call(addr, "waiting", &request, limit).await.flatten()
     }
 
-    /// Calls a member.
+    /// Calls a member; `None` if the call fails.
     ///
-    /// A client whose call ran out of time is dropped with its connections: one of them may have
-    /// gone silent for good, and the next call would wait on it again.
+    /// A client whose call failed or timed out is dropped with its connections: one of them may be
+    /// unresponsive for good, and the next call would wait on it again.
     async fn call<A: Serialize, R: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         name: &'static str,
-        ask: &A,
+        request: &A,
         limit: Duration,
     ) -> Option<R> {
         let client = self.client(addr)?;
-        let ask = serde_json::value::to_raw_value(ask).ok()?;
-        let answer = timeout(limit, client.request(name, [ask])).await;
-        let said = match &answer {
+        let request = serde_json::value::to_raw_value(request).ok()?;
+        let answer = timeout(limit, client.request(name, [request])).await;
+        let outcome = match &answer {
             Ok(Ok(_)) => "done",
             Ok(Err(_)) => "failed",
             Err(_) => "timeout",
         };
-        self.common.metrics.called(name, said);
+        self.common.metrics.called(name, outcome);
         if !matches!(answer, Ok(Ok(_))) {
             self.clients.lock().expect("no holder panics").remove(&addr);
         }
@@ -474,8 +494,8 @@
         }
         let view = self.common.view.borrow();
         let secret = &view.layout.as_ref()?.secret;
-        let new = rpc::client(addr, secret, LONGEST).ok()?;
-        // Addresses of machines that are gone don't pile up: those in use come back.
+        let new = rpc::client(addr, secret, MAX_TIMEOUT).ok()?;
+        // Bounds the clients of addresses that are no longer used; those in use are created again.
         if clients.len() > 1024 {
             clients.clear();
         }
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -1,4 +1,10 @@
-//! The decisions' duty: the shards that this member owns, and the rings to and from them.
+//! Runs the shards that this member owns: passes them events, and passes their orders on to the tasks
+//! that carry them out.
+//!
+//! Each shard is a state machine without network or clock. This module takes events from one bounded
+//! queue, drives the shards by a tick, and sends their orders to another bounded queue. It also lets
+//! shards finish their writes before they are released: a write that is left undone delays the next
+//! owner, and a state that is not written is lost.
 
 use {
     crate::{
@@ -22,173 +28,192 @@
     },
 };
 
-/// How often time is let pass for the shards.
-const TICK: Duration = Duration::from_millis(20);
-/// How often the metrics are brought up to date.
-const SHOW: Duration = Duration::from_millis(500);
-/// How long a shard may take to settle its writes before it is released.
-const SETTLE: Duration = Duration::from_millis(1200);
-/// The most that is taken in between two looks at the clock.
-const BURST: usize = 64;
+/// Interval of the shards' [`Event::Tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// How often the metrics are updated.
+const METRICS_INTERVAL: Duration = Duration::from_millis(500);
+/// How long shards may take to finish their writes before they are released.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(1200);
+/// The number of further inputs that are processed before the shards' orders are passed on.
+const MAX_BATCH: usize = 64;
 
-/// What the decisions are told.
+/// An input of [`Decisions`].
 pub(crate) enum Told {
-    /// This member owns a shard, with this token.
+    /// This member now owns a shard, with this token and this loaded state.
     Own(ShardNo, u64, Box<Load>),
-    /// Something for a shard that is owned with this token.
+    /// An event for a shard; ignored if this member doesn't own the shard with this token.
     Event(ShardNo, u64, Event),
-    /// Word of another member for a shard, whichever token it is owned with.
+    /// An event that another member sent for a shard, whichever token the shard is owned with.
     Word(ShardNo, Event),
-    /// Something for all shards.
+    /// An event for all shards.
     All(Event),
-    /// Other members may be asked than before.
+    /// The members that the shards may ask to call for them have changed.
     Peers,
-    /// Another member owns a shard.
+    /// Another member owns this shard.
     Forget(ShardNo),
-    /// Settle what is written of all shards, and tell when that is done.
+    /// Finish the writes of all shards and report each with [`Out::Settled`].
     Release,
-    /// How jobs stand; nothing for one that isn't known here, or may be known better elsewhere, unless
-    /// who asks is sure of the owner.
+    /// A request for the states of jobs. The reply is `None` for a job that isn't known here. If the
+    /// flag is false, also for one whose shard may have another owner; it is true if the asking member
+    /// has a recent table that names this one as the owner.
     States(Box<[(ShardNo, JobNo)]>, bool, oneshot::Sender<Vec<Option<State>>>),
-    /// What is at these workers, as far as they are of these shards, and how long work waits; nothing
-    /// where one isn't here for certain.
+    /// A request for what these workers of these shards hold, and how long work waits. The reply is
+    /// `None` if this member doesn't own one of the shards for certain.
     Held(Box<[WorkerId]>, Box<[ShardNo]>, oneshot::Sender<Option<(Vec<Held>, Vec<Need>)>>),
-    /// How many jobs of a queue have not begun, of these shards; nothing where one isn't here for certain.
+    /// A request for the number of jobs of a queue that have not begun in these shards. The reply is
+    /// `None` if this member doesn't own one of the shards for certain.
     Waiting(Box<str>, Box<[ShardNo]>, oneshot::Sender<Option<u64>>),
 }
 
-/// What the decisions order.
+/// An output of [`Decisions`].
 pub(crate) enum Out {
-    /// Something of a shard that is owned with this token.
+    /// An order of a shard that is owned with this token.
     Order(ShardNo, u64, Order),
-    /// A shard has settled its writes but for so many jobs, and can be released.
+    /// A shard can be released; its writes are done but for this number of jobs.
     Settled(ShardNo, usize),
-    /// A shard was taken away.
+    /// This member has lost a shard to another owner.
     Deposed(ShardNo),
 }
 
-struct Running {
+/// A shard that this member owns.
+struct OwnedShard {
     token: u64,
-    /// Whether it was told something since its last round.
-    told: bool,
+    /// Whether it has processed an event since its last round.
+    pending: bool,
     shard: Shard,
 }
 
-/// The decisions.
+/// Runs the shards that this member owns.
 pub(crate) struct Decisions {
     common: Arc<Common>,
-    told: Receiver<Told>,
-    out: Sender<Out>,
+    input: Receiver<Told>,
+    orders: Sender<Out>,
     notes: Sender<Out>,
-    shards: BTreeMap<ShardNo, Running>,
-    /// What follows from orders that found their ring full; taken in with the next tick.
-    later: Vec<(ShardNo, u64, Event)>,
+    shards: BTreeMap<ShardNo, OwnedShard>,
+    /// Failure events of orders that found their queue full; processed with the next tick.
+    deferred: Vec<(ShardNo, u64, Event)>,
+    /// The time of the latest [`Event::Confirmed`].
     confirmed: Option<Time>,
-    /// When the levels are shown next.
-    show: Time,
-    /// Until when the shards may settle, once they are to be released.
-    release: Option<Time>,
+    /// When the metrics are updated next.
+    next_metrics: Time,
+    /// Set once the shards are to be released: until when they may finish their writes.
+    release_by: Option<Time>,
 }
 
 impl Decisions {
-    /// Decisions over no shard; orders go to `out`, what concerns owning to `notes`.
+    /// Creates a runner without shards.
+    ///
+    /// Orders of shards go to `orders`, news of released and lost shards to `notes`.
     pub fn new(
         common: Arc<Common>,
-        told: Receiver<Told>,
-        out: Sender<Out>,
+        input: Receiver<Told>,
+        orders: Sender<Out>,
         notes: Sender<Out>,
     ) -> Self {
-        let (shards, later) = (BTreeMap::new(), vec![]);
-        let show = Time::ZERO;
-        Decisions { common, told, out, notes, shards, later, confirmed: None, show, release: None }
+        let (shards, deferred) = (BTreeMap::new(), vec![]);
+        let next_metrics = Time::ZERO;
+        Decisions {
+            common,
+            input,
+            orders,
+            notes,
+            shards,
+            deferred,
+            confirmed: None,
+            next_metrics,
+            release_by: None,
+        }
     }
 
-    /// Takes in what it is told until the ring is closed.
+    /// Processes inputs until their queue is closed.
     ///
-    /// A member that owns nothing has no ticks: it costs nothing but what it is told.
+    /// There are no ticks while this member owns no shard, so that an idle member uses no processor
+    /// time.
     pub async fn run(mut self) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let told = tokio::select! {
+            let input = tokio::select! {
                 biased;
                 _ = ticks.tick(), if !self.shards.is_empty() => None,
-                told = self.told.recv() => match told {
-                    Ok(told) => Some(told),
+                received = self.input.recv() => match received {
+                    Ok(input) => Some(input),
                     Err(_) => return,
                 },
             };
-            let Some(told) = told else {
+            let Some(input) = input else {
                 self.tick().await;
                 self.round().await;
                 continue;
             };
-            self.take(told).await;
-            for _ in 0..BURST {
-                let Ok(told) = self.told.try_recv() else { break };
-                self.take(told).await;
+            self.process(input).await;
+            for _ in 0..MAX_BATCH {
+                let Ok(input) = self.input.try_recv() else { break };
+                self.process(input).await;
             }
             self.round().await;
-            // The ring may be full again at once: what the shards ordered has to get its turn.
+            // The queue of inputs may be full again at once: the tasks that carry out the orders have to
+            // run in between.
             yield_now().await;
         }
     }
 
-    async fn take(&mut self, told: Told) {
-        match told {
+    async fn process(&mut self, input: Told) {
+        match input {
             Told::Own(shard, token, load) => self.own(shard, token, *load).await,
             Told::Event(shard, token, event) => self.event(shard, token, event),
             Told::Word(shard, event) => {
-                if let Some(token) = self.shards.get(&shard).map(|r| r.token) {
+                if let Some(token) = self.shards.get(&shard).map(|s| s.token) {
                     self.event(shard, token, event);
                 }
             }
-            Told::All(event) => self.all(event).await,
-            Told::Peers => self.peers().await,
+            Told::All(event) => self.broadcast(event).await,
+            Told::Peers => self.update_peers().await,
             Told::Forget(shard) => {
                 self.shards.remove(&shard);
             }
             Told::Release => {
-                self.release = Some(self.common.now() + SETTLE);
-                self.settle().await;
+                self.release_by = Some(self.common.now() + RELEASE_TIMEOUT);
+                self.release_settled().await;
             }
-            Told::States(jobs, sure, to) => {
+            Told::States(jobs, sure, reply) => {
                 let now = self.common.now();
                 let state = |(no, job): &(ShardNo, JobNo)| {
                     let shard = &self.shards.get(no)?.shard;
                     if sure { shard.known_state(*job) } else { shard.state(*job, now) }
                 };
-                let _ = to.send(jobs.iter().map(state).collect());
+                let _ = reply.send(jobs.iter().map(state).collect());
             }
-            Told::Held(workers, shards, to) => {
+            Told::Held(workers, shards, reply) => {
                 let now = self.common.now();
                 let one = |s| {
-                    let shard = self.telling(s, now)?;
+                    let shard = self.certain_shard(s, now)?;
                     Some((shard.held_at(&workers), shard.needs(now)))
                 };
                 let all: Option<Vec<_>> = shards.iter().map(one).collect();
                 let all = all.map(|a| a.into_iter().unzip::<_, _, Vec<_>, Vec<_>>());
-                let _ = to.send(all.map(|(held, needs)| (held.concat(), needs.concat())));
+                let _ = reply.send(all.map(|(held, needs)| (held.concat(), needs.concat())));
             }
-            Told::Waiting(queue, shards, to) => {
+            Told::Waiting(queue, shards, reply) => {
                 let now = self.common.now();
-                let one = |s| self.telling(s, now).map(|shard| shard.waiting(&queue));
-                let _ = to.send(shards.iter().map(one).sum());
+                let one = |s| self.certain_shard(s, now).map(|shard| shard.waiting(&queue));
+                let _ = reply.send(shards.iter().map(one).sum());
             }
         }
     }
 
-    /// A shard of which this member may tell others.
-    fn telling(&self, no: &ShardNo, now: Time) -> Option<&Shard> {
-        self.shards.get(no).map(|r| &r.shard).filter(|s| s.may_tell(now))
+    /// A shard, if this member owns it for certain, so that it may report its state to others.
+    fn certain_shard(&self, no: &ShardNo, now: Time) -> Option<&Shard> {
+        self.shards.get(no).map(|o| &o.shard).filter(|s| s.may_tell(now))
     }
 
+    /// Starts a shard that this member now owns.
     async fn own(&mut self, no: ShardNo, token: u64, load: Load) {
         if self.shards.is_empty() && !self.common.stopping() {
-            // A release that this member was told before is over.
-            self.release = None;
+            // All shards of an earlier release have been released.
+            self.release_by = None;
         }
-        if self.release.is_some() {
+        if self.release_by.is_some() {
             let _ = self.notes.send(Out::Settled(no, 0)).await;
             return;
         }
@@ -196,7 +221,7 @@
         let (me, unix) = (self.common.me, self.common.unix);
         let setup = Setup { shard: no, me, token, bounds, unix };
         let shard = Shard::new(setup, load, self.common.now());
-        self.shards.insert(no, Running { token, told: true, shard });
+        self.shards.insert(no, OwnedShard { token, pending: true, shard });
         let config = self.common.config.borrow().clone();
         if let Some(config) = config {
             self.event(no, token, Event::Queues(config.queues));
@@ -209,51 +234,53 @@
         }
     }
 
-    async fn all(&mut self, event: Event) {
+    /// Passes an event to all shards.
+    async fn broadcast(&mut self, event: Event) {
         if let Event::Confirmed(at) = &event {
             self.confirmed = self.confirmed.max(Some(*at));
         }
-        let all: Vec<_> = self.shards.iter().map(|(s, r)| (*s, r.token)).collect();
+        let all: Vec<_> = self.shards.iter().map(|(s, o)| (*s, o.token)).collect();
         for (shard, token) in all {
             self.event(shard, token, event.clone());
         }
     }
 
-    async fn peers(&mut self) {
+    /// Tells each shard which members it may ask to call for it.
+    async fn update_peers(&mut self) {
         let view = self.common.view.borrow().clone();
-        let all: Vec<_> = self.shards.iter().map(|(s, r)| (*s, r.token)).collect();
+        let all: Vec<_> = self.shards.iter().map(|(s, o)| (*s, o.token)).collect();
         for (shard, token) in all {
             self.event(shard, token, Event::Peers(view.peers(shard)));
         }
     }
 
     async fn tick(&mut self) {
-        for (shard, token, event) in std::mem::take(&mut self.later) {
+        for (shard, token, event) in std::mem::take(&mut self.deferred) {
             self.event(shard, token, event);
         }
-        if self.release.is_some() {
+        if self.release_by.is_some() {
             self.write_rest();
-            self.settle().await;
+            self.release_settled().await;
         } else {
-            self.all(Event::Tick).await;
+            self.broadcast(Event::Tick).await;
         }
-        self.show();
+        self.update_metrics();
     }
 
-    /// Shows what the shards have done, and how they stand, in the metrics.
-    fn show(&mut self) {
+    /// Updates the metrics with the shards' counters and levels, if that is due.
+    fn update_metrics(&mut self) {
         let now = self.common.now();
         let metrics = &self.common.metrics;
-        if now < self.show {
+        if now < self.next_metrics {
             return;
         }
-        self.show = now + SHOW;
+        self.next_metrics = now + METRICS_INTERVAL;
         let mut waiting: BTreeMap<u8, usize> = BTreeMap::new();
         let mut away: BTreeMap<Cause, Duration> = BTreeMap::new();
         let mut oldest = Duration::ZERO;
-        for running in self.shards.values_mut() {
-            metrics.tally(&running.shard.tally());
-            let levels = running.shard.levels(now);
+        for owned in self.shards.values_mut() {
+            metrics.tally(&owned.shard.tally());
+            let levels = owned.shard.levels(now);
             levels.waiting.iter().for_each(|(p, n)| *waiting.entry(*p).or_default() += n);
             for (cause, time) in levels.away {
                 let longest = away.entry(cause).or_default();
@@ -266,30 +293,30 @@
         metrics.age("workers", oldest);
     }
 
-    /// Passes an event to its shard; what follows comes with the next round.
+    /// Passes an event to its shard; its orders are passed on by the next [`Self::round`].
     ///
-    /// A shard that is to be released learns only what settles its writes: whatever else it began
-    /// now would be left to its next owner half done.
+    /// A shard that is to be released gets only the results of its writes: anything else that it
+    /// started now would be left half done to its next owner.
     fn event(&mut self, no: ShardNo, token: u64, event: Event) {
-        let settles = matches!(event, Event::Stored(..) | Event::Reread(_));
-        if self.release.is_some() && !settles {
+        let write_result = matches!(event, Event::Stored(..) | Event::Reread(_));
+        if self.release_by.is_some() && !write_result {
             return;
         }
-        let Some(running) = self.shards.get_mut(&no).filter(|r| r.token == token) else { return };
-        running.shard.take(event, self.common.now());
-        running.told = true;
+        let Some(owned) = self.shards.get_mut(&no).filter(|o| o.token == token) else { return };
+        owned.shard.take(event, self.common.now());
+        owned.pending = true;
     }
 
-    /// Passes what follows from all that the shards were told to their rings.
+    /// Runs a round of each shard that has processed events, and passes its orders on.
     async fn round(&mut self) {
-        let told: Vec<_> =
-            self.shards.iter().filter(|(_, r)| r.told).map(|(s, r)| (*s, r.token)).collect();
-        for (no, token) in told {
-            let Some(running) = self.shards.get_mut(&no) else { continue };
-            running.told = false;
-            for order in running.shard.round(self.common.now()) {
+        let pending: Vec<_> =
+            self.shards.iter().filter(|(_, o)| o.pending).map(|(s, o)| (*s, o.token)).collect();
+        for (no, token) in pending {
+            let Some(owned) = self.shards.get_mut(&no) else { continue };
+            owned.pending = false;
+            for order in owned.shard.round(self.common.now()) {
                 let writes = matches!(order, Order::Store(..) | Order::Reread | Order::Deposed);
-                if self.release.is_some() && !writes {
+                if self.release_by.is_some() && !writes {
                     continue;
                 }
                 if order == Order::Deposed {
@@ -302,35 +329,36 @@
         }
     }
 
-    /// Has the shards that are to be released write what is left.
+    /// Starts the remaining writes of the shards that are to be released.
     fn write_rest(&mut self) {
         let now = self.common.now();
-        let each = self.shards.iter_mut().map(|(s, r)| (*s, r.token, r.shard.write_rest(now)));
+        let each = self.shards.iter_mut().map(|(s, o)| (*s, o.token, o.shard.write_rest(now)));
         let all: Vec<_> = each.collect();
         for (no, token, orders) in all {
             orders.into_iter().for_each(|order| self.order(no, token, order));
         }
     }
 
-    /// Passes an order on; what its duty can't take comes back with the next tick.
+    /// Passes an order on. If the queue is full, the shard gets an event with the next tick that the
+    /// order was not carried out.
     fn order(&mut self, no: ShardNo, token: u64, order: Order) {
-        let Err(e) = self.out.try_send(Out::Order(no, token, order)) else { return };
+        let Err(e) = self.orders.try_send(Out::Order(no, token, order)) else { return };
         let (TrySendError::Full(out) | TrySendError::Closed(out)) = e;
         self.common.metrics.full.with_label_values(&["orders"]).inc();
         let Out::Order(_, _, order) = out else { return };
-        if let Some(event) = bounced(order, self.common.now()) {
-            self.later.push((no, token, event));
+        if let Some(event) = unsent_result(order, self.common.now()) {
+            self.deferred.push((no, token, event));
         }
     }
 
-    /// Tells of the shards that have nothing left to write, or no more time for it.
-    async fn settle(&mut self) {
-        let over = self.release.is_some_and(|until| self.common.now() >= until);
+    /// Releases the shards that have nothing left to write, and all shards once the time is over.
+    async fn release_settled(&mut self) {
+        let overdue = self.release_by.is_some_and(|until| self.common.now() >= until);
         let done: Vec<(ShardNo, usize)> = self
             .shards
             .iter()
-            .filter(|(_, r)| over || r.shard.idle_commit())
-            .map(|(s, r)| (*s, r.shard.unwritten()))
+            .filter(|(_, o)| overdue || o.shard.idle_commit())
+            .map(|(s, o)| (*s, o.shard.unwritten()))
             .collect();
         for (shard, left) in done {
             self.shards.remove(&shard);
@@ -339,8 +367,8 @@
     }
 }
 
-/// What follows from an order that was never carried out.
-fn bounced(order: Order, now: Time) -> Option<Event> {
+/// The event that reports an order as not sent.
+fn unsent_result(order: Order, now: Time) -> Option<Event> {
     match order {
         Order::Worker { worker, call, .. } => {
             Some(Event::Worker { worker, sent: now, call, reply: Err(Fault::Unsent) })
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,7 +1,8 @@
-//! Callers' jobs: which queue a request means, and what becomes of it.
+//! The callers' API: submits and cancels jobs, and reports states of jobs and lengths of queues.
 //!
-//! Any member serves any caller. A job is taken in by one conditional write of the store, without
-//! its shard's owner; a state comes from the owner, and from the store where the owner is silent.
+//! Any member serves any caller. A job is accepted by one conditional write to the store, without its
+//! shard's owner, so that jobs can be submitted while the owner is away. A job's state comes from the
+//! owner, and from the store if the owner doesn't answer.
 
 mod ask;
 mod states;
@@ -31,51 +32,54 @@
         http::request::Parts,
     },
     rustc_hash::FxHashMap,
-    states::States,
+    states::StateQueries,
     std::{
         sync::{Arc, Mutex},
         time::Duration,
     },
 };
 
-/// How long a caller waits that doesn't say so.
-const DEADLINE: Duration = Duration::from_secs(3);
-/// The least that has to be left of it for another call.
-const LEAST: Duration = Duration::from_millis(20);
-/// When to come back where no configuration is known yet.
-const SOON: Duration = Duration::from_millis(300);
-/// The longest that one call of the store may take of a caller's time.
-const CALL: Duration = Duration::from_millis(1200);
+/// Time limit of a request without a deadline header.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
+/// A request with less time left than this makes no further call.
+const MIN_REMAINING: Duration = Duration::from_millis(20);
+/// When a caller may retry if the configuration or the table is not known yet or not current.
+const STALE_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Upper bound of the time limit of one call of the store.
+const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// The duty that serves callers.
+/// Serves callers.
 pub(crate) struct Entry {
     common: Arc<Common>,
-    outside: Outside,
+    services: Outside,
     peers: Peers,
-    told: Sender<Told>,
+    /// Inputs of the shards that this member owns.
+    input: Sender<Told>,
+    /// Lengths of queues, and when each was counted.
     lengths: Mutex<FxHashMap<Box<str>, (Time, u64)>>,
-    states: Arc<States>,
-    reads: Mutex<Reads>,
+    state_queries: Arc<StateQueries>,
+    /// Limits the reads of the store for states of jobs.
+    read_budget: Mutex<Reads>,
 }
 
-/// A request, as far as it is the same for all methods.
-struct Ask {
+/// The parts of a caller's request that all methods use.
+struct CallerRequest {
     host: Box<str>,
     path: Box<str>,
-    by: Time,
+    deadline: Time,
 }
 
 impl Entry {
-    /// An entry with clients of its own; `told` is the way to the decisions.
-    pub fn new(common: Arc<Common>, told: Sender<Told>) -> Self {
+    /// Creates the API with clients of its own; `input` leads to the shards that this member owns.
+    pub fn new(common: Arc<Common>, input: Sender<Told>) -> Self {
         let peers = Peers::new(common.clone());
-        let outside = outside(&common, &peers);
-        let states = Arc::new(States::new(common.clone(), peers.clone()));
-        let (lengths, reads) = Default::default();
-        Entry { common, outside, peers, told, lengths, states, reads }
+        let services = outside(&common, &peers);
+        let state_queries = Arc::new(StateQueries::new(common.clone(), peers.clone()));
+        let (lengths, read_budget) = Default::default();
+        Entry { common, services, peers, input, lengths, state_queries, read_budget }
     }
 
     /// Serves one request.
@@ -96,7 +100,7 @@
             }
             Err(e) => {
                 self.common.metrics.refused(e.kind());
-                self.tell_refused(&head, &e, begin);
+                self.log_refused(&head, &e, begin);
                 refusal(&e)
             }
         };
@@ -114,24 +118,24 @@
         begin: Time,
     ) -> Result<Bytes, Error> {
         let body = body?;
-        let ask = self.ask(head, begin);
+        let request = self.parse_request(head, begin);
         let config = self.config()?;
-        let queue = self.queue(&ask, &config)?;
-        let rest = ask.path[queue.prefix.len()..].trim_start_matches('/');
+        let queue = self.queue(&request, &config)?;
+        let rest = request.path[queue.prefix.len()..].trim_start_matches('/');
         match head.method {
             Method::GET if rest.is_empty() => {
-                self.current()?;
-                self.waiting(&queue.name).await
+                self.check_current()?;
+                self.queue_length(&queue.name).await
             }
-            Method::GET => self.state(&ask, rest.parse()?, &queue.pool).await,
-            Method::POST => self.submit(&ask, rest.parse()?, &config, &body).await,
-            Method::DELETE => self.cancel(&ask, rest.parse()?, &queue.pool).await,
+            Method::GET => self.job_state(&request, rest.parse()?, &queue.pool).await,
+            Method::POST => self.submit(&request, rest.parse()?, &config, &body).await,
+            Method::DELETE => self.cancel(&request, rest.parse()?, &queue.pool).await,
             _ => Err(Kind::BadMethod.into()),
         }
     }
 
-    /// Tells of a refused request, with what was known when it was refused.
-    fn tell_refused(&self, head: &Parts, error: &Error, begin: Time) {
+    /// Logs a refused request, with the state of this member that may explain it.
+    fn log_refused(&self, head: &Parts, error: &Error, begin: Time) {
         let now = self.common.now();
         let config = self.common.config.borrow().as_ref().map_or(0, |c| c.rev);
         let path = head.uri.path();
@@ -143,63 +147,78 @@
         log::info!(target: "entry", did = "refused", job, method:% = head.method, path, reason, cause:% = error, config, config_ms, table = self.common.view.borrow().rev, store_ms, took_ms; "Request is refused.");
     }
 
-    fn ask(&self, head: &Parts, begin: Time) -> Ask {
+    fn parse_request(&self, head: &Parts, begin: Time) -> CallerRequest {
         let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
         let host = text(HOST.as_str()).or(head.uri.host()).unwrap_or("");
         let limit = text(self.common.forms.deadline).and_then(|ms| ms.trim().parse().ok());
-        let limit = limit.map_or(DEADLINE, Duration::from_millis);
-        Ask { host: host.into(), path: head.uri.path().into(), by: begin + limit }
+        let limit = limit.map_or(DEFAULT_TIMEOUT, Duration::from_millis);
+        CallerRequest { host: host.into(), path: head.uri.path().into(), deadline: begin + limit }
     }
 
     fn config(&self) -> Result<Config, Error> {
         let known = self.common.config.borrow().clone();
-        known.ok_or_else(|| Error::new(Kind::Stale, "no configuration is known yet").after(SOON))
+        known.ok_or_else(|| {
+            Error::new(Kind::Stale, "no configuration is known yet").after(STALE_RETRY_AFTER)
+        })
     }
 
-    /// Errs where the configuration known here may have been replaced too long ago.
-    fn current(&self) -> Result<(), Error> {
+    /// Errs if the configuration known here may have been replaced too long ago.
+    fn check_current(&self) -> Result<(), Error> {
         if self.common.is_current() {
             return Ok(());
         }
-        Err(Error::new(Kind::Stale, "the configuration may have changed").after(SOON))
+        Err(Error::new(Kind::Stale, "the configuration may have changed").after(STALE_RETRY_AFTER))
     }
 
-    /// The queue that a request means; that there is none is said only by a current configuration.
-    fn queue<'a>(&self, ask: &Ask, config: &'a Config) -> Result<&'a Queue, Error> {
-        ask.queue(config).or_else(|unknown| self.current().and(Err(unknown)))
+    /// The queue of a request.
+    ///
+    /// An outdated configuration may lack a new queue, so a request is refused as unknown only by a
+    /// current configuration.
+    fn queue<'a>(&self, request: &CallerRequest, config: &'a Config) -> Result<&'a Queue, Error> {
+        request.queue(config).or_else(|unknown| self.check_current().and(Err(unknown)))
     }
 
-    /// The shard of a job of a queue with this pool.
+    /// The shard of a job whose queue uses this pool.
     fn shard(&self, job: JobNo, pool: &PoolId) -> Result<ShardNo, Error> {
         let layout = self.common.view.borrow().layout.clone();
         match layout {
-            None => Err(Error::new(Kind::Stale, "the table isn't known yet").after(SOON)),
+            None => Err(Error::new(Kind::Stale, "the table of shards is not known yet")
+                .after(STALE_RETRY_AFTER)),
             Some(layout) => Ok(layout.of(job, pool)),
         }
     }
 
-    /// How long a call may take that another is to follow.
-    fn limit(&self, ask: &Ask) -> Result<Duration, Error> {
-        let left = ask.by - self.common.now();
-        if left < LEAST { Err(Kind::Expired.into()) } else { Ok(CALL.min(left.mul_f64(0.6))) }
+    /// Time limit of one call of the store; leaves time for a further call.
+    fn call_limit(&self, request: &CallerRequest) -> Result<Duration, Error> {
+        let left = request.deadline - self.common.now();
+        if left < MIN_REMAINING {
+            Err(Kind::Expired.into())
+        } else {
+            Ok(MAX_CALL_TIMEOUT.min(left.mul_f64(0.6)))
+        }
     }
 
-    /// Whether the store has a job, in its inbox or among what has been begun.
+    /// Whether the store has a job: its record, or its progress once it has begun.
     ///
-    /// Errs where it doesn't say, with what a reader may be told.
-    async fn stored(&self, ask: &Ask, shard: ShardNo, job: JobNo) -> Result<bool, Error> {
-        let silent = |_| Error::new(Kind::Platform, "the store doesn't answer");
-        let limit = self.limit(ask)?;
-        if self.outside.get(&shard.job(job), limit).await.map_err(silent)?.is_some() {
+    /// Errs if the store doesn't answer, with an error that suits a request that changes nothing.
+    async fn is_stored(
+        &self,
+        request: &CallerRequest,
+        shard: ShardNo,
+        job: JobNo,
+    ) -> Result<bool, Error> {
+        let unanswered = |_| Error::new(Kind::Platform, "the store doesn't answer");
+        let limit = self.call_limit(request)?;
+        if self.services.get(&shard.job(job), limit).await.map_err(unanswered)?.is_some() {
             return Ok(true);
         }
-        let limit = self.limit(ask)?;
-        Ok(self.outside.get(&shard.progress(job), limit).await.map_err(silent)?.is_some())
+        let limit = self.call_limit(request)?;
+        Ok(self.services.get(&shard.progress(job), limit).await.map_err(unanswered)?.is_some())
     }
 }
 
-impl Ask {
-    /// The queue that the request means: by its host as it is given, then without the port.
+impl CallerRequest {
+    /// The queue of the request: by its host as given, then by the host without the port.
     fn queue<'a>(&self, config: &'a Config) -> Result<&'a Queue, Error> {
         let find = |host: &str| config.queues.find(host, &self.path);
         let bare = self.host.rsplit_once(':').map_or(&*self.host, |(host, _)| host);
--- a/src/entry/ask.rs
+++ b/src/entry/ask.rs
@@ -1,7 +1,7 @@
-//! Answers how jobs stand, and how many of a queue have not begun.
+//! Reports the state of a job, and how many jobs of a queue have not begun.
 
 use {
-    super::{Ask, Entry},
+    super::{CallerRequest, Entry},
     crate::{
         control::{states_here, waiting_here},
         decide::reads::Reads,
@@ -16,27 +16,33 @@
     tokio::{task::JoinSet, time::timeout},
 };
 
-/// How long a shard's owner may take.
-pub(super) const OWNER: Duration = Duration::from_millis(250);
-/// When to come back for a state that nobody can tell now: a takeover may be under way.
-const LATER: Duration = Duration::from_secs(1);
-/// How long a queue's length is good.
-const FRESH: Duration = Duration::from_millis(500);
+/// Time limit of a call of a shard's owner.
+pub(super) const OWNER_TIMEOUT: Duration = Duration::from_millis(250);
+/// When a caller may retry for a state that is not available now: a takeover may be under way.
+const STATE_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// How long the length of a queue is cached.
+const LENGTH_TTL: Duration = Duration::from_millis(500);
 
 impl Entry {
-    /// How a job stands.
+    /// The state of a job, as the body of the answer.
     ///
-    /// Errs at once where its owner doesn't say and too much is read for states already.
-    pub(super) async fn state(&self, ask: &Ask, job: JobNo, pool: &PoolId) -> Result<Bytes, Error> {
+    /// Errs at once if the job's owner doesn't report it and the reads of the store for states are
+    /// used up (see [`Reads`]).
+    pub(super) async fn job_state(
+        &self,
+        request: &CallerRequest,
+        job: JobNo,
+        pool: &PoolId,
+    ) -> Result<Bytes, Error> {
         let shard = self.shard(job, pool)?;
-        let state = match self.owner_says(shard, job).await {
+        let state = match self.ask_owner(shard, job).await {
             Some(state) => state,
             None => {
-                if !self.may_read() {
-                    let why = "the owner of the job's shard doesn't say how it stands";
-                    return Err(Error::new(Kind::Peer, why).after(LATER));
+                if !self.admit_read() {
+                    let why = "the owner of the job's shard did not report its state";
+                    return Err(Error::new(Kind::Peer, why).after(STATE_RETRY_AFTER));
                 }
-                let state = self.store_says(ask, shard, job).await?;
+                let state = self.read_state(request, shard, job).await?;
                 log::info!(target: "entry", did = "asked", job:% = job, shard:% = shard, state:% = state; "State is told from the store.");
                 state
             }
@@ -44,67 +50,73 @@
         Ok((self.common.forms.state)(state))
     }
 
-    /// What the owner says.
+    /// The state that the shard's owner reports; `None` if it doesn't.
     ///
-    /// Guards against members that all read the store for each caller as soon as a busy owner's renewal
-    /// is late: one that hears from the store knows by its own table who owns the shard.
-    async fn owner_says(&self, shard: ShardNo, job: JobNo) -> Option<State> {
+    /// A member that is in touch with the store knows the owner by its own table and says so in the
+    /// call. Otherwise an owner whose lease renewal is late would report nothing, and all members
+    /// would read the store for each caller.
+    async fn ask_owner(&self, shard: ShardNo, job: JobNo) -> Option<State> {
         let (owner, addr) = self.common.view.borrow().owner(shard)?;
         if owner == self.common.me {
-            let here = states_here(&self.told, [(shard, job)].into(), false);
-            return timeout(OWNER, here).await.ok()??.pop()?;
+            let answer = states_here(&self.input, [(shard, job)].into(), false);
+            return timeout(OWNER_TIMEOUT, answer).await.ok()??.pop()?;
         }
-        self.states.of((owner, addr), shard, job).await
+        self.state_queries.query((owner, addr), shard, job).await
     }
 
-    /// Whether the store may be read for one more state.
-    fn may_read(&self) -> bool {
+    /// Whether the store may be read for one more state; counts the reads if so.
+    fn admit_read(&self) -> bool {
         let rate = self.common.site.borrow().reads;
         let members = self.common.view.borrow().members.len();
-        self.reads().admit(rate, members, self.common.now())
+        self.read_budget().admit(rate, members, self.common.now())
     }
 
-    fn reads(&self) -> MutexGuard<'_, Reads> {
-        self.reads.lock().expect("no holder panics")
+    fn read_budget(&self) -> MutexGuard<'_, Reads> {
+        self.read_budget.lock().expect("no holder panics")
     }
 
-    /// How a job stands by the store.
+    /// The state of a job by its progress and its record in the store.
     ///
-    /// Guards against a job that ends between two reads: it leaves the inbox in the write that
-    /// brings its progress, so that each read alone may miss it. Only where progress is still
-    /// absent after the job was found absent is there no such job.
-    async fn store_says(&self, ask: &Ask, shard: ShardNo, job: JobNo) -> Result<State, Error> {
+    /// A job's record is removed by the same write that adds its progress, so a job that ends between
+    /// the two reads would be missed by both. The progress is therefore read again after the record
+    /// was found absent; only if it is still absent is there no such job.
+    async fn read_state(
+        &self,
+        request: &CallerRequest,
+        shard: ShardNo,
+        job: JobNo,
+    ) -> Result<State, Error> {
         let progress = shard.progress(job);
-        if let Some(item) = self.read(ask, &progress).await? {
-            self.reads().settled(1);
-            return state(&item);
+        if let Some(item) = self.read_item(request, &progress).await? {
+            self.read_budget().settled(1);
+            return parse_state(&item);
         }
-        if self.read(ask, &shard.job(job)).await?.is_some() {
-            self.reads().settled(2);
+        if self.read_item(request, &shard.job(job)).await?.is_some() {
+            self.read_budget().settled(2);
             return Ok(State::Queued);
         }
-        match self.read(ask, &progress).await? {
-            Some(item) => state(&item),
+        match self.read_item(request, &progress).await? {
+            Some(item) => parse_state(&item),
             None => Err(Kind::NoJob.into()),
         }
     }
 
-    async fn read(&self, ask: &Ask, key: &str) -> Result<Option<Item>, Error> {
-        let item = self.outside.get(key, self.limit(ask)?).await;
+    async fn read_item(&self, request: &CallerRequest, key: &str) -> Result<Option<Item>, Error> {
+        let item = self.services.get(key, self.call_limit(request)?).await;
         item.map_err(|_| Error::new(Kind::Platform, "the store doesn't answer"))
     }
 
-    /// How many jobs of a queue have not begun, over all shards.
-    pub(super) async fn waiting(&self, queue: &str) -> Result<Bytes, Error> {
+    /// How many jobs of a queue have not begun in all shards, as the body of the answer.
+    pub(super) async fn queue_length(&self, queue: &str) -> Result<Bytes, Error> {
         let now = self.common.now();
-        let known = self.lengths.lock().expect("no holder panics").get(queue).copied();
-        let count = match known.filter(|(at, _)| now - *at < FRESH) {
+        let cached = self.lengths.lock().expect("no holder panics").get(queue).copied();
+        let count = match cached.filter(|(at, _)| now - *at < LENGTH_TTL) {
             Some((_, count)) => count,
             None => {
-                let count = self.count(queue).await?;
+                let count = self.count_waiting(queue).await?;
                 let mut lengths = self.lengths.lock().expect("no holder panics");
-                // Queues that are no longer asked for don't pile up.
-                lengths.retain(|_, (at, _)| now - *at < FRESH);
+                // Bounds the cache: queues that are no longer requested are dropped.
+                lengths.retain(|_, (at, _)| now - *at < LENGTH_TTL);
                 lengths.insert(queue.into(), (now, count));
                 count
             }
@@ -112,40 +124,41 @@
         Ok((self.common.forms.waiting)(count))
     }
 
-    async fn count(&self, queue: &str) -> Result<u64, Error> {
-        let away = || Error::new(Kind::Peer, "the owner of a shard doesn't answer");
-        let mut of: BTreeMap<(Incarnation, SocketAddr), Vec<ShardNo>> = BTreeMap::new();
+    async fn count_waiting(&self, queue: &str) -> Result<u64, Error> {
+        let no_answer = || Error::new(Kind::Peer, "the owner of a shard doesn't answer");
+        let mut by_owner: BTreeMap<(Incarnation, SocketAddr), Vec<ShardNo>> = BTreeMap::new();
         {
             let view = self.common.view.borrow();
             for shard in (0..view.shards()).map(ShardNo) {
-                of.entry(view.owner(shard).ok_or_else(away)?).or_default().push(shard);
+                by_owner.entry(view.owner(shard).ok_or_else(no_answer)?).or_default().push(shard);
             }
         }
-        if of.is_empty() {
-            return Err(Error::new(Kind::Stale, "the table isn't known yet"));
+        if by_owner.is_empty() {
+            return Err(Error::new(Kind::Stale, "the table of shards is not known yet"));
         }
         let mut calls = JoinSet::new();
-        for ((owner, addr), shards) in of {
-            let (queue, here) = (Box::<str>::from(queue), owner == self.common.me);
-            let (told, peers) = (self.told.clone(), self.peers.clone());
+        for ((owner, addr), shards) in by_owner {
+            let (queue, local) = (Box::<str>::from(queue), owner == self.common.me);
+            let (input, peers) = (self.input.clone(), self.peers.clone());
             calls.spawn(async move {
-                if here {
-                    let asked = waiting_here(&told, queue, shards.into());
-                    return timeout(OWNER, asked).await.ok().flatten();
+                if local {
+                    let answer = waiting_here(&input, queue, shards.into());
+                    return timeout(OWNER_TIMEOUT, answer).await.ok().flatten();
                 }
-                peers.waiting(addr, &queue, &shards, OWNER).await
+                peers.waiting(addr, &queue, &shards, OWNER_TIMEOUT).await
             });
         }
         let mut sum = 0;
         while let Some(count) = calls.join_next().await {
-            sum += count.ok().flatten().ok_or_else(away)?;
+            sum += count.ok().flatten().ok_or_else(no_answer)?;
         }
         Ok(sum)
     }
 }
 
-fn state(item: &Item) -> Result<State, Error> {
+/// The state in a job's progress item.
+fn parse_state(item: &Item) -> Result<State, Error> {
     let progress = item.value.as_ref().and_then(|v| record::read::<Progress>(v));
-    let unread = || Error::new(Kind::Platform, "the job's progress can't be read");
-    progress.map(|p| p.state).ok_or_else(unread)
+    let unreadable = || Error::new(Kind::Platform, "the job's progress can't be read");
+    progress.map(|p| p.state).ok_or_else(unreadable)
 }
--- a/src/entry/states.rs
+++ b/src/entry/states.rs
@@ -1,7 +1,7 @@
-//! Questions to owners for the states of jobs, gathered for each owner.
+//! Batches the queries for states of jobs that go to the owners of shards.
 
 use {
-    super::ask::OWNER,
+    super::ask::OWNER_TIMEOUT,
     crate::{
         common::Common,
         control::Peers,
@@ -18,82 +18,83 @@
     tokio::sync::oneshot,
 };
 
-/// The most jobs that one question names.
-const MOST: usize = 256;
+/// The largest number of jobs in one call.
+const MAX_BATCH: usize = 256;
 
-/// Asks owners how jobs stand, one question at a time to each, with all jobs asked for meanwhile.
+/// Asks owners for the states of jobs, with one call at a time to each owner. A call carries all jobs
+/// that were requested during the call before.
 ///
-/// Guards against questions that keep a busy owner busy: one for each caller's request took most of its
-/// processor, and each that ran out of time cost a new connection. So the slower an owner answers, the
-/// fewer questions it gets.
-pub(super) struct States {
+/// One call for each caller's request used most of the processor time of a busy owner, and each call
+/// that timed out cost a new connection. With batches, an owner gets fewer calls the slower it answers.
+pub(super) struct StateQueries {
     common: Arc<Common>,
     peers: Peers,
-    /// What is asked next of each owner that has a question to answer.
-    next: Mutex<FxHashMap<Incarnation, Vec<Wanted>>>,
+    /// Queries for the next call to each owner; an owner has an entry while a call to it is in flight.
+    queued: Mutex<FxHashMap<Incarnation, Vec<Query>>>,
 }
 
-/// A job whose state somebody waits for.
-struct Wanted {
+/// A job whose state a request waits for.
+struct Query {
     shard: ShardNo,
     job: JobNo,
-    to: oneshot::Sender<Option<State>>,
+    reply: oneshot::Sender<Option<State>>,
 }
 
-impl States {
-    /// Nothing is asked yet.
+impl StateQueries {
+    /// Creates a set without queries.
     pub fn new(common: Arc<Common>, peers: Peers) -> Self {
-        States { common, peers, next: Mutex::default() }
+        StateQueries { common, peers, queued: Mutex::default() }
     }
 
-    /// How a job stands at its owner; nothing where it doesn't say.
-    pub async fn of(
+    /// The state of a job, as its shard's owner reports it; `None` if it doesn't.
+    pub async fn query(
         self: &Arc<Self>,
         (owner, addr): (Incarnation, SocketAddr),
         shard: ShardNo,
         job: JobNo,
     ) -> Option<State> {
-        let (to, from) = oneshot::channel();
-        if self.want(owner, Wanted { shard, job, to }) {
-            tokio::spawn(self.clone().ask(owner, addr));
+        let (reply, receiver) = oneshot::channel();
+        if self.enqueue(owner, Query { shard, job, reply }) {
+            tokio::spawn(self.clone().run(owner, addr));
         }
-        from.await.ok().flatten()
+        receiver.await.ok().flatten()
     }
 
-    /// Notes what is asked next of an owner; returns whether no question to it is under way.
-    fn want(&self, owner: Incarnation, wanted: Wanted) -> bool {
-        let mut next = self.next();
-        let idle = !next.contains_key(&owner);
-        next.entry(owner).or_default().push(wanted);
+    /// Adds a query to the next call to an owner; returns whether no call to it is in flight.
+    fn enqueue(&self, owner: Incarnation, query: Query) -> bool {
+        let mut queued = self.queued();
+        let idle = !queued.contains_key(&owner);
+        queued.entry(owner).or_default().push(query);
         idle
     }
 
-    /// Asks an owner until nobody wants to know anything of it.
-    async fn ask(self: Arc<Self>, owner: Incarnation, addr: SocketAddr) {
-        while let Some(batch) = self.batch(owner) {
-            let jobs: Box<[(ShardNo, JobNo)]> = batch.iter().map(|w| (w.shard, w.job)).collect();
-            let states = self.peers.states(addr, &jobs, self.common.in_touch(), OWNER).await;
+    /// Calls an owner until no query for it is left.
+    async fn run(self: Arc<Self>, owner: Incarnation, addr: SocketAddr) {
+        while let Some(batch) = self.next_batch(owner) {
+            let jobs: Box<[(ShardNo, JobNo)]> = batch.iter().map(|q| (q.shard, q.job)).collect();
+            let states =
+                self.peers.states(addr, &jobs, self.common.in_touch(), OWNER_TIMEOUT).await;
             let mut states = states.unwrap_or_default().into_iter();
-            for wanted in batch {
-                // Who has left meanwhile needs no answer.
-                let _ = wanted.to.send(states.next().flatten());
+            for query in batch {
+                // Sending fails if the request has ended meanwhile; then it needs no answer.
+                let _ = query.reply.send(states.next().flatten());
             }
         }
     }
 
-    /// What is asked next; nothing where nobody waits for anything.
-    fn batch(&self, owner: Incarnation) -> Option<Vec<Wanted>> {
-        let mut next = self.next();
-        let all = next.get_mut(&owner)?;
+    /// The queries of the next call; `None`, and the owner's entry is removed, if there are none.
+    fn next_batch(&self, owner: Incarnation) -> Option<Vec<Query>> {
+        let mut queued = self.queued();
+        let all = queued.get_mut(&owner)?;
         if all.is_empty() {
-            next.remove(&owner);
+            queued.remove(&owner);
             return None;
         }
-        let rest = all.split_off(all.len().min(MOST));
+        let rest = all.split_off(all.len().min(MAX_BATCH));
         Some(mem::replace(all, rest))
     }
 
-    fn next(&self) -> MutexGuard<'_, FxHashMap<Incarnation, Vec<Wanted>>> {
-        self.next.lock().expect("no holder panics")
+    fn queued(&self) -> MutexGuard<'_, FxHashMap<Incarnation, Vec<Query>>> {
+        self.queued.lock().expect("no holder panics")
     }
 }
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -1,7 +1,7 @@
-//! Takes jobs in, and cancels them.
+//! Submits and cancels jobs.
 
 use {
-    super::{Ask, Entry, SOON},
+    super::{CallerRequest, Entry, STALE_RETRY_AFTER},
     crate::{
         common::{Config, unix},
         control::heard_here,
@@ -16,51 +16,53 @@
     tokio::time::{sleep, timeout},
 };
 
-/// How long word to a shard's owner may take.
-const WORD: Duration = Duration::from_millis(400);
-/// How often a write that was refused or whose answer is unclear is made.
-const TRIES: u32 = 2;
-/// How often a write is made that only a newer configuration was in the way of.
-const MOVES: u32 = 8;
+/// Time limit of the notice of a job to its shard's owner.
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(400);
+/// The number of tries of a write that is refused or whose outcome is unknown.
+const MAX_TRIES: u32 = 2;
+/// The number of repeats of a write that failed only because the configuration has changed.
+const MAX_CONFIG_CHANGES: u32 = 8;
 
-/// When to come back after a refusal: refusals of one machine last for a moment, and another
-/// member may be asked meanwhile.
-const BACK: Duration = Duration::from_millis(500);
+/// When a caller may retry after a refusal by the store: the store refuses one machine for a short
+/// time only, and another member may be asked meanwhile.
+const STORE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What has become of the tries so far.
+/// The outcome of the tries of a write so far.
 #[derive(Default)]
 struct Tries {
-    made: u32,
-    /// Whether one of them may have been done, or may be later.
-    unclear: bool,
-    moves: u32,
+    /// Number of tries that were refused or whose outcome is unknown.
+    failed: u32,
+    /// Whether one of them may have taken effect, or may do so later.
+    uncertain: bool,
+    /// Number of repeats after a change of the configuration.
+    config_changes: u32,
 }
 
 impl Tries {
-    /// The final answer where none succeeded.
+    /// The error to return if no try succeeded.
     ///
-    /// A caller that is told 503 counts on its job never running. So once one try's outcome is
-    /// unknown, the answer says so, whatever became of the others.
-    fn end(&self, error: Error) -> Error {
-        if self.unclear { Kind::OutcomeUnknown.into() } else { error }
+    /// A caller that gets status 503 relies on its job never running. So once the outcome of one try
+    /// is unknown, the answer says so, whatever the other tries returned.
+    fn final_error(&self, error: Error) -> Error {
+        if self.uncertain { Kind::OutcomeUnknown.into() } else { error }
     }
 }
 
-/// What a conflict means for a submission.
-enum Clash {
-    /// The job is there already.
-    There,
+/// Why the write of a job was in conflict.
+enum ConflictCause {
+    /// The job is already stored.
+    JobExists,
     /// Another configuration is in force.
-    Moved,
-    /// Neither: another change was first.
+    ConfigChanged,
+    /// Neither of them.
     Other,
 }
 
 impl Entry {
-    /// Takes a job in.
+    /// Submits a job.
     pub(super) async fn submit(
         &self,
-        ask: &Ask,
+        request: &CallerRequest,
         no: JobNo,
         config: &Config,
         body: &Bytes,
@@ -70,27 +72,31 @@
         }
         let job = (self.common.forms.job)(body)?;
         job.check()?;
-        // A member that is cut off from the store would only bring the job into doubt: its caller may
-        // ask another one, but not after an answer that says "unknown".
+        // A write by a member that is cut off from the store would most likely end with an unknown
+        // outcome. After a refusal the caller may submit the job to another member, after an answer
+        // that says "unknown" it may not.
         if !self.common.in_touch() {
-            return Err(Error::new(Kind::KvDown, "the store doesn't answer").after(BACK));
+            return Err(
+                Error::new(Kind::KvDown, "the store doesn't answer").after(STORE_RETRY_AFTER)
+            );
         }
-        let shard = self.shard(no, &self.queue(ask, config)?.pool)?;
+        let shard = self.shard(no, &self.queue(request, config)?.pool)?;
         let (begin, steps) = (self.common.now(), job.steps.len());
         let mut tries = Tries::default();
-        match self.write(ask, shard, no, job, &mut tries).await {
+        match self.write_job(request, shard, no, job, &mut tries).await {
             Ok(()) => {
                 let took_ms = (self.common.now() - begin).as_millis() as u64;
-                log::info!(target: "entry", did = "taken", job:% = no, shard:% = shard, steps, config = config.rev, tries = tries.made, moves = tries.moves, unclear = tries.unclear, took_ms; "Job is taken in.");
+                log::info!(target: "entry", did = "taken", job:% = no, shard:% = shard, steps, config = config.rev, tries = tries.failed, moves = tries.config_changes, unclear = tries.uncertain, took_ms; "Job is taken in.");
                 Ok(Bytes::new())
             }
-            Err(e) => Err(tries.end(e)),
+            Err(e) => Err(tries.final_error(e)),
         }
     }
 
-    async fn write(
+    /// Writes a job to the store, with retries.
+    async fn write_job(
         &self,
-        ask: &Ask,
+        request: &CallerRequest,
         shard: ShardNo,
         no: JobNo,
         job: Job,
@@ -98,66 +104,77 @@
     ) -> Result<(), Error> {
         let mut record = JobRecord { queue: "".into(), came: unix(), job, terms: None };
         loop {
-            // Again each time: only what is in force when the write is done may let a job in.
-            let config = self.newest(ask).await?;
-            let queue = self.queue(ask, &config)?;
+            // Read again for each try: the write must match the configuration in force.
+            let config = self.newest_config(request).await?;
+            let queue = self.queue(request, &config)?;
             (record.queue, record.terms) = (queue.name.clone(), Some(Box::new(queue.clone())));
-            let txn = self.entrance(shard, no, config.rev, &record);
-            let (limit, sent) = (self.limit(ask)?, self.common.now());
-            match self.outside.store(&StoreCall::Txn(txn), limit).await {
+            let txn = self.submission(shard, no, config.rev, &record);
+            let (limit, sent) = (self.call_limit(request)?, self.common.now());
+            match self.services.store(&StoreCall::Txn(txn), limit).await {
                 Ok(StoreReply::Done(_)) => {
                     self.common.confirm(sent);
-                    self.tell(shard, no, Some(record));
+                    self.notify_owner(shard, no, Some(record));
                     return Ok(());
                 }
                 Ok(StoreReply::Conflict(items)) => {
-                    match self.clash(shard, no, config.rev, &items) {
-                        Clash::There => return Ok(()),
-                        Clash::Moved if tries.moves < MOVES => tries.moves += 1,
-                        Clash::Moved | Clash::Other => return Err(Kind::Platform.into()),
+                    match self.conflict_cause(shard, no, config.rev, &items) {
+                        ConflictCause::JobExists => return Ok(()),
+                        ConflictCause::ConfigChanged
+                            if tries.config_changes < MAX_CONFIG_CHANGES =>
+                        {
+                            tries.config_changes += 1
+                        }
+                        ConflictCause::ConfigChanged | ConflictCause::Other => {
+                            return Err(Kind::Platform.into());
+                        }
                     }
                     self.common.metrics.retry(Kind::Conflict);
                 }
-                Err(Fault::TooLarge) if tries.moves < MOVES => {
-                    // The answer has the configuration also where only the job was in the way.
-                    if self.stored(ask, shard, no).await? {
+                Err(Fault::TooLarge) if tries.config_changes < MAX_CONFIG_CHANGES => {
+                    // The reply to a conflict carries the configuration, which made it too large, even
+                    // if only the job was in conflict.
+                    if self.is_stored(request, shard, no).await? {
                         return Ok(());
                     }
                     self.common.overtake(config.rev);
-                    tries.moves += 1;
+                    tries.config_changes += 1;
                     self.common.metrics.retry(Kind::Conflict);
                 }
                 Err(Fault::TooLarge) => return Err(Kind::Platform.into()),
                 Err(fault @ (Fault::Refused | Fault::Unsent)) => {
-                    self.again(&fault, tries).await?;
+                    self.wait_retry(&fault, tries).await?;
                 }
                 _ => {
-                    tries.unclear = true;
-                    if self.stored(ask, shard, no).await? {
+                    tries.uncertain = true;
+                    if self.is_stored(request, shard, no).await? {
                         return Ok(());
                     }
-                    self.again(&Fault::Unknown, tries).await?;
+                    self.wait_retry(&Fault::Unknown, tries).await?;
                 }
             }
         }
     }
 
-    /// The configuration, once it is the newest that the store is known to have.
+    /// The configuration; waits until it is the newest that the store is known to have.
     ///
-    /// Guards against a member whose link carries nothing but the configuration, over and over: where
-    /// that is large, so is the answer to each write that expects an older one. The writes that come
-    /// meanwhile wait for the one reading of the duty that follows it.
-    async fn newest(&self, ask: &Ask) -> Result<Config, Error> {
-        let limit = self.limit(ask)?;
+    /// The reply to a write that expects an older configuration carries the newer one. If that is
+    /// large, the replies to many such writes would fill the member's link. Writes therefore wait for
+    /// the one read by the task that watches the configuration.
+    async fn newest_config(&self, request: &CallerRequest) -> Result<Config, Error> {
+        let limit = self.call_limit(request)?;
         let mut known = self.common.config.subscribe();
         let newest = known.wait_for(|c| c.as_ref().is_some_and(|c| !self.common.overtakes(c)));
-        let late = || Error::new(Kind::Stale, "a newer configuration is not known yet").after(SOON);
-        let found = timeout(limit, newest).await.map_err(|_| late())?;
-        found.map_err(|_| late())?.clone().ok_or_else(late)
+        let outdated = || {
+            Error::new(Kind::Stale, "a newer configuration is not known yet")
+                .after(STALE_RETRY_AFTER)
+        };
+        let found = timeout(limit, newest).await.map_err(|_| outdated())?;
+        found.map_err(|_| outdated())?.clone().ok_or_else(outdated)
     }
 
-    /// The write that takes a job in, if there is none of its number and the queue is still there.
-    fn entrance(&self, shard: ShardNo, no: JobNo, rev: u64, record: &JobRecord) -> Txn {
+    /// The write that stores a job, on the conditions that its number is unused and that the
+    /// configuration is unchanged.
+    fn submission(&self, shard: ShardNo, no: JobNo, rev: u64, record: &JobRecord) -> Txn {
         let (key, value) = (shard.job(no), record::write(record));
         Txn {
             expect: vec![
@@ -170,31 +187,32 @@
         }
     }
 
-    fn clash(&self, shard: ShardNo, no: JobNo, rev: u64, items: &[Item]) -> Clash {
+    /// Finds the cause of a conflict by the items that the store returned with it.
+    fn conflict_cause(&self, shard: ShardNo, no: JobNo, rev: u64, items: &[Item]) -> ConflictCause {
         let (job, progress) = (shard.job(no), shard.progress(no));
         if items.iter().any(|i| i.rev != 0 && (i.key == job || i.key == progress)) {
-            return Clash::There;
+            return ConflictCause::JobExists;
         }
         match items.iter().find(|i| &*i.key == self.common.forms.config) {
             Some(config) if config.rev != rev => {
                 self.common.take_config(config);
-                Clash::Moved
+                ConflictCause::ConfigChanged
             }
-            _ => Clash::Other,
+            _ => ConflictCause::Other,
         }
     }
 
-    /// Waits for the next try, or errs where there is none.
-    async fn again(&self, fault: &Fault, tries: &mut Tries) -> Result<(), Error> {
+    /// Waits before the next try, or errs if there is none left.
+    async fn wait_retry(&self, fault: &Fault, tries: &mut Tries) -> Result<(), Error> {
         let kind = match fault {
             Fault::Refused => Kind::Platform,
             Fault::Unsent => Kind::KvDown,
             Fault::Unknown | Fault::TooLarge | Fault::Bad(_) => Kind::OutcomeUnknown,
         };
-        tries.made += 1;
-        if tries.made >= TRIES {
+        tries.failed += 1;
+        if tries.failed >= MAX_TRIES {
             let error = Error::new(Kind::Platform, "the store refuses or doesn't answer");
-            return Err(error.after(BACK));
+            return Err(error.after(STORE_RETRY_AFTER));
         }
         self.common.metrics.retry(kind);
         sleep(Duration::from_millis(fastrand::u64(30..=80))).await;
@@ -202,52 +220,62 @@
     }
 
     /// Cancels a job.
-    pub(super) async fn cancel(&self, ask: &Ask, no: JobNo, pool: &PoolId) -> Result<Bytes, Error> {
+    pub(super) async fn cancel(
+        &self,
+        request: &CallerRequest,
+        no: JobNo,
+        pool: &PoolId,
+    ) -> Result<Bytes, Error> {
         let shard = self.shard(no, pool)?;
-        let silent = |_| Error::new(Kind::Platform, "the store refuses or doesn't answer");
-        let limit = self.limit(ask)?;
-        if self.outside.get(&shard.job(no), limit).await.map_err(silent)?.is_none() {
-            let there = self.stored(ask, shard, no).await?;
-            log::info!(target: "entry", did = "cancel", job:% = no, shard:% = shard, there, written = false; "Cancel has nothing to do.");
+        let unanswered = |_| Error::new(Kind::Platform, "the store refuses or doesn't answer");
+        let limit = self.call_limit(request)?;
+        if self.services.get(&shard.job(no), limit).await.map_err(unanswered)?.is_none() {
+            let there = self.is_stored(request, shard, no).await?;
+            log::info!(target: "entry", did = "cancel", job:% = no, shard:% = shard, there, written = false; "The job to be cancelled has ended or is unknown.");
             return if there { Ok(Bytes::new()) } else { Err(Kind::NoJob.into()) };
         }
         let put = Put { key: shard.cancel(no), value: Bytes::from_static(b"{}"), lease: 0 };
         let call = StoreCall::Txn(Txn { puts: vec![put], ..Txn::default() });
         let mut tries = Tries::default();
-        match self.put(ask, &call, &mut tries).await {
+        match self.repeat_write(request, &call, &mut tries).await {
             Ok(()) => {
-                self.tell(shard, no, None);
-                log::info!(target: "entry", did = "cancel", job:% = no, shard:% = shard, tries = tries.made; "Job is cancelled.");
+                self.notify_owner(shard, no, None);
+                log::info!(target: "entry", did = "cancel", job:% = no, shard:% = shard, tries = tries.failed; "Job is cancelled.");
                 Ok(Bytes::new())
             }
-            Err(e) => Err(tries.end(e)),
+            Err(e) => Err(tries.final_error(e)),
         }
     }
 
-    /// Tells the shard's owner of what was stored, without waiting for it.
+    /// Notifies the shard's owner of what was stored, without waiting for its answer.
     ///
-    /// Guards against a watch of the store that hears nothing for seconds while changes are made:
-    /// jobs that were taken in would wait until it is cut, and their callers with them.
-    fn tell(&self, shard: ShardNo, no: JobNo, record: Option<JobRecord>) {
+    /// The owner's watch of the store may hang for seconds while changes are made. Without the notice,
+    /// accepted jobs would wait until that watch ends.
+    fn notify_owner(&self, shard: ShardNo, no: JobNo, record: Option<JobRecord>) {
         let Some((owner, addr)) = self.common.view.borrow().owner(shard) else { return };
         if owner == self.common.me {
-            return heard_here(&self.told, shard, no, record);
+            return heard_here(&self.input, shard, no, record);
         }
         let peers = self.peers.clone();
-        tokio::spawn(async move { peers.heard(addr, shard, no, record, WORD).await });
+        tokio::spawn(async move { peers.heard(addr, shard, no, record, NOTICE_TIMEOUT).await });
     }
 
-    /// Makes a write that may be made twice.
-    async fn put(&self, ask: &Ask, call: &StoreCall, tries: &mut Tries) -> Result<(), Error> {
+    /// Makes a write that may be made twice, with retries.
+    async fn repeat_write(
+        &self,
+        request: &CallerRequest,
+        call: &StoreCall,
+        tries: &mut Tries,
+    ) -> Result<(), Error> {
         loop {
-            let limit = self.limit(ask)?;
-            let fault = match self.outside.store(call, limit).await {
+            let limit = self.call_limit(request)?;
+            let fault = match self.services.store(call, limit).await {
                 Ok(StoreReply::Done(_)) => return Ok(()),
                 Err(fault @ (Fault::Refused | Fault::Unsent)) => fault,
                 _ => Fault::Unknown,
             };
-            tries.unclear |= fault == Fault::Unknown;
-            self.again(&fault, tries).await?;
+            tries.uncertain |= fault == Fault::Unknown;
+            self.wait_retry(&fault, tries).await?;
         }
     }
 }
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -1,4 +1,10 @@
-//! The ways to the store that a member's threads share, and how a call is relayed.
+//! Which way calls of the store take, shared by a member's threads, and the messages by which one
+//! member asks another to relay a call.
+//!
+//! While the store doesn't serve a member, other members make its calls for it; see
+//! [`decide::relay`](crate::decide::relay) for the rules. Without it such a member would refuse its
+//! callers and lose its shards. The threads share one state, so that all of them know of a lost
+//! connection as soon as the calls of one of them have shown it.
 
 use {
     crate::{
@@ -18,26 +24,26 @@
     tokio::sync::watch,
 };
 
-/// A status and a body, or why there is none.
-pub type Answer = Result<(u16, Bytes), Fault>;
+/// The HTTP status and body of a reply, or why there is none.
+pub type WireReply = Result<(u16, Bytes), Fault>;
 
-/// A call of the store as one member hands it to another.
+/// A call of the store in the form in which one member passes it to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Relayed {
-    /// The method.
+pub struct RelayedCall {
+    /// HTTP method.
     pub method: Box<str>,
-    /// The path with its query.
+    /// Path, including the query.
     pub path: Box<str>,
-    /// Headers besides the host's.
+    /// Headers other than `host`.
     pub headers: Vec<(Box<str>, Box<str>)>,
-    /// The body.
+    /// Request body.
     pub body: Box<str>,
 }
 
-impl Relayed {
-    /// A call that is to be relayed; nothing where its body is not text.
+impl RelayedCall {
+    /// Converts a call; `None` if its body is not UTF-8.
     pub fn new(wire: &Wire) -> Option<Self> {
-        Some(Relayed {
+        Some(RelayedCall {
             method: wire.method.into(),
             path: wire.path.clone(),
             headers: wire.headers.iter().map(|(n, v)| ((*n).into(), v.clone())).collect(),
@@ -46,61 +52,64 @@
     }
 }
 
-/// A call of the store that is to be relayed.
+/// A request to another member to make a call of the store.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct RelayAsk {
-    /// The call.
-    pub call: Relayed,
-    /// How long it may take, in milliseconds.
+pub(crate) struct RelayRequest {
+    /// The call to be made.
+    pub call: RelayedCall,
+    /// Time limit of the call, in milliseconds.
     pub limit_ms: u64,
-    /// Whether the call may be made twice; members of an earlier version don't say.
+    /// Whether the call may be made twice; members of an earlier version don't send it.
     #[serde(default)]
     pub repeats: bool,
 }
 
-/// What became of a relayed call.
+/// The result of a relayed call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum RelayAnswer {
-    /// The store's answer: its status and body.
+pub(crate) enum RelayReply {
+    /// The store answered with this status and body.
     Answered(u16, Box<str>),
-    /// Nothing was done.
+    /// The call had no effect and will have none.
     Unsent,
-    /// It may have been done.
+    /// The call may have taken effect, or may do so later.
     Unknown,
 }
 
-impl From<Answer> for RelayAnswer {
-    fn from(answer: Answer) -> Self {
+impl From<WireReply> for RelayReply {
+    fn from(answer: WireReply) -> Self {
         match answer.map(|(status, body)| (status, String::from_utf8(body.into()))) {
-            Ok((status, Ok(body))) => RelayAnswer::Answered(status, body.into()),
-            Err(Fault::Unsent | Fault::Refused) => RelayAnswer::Unsent,
-            Ok((_, Err(_))) | Err(_) => RelayAnswer::Unknown,
+            Ok((status, Ok(body))) => RelayReply::Answered(status, body.into()),
+            Err(Fault::Unsent | Fault::Refused) => RelayReply::Unsent,
+            Ok((_, Err(_))) | Err(_) => RelayReply::Unknown,
         }
     }
 }
 
-impl From<RelayAnswer> for Answer {
-    fn from(answer: RelayAnswer) -> Self {
+impl From<RelayReply> for WireReply {
+    fn from(answer: RelayReply) -> Self {
         match answer {
-            RelayAnswer::Answered(status, body) => Ok((status, body.into_string().into())),
-            RelayAnswer::Unsent => Err(Fault::Unsent),
-            RelayAnswer::Unknown => Err(Fault::Unknown),
+            RelayReply::Answered(status, body) => Ok((status, body.into_string().into())),
+            RelayReply::Unsent => Err(Fault::Unsent),
+            RelayReply::Unknown => Err(Fault::Unknown),
         }
     }
 }
 
-/// Has other members make a call, and returns the answer; nothing where there is nobody to ask. The
-/// flag says whether the call may be made twice.
-pub type Relayer = Arc<dyn Fn(Wire, bool, Duration) -> Relaying + Send + Sync>;
+/// Asks other members to make a call, and returns the reply; `None` if there is no member to ask.
+///
+/// The flag says whether the call may be made twice, the duration is its time limit.
+pub type Relayer = Arc<dyn Fn(Wire, bool, Duration) -> RelayFuture + Send + Sync>;
 
-/// A call on its way through another member.
-pub type Relaying = Pin<Box<dyn Future<Output = Option<Answer>> + Send>>;
+/// The future of a call that other members are asked to make.
+pub type RelayFuture = Pin<Box<dyn Future<Output = Option<WireReply>> + Send>>;
 
-/// The ways to the store, as all threads of a member know them.
+/// Whether calls of the store go direct or through other members; shared by a member's threads.
 pub struct Ways {
+    /// The time that [`Ways::now`] counts from.
     start: Instant,
     state: Mutex<Relay>,
+    /// Whether the direct connection is lost, for those who wait for it.
     lost: watch::Sender<bool>,
 }
 
@@ -112,20 +121,22 @@
 }
 
 impl Ways {
-    /// The way of a call; `repeats` says whether it may be made twice.
-    pub fn way(&self, repeats: bool) -> Way {
+    /// Chooses the way of a call; `repeats` says whether it may be made twice.
+    pub fn choose(&self, repeats: bool) -> Way {
         let now = self.now();
         self.state().way(repeats, now)
     }
 
     /// Whether a call that was not served may be relayed now.
-    pub fn open(&self) -> bool {
+    pub fn may_relay(&self) -> bool {
         let now = self.now();
         !self.state().rests(now)
     }
 
-    /// Takes in a direct call that was sent then: whether the store served it, or why not.
-    pub fn direct(&self, sent: Time, fault: Option<&Fault>) {
+    /// Records the result of a direct call that was sent at `sent`: served if `fault` is `None`.
+    ///
+    /// Logs when the direct connection is lost or restored.
+    pub fn record_direct(&self, sent: Time, fault: Option<&Fault>) {
         let now = self.now();
         let lost = {
             let mut state = self.state();
@@ -135,58 +146,58 @@
             }
             state.lost()
         };
-        let turned = self.lost.send_if_modified(|known| {
-            let turned = *known != lost;
+        let changed = self.lost.send_if_modified(|known| {
+            let changed = *known != lost;
             *known = lost;
-            turned
+            changed
         });
-        if turned && lost {
+        if changed && lost {
             log::warn!(target: "outside", did = "relays"; "The store doesn't serve this member; others are asked to relay.");
-        } else if turned {
+        } else if changed {
             log::info!(target: "outside", did = "direct"; "The store serves this member again.");
         }
     }
 
-    /// Waits until the direct way is lost.
+    /// Waits until the direct connection is lost.
     ///
-    /// Guards against a watch that waits on a silent connection for as long as it would at the store,
-    /// while other calls have shown long ago that nothing comes through.
-    pub async fn lost(&self) {
+    /// Lets a watch end early on an unresponsive connection: it would otherwise wait there for its
+    /// full time, although other calls have shown that the store doesn't answer.
+    pub async fn wait_lost(&self) {
         let mut lost = self.lost.subscribe();
-        // An end of the sender can't come while it is borrowed here.
+        // The sender can't be dropped while `self` is borrowed.
         let _ = lost.wait_for(|l| *l).await;
     }
 
-    /// Whether the direct way is lost.
+    /// Whether the direct connection is lost.
     pub fn is_lost(&self) -> bool {
         self.state().lost()
     }
 
-    /// Whether this member leaves owning shards to members that the store serves.
+    /// Whether this member should leave its shards to members that the store serves.
     pub fn yields(&self) -> bool {
         let now = self.now();
         self.state().yields(now)
     }
 
-    /// The members to be tried for a call, in order.
-    pub fn members(&self, able: &[Incarnation], me: Incarnation) -> Vec<Incarnation> {
+    /// The members to ask to relay a call, in order, of those that are able to.
+    pub fn candidates(&self, able: &[Incarnation], me: Incarnation) -> Vec<Incarnation> {
         let now = self.now();
         self.state().members(able, me, now)
     }
 
-    /// Takes in a call that a member was asked to relay: whether the store served it.
-    pub fn relayed(&self, by: Incarnation, served: bool) {
+    /// Records a call that member `by` was asked to relay, and whether the store served it.
+    pub fn record_relayed(&self, by: Incarnation, served: bool) {
         let now = self.now();
         self.state().relayed(by, served, now);
     }
 
-    /// Takes in a call that none of the members that were asked has relayed.
-    pub fn unrelayed(&self) {
+    /// Records a call that none of the members that were asked has relayed.
+    pub fn record_unrelayed(&self) {
         let now = self.now();
         self.state().unrelayed(now);
     }
 
-    /// The present time, as these ways count it.
+    /// The time since this value was created, on the clock of its other methods.
     pub fn now(&self) -> Time {
         Time::ZERO + self.start.elapsed()
     }
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,11 +1,14 @@
-//! Clients of the outside: the store, the workers and the advice service.
+//! Clients of the services outside the member: the store, the workers, the advice service and the
+//! list of VMs.
 //!
-//! Each call goes out once, with a deadline, and is counted by its kind and answer. Repeats are the
-//! caller's: only it knows whether a call that may have been done may be made again.
+//! Each call is sent once, with a time limit, and is counted by its kind and result. Retries are left
+//! to the callers of this module: only they know whether a call that may have taken effect may be
+//! made again. A call of the store that fails on the direct connection may be relayed by another
+//! member.
 
 use {
     crate::{
-        contact::{Contact, News, Speed, Tempo},
+        contact::{Latency, LatencyChange, Reachability, ReachabilityChange},
         decide::relay::Way,
         http::{Client, Failure, Patience, uri},
         ids::WorkerId,
@@ -14,7 +17,7 @@
             Advice, AdviceCall, Fault, Forms, Item, Rev, Site, StoreCall, StoreReply, Vm, VmCall,
             VmReply, VmState, Wire, WorkerCall, WorkerReply,
         },
-        relay::{Answer, Relayed, Relayer, Ways},
+        relay::{RelayedCall, Relayer, Ways, WireReply},
         time::Time,
     },
     bytes::Bytes,
@@ -28,26 +31,26 @@
     tokio::sync::watch,
 };
 
-/// How long a call that doesn't wait at the store may take.
+/// Time limit of a call of the store, other than a watch.
 pub const CALL: Duration = Duration::from_millis(1200);
-/// How much longer than its wait a call that waits may take.
+/// How much longer than the time that it waits for changes a watch may take.
 pub const MARGIN: Duration = Duration::from_millis(700);
-/// How long between two parts of an answer that is read whole.
-const PART: Duration = Duration::from_millis(700);
-/// How long an answer may take that is read whole: 10 MB over a link of 10 Mbit/s.
-const WHOLE: Duration = Duration::from_secs(10);
-/// Sorts behind all that keys have after their prefix.
-const LAST: char = '~';
-/// The most bytes of a write's answer that are read.
-const SMALL: usize = 64 * 1024;
-/// The most unused connections that are kept to one address.
-const IDLE: usize = 4;
-/// The longest that a call may take on the direct way while that is lost.
-const PROBE: Duration = Duration::from_millis(250);
-/// The least time that a call needs to be relayed.
-const RELAY: Duration = Duration::from_millis(50);
+/// The longest pause between two parts of the body of a large reply.
+const PART_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long a large reply may take to transfer: 10 MB over a link of 10 Mbit/s.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Sorts after every character that a key may have after its prefix.
+const LAST_CHAR: char = '~';
+/// Longest reply to a write that is read, in bytes.
+const MAX_WRITE_REPLY_BYTES: usize = 64 * 1024;
+/// Number of idle connections that are kept open to one address.
+const MAX_IDLE: usize = 4;
+/// Time limit of a direct call of the store while the direct connection is lost.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// A call with less time left than this is not relayed.
+const MIN_RELAY_TIME: Duration = Duration::from_millis(50);
 
-/// Speaks to the outside by a form.
+/// Makes calls of the services in the wire format of [`Forms`].
 ///
 /// Belongs to one thread: its connections live on the runtime that opened them.
 #[derive(Clone)]
@@ -56,173 +59,181 @@
     forms: &'static Forms,
     site: watch::Receiver<Arc<Site>>,
     metrics: Arc<Metrics>,
-    heard: Arc<dyn Fn() + Send + Sync>,
-    contacts: Arc<Contacts>,
-    ways: Option<(Arc<Ways>, Relayer)>,
+    on_answer: Arc<dyn Fn() + Send + Sync>,
+    health: Arc<Health>,
+    routes: Option<(Arc<Ways>, Relayer)>,
 }
 
-/// Whether the services answer this thread.
-struct Contacts {
-    begun: Instant,
-    store: Mutex<Contact>,
-    advice: Mutex<Contact>,
-    speed: Mutex<Speed>,
+/// Whether the services answer this thread, and how fast the store does.
+struct Health {
+    start: Instant,
+    store: Mutex<Reachability>,
+    advice: Mutex<Reachability>,
+    latency: Mutex<Latency>,
 }
 
 impl Outside {
-    /// Clients of the addresses that the settings have at each call; `heard` is called at each
-    /// answer of the store.
+    /// Creates clients that read the addresses from the settings at each call.
+    ///
+    /// `on_answer` is called at each answer of the store.
     pub fn new(
         forms: &'static Forms,
         site: watch::Receiver<Arc<Site>>,
         metrics: Arc<Metrics>,
-        heard: Arc<dyn Fn() + Send + Sync>,
+        on_answer: Arc<dyn Fn() + Send + Sync>,
     ) -> Self {
-        let (store, advice, speed) = Default::default();
-        let contacts = Contacts { begun: Instant::now(), store, advice, speed };
-        let (client, contacts) = (Client::new(IDLE), Arc::new(contacts));
-        Outside { client, forms, site, metrics, heard, contacts, ways: None }
+        let (store, advice, latency) = Default::default();
+        let health = Health { start: Instant::now(), store, advice, latency };
+        let (client, health) = (Client::new(MAX_IDLE), Arc::new(health));
+        Outside { client, forms, site, metrics, on_answer, health, routes: None }
     }
 
-    /// The same clients, whose calls of the store other members relay while it doesn't serve this one.
-    pub fn with_relay(self, ways: Arc<Ways>, relayer: Relayer) -> Self {
-        Outside { ways: Some((ways, relayer)), ..self }
+    /// Has other members relay the calls of the store while it doesn't serve this member.
+    pub fn with_relay(self, routes: Arc<Ways>, relayer: Relayer) -> Self {
+        Outside { routes: Some((routes, relayer)), ..self }
     }
 
-    /// Calls the store; `limit` is how long until the answer of a range or a watch begins, and until a
-    /// whole answer of other calls.
+    /// Calls the store.
+    ///
+    /// `limit` is the time until the first byte of the reply to a range or a watch, and until the end
+    /// of the reply to other calls.
     ///
     /// # Errors
     ///
-    /// [`Fault::Unsent`] and [`Fault::Refused`] say that nothing was done and nothing will be;
-    /// [`Fault::Unknown`] that it may have been done, or may be later.
+    /// [`Fault::Unsent`] and [`Fault::Refused`]: the call had no effect and will have none.
+    /// [`Fault::Unknown`]: it may have taken effect, or may do so later.
     pub async fn store(&self, call: &StoreCall, limit: Duration) -> Result<StoreReply, Fault> {
-        let (begin, name, wire) = (Instant::now(), store_name(call), (self.forms.ask_store)(call));
-        let answer = match &self.ways {
+        let (begin, name, wire) =
+            (Instant::now(), store_call_name(call), (self.forms.ask_store)(call));
+        let answer = match &self.routes {
             None => self.direct(call, &wire, limit).await,
-            Some((ways, relayer)) => self.routed(call, wire, limit, ways, relayer).await,
+            Some((routes, relayer)) => self.routed(call, wire, limit, routes, relayer).await,
         };
         let bytes = answer.as_ref().map_or(0, |(_, body)| body.len());
         let reply = answer.and_then(|(status, body)| (self.forms.store)(call, status, &body));
-        self.metrics.received(name, store_answer(&reply), bytes);
+        self.metrics.received(name, store_result_name(&reply), bytes);
         let answered = !matches!(reply, Err(Fault::Unsent | Fault::Unknown));
         if answered {
-            (self.heard)();
+            (self.on_answer)();
         }
-        // A watch takes as long as nothing happens, and a range as long as the link is narrow.
+        // The duration of a watch depends on when something changes, and that of a range on the
+        // bandwidth of the link: neither shows how fast the store is.
         let waits = matches!(call, StoreCall::Watch { .. });
         if answered && !waits {
             self.metrics.answered_in(name, begin.elapsed());
         }
         if answered && !waits && !matches!(call, StoreCall::Range { .. }) {
-            self.contacts.took(begin.elapsed());
+            self.health.record_latency(begin.elapsed());
         }
-        self.contacts.called(&self.contacts.store, "store", answered);
-        self.metrics.called(name, store_answer(&reply));
+        self.health.record_call(&self.health.store, "store", answered);
+        self.metrics.called(name, store_result_name(&reply));
         reply
     }
 
-    /// Makes a call of the store by the way that works.
+    /// Makes a call of the store directly or through another member, as [`Ways`] chooses.
     async fn routed(
         &self,
         call: &StoreCall,
         wire: Wire,
         limit: Duration,
-        ways: &Ways,
+        routes: &Ways,
         relayer: &Relayer,
-    ) -> Answer {
-        let (begun, sent) = (Instant::now(), ways.now());
+    ) -> WireReply {
+        let (start, sent) = (Instant::now(), routes.now());
         let repeats = call.repeats();
-        let direct = match ways.way(repeats) {
+        let direct = match routes.choose(repeats) {
             Way::Relayed => None,
-            Way::Probe => Some(self.direct(call, &wire, PROBE.min(limit / 2)).await),
+            Way::Probe => Some(self.direct(call, &wire, PROBE_TIMEOUT.min(limit / 2)).await),
             Way::Direct if matches!(call, StoreCall::Watch { .. }) => Some(tokio::select! {
                 answer = self.direct(call, &wire, limit) => answer,
-                () = ways.lost() => Err(Fault::Unknown),
+                () = routes.wait_lost() => Err(Fault::Unknown),
             }),
-            // Half of the time is left for a relay.
+            // Half of the time is reserved for relaying the call.
             Way::Direct if repeats => Some(self.direct(call, &wire, limit / 2).await),
             Way::Direct => Some(self.direct(call, &wire, limit).await),
         };
         let fault = direct.map(|answer| {
             let reply = answer.clone().and_then(|(s, body)| (self.forms.store)(call, s, &body));
             let fault = reply.err().filter(|f| !matches!(f, Fault::Bad(_) | Fault::TooLarge));
-            ways.direct(sent, fault.as_ref());
+            routes.record_direct(sent, fault.as_ref());
             (answer, fault)
         });
         let done = match &fault {
             None => false,
             Some((_, None)) => true,
-            // What may have been done must not be done twice.
+            // A call that may have taken effect must not be made twice.
             Some((_, Some(Fault::Unknown))) => !repeats,
             Some(_) => false,
         };
-        let left = limit.saturating_sub(begun.elapsed());
+        let left = limit.saturating_sub(start.elapsed());
         if !done
-            && left >= RELAY
-            && ways.open()
+            && left >= MIN_RELAY_TIME
+            && routes.may_relay()
             && let Some(answer) = relayer(wire.clone(), repeats, left).await
         {
             return answer;
         }
         match fault {
             Some((answer, _)) => answer,
-            // There is nobody who could relay it.
+            // No other member could be asked to relay the call.
             None => self.direct(call, &wire, left).await,
         }
     }
 
     /// Makes a call of the store from this VM.
     ///
-    /// Guards against an answer that the link can't carry within a fixed time: given up and asked for
-    /// anew from its beginning, it would never come, and would leave the link to nothing else.
-    async fn direct(&self, call: &StoreCall, wire: &Wire, limit: Duration) -> Answer {
+    /// Ranges and watches get extra time as long as parts of the reply keep arriving: with a fixed
+    /// limit, a reply that is too large for a slow link would be abandoned and requested again from
+    /// its beginning, would never complete, and would take the link's whole bandwidth.
+    async fn direct(&self, call: &StoreCall, wire: &Wire, limit: Duration) -> WireReply {
         let addr = self.site.borrow().store;
         let patience = match call {
             StoreCall::Range { .. } | StoreCall::Watch { .. } => {
-                Patience { part: PART, whole: limit + WHOLE, ..Patience::new(limit) }
+                Patience { part: PART_TIMEOUT, whole: limit + BODY_TIMEOUT, ..Patience::new(limit) }
             }
-            StoreCall::Txn(_) => Patience { most: SMALL, ..Patience::new(limit) },
+            StoreCall::Txn(_) => Patience { most: MAX_WRITE_REPLY_BYTES, ..Patience::new(limit) },
             _ => Patience::new(limit),
         };
-        self.carry(request(addr, wire)?, &patience).await
+        self.exchange(request(addr, wire)?, &patience).await
     }
 
-    /// Makes a call of the store for another member, as it has written it; `repeats` says whether it
-    /// may be made twice.
+    /// Makes a call of the store for another member, as that member has encoded it.
+    ///
+    /// `repeats` says whether the call may be made twice.
     ///
     /// # Errors
     ///
     /// As [`Outside::store`].
-    pub async fn relay(&self, asked: Relayed, repeats: bool, limit: Duration) -> Answer {
+    pub async fn relay(&self, call: RelayedCall, repeats: bool, limit: Duration) -> WireReply {
         let addr = self.site.borrow().store;
-        let mut b = Request::builder().method(&*asked.method).uri(uri(addr, &asked.path));
-        for (name, value) in &asked.headers {
+        let mut b = Request::builder().method(&*call.method).uri(uri(addr, &call.path));
+        for (name, value) in &call.headers {
             b = b.header(&**name, &**value);
         }
-        let body = Bytes::from(asked.body.into_string());
+        let body = Bytes::from(call.body.into_string());
         let request = b.body(Full::new(body)).map_err(|_| Fault::Unsent)?;
-        let most = if repeats { usize::MAX } else { SMALL };
-        let answer = self.carry(request, &Patience { most, ..Patience::new(limit) }).await;
+        let most = if repeats { usize::MAX } else { MAX_WRITE_REPLY_BYTES };
+        let answer = self.exchange(request, &Patience { most, ..Patience::new(limit) }).await;
         self.metrics.called("store_relay", answer.as_ref().map_or_else(fault_name, |_| "done"));
         answer
     }
 
-    /// Reads one item.
+    /// Reads one item; `None` if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// As [`Outside::store`]; [`Fault::Bad`] where the answer is of another kind.
+    /// As [`Outside::store`]; [`Fault::Bad`] if the reply is of another kind.
     pub async fn get(&self, key: &str, limit: Duration) -> Result<Option<Item>, Fault> {
         match self.store(&StoreCall::Get { key: key.into() }, limit).await? {
             StoreReply::Item(item) => Ok(item.filter(|i| i.value.is_some())),
-            _ => Err(Fault::Bad("not an item".into())),
+            _ => Err(Fault::Bad("the store answered a get with another kind of reply".into())),
         }
     }
 
     /// Reads all items of a prefix, page by page, and the revision of the first page.
     ///
-    /// Pages are not a snapshot: whoever goes on from the first page's revision misses no change.
+    /// The pages together are not a snapshot. A watch that starts at the first page's revision misses
+    /// no change. `stale` allows the store to answer from a copy that may be seconds old.
     ///
     /// # Errors
     ///
@@ -244,13 +255,13 @@
         }
     }
 
-    /// Reads the store's revision, by a page behind the last item of a prefix.
+    /// Reads the store's revision, by requesting the empty page after the last item of a prefix.
     ///
     /// # Errors
     ///
     /// As [`Outside::get`].
     pub async fn revision(&self, prefix: &str) -> Result<Rev, Fault> {
-        let after = format!("{prefix}{LAST}").into();
+        let after = format!("{prefix}{LAST_CHAR}").into();
         let call = StoreCall::Range { prefix: prefix.into(), after, stale: false };
         match self.store(&call, CALL).await? {
             StoreReply::Page(_, _, rev) => Ok(rev),
@@ -273,7 +284,7 @@
         let begin = Instant::now();
         let answer = self.send(addr, (self.forms.ask_worker)(worker, call), limit).await;
         let reply = answer.and_then(|(status, body)| (self.forms.worker)(call, status, &body));
-        let said = match &reply {
+        let result = match &reply {
             Ok(WorkerReply::Done(_) | WorkerReply::Held(_)) => "done",
             Ok(WorkerReply::Refused(..)) => "refused",
             Ok(WorkerReply::Other) => "other",
@@ -286,28 +297,28 @@
             WorkerCall::Hold { .. } => "worker_hold",
             WorkerCall::Pace { .. } => "worker_pace",
         };
-        self.metrics.called(name, said);
+        self.metrics.called(name, result);
         if matches!(reply, Err(Fault::Unknown)) {
             self.metrics.unanswered(name);
         } else if !matches!(call, WorkerCall::Hold { .. }) {
-            // A hold waits for an end.
+            // A hold waits for the end of a run, so its duration says nothing of the worker's speed.
             self.metrics.answered_in(name, begin.elapsed());
         }
         reply
     }
 
-    /// Calls for advice.
+    /// Calls the advice service.
     ///
     /// # Errors
     ///
-    /// As [`Outside::store`]; [`Fault::Unsent`] where there is no advice service.
+    /// As [`Outside::store`]; [`Fault::Unsent`] if the settings name no advice service.
     pub async fn advice(&self, call: &AdviceCall, limit: Duration) -> Result<Advice, Fault> {
         let addr = self.site.borrow().advice.ok_or(Fault::Unsent)?;
         let begin = Instant::now();
         let answer = self.send(addr, (self.forms.ask_advice)(call), limit).await;
         let reply = answer.and_then(|(status, body)| (self.forms.advice)(status, &body));
         let answered = !matches!(reply, Err(Fault::Unsent | Fault::Unknown));
-        self.contacts.called(&self.contacts.advice, "advice", answered);
+        self.health.record_call(&self.health.advice, "advice", answered);
         if answered {
             self.metrics.answered_in("advice", begin.elapsed());
         }
@@ -315,22 +326,24 @@
         reply
     }
 
-    /// Reads which lives of workers are there, page by page.
+    /// Reads the workers that run on the VMs that are up, page by page.
+    ///
+    /// A worker that has been restarted has another [`WorkerId`].
     ///
     /// # Errors
     ///
     /// As [`Outside::vms`].
     pub async fn lives(&self, limit: Duration) -> Result<Vec<WorkerId>, Fault> {
         let all = self.vms(limit).await?;
-        let up = all.into_iter().filter(|m| m.state == VmState::Up);
-        Ok(up.filter_map(|m| m.worker).collect())
+        let up = all.into_iter().filter(|vm| vm.state == VmState::Up);
+        Ok(up.filter_map(|vm| vm.worker).collect())
     }
 
     /// Reads the list of VMs, page by page.
     ///
     /// # Errors
     ///
-    /// As [`Outside::store`]; [`Fault::Unsent`] where there is no list of VMs.
+    /// As [`Outside::store`]; [`Fault::Unsent`] if the settings name no VM service.
     pub async fn vms(&self, limit: Duration) -> Result<Vec<Vm>, Fault> {
         let addr = self.site.borrow().vms.ok_or(Fault::Unsent)?;
         let (mut all, mut token) = (vec![], Box::<str>::from(""));
@@ -347,7 +360,7 @@
         }
     }
 
-    /// Orders something for a VM.
+    /// Makes a call that changes one VM.
     ///
     /// # Errors
     ///
@@ -356,20 +369,21 @@
         let addr = self.site.borrow().vms.ok_or(Fault::Unsent)?;
         let answer = self.send(addr, (self.forms.ask_vm)(call), limit).await;
         let reply = answer.and_then(|(status, body)| (self.forms.vm)(status, &body));
-        let said = match &reply {
+        let result = match &reply {
             Ok(VmReply::Begun) => "done",
             Ok(_) => "refused",
             Err(fault) => fault_name(fault),
         };
-        self.metrics.called("vm", said);
+        self.metrics.called("vm", result);
         reply
     }
 
-    async fn send(&self, addr: SocketAddr, wire: Wire, limit: Duration) -> Answer {
-        self.carry(request(addr, &wire)?, &Patience::new(limit)).await
+    /// Sends a call and returns the reply.
+    async fn send(&self, addr: SocketAddr, wire: Wire, limit: Duration) -> WireReply {
+        self.exchange(request(addr, &wire)?, &Patience::new(limit)).await
     }
 
-    async fn carry(&self, request: Request<Full<Bytes>>, patience: &Patience) -> Answer {
+    async fn exchange(&self, request: Request<Full<Bytes>>, patience: &Patience) -> WireReply {
         match self.client.send_patient(request, patience).await {
             Ok((head, body)) => Ok((head.status.as_u16(), body)),
             Err(Failure::TooLarge(status)) => Ok((status, Bytes::new())),
@@ -379,17 +393,18 @@
     }
 }
 
-impl Contacts {
-    /// Takes in a call, and tells where a service is lost or back.
-    fn called(&self, contact: &Mutex<Contact>, service: &str, answered: bool) {
-        let now = Time::ZERO + self.begun.elapsed();
-        let news = contact.lock().unwrap_or_else(PoisonError::into_inner).called(answered, now);
-        match news {
-            Some(News::Lost(since)) => {
+impl Health {
+    /// Records whether a service answered a call; logs when it is lost and when it answers again.
+    fn record_call(&self, reachability: &Mutex<Reachability>, service: &str, answered: bool) {
+        let now = Time::ZERO + self.start.elapsed();
+        let change =
+            reachability.lock().unwrap_or_else(PoisonError::into_inner).record(answered, now);
+        match change {
+            Some(ReachabilityChange::Lost(since)) => {
                 let ms = (now - since).as_millis() as u64;
                 log::warn!(target: "outside", service, since_ms = ms; "Service is lost.");
             }
-            Some(News::Back(after)) => {
+            Some(ReachabilityChange::Restored(after)) => {
                 let ms = after.as_millis() as u64;
                 log::info!(target: "outside", service, after_ms = ms; "Service answers again.");
             }
@@ -397,15 +412,16 @@
         }
     }
 
-    /// Takes in how long an answer of the store took, and tells where it is slow or quick again.
-    fn took(&self, time: Duration) {
-        let tempo = self.speed.lock().unwrap_or_else(PoisonError::into_inner).answered(time);
-        match tempo {
-            Some(Tempo::Slow(median)) => {
+    /// Records the duration of a call of the store; logs when the store is slow and when it is quick
+    /// again.
+    fn record_latency(&self, duration: Duration) {
+        let change = self.latency.lock().unwrap_or_else(PoisonError::into_inner).record(duration);
+        match change {
+            Some(LatencyChange::Slow(median)) => {
                 let median_ms = median.as_millis() as u64;
                 log::warn!(target: "outside", median_ms; "Store is slow.");
             }
-            Some(Tempo::Quick(median)) => {
+            Some(LatencyChange::Quick(median)) => {
                 let median_ms = median.as_millis() as u64;
                 log::info!(target: "outside", median_ms; "Store is quick again.");
             }
@@ -422,7 +438,8 @@
     b.body(Full::new(wire.body.clone())).map_err(|_| Fault::Unsent)
 }
 
-fn store_name(call: &StoreCall) -> &'static str {
+/// The label of a call in metrics.
+fn store_call_name(call: &StoreCall) -> &'static str {
     match call {
         StoreCall::Get { .. } => "store_get",
         StoreCall::Range { stale: true, .. } => "store_range_stale",
@@ -435,7 +452,8 @@
     }
 }
 
-fn store_answer(reply: &Result<StoreReply, Fault>) -> &'static str {
+/// The label of the result of a call in metrics.
+fn store_result_name(reply: &Result<StoreReply, Fault>) -> &'static str {
     match reply {
         Ok(StoreReply::Conflict(_)) => "conflict",
         Ok(StoreReply::Forgotten) => "forgotten",
@@ -445,7 +463,7 @@
     }
 }
 
-/// The label of a fault in counters.
+/// The label of a fault in metrics.
 pub fn fault_name(fault: &Fault) -> &'static str {
     match fault {
         Fault::Refused => "refused",
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -1,4 +1,8 @@
-//! Follows the items of a prefix: a range once, then what changes.
+//! Watches the items of a prefix in the store: reads all of them once, then their changes.
+//!
+//! The store forgets old changes, watches fail, and a watch may miss a change, so a prefix may have
+//! to be read again. Large prefixes that many members watch must not be read again after each fault:
+//! the reads of all members at once would keep an overloaded store from recovering.
 
 use {
     crate::{
@@ -9,195 +13,214 @@
     tokio::time::{Instant, sleep},
 };
 
-/// How often what goes on from a range is read whole all the same, in case that a change was missed.
-const AGAIN: Duration = Duration::from_secs(5);
-/// The pause between two watches of what is told besides.
+/// How often a watch that resumes from a revision reads the whole prefix again, in case that it has
+/// missed a change.
+const REREAD_INTERVAL: Duration = Duration::from_secs(5);
+/// The pause after a change, for watches of items of which the watcher is also notified directly.
 ///
-/// Each change ends a watch, and each is paid for: an inbox is followed in case that a member's word
-/// to the owner was lost, so that a job that only the watch brings may come this much later. 20 jobs
-/// a second were 20 answered watches a second.
-const REST: Duration = Duration::from_millis(400);
-/// The same for what hundreds of members follow.
-const SELDOM: Duration = Duration::from_secs(30);
-/// How much of its time a watch has waited at the store at the least, if it was not cut short.
-const PUNCTUAL: f64 = 0.9;
+/// Each change ends a watch call, so that 20 jobs a second cost 20 watch calls a second. An owner
+/// watches its inbox only in case that another member's notice was lost: a job that only the watch
+/// brings may arrive this much later.
+const CHANGE_PAUSE: Duration = Duration::from_millis(400);
+/// As [`REREAD_INTERVAL`], for prefixes that hundreds of members watch.
+const SHARED_REREAD_INTERVAL: Duration = Duration::from_secs(30);
+/// The part of its time that an empty watch must have taken to count as not cut short.
+const FULL_WAIT: f64 = 0.9;
 /// The first and the longest pause after a fault, in milliseconds.
-const PAUSE: (u64, u64) = (20, 300);
+const BACKOFF_MS: (u64, u64) = (20, 300);
 
-/// Pauses between repeats: twice as long each time, up to a bound, at random within the upper half.
+/// Exponential backoff between retries: each pause is drawn from the upper half of a range that
+/// doubles with each fault, up to a bound.
 ///
-/// Without the chance all members would come back to a store that was down at the same moment, and
-/// be refused together, again and again.
+/// Without the random part, all members would retry at the same moment after an outage of the store,
+/// and be refused together again and again.
 #[derive(Default)]
 pub(crate) struct Pause {
     faults: u32,
 }
 
 impl Pause {
-    /// Waits after one more fault.
+    /// Waits after a fault; longer after each further one.
     pub async fn wait(&mut self) {
-        let most = (PAUSE.0 << self.faults.min(4)).min(PAUSE.1);
+        let most = (BACKOFF_MS.0 << self.faults.min(4)).min(BACKOFF_MS.1);
         self.faults += 1;
         sleep(Duration::from_millis(fastrand::u64(most / 2..=most))).await;
     }
 
-    /// A call has succeeded.
+    /// Starts again with the shortest pause, after a call has succeeded.
     pub fn good(&mut self) {
         self.faults = 0;
     }
 }
 
-/// What was seen of a prefix.
+/// What a watch has read.
 pub(crate) enum Seen {
-    /// All its items, and the revision at which the reading began.
+    /// All items of the prefix, and a revision from which on no change is missed.
     All(Vec<Item>, Rev),
-    /// What has changed since.
+    /// The items that have changed since, and the revision that they bring the reader to.
     Changes(Vec<Item>, Rev),
 }
 
-/// A watch of a prefix.
+/// A watch of the items of a prefix.
 pub(crate) struct Follow {
-    outside: Outside,
+    services: Outside,
     prefix: Box<str>,
     wait: Duration,
+    /// The revision after which changes are requested; `None` if the prefix is to be read.
     after: Option<Rev>,
-    /// How often all is read again, where it goes on after a fault from where it was.
-    again: Option<Duration>,
-    /// How long it pauses after a change.
-    gap: Duration,
-    /// Whether it pauses before the next watch.
-    rests: bool,
-    /// When the range was read last.
-    read: Instant,
-    /// Whether a watch that doesn't wait follows each change, so that it is known to be the last.
+    /// How often the whole prefix is read again. `None` if it is read after each fault instead.
+    reread_interval: Option<Duration>,
+    /// The pause after a change.
+    change_pause: Duration,
+    /// Whether to pause before the next watch call.
+    pause_next: bool,
+    /// When the periodic read of the prefix last ran.
+    last_read: Instant,
+    /// Whether each change is followed by a watch call that doesn't wait, to learn whether it was
+    /// the last one.
     confirms: bool,
-    /// Whether the next watch doesn't wait.
-    prompt: bool,
-    /// As of when what was seen is all that there is.
-    current: Option<Instant>,
-    pause: Pause,
+    /// Whether the next watch call doesn't wait.
+    skip_wait: bool,
+    /// The time up to which all changes have been seen.
+    complete_at: Option<Instant>,
+    backoff: Pause,
 }
 
 impl Follow {
-    /// A watch that begins with a range, and again with one after each fault.
-    pub fn whole(outside: Outside, prefix: &str, wait: Duration) -> Self {
-        let pause = Pause::default();
-        let (prefix, read) = (prefix.into(), Instant::now());
-        let (after, again, gap, rests) = (None, None, Duration::ZERO, false);
-        let (confirms, prompt, current) = (true, false, None);
+    /// Creates a watch that reads the whole prefix first, and again after each fault.
+    pub fn whole(services: Outside, prefix: &str, wait: Duration) -> Self {
+        let backoff = Pause::default();
+        let (prefix, last_read) = (prefix.into(), Instant::now());
+        let (after, reread_interval, change_pause, pause_next) =
+            (None, None, Duration::ZERO, false);
+        let (confirms, skip_wait, complete_at) = (true, false, None);
         Follow {
-            outside,
+            services,
             prefix,
             wait,
             after,
-            again,
-            gap,
-            rests,
-            read,
+            reread_interval,
+            change_pause,
+            pause_next,
+            last_read,
             confirms,
-            prompt,
-            current,
-            pause,
+            skip_wait,
+            complete_at,
+            backoff,
         }
     }
 
-    /// A watch that goes on from a range that was read, also after faults, as long as the store
-    /// remembers; what it follows may be too much to be read again for each cut connection. It pauses
-    /// after each change ([`REST`]).
-    pub fn from(outside: Outside, prefix: &str, wait: Duration, after: Rev) -> Self {
-        let (after, again, gap) = (Some(after), Some(AGAIN), REST);
-        Follow { after, again, gap, confirms: false, ..Follow::whole(outside, prefix, wait) }
+    /// Creates a watch that starts at a revision at which the prefix was read.
+    ///
+    /// It resumes after faults, as long as the store remembers the changes, because the prefix may be
+    /// too large to be read again for each broken connection. It pauses after each change (see
+    /// [`CHANGE_PAUSE`]).
+    pub fn from(services: Outside, prefix: &str, wait: Duration, after: Rev) -> Self {
+        let (after, reread_interval, change_pause) =
+            (Some(after), Some(REREAD_INTERVAL), CHANGE_PAUSE);
+        Follow {
+            after,
+            reread_interval,
+            change_pause,
+            confirms: false,
+            ..Follow::whole(services, prefix, wait)
+        }
     }
 
-    /// A watch that begins with a range and goes on after faults, of what hundreds of members follow.
+    /// Creates a watch, for a prefix that hundreds of members watch, that reads the whole prefix first
+    /// and resumes after faults.
     ///
-    /// Guards against a store that can't recover: each fault of a watch would cost it a range as
-    /// large as the whole table, from all members at once, and these cost others their watches.
-    pub fn steady(outside: Outside, prefix: &str, wait: Duration) -> Self {
-        Follow { again: Some(SELDOM), confirms: false, ..Follow::whole(outside, prefix, wait) }
+    /// If each fault of a watch caused a read of the whole table, by all members at once, these reads
+    /// would make further watches fail and the store could not recover.
+    pub fn steady(services: Outside, prefix: &str, wait: Duration) -> Self {
+        Follow {
+            reread_interval: Some(SHARED_REREAD_INTERVAL),
+            confirms: false,
+            ..Follow::whole(services, prefix, wait)
+        }
     }
 
-    /// Reads the range, and a revision from which on nothing is missed.
+    /// Reads the whole prefix, and a revision from which on no change is missed.
     ///
-    /// Guards against a change that falls between the reading of the items and that of the revision
-    /// that the answer carries: it would be in neither, and nobody would hear of it. So the revision
-    /// is that of an answer before, which has no items.
-    async fn range(&mut self) -> Result<(Vec<Item>, Rev), Fault> {
-        let rev = self.outside.revision(&self.prefix).await?;
-        let asked = Instant::now();
-        let (items, _) = self.outside.all(&self.prefix, false).await?;
-        self.current = Some(asked);
+    /// The store may read the items before the revision that the reply carries. A change between the
+    /// two would be in neither the items nor the later changes, so the revision is read before, by a
+    /// call that returns no items.
+    async fn read_prefix(&mut self) -> Result<(Vec<Item>, Rev), Fault> {
+        let rev = self.services.revision(&self.prefix).await?;
+        let sent = Instant::now();
+        let (items, _) = self.services.all(&self.prefix, false).await?;
+        self.complete_at = Some(sent);
         Ok((items, rev))
     }
 
-    /// As of when what was seen is all that there is; nothing before the first range.
+    /// The time up to which all changes have been seen; `None` before the prefix was first read.
     pub fn current(&self) -> Option<Instant> {
-        self.current
+        self.complete_at
     }
 
-    /// Waits for what is new; repeats what fails.
+    /// Waits for the next update; retries what fails.
     pub async fn next(&mut self) -> Seen {
         loop {
-            if let Some(seen) = self.turn().await {
-                return seen;
+            if let Some(update) = self.turn().await {
+                return update;
             }
         }
     }
 
-    /// Begins again with a range.
+    /// Reads the whole prefix again at the next turn.
     pub fn afresh(&mut self) {
         self.after = None;
     }
 
-    /// Reads the range or watches once; nothing where that fails or brings nothing new.
+    /// Makes one read of the prefix or one watch call; `None` if it fails or brings no change.
     pub async fn turn(&mut self) -> Option<Seen> {
-        let Some(after) = self.after else { return self.begin().await };
-        if mem::take(&mut self.rests) {
-            sleep(self.gap).await;
+        let Some(after) = self.after else { return self.first_read().await };
+        if mem::take(&mut self.pause_next) {
+            sleep(self.change_pause).await;
         }
-        if self.again.is_some_and(|again| self.read.elapsed() >= again) {
-            self.read = Instant::now();
-            if let Ok((items, rev)) = self.outside.all(&self.prefix, false).await {
+        if self.reread_interval.is_some_and(|interval| self.last_read.elapsed() >= interval) {
+            self.last_read = Instant::now();
+            if let Ok((items, rev)) = self.services.all(&self.prefix, false).await {
                 return Some(Seen::All(items, rev));
             }
         }
-        let asked = Instant::now();
-        let wait = if mem::take(&mut self.prompt) { Duration::ZERO } else { self.wait };
+        let sent = Instant::now();
+        let wait = if mem::take(&mut self.skip_wait) { Duration::ZERO } else { self.wait };
         let call = StoreCall::Watch { prefix: self.prefix.clone(), after, wait };
-        match self.outside.store(&call, wait + MARGIN).await {
+        match self.services.store(&call, wait + MARGIN).await {
             Ok(StoreReply::Events(items, rev)) => {
                 self.after = Some(rev.max(after));
-                // One that brought nothing until its time was over has waited at the store.
-                let waited = wait.mul_f64(PUNCTUAL);
-                let whole = items.is_empty() && asked.elapsed() >= waited;
-                self.current = Some(if whole { asked + waited } else { asked });
+                // An empty reply at the end of the wait shows that nothing has changed meanwhile.
+                let waited = wait.mul_f64(FULL_WAIT);
+                let full = items.is_empty() && sent.elapsed() >= waited;
+                self.complete_at = Some(if full { sent + waited } else { sent });
                 if !items.is_empty() {
-                    self.pause.good();
-                    self.rests = !self.gap.is_zero();
-                    self.prompt = self.confirms;
+                    self.backoff.good();
+                    self.pause_next = !self.change_pause.is_zero();
+                    self.skip_wait = self.confirms;
                     return Some(Seen::Changes(items, rev));
                 }
-                if asked.elapsed() < wait / 4 {
-                    // A watch that was cut short, over and over, would be asked for in a spin.
-                    self.pause.wait().await;
+                if sent.elapsed() < wait / 4 {
+                    // Without a pause, watches that are cut short would be repeated in a busy loop.
+                    self.backoff.wait().await;
                 }
             }
             Ok(StoreReply::Forgotten) => self.after = None,
             _ => {
-                self.pause.wait().await;
-                self.after = self.after.filter(|_| self.again.is_some());
+                self.backoff.wait().await;
+                self.after = self.after.filter(|_| self.reread_interval.is_some());
             }
         }
         None
     }
 
-    async fn begin(&mut self) -> Option<Seen> {
-        let Ok((items, rev)) = self.range().await else {
-            self.pause.wait().await;
+    async fn first_read(&mut self) -> Option<Seen> {
+        let Ok((items, rev)) = self.read_prefix().await else {
+            self.backoff.wait().await;
             return None;
         };
         self.after = Some(rev);
-        self.pause.good();
+        self.backoff.good();
         Some(Seen::All(items, rev))
     }
 }
