--- a/src/control.rs
+++ b/src/control.rs
@@ -203,7 +203,7 @@
             let read = |(shard, job): &(ShardNo, Box<str>)| Ok((*shard, job.parse()?));
             let jobs: Result<Box<[_]>, crate::Error> = request.jobs.iter().map(read).collect();
             Ok::<_, ErrorObjectOwned>(
-                states_here(&input, jobs.map_err(bad_params)?, request.sure).await,
+                local_states(&input, jobs.map_err(bad_params)?, request.sure).await,
             )
         }
     })?;
@@ -213,7 +213,7 @@
         async move {
             let request: JobNotice = params.one()?;
             let job: JobNo = request.job.parse().map_err(bad_params)?;
-            heard_here(&input, request.shard, job, request.record);
+            notify_local_shard(&input, request.shard, job, request.record);
             Ok::<_, ErrorObjectOwned>(())
         }
     })?;
@@ -229,7 +229,9 @@
         let input = input.clone();
         async move {
             let request: QueueLengthRequest = params.one()?;
-            Ok::<_, ErrorObjectOwned>(waiting_here(&input, request.queue, request.shards).await)
+            Ok::<_, ErrorObjectOwned>(
+                local_queue_length(&input, request.queue, request.shards).await,
+            )
         }
     })?;
     Ok(module)
@@ -284,18 +286,18 @@
 }
 
 /// The states of jobs, as the shards of this member know them; `None` if their input queue is full.
-pub(crate) async fn states_here(
+pub(crate) async fn local_states(
     input: &Sender<Told>,
     jobs: Box<[(ShardNo, JobNo)]>,
     sure: bool,
 ) -> Option<Vec<Option<State>>> {
     let (reply, receiver) = oneshot::channel();
-    input.try_send(Told::States(jobs, sure, reply)).ok()?;
+    input.try_send(Told::JobStates(jobs, sure, reply)).ok()?;
     receiver.await.ok()
 }
 
 /// Passes the notice of a stored job, or of its cancel, to this member's shards.
-pub(crate) fn heard_here(
+pub(crate) fn notify_local_shard(
     input: &Sender<Told>,
     shard: ShardNo,
     job: JobNo,
@@ -306,7 +308,7 @@
         None => Event::Cancel(job),
     };
     // A notice that a full queue drops is read from the store later.
-    let _ = input.try_send(Told::Word(shard, event));
+    let _ = input.try_send(Told::PeerEvent(shard, event));
 }
 
 /// What workers of these shards hold, and how long work waits, as this member's shards know it.
@@ -316,18 +318,18 @@
     shards: Box<[ShardNo]>,
 ) -> Option<(Vec<Held>, Vec<Need>)> {
     let (reply, receiver) = oneshot::channel();
-    input.try_send(Told::Held(workers, shards, reply)).ok()?;
+    input.try_send(Told::HeldTasks(workers, shards, reply)).ok()?;
     receiver.await.ok().flatten()
 }
 
 /// How many jobs of a queue have not begun, as this member's shards know it.
-pub(crate) async fn waiting_here(
+pub(crate) async fn local_queue_length(
     input: &Sender<Told>,
     queue: Box<str>,
     shards: Box<[ShardNo]>,
 ) -> Option<u64> {
     let (reply, receiver) = oneshot::channel();
-    input.try_send(Told::Waiting(queue, shards, reply)).ok()?;
+    input.try_send(Told::QueueLength(queue, shards, reply)).ok()?;
     receiver.await.ok().flatten()
 }
 
@@ -410,7 +412,7 @@
 
     /// The states of jobs, asked of the member that owns their shards: `None` for each job whose
     /// state it doesn't know, and `None` for all if it doesn't answer.
-    pub async fn states(
+    pub async fn job_states(
         &self,
         addr: SocketAddr,
         jobs: &[(ShardNo, JobNo)],
@@ -423,7 +425,7 @@
     }
 
     /// Notifies the owner of a shard of a job that was stored, or of its cancel if `record` is `None`.
-    pub async fn heard(
+    pub async fn notify_job(
         &self,
         addr: SocketAddr,
         shard: ShardNo,
@@ -450,7 +452,7 @@
 
     /// How many jobs of a queue have not begun in shards that a member owns; `None` if the member
     /// doesn't answer or doesn't know for certain.
-    pub async fn waiting(
+    pub async fn queue_length(
         &self,
         addr: SocketAddr,
         queue: &str,
--- a/src/decisions.rs
+++ b/src/decisions.rs
@@ -2,9 +2,8 @@
 //! that carry them out.
 //!
 //! Each shard is a state machine without network or clock. This module takes events from one bounded
-//! queue, drives the shards by a tick, and sends their orders to another bounded queue. It also lets
-//! shards finish their writes before they are released: a write that is left undone delays the next
-//! owner, and a state that is not written is lost.
+//! queue, drives the shards by a tick, and sends their orders to another bounded queue. Before a shard
+//! is released, it may finish its writes, so that its next owner finds no change half done.
 
 use {
     crate::{
@@ -44,7 +43,7 @@
     /// An event for a shard; ignored if this member doesn't own the shard with this token.
     Event(ShardNo, u64, Event),
     /// An event that another member sent for a shard, whichever token the shard is owned with.
-    Word(ShardNo, Event),
+    PeerEvent(ShardNo, Event),
     /// An event for all shards.
     All(Event),
     /// The members that the shards may ask to call for them have changed.
@@ -56,13 +55,13 @@
     /// A request for the states of jobs. The reply is `None` for a job that isn't known here. If the
     /// flag is false, also for one whose shard may have another owner; it is true if the asking member
     /// has a recent table that names this one as the owner.
-    States(Box<[(ShardNo, JobNo)]>, bool, oneshot::Sender<Vec<Option<State>>>),
+    JobStates(Box<[(ShardNo, JobNo)]>, bool, oneshot::Sender<Vec<Option<State>>>),
     /// A request for what these workers of these shards hold, and how long work waits. The reply is
     /// `None` if this member doesn't own one of the shards for certain.
-    Held(Box<[WorkerId]>, Box<[ShardNo]>, oneshot::Sender<Option<(Vec<Held>, Vec<Need>)>>),
+    HeldTasks(Box<[WorkerId]>, Box<[ShardNo]>, oneshot::Sender<Option<(Vec<Held>, Vec<Need>)>>),
     /// A request for the number of jobs of a queue that have not begun in these shards. The reply is
     /// `None` if this member doesn't own one of the shards for certain.
-    Waiting(Box<str>, Box<[ShardNo]>, oneshot::Sender<Option<u64>>),
+    QueueLength(Box<str>, Box<[ShardNo]>, oneshot::Sender<Option<u64>>),
 }
 
 /// An output of [`Decisions`].
@@ -162,7 +161,7 @@
         match input {
             Told::Own(shard, token, load) => self.own(shard, token, *load).await,
             Told::Event(shard, token, event) => self.event(shard, token, event),
-            Told::Word(shard, event) => {
+            Told::PeerEvent(shard, event) => {
                 if let Some(token) = self.shards.get(&shard).map(|s| s.token) {
                     self.event(shard, token, event);
                 }
@@ -176,7 +175,7 @@
                 self.release_by = Some(self.common.now() + RELEASE_TIMEOUT);
                 self.release_settled().await;
             }
-            Told::States(jobs, sure, reply) => {
+            Told::JobStates(jobs, sure, reply) => {
                 let now = self.common.now();
                 let state = |(no, job): &(ShardNo, JobNo)| {
                     let shard = &self.shards.get(no)?.shard;
@@ -184,7 +183,7 @@
                 };
                 let _ = reply.send(jobs.iter().map(state).collect());
             }
-            Told::Held(workers, shards, reply) => {
+            Told::HeldTasks(workers, shards, reply) => {
                 let now = self.common.now();
                 let one = |s| {
                     let shard = self.certain_shard(s, now)?;
@@ -194,7 +193,7 @@
                 let all = all.map(|a| a.into_iter().unzip::<_, _, Vec<_>, Vec<_>>());
                 let _ = reply.send(all.map(|(held, needs)| (held.concat(), needs.concat())));
             }
-            Told::Waiting(queue, shards, reply) => {
+            Told::QueueLength(queue, shards, reply) => {
                 let now = self.common.now();
                 let one = |s| self.certain_shard(s, now).map(|shard| shard.waiting(&queue));
                 let _ = reply.send(shards.iter().map(one).sum());
--- a/src/entry/ask.rs
+++ b/src/entry/ask.rs
@@ -3,7 +3,7 @@
 use {
     super::{CallerRequest, Entry},
     crate::{
-        control::{states_here, waiting_here},
+        control::{local_queue_length, local_states},
         decide::reads::Reads,
         error::{Error, Kind},
         ids::{Incarnation, PoolId},
@@ -58,7 +58,7 @@
     async fn ask_owner(&self, shard: ShardNo, job: JobNo) -> Option<State> {
         let (owner, addr) = self.common.view.borrow().owner(shard)?;
         if owner == self.common.me {
-            let answer = states_here(&self.input, [(shard, job)].into(), false);
+            let answer = local_states(&self.input, [(shard, job)].into(), false);
             return timeout(OWNER_TIMEOUT, answer).await.ok()??.pop()?;
         }
         self.state_queries.query((owner, addr), shard, job).await
@@ -142,10 +142,10 @@
             let (input, peers) = (self.input.clone(), self.peers.clone());
             calls.spawn(async move {
                 if local {
-                    let answer = waiting_here(&input, queue, shards.into());
+                    let answer = local_queue_length(&input, queue, shards.into());
                     return timeout(OWNER_TIMEOUT, answer).await.ok().flatten();
                 }
-                peers.waiting(addr, &queue, &shards, OWNER_TIMEOUT).await
+                peers.queue_length(addr, &queue, &shards, OWNER_TIMEOUT).await
             });
         }
         let mut sum = 0;
--- a/src/entry/states.rs
+++ b/src/entry/states.rs
@@ -73,7 +73,7 @@
         while let Some(batch) = self.next_batch(owner) {
             let jobs: Box<[(ShardNo, JobNo)]> = batch.iter().map(|q| (q.shard, q.job)).collect();
             let states =
-                self.peers.states(addr, &jobs, self.common.in_touch(), OWNER_TIMEOUT).await;
+                self.peers.job_states(addr, &jobs, self.common.in_touch(), OWNER_TIMEOUT).await;
             let mut states = states.unwrap_or_default().into_iter();
             for query in batch {
                 // Sending fails if the request has ended meanwhile; then it needs no answer.
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -4,7 +4,7 @@
     super::{CallerRequest, Entry, STALE_RETRY_AFTER},
     crate::{
         common::{Config, unix},
-        control::heard_here,
+        control::notify_local_shard,
         error::{Error, Kind},
         ids::PoolId,
         ports::{Fault, Item, Put, StoreCall, StoreReply, Txn},
@@ -21,7 +21,7 @@
 /// The number of tries of a write that is refused or whose outcome is unknown.
 const MAX_TRIES: u32 = 2;
 /// The number of repeats of a write that failed only because the configuration has changed.
-const MAX_CONFIG_CHANGES: u32 = 8;
+const MAX_OVERTAKEN: u32 = 8;
 
 /// When a caller may retry after a refusal by the store: the store refuses one machine for a short
 /// time only, and another member may be asked meanwhile.
@@ -35,7 +35,7 @@
     /// Whether one of them may have taken effect, or may do so later.
     uncertain: bool,
     /// Number of repeats after a change of the configuration.
-    config_changes: u32,
+    overtaken: u32,
 }
 
 impl Tries {
@@ -49,11 +49,11 @@
 }
 
 /// Why the write of a job was in conflict.
-enum ConflictCause {
+enum Conflict {
     /// The job is already stored.
-    JobExists,
+    Job,
     /// Another configuration is in force.
-    ConfigChanged,
+    Config,
     /// Neither of them.
     Other,
 }
@@ -86,7 +86,7 @@
         match self.write_job(request, shard, no, job, &mut tries).await {
             Ok(()) => {
                 let took_ms = (self.common.now() - begin).as_millis() as u64;
-                log::info!(target: "entry", did = "taken", job:% = no, shard:% = shard, steps, config = config.rev, tries = tries.failed, moves = tries.config_changes, unclear = tries.uncertain, took_ms; "Job is taken in.");
+                log::info!(target: "entry", did = "taken", job:% = no, shard:% = shard, steps, config = config.rev, tries = tries.failed, moves = tries.overtaken, unclear = tries.uncertain, took_ms; "Job is taken in.");
                 Ok(Bytes::new())
             }
             Err(e) => Err(tries.final_error(e)),
@@ -117,27 +117,21 @@
                     return Ok(());
                 }
                 Ok(StoreReply::Conflict(items)) => {
-                    match self.conflict_cause(shard, no, config.rev, &items) {
-                        ConflictCause::JobExists => return Ok(()),
-                        ConflictCause::ConfigChanged
-                            if tries.config_changes < MAX_CONFIG_CHANGES =>
-                        {
-                            tries.config_changes += 1
-                        }
-                        ConflictCause::ConfigChanged | ConflictCause::Other => {
-                            return Err(Kind::Platform.into());
-                        }
+                    match self.classify(shard, no, config.rev, &items) {
+                        Conflict::Job => return Ok(()),
+                        Conflict::Config if tries.overtaken < MAX_OVERTAKEN => tries.overtaken += 1,
+                        Conflict::Config | Conflict::Other => return Err(Kind::Platform.into()),
                     }
                     self.common.metrics.retry(Kind::Conflict);
                 }
-                Err(Fault::TooLarge) if tries.config_changes < MAX_CONFIG_CHANGES => {
+                Err(Fault::TooLarge) if tries.overtaken < MAX_OVERTAKEN => {
                     // The reply to a conflict carries the configuration, which made it too large, even
                     // if only the job was in conflict.
                     if self.is_stored(request, shard, no).await? {
                         return Ok(());
                     }
                     self.common.overtake(config.rev);
-                    tries.config_changes += 1;
+                    tries.overtaken += 1;
                     self.common.metrics.retry(Kind::Conflict);
                 }
                 Err(Fault::TooLarge) => return Err(Kind::Platform.into()),
@@ -188,17 +182,17 @@
     }
 
     /// Finds the cause of a conflict by the items that the store returned with it.
-    fn conflict_cause(&self, shard: ShardNo, no: JobNo, rev: u64, items: &[Item]) -> ConflictCause {
+    fn classify(&self, shard: ShardNo, no: JobNo, rev: u64, items: &[Item]) -> Conflict {
         let (job, progress) = (shard.job(no), shard.progress(no));
         if items.iter().any(|i| i.rev != 0 && (i.key == job || i.key == progress)) {
-            return ConflictCause::JobExists;
+            return Conflict::Job;
         }
         match items.iter().find(|i| &*i.key == self.common.forms.config) {
             Some(config) if config.rev != rev => {
                 self.common.take_config(config);
-                ConflictCause::ConfigChanged
+                Conflict::Config
             }
-            _ => ConflictCause::Other,
+            _ => Conflict::Other,
         }
     }
 
@@ -231,7 +225,7 @@
         let limit = self.call_limit(request)?;
         if self.services.get(&shard.job(no), limit).await.map_err(unanswered)?.is_none() {
             let there = self.is_stored(request, shard, no).await?;
-            log::info!(target: "entry", did = "cancel", job:% = no, shard:% = shard, there, written = false; "The job to be cancelled has ended or is unknown.");
+            log::info!(target: "entry", did = "cancel", job:% = no, shard:% = shard, there, written = false; "Cancel has no effect; the store has no record of the job.");
             return if there { Ok(Bytes::new()) } else { Err(Kind::NoJob.into()) };
         }
         let put = Put { key: shard.cancel(no), value: Bytes::from_static(b"{}"), lease: 0 };
@@ -254,10 +248,12 @@
     fn notify_owner(&self, shard: ShardNo, no: JobNo, record: Option<JobRecord>) {
         let Some((owner, addr)) = self.common.view.borrow().owner(shard) else { return };
         if owner == self.common.me {
-            return heard_here(&self.input, shard, no, record);
+            return notify_local_shard(&self.input, shard, no, record);
         }
         let peers = self.peers.clone();
-        tokio::spawn(async move { peers.heard(addr, shard, no, record, NOTICE_TIMEOUT).await });
+        tokio::spawn(
+            async move { peers.notify_job(addr, shard, no, record, NOTICE_TIMEOUT).await },
+        );
     }
 
     /// Makes a write that may be made twice, with retries.
