--- a/src/control.rs
+++ b/src/control.rs
@@ -280,7 +280,7 @@
     };
     // The caller may stop waiting before the answer arrives; the service still works on the call.
     let mut in_flight = AdviceInFlight { common, number, finished: false };
-    let reply = services.advice(call, limit).await;
+    let reply = services.call_advice(call, limit).await;
     in_flight.finished = reply != Err(Fault::Unknown);
     reply
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -312,7 +312,7 @@
     /// # Errors
     ///
     /// As [`Outside::store`]; [`Fault::Unsent`] if the settings name no advice service.
-    pub async fn advice(&self, call: &AdviceCall, limit: Duration) -> Result<Advice, Fault> {
+    pub async fn call_advice(&self, call: &AdviceCall, limit: Duration) -> Result<Advice, Fault> {
         let addr = self.site.borrow().advice.ok_or(Fault::Unsent)?;
         let begin = Instant::now();
         let answer = self.send(addr, (self.forms.ask_advice)(call), limit).await;
