--- a/src/entry/ask.rs
+++ b/src/entry/ask.rs
@@ -124,6 +124,7 @@
         Ok((self.common.forms.waiting)(count))
     }
 
+    /// Asks the owners of all shards for the number of jobs that have not begun.
     async fn count_waiting(&self, queue: &str) -> Result<u64, Error> {
         let no_answer = || Error::new(Kind::Peer, "the owner of a shard doesn't answer");
         let mut by_owner: BTreeMap<(Incarnation, SocketAddr), Vec<ShardNo>> = BTreeMap::new();
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -55,7 +55,7 @@
 
 /// What a watch has read.
 pub(crate) enum Seen {
-    /// All items of the prefix, and a revision from which on no change is missed.
+    /// All items of the prefix, and the revision at which the read began.
     All(Vec<Item>, Rev),
     /// The items that have changed since, and the revision that they bring the reader to.
     Changes(Vec<Item>, Rev),
@@ -214,6 +214,7 @@
         None
     }
 
+    /// Reads the whole prefix and continues with watch calls from there.
     async fn first_read(&mut self) -> Option<Seen> {
         let Ok((items, rev)) = self.read_prefix().await else {
             self.backoff.wait().await;
