--- a/src/store.rs
+++ b/src/store.rs
@@ -243,7 +243,9 @@
         loop {
             let call = StoreCall::Range { prefix: prefix.into(), after, stale };
             let StoreReply::Page(page, more, rev) = self.store(&call, CALL).await? else {
-                return Err(Fault::Bad("not a page".into()));
+                return Err(Fault::Bad(
+                    "the store answered a range with another kind of reply".into(),
+                ));
             };
             let rev = *first.get_or_insert(rev);
             let last = page.last().map(|i| i.key.clone());
@@ -265,7 +267,7 @@
         let call = StoreCall::Range { prefix: prefix.into(), after, stale: false };
         match self.store(&call, CALL).await? {
             StoreReply::Page(_, _, rev) => Ok(rev),
-            _ => Err(Fault::Bad("not a page".into())),
+            _ => Err(Fault::Bad("the store answered a range with another kind of reply".into())),
         }
     }
 
