--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -1,20 +1,22 @@
-//! The holder of waves of upkeep: one state machine, without a clock and without I/O.
+//! Runs the waves of VM maintenance (`upkeep`) and the loans of standby VMs, as a state machine
+//! without a clock and without I/O.
 //!
-//! The owner of the first shard is the holder, and its token there is the token of its orders: it
-//! comes from the store and rises with each takeover. What is decided is in the ledger before an
-//! order goes out, so that a holder that comes after goes on from the store and the list of VMs
-//! alone:
+//! The owner of the first shard is the holder, and the holder's orders carry its token of that
+//! shard: the store issues the token, and it rises with each takeover. Every decision is written to
+//! the ledger before an order goes out, so that a successor can continue from the store and the
+//! list of VMs alone:
 //!
-//! - A VM is emptied by the owners of its worker, who learn of it by the table that they watch
-//!   anyway, and say when it is clear.
-//! - An order is noted as under way, then given, then given again until it is answered: it may be
-//!   carried out late, and its VM counts as down until that is settled.
-//! - A VM has begun its upkeep when an order was answered so, or the list shows it.
+//! - A VM is emptied by the owners of its worker. They learn of it from the ownership table, which
+//!   they watch anyway, and report when the worker is clear.
+//! - An order is first noted as under way, then sent, then repeated until it is answered. An
+//!   unanswered order may still be carried out later, so its VM counts as down until the outcome is
+//!   known.
+//! - The maintenance of a VM has begun if an answer says so or the list shows it.
 //!
-//! VMs of pools that stand by are lent and called back in the same way: decided, noted, ordered, and
-//! settled by the answer or the list; a VM goes back only when it is clear.
+//! VMs of standby pools are lent and called back in the same way: the decision is noted, the order
+//! is sent, and the answer or the list settles the outcome. A VM returns only when it is clear.
 //!
-//! Without a wave and without pools that stand by, nothing is ordered, read or written.
+//! Without a wave and without standby pools, nothing is ordered, read or written.
 
 mod course;
 mod ledger;
@@ -32,7 +34,7 @@
         time::{Time, millis},
     },
     bytes::Bytes,
-    course::{Course, List, Words},
+    course::{List, Reports, WaveProgress},
     loans::Loans,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -40,72 +42,73 @@
     },
 };
 
-/// How often the list of VMs is read while a wave is under way.
-const LIST: Duration = Duration::from_millis(500);
-/// How often the owners are asked what is at the workers.
-const ASK: Duration = Duration::from_millis(200);
-/// How often they are asked what waits, where VMs stand by and nothing is under way.
-const NEEDS: Duration = Duration::from_secs(1);
-/// The pause after a fault of the store.
-const PAUSE: Duration = Duration::from_millis(200);
-/// The part of the orders that all members may give together which is used.
-const RATE: f64 = 0.5;
-/// The most states of waves that one write tells; the rest goes with the next.
-const TOLD: usize = 20;
+/// Interval between reads of the list of VMs while a wave or a loan is under way.
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between queries to the owners about their workers while a wave or a loan is under way.
+const ASK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between queries to the owners about waiting work while there are standby pools but
+/// nothing is under way.
+const IDLE_ASK_INTERVAL: Duration = Duration::from_secs(1);
+/// Pause after a failed call to the store.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Share of the members' common limit of VM orders that the holder uses.
+const RATE_SHARE: f64 = 0.5;
+/// Most wave states in one write; the rest goes out with the next write.
+const MAX_STATES: usize = 20;
 
-/// What a holder is given at its start.
+/// The parameters of a holder.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Who it is in its orders.
+    /// Name of the holder in its orders.
     pub holder: Box<str>,
-    /// Its token, higher than that of any holder before.
+    /// Token of the holder, higher than that of any predecessor.
     pub token: u64,
-    /// Bounds of the orders.
+    /// Limits for VM orders.
     pub fleet: Fleet,
-    /// The Unix clock at [`Time::ZERO`], in milliseconds.
+    /// Unix time at [`Time::ZERO`], in milliseconds.
     pub unix: u64,
-    /// Writes how a wave stands: key and value.
+    /// Encodes the state of a wave, given whether it is completed, as key and value.
     pub told: fn(WaveNo, bool) -> (Box<str>, Bytes),
 }
 
-/// What the holder is told.
+/// An input of the holder.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The waves that are ordered, with the revisions of their items, and whether the table has
-    /// workers that are to be emptied.
+    /// The waves that the operators have ordered, with the revisions of their items, and whether
+    /// the stored [`Closing`] still names workers to be emptied.
     Waves(Vec<(Rev, Wave)>, bool),
-    /// The ledger, or that it could not be read.
+    /// The ledger, or the fault that prevented reading it.
     Read(Result<Option<Item>, Fault>),
-    /// The store's answer to the write of this number.
+    /// The store's answer to the write with this number.
     Stored(u64, Result<StoreReply, Fault>),
-    /// The list of VMs, asked for then.
+    /// The list of VMs, and the time at which it was requested.
     Listed(Time, Result<Vec<Vm>, Fault>),
-    /// The pools that stand by.
+    /// The standby pools.
     Pools(BTreeSet<PoolId>),
-    /// What the owners say of workers, and how long work waits, asked for then.
+    /// The owners' reports on workers and on how long work waits, and the time of the request.
     Held(Time, Vec<Held>, Vec<Need>),
-    /// What became of an order.
+    /// The outcome of an order for a VM.
     Answered(VmCall, Result<VmReply, Fault>),
     /// Time has passed.
     Tick,
 }
 
-/// What the holder orders.
+/// A request of the holder to its surroundings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Read the ledger.
     Read,
-    /// Write to the store.
+    /// Write to the store; the number identifies the write in [`Event::Stored`].
     Store(u64, Txn),
     /// Read the list of VMs.
     List,
-    /// Ask the owners what is at these workers.
+    /// Ask the owners for the state of these workers.
     Ask(Vec<WorkerId>),
-    /// Order a VM's upkeep or move.
+    /// Order the maintenance or the move of a VM.
     Call(VmCall),
 }
 
-/// How the ledger stands with its holder.
+/// Whether the ledger is known and whether a read or write of it is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     Unread,
@@ -114,200 +117,202 @@
     Writing,
 }
 
-/// The holder.
+/// The state machine of the holder.
 #[derive(Debug)]
 pub struct Upkeep {
     setup: Setup,
-    courses: BTreeMap<WaveNo, Course>,
+    progress: BTreeMap<WaveNo, WaveProgress>,
     loans: Loans,
     ordered: Vec<(Rev, Wave)>,
-    /// Whether the table has workers that are to be emptied, of a holder before.
-    left: bool,
+    /// Whether the store names workers to be emptied that a predecessor wrote.
+    stale_closing: bool,
     stage: Stage,
-    /// The ledger's revision, and what it has; the waves that it has are taken in.
+    /// Revision of the stored ledger, and its content.
     rev: Rev,
     stored: Ledger,
-    /// The workers to be emptied, as the table has them; nothing where that isn't known.
+    /// The workers to be emptied, as stored; `None` if that is not known.
     closing: Option<Closing>,
-    /// What the write that is out holds.
-    flight: (Ledger, Option<Closing>),
+    /// Content of the write in flight.
+    in_flight: (Ledger, Option<Closing>),
     number: u64,
-    next: Time,
-    /// No order before.
-    from: Option<Time>,
-    call: Time,
+    retry_at: Time,
+    /// No order is sent before this time; `None` until the first write is confirmed.
+    orders_from: Option<Time>,
+    next_call: Time,
     list: List,
     listing: bool,
-    look: Time,
-    words: Words,
+    next_list: Time,
+    reports: Reports,
     asking: bool,
-    ask: Time,
-    over: bool,
+    next_ask: Time,
+    deposed: bool,
     out: Vec<Order>,
 }
 
 impl Upkeep {
-    /// The holder as it begins, with nothing known.
+    /// Creates a holder that knows nothing yet.
     pub fn new(setup: Setup) -> Self {
         Upkeep {
             setup,
-            courses: BTreeMap::new(),
+            progress: BTreeMap::new(),
             loans: Loans::default(),
             ordered: vec![],
-            left: false,
+            stale_closing: false,
             stage: Stage::Unread,
             rev: 0,
             stored: Ledger::default(),
             closing: None,
-            flight: Default::default(),
+            in_flight: Default::default(),
             number: 0,
-            next: Time::ZERO,
-            from: None,
-            call: Time::ZERO,
+            retry_at: Time::ZERO,
+            orders_from: None,
+            next_call: Time::ZERO,
             list: List::default(),
             listing: false,
-            look: Time::ZERO,
-            words: Words::new(),
+            next_list: Time::ZERO,
+            reports: Reports::new(),
             asking: false,
-            ask: Time::ZERO,
-            over: false,
+            next_ask: Time::ZERO,
+            deposed: false,
             out: vec![],
         }
     }
 
-    /// Takes in one event and returns the orders that follow.
+    /// Processes one event and returns the resulting orders.
     pub fn on(&mut self, event: Event, now: Time) -> Vec<Order> {
-        if self.over {
+        if self.deposed {
             return vec![];
         }
         match event {
-            Event::Waves(waves, left) => {
-                (self.ordered, self.left) = (waves, left);
-                self.begin(now);
+            Event::Waves(waves, stale_closing) => {
+                (self.ordered, self.stale_closing) = (waves, stale_closing);
+                self.sync_waves(now);
             }
             Event::Read(reply) => self.read(reply, now),
             Event::Stored(number, reply) => self.written(number, &reply, now),
             Event::Listed(sent, reply) => self.listed(sent, reply),
-            Event::Pools(standby) => self.loans.pools(standby),
+            Event::Pools(standby) => self.loans.set_standby(standby),
             Event::Held(sent, all, needs) => {
                 self.asking = false;
-                self.loans.needs(&needs, now);
-                self.words = all.into_iter().map(|h| (h.worker.clone(), (sent, h))).collect();
+                self.loans.set_needs(&needs, now);
+                self.reports = all.into_iter().map(|h| (h.worker.clone(), (sent, h))).collect();
             }
             Event::Answered(call, reply) => self.answered(&call, &reply, now),
             Event::Tick => {}
         }
-        self.go_on(now);
+        self.advance(now);
         std::mem::take(&mut self.out)
     }
 
-    /// Whether another holder has taken over: nothing is ordered any more.
+    /// Whether another holder has taken over; this one then orders nothing more.
     pub fn over(&self) -> bool {
-        self.over
+        self.deposed
     }
 
-    /// Whether anything is left to do; without it, time need not be told.
+    /// Whether work is left; if not, the caller need not send [`Event::Tick`].
     pub fn busy(&self) -> bool {
-        let unread = self.stage != Stage::Idle && self.concerned();
-        !self.over && (self.open() || self.dirty() || unread || self.loans.any())
+        let unread = self.stage != Stage::Idle && self.needed();
+        !self.deposed && (self.active() || self.dirty() || unread || self.loans.any())
     }
 
-    /// Whether a wave is under way, or a loan.
-    fn open(&self) -> bool {
-        self.courses.values().any(|c| !c.over) || self.loans.busy()
+    /// Whether a wave or a loan is under way.
+    fn active(&self) -> bool {
+        self.progress.values().any(|c| !c.over) || self.loans.busy()
     }
 
-    /// Whether there is anything to hold at all.
+    /// Whether there is a wave, a loan, a standby pool or leftover state of a predecessor.
     ///
-    /// Guards against workers that stay closed for good: the holder died, and the operators took the
-    /// wave back before there was another.
-    fn concerned(&self) -> bool {
-        !self.ordered.is_empty() || self.left || self.loans.any()
+    /// The leftover state counts because workers could otherwise stay closed for good: the holder
+    /// died, and the operators withdrew the wave before a successor took over.
+    fn needed(&self) -> bool {
+        !self.ordered.is_empty() || self.stale_closing || self.loans.any()
     }
 
     fn unix(&self, now: Time) -> u64 {
         self.setup.unix + millis(now - Time::ZERO)
     }
 
-    /// Begins waves that were ordered, and forgets those that are so no longer, once the ledger is
-    /// known.
-    fn begin(&mut self, now: Time) {
+    /// Starts newly ordered waves and drops withdrawn ones, once the ledger is known.
+    fn sync_waves(&mut self, now: Time) {
         if matches!(self.stage, Stage::Unread | Stage::Reading) {
             return;
         }
         let unix = self.unix(now);
-        let there: BTreeSet<WaveNo> = self.ordered.iter().map(|(_, w)| w.no).collect();
-        self.courses.retain(|no, _| there.contains(no));
+        let current: BTreeSet<WaveNo> = self.ordered.iter().map(|(_, w)| w.no).collect();
+        self.progress.retain(|no, _| current.contains(no));
         for (rev, wave) in &self.ordered {
-            let known = self.courses.get(&wave.no);
+            let known = self.progress.get(&wave.no);
             if known.is_some_and(|c| c.rev == *rev) {
                 continue;
             }
-            let entry = known.map(Course::entry).or(self.stored.waves.get(&wave.no).cloned());
-            let course = Course::new(wave.clone(), *rev, entry.as_ref(), unix, now);
-            self.courses.insert(wave.no, course);
+            let entry = known.map(WaveProgress::entry).or(self.stored.waves.get(&wave.no).cloned());
+            let progress = WaveProgress::new(wave.clone(), *rev, entry.as_ref(), unix, now);
+            self.progress.insert(wave.no, progress);
         }
     }
 
     fn read(&mut self, reply: Result<Option<Item>, Fault>, now: Time) {
         let Ok(item) = reply else {
-            (self.stage, self.next) = (Stage::Unread, now + PAUSE);
+            (self.stage, self.retry_at) = (Stage::Unread, now + RETRY_PAUSE);
             return;
         };
         let rev = item.as_ref().map_or(0, |i| i.rev);
         let ledger: Option<Ledger> = item.and_then(|i| record::read(&i.value?));
         let ledger = ledger.unwrap_or_default();
         if ledger.token > self.setup.token {
-            return self.end("ledger");
+            return self.resign("ledger");
         }
         if ledger.token < self.setup.token {
             self.loans.load(&ledger.loans, now);
         }
         (self.rev, self.stored, self.stage) = (rev, ledger, Stage::Idle);
-        // Whether its own write before has reached the owners is not known.
+        // Whether this holder's own last write has reached the owners is not known.
         self.closing = None;
-        self.begin(now);
+        self.sync_waves(now);
     }
 
-    /// Guards against a holder that was deposed and doesn't know yet: whatever it would still order
-    /// is refused, and doing so again and again is a fault of its own.
-    fn end(&mut self, by: &str) {
+    /// Stops this holder after it has found a successor.
+    ///
+    /// A deposed holder that continued would send orders that the platform refuses again and again.
+    fn resign(&mut self, by: &str) {
         log::warn!(target: "upkeep", did = "deposed", token = self.setup.token, by; "Waves have another holder.");
-        self.over = true;
+        self.deposed = true;
     }
 
     fn ledger(&self) -> Ledger {
-        let waves = self.courses.iter().map(|(no, c)| (*no, c.entry())).collect();
+        let waves = self.progress.iter().map(|(no, c)| (*no, c.entry())).collect();
         Ledger { token: self.setup.token, waves, loans: self.loans.entries() }
     }
 
     fn turns(&self) -> Closing {
-        let open = self.courses.values().filter(|c| !c.over);
+        let active = self.progress.values().filter(|c| !c.over);
         let mut turns = BTreeMap::new();
-        for (worker, turn) in open.flat_map(Course::turns).chain(self.loans.turns()) {
+        for (worker, turn) in active.flat_map(WaveProgress::turns).chain(self.loans.turns()) {
             let known = turns.entry(worker).or_insert(turn);
-            // In two waves at once, the one that it is emptied for decides.
+            // A worker may be in two waves at once: the more advanced turn applies.
             *known = (*known).max(turn);
         }
         Closing { place: (self.setup.token, self.number), turns }
     }
 
     fn dirty(&self) -> bool {
-        let mine = self.stored.token == self.setup.token;
-        (self.open() || self.left || mine) && (self.ledger() != self.stored || self.moved())
+        let own = self.stored.token == self.setup.token;
+        (self.active() || self.stale_closing || own)
+            && (self.ledger() != self.stored || self.closing_changed())
     }
 
-    /// Whether the table has other workers to be emptied than it should.
+    /// Whether the stored set of workers to be emptied differs from the intended one.
     ///
-    /// Guards against a holder that begins, has not seen the list yet, and opens the workers that one
-    /// before it has emptied: an order that is still under way would end what starts there.
-    fn moved(&self) -> bool {
-        let blind = self.open() && self.list.all.is_empty();
-        !blind && self.closing.as_ref().is_none_or(|c| c.turns != self.turns().turns)
+    /// The set stays as it is until the list of VMs is known. Otherwise a new holder would reopen
+    /// workers that its predecessor has emptied, and a predecessor's order that is still under way
+    /// would end the tasks that start there.
+    fn closing_changed(&self) -> bool {
+        let unlisted = self.active() && self.list.all.is_empty();
+        !unlisted && self.closing.as_ref().is_none_or(|c| c.turns != self.turns().turns)
     }
 
     fn write(&mut self, now: Time) {
-        if self.stage != Stage::Idle || self.next > now || !self.dirty() {
+        if self.stage != Stage::Idle || self.retry_at > now || !self.dirty() {
             return;
         }
         self.number += 1;
@@ -316,9 +321,9 @@
         let mut puts = vec![];
         for (no, entry) in std::mem::take(&mut ledger.waves) {
             let known = self.stored.waves.get(&no);
-            let told = known.is_some_and(|k| k.over == entry.over && k.rev == entry.rev);
-            if told || puts.len() < TOLD {
-                if !told {
+            let unchanged = known.is_some_and(|k| k.over == entry.over && k.rev == entry.rev);
+            if unchanged || puts.len() < MAX_STATES {
+                if !unchanged {
                     let (key, value) = (self.setup.told)(no, entry.over);
                     puts.push(Put { key, value, lease: 0 });
                 }
@@ -328,12 +333,12 @@
             }
         }
         puts.push(Put { key: LEDGER.into(), value: record::write(&ledger), lease: 0 });
-        let turns = Some(turns).filter(|_| self.moved());
+        let turns = Some(turns).filter(|_| self.closing_changed());
         if let Some(turns) = &turns {
             puts.push(Put { key: CLOSING.into(), value: record::write(turns), lease: 0 });
         }
         let txn = Txn { expect: vec![(LEDGER.into(), self.rev)], puts, remove: vec![] };
-        self.flight = (ledger, turns);
+        self.in_flight = (ledger, turns);
         self.out.push(Order::Store(self.number, txn));
     }
 
@@ -343,35 +348,36 @@
         }
         match reply {
             Ok(StoreReply::Done(rev)) => {
-                // A holder before may have given its last order just now, by its own clock.
+                // A predecessor may have sent its last order just now, by its own clock.
                 let turn =
                     if self.stored.token > 0 { self.setup.fleet.turn } else { Duration::ZERO };
-                self.from.get_or_insert(now + turn);
-                let (ledger, closing) = std::mem::take(&mut self.flight);
+                self.orders_from.get_or_insert(now + turn);
+                let (ledger, closing) = std::mem::take(&mut self.in_flight);
                 self.stored = ledger;
                 if closing.is_some() {
-                    (self.closing, self.left) = (closing, false);
+                    (self.closing, self.stale_closing) = (closing, false);
                 }
                 (self.rev, self.stage) = (*rev, Stage::Idle);
             }
             Err(Fault::Refused | Fault::Unsent) => {
-                (self.stage, self.next) = (Stage::Idle, now + PAUSE);
+                (self.stage, self.retry_at) = (Stage::Idle, now + RETRY_PAUSE);
             }
-            // Another holder's write, or its own that was taken for lost: the ledger tells.
-            _ => (self.stage, self.next) = (Stage::Unread, now + PAUSE),
+            // Either another holder has written, or an earlier write of this one took effect
+            // although it was taken for lost. Reading the ledger shows which.
+            _ => (self.stage, self.retry_at) = (Stage::Unread, now + RETRY_PAUSE),
         }
     }
 
     fn listed(&mut self, sent: Time, reply: Result<Vec<Vm>, Fault>) {
         self.listing = false;
         let Ok(all) = reply else { return };
-        // No VM at all is no list.
+        // An empty list is treated as a failed read.
         if all.is_empty() {
             return;
         }
         self.list = List { sent, all: all.into_iter().map(|m| (m.id.clone(), m)).collect() };
-        for course in self.courses.values_mut().filter(|c| !c.over) {
-            course.listed(&self.list, &self.setup.fleet);
+        for progress in self.progress.values_mut().filter(|c| !c.over) {
+            progress.listed(&self.list, &self.setup.fleet);
         }
         self.loans.listed(&self.list);
     }
@@ -379,78 +385,80 @@
     fn answered(&mut self, call: &VmCall, reply: &Result<VmReply, Fault>, now: Time) {
         match &call.deed {
             Deed::Upkeep(wave) => {
-                if let Some(course) = self.courses.get_mut(wave) {
-                    course.answered(&call.vm, reply, now);
+                if let Some(progress) = self.progress.get_mut(wave) {
+                    progress.answered(&call.vm, reply, now);
                 }
             }
             Deed::Move(_) => self.loans.answered(&call.vm, reply, now),
         }
         if *reply == Ok(VmReply::Fence) {
-            self.end("order");
+            self.resign("order");
         }
     }
 
-    fn go_on(&mut self, now: Time) {
-        if self.over {
+    fn advance(&mut self, now: Time) {
+        if self.deposed {
             return;
         }
-        if self.stage == Stage::Unread && self.concerned() && self.next <= now {
+        if self.stage == Stage::Unread && self.needed() && self.retry_at <= now {
             self.stage = Stage::Reading;
             self.out.push(Order::Read);
         }
-        if !self.open() {
-            // Whatever comes next must not begin with how things stood then.
-            (self.list, self.words) = Default::default();
+        if !self.active() {
+            // The next wave or loan must not start from outdated data.
+            (self.list, self.reports) = Default::default();
         }
-        self.look(now);
+        self.poll(now);
         if !self.list.all.is_empty() {
             self.step(now);
         }
         self.write(now);
-        self.calls(now);
+        self.send_order(now);
     }
 
-    /// Asks for the VMs and for what is at their workers.
-    fn look(&mut self, now: Time) {
-        let open = self.open();
-        if open && !self.listing && self.look <= now {
-            (self.listing, self.look) = (true, now + LIST);
+    /// Requests the list of VMs and the owners' reports when they are due.
+    fn poll(&mut self, now: Time) {
+        let active = self.active();
+        if active && !self.listing && self.next_list <= now {
+            (self.listing, self.next_list) = (true, now + LIST_INTERVAL);
             self.out.push(Order::List);
         }
         let mut workers: Vec<WorkerId> = self.turns().turns.into_keys().collect();
         workers.extend(self.loans.workers().cloned());
         let wanted = !workers.is_empty() || self.loans.any();
-        if wanted && !self.asking && self.ask <= now {
-            (self.asking, self.ask) = (true, now + if open { ASK } else { NEEDS });
+        if wanted && !self.asking && self.next_ask <= now {
+            (self.asking, self.next_ask) =
+                (true, now + if active { ASK_INTERVAL } else { IDLE_ASK_INTERVAL });
             self.out.push(Order::Ask(workers));
         }
     }
 
     fn step(&mut self, now: Time) {
-        let in_waves = self.courses.values().flat_map(Course::taken).cloned();
+        let in_waves = self.progress.values().flat_map(WaveProgress::taken).cloned();
         let mut taken: BTreeSet<_> = in_waves.chain(self.loans.taken().cloned()).collect();
-        for course in self.courses.values_mut().filter(|c| !c.over) {
-            course.step(&self.list, &self.words, &taken, &self.setup.fleet, now);
-            taken.extend(course.taken().cloned());
+        for progress in self.progress.values_mut().filter(|c| !c.over) {
+            progress.step(&self.list, &self.reports, &taken, &self.setup.fleet, now);
+            taken.extend(progress.taken().cloned());
         }
-        let in_waves = self.courses.values().flat_map(Course::taken).cloned().collect();
-        self.loans.step(&self.list, &self.words, &in_waves, now);
+        let in_waves = self.progress.values().flat_map(WaveProgress::taken).cloned().collect();
+        self.loans.step(&self.list, &self.reports, &in_waves, now);
     }
 
-    fn calls(&mut self, now: Time) {
-        let free = self.from.is_some_and(|from| from <= now);
-        if !free || self.call > now || self.stored.token != self.setup.token {
+    fn send_order(&mut self, now: Time) {
+        let allowed = self.orders_from.is_some_and(|from| from <= now);
+        if !allowed || self.next_call > now || self.stored.token != self.setup.token {
             return;
         }
-        let mut upkeeps = self.courses.iter_mut().filter(|(_, c)| !c.over).filter_map(|(no, c)| {
-            let entry = self.stored.waves.get(no)?;
-            Some((c.calls(&entry.out, &self.words, now)?, Deed::Upkeep(*no)))
-        });
+        let mut upkeeps =
+            self.progress.iter_mut().filter(|(_, c)| !c.over).filter_map(|(no, c)| {
+                let entry = self.stored.waves.get(no)?;
+                Some((c.next_order(&entry.out, &self.reports, now)?, Deed::Upkeep(*no)))
+            });
         let call = upkeeps.next();
-        let call = call.or_else(|| self.loans.calls(&self.stored.loans, &self.words, now));
+        let call = call.or_else(|| self.loans.next_order(&self.stored.loans, &self.reports, now));
         let Some((vm, deed)) = call else { return };
-        let gap = 1.0 / (self.setup.fleet.rate * RATE).max(0.1);
-        self.call = now + Duration::from_secs_f64(gap);
+        let gap = 1.0 / (self.setup.fleet.rate * RATE_SHARE).max(0.1);
+        self.next_call = now + Duration::from_secs_f64(gap);
         let (holder, token) = (self.setup.holder.clone(), self.setup.token);
         self.out.push(Order::Call(VmCall { vm, deed, holder, token }));
     }
--- a/src/upkeep/course.rs
+++ b/src/upkeep/course.rs
@@ -1,4 +1,4 @@
-//! One wave of upkeep: its VMs, and how far each of them is.
+//! The progress of one maintenance wave and of each of its VMs.
 
 use {
     crate::{
@@ -15,104 +15,108 @@
     },
 };
 
-/// The pause before an order is given again.
-const AGAIN: Duration = Duration::from_millis(500);
-/// How often the platform says that a VM is not of the wave before that is believed: its own
-/// view may be behind the operators' order.
-const BELIEVED: u32 = 3;
-/// The age up to which word of a worker counts.
-const FRESH: Duration = Duration::from_millis(600);
+/// Pause before an order is repeated.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Number of answers that a VM is not part of the wave after which the holder believes them: the
+/// platform may not have seen the operators' latest order yet.
+const MAX_DENIALS: u32 = 3;
+/// Greatest age of an owner's report that still counts.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 
-/// The VMs as their list last had them, and when it was asked for.
+/// The last list of VMs.
 #[derive(Debug, Default)]
 pub(super) struct List {
-    /// When it was asked for.
+    /// Time of the request.
     pub sent: Time,
-    /// The VMs.
+    /// The VMs by id.
     pub all: BTreeMap<VmId, Vm>,
 }
 
-/// What owners have last said of workers, and when they were asked.
-pub(super) type Words = BTreeMap<WorkerId, (Time, Held)>;
+/// The owners' last reports on workers, with the time of the request.
+pub(super) type Reports = BTreeMap<WorkerId, (Time, Held)>;
 
-/// A wave.
+/// A wave under way or completed.
 #[derive(Debug)]
-pub(super) struct Course {
-    /// What was ordered, and the revision of that.
+pub(super) struct WaveProgress {
+    /// The wave as the operators ordered it.
     pub wave: Wave,
-    /// The revision of the operators' item.
+    /// Revision of the operators' item.
     pub rev: Rev,
-    /// When it was begun, in milliseconds of the Unix clock.
+    /// Start of the wave, in milliseconds of Unix time.
     pub since: u64,
-    /// Whether it is completed.
+    /// Whether the wave is completed.
     pub over: bool,
-    due: Time,
-    parts: BTreeMap<VmId, Part>,
+    deadline: Time,
+    vms: BTreeMap<VmId, VmProgress>,
 }
 
-/// A VM of a wave.
+/// The progress of one VM of a wave.
 #[derive(Debug, Default)]
-struct Part {
+struct VmProgress {
     phase: Phase,
-    /// How many orders were decided on, and how many of these went out.
+    /// Number of orders decided, and number of these that were sent.
     tries: (u32, u32),
-    /// Whether an order that had no answer may yet be carried out.
-    open: bool,
-    /// Whether its upkeep has begun.
+    /// Whether an unanswered order may still be carried out.
+    unsettled: bool,
+    /// Whether the maintenance has begun.
     begun: bool,
-    /// The life of its worker that the list had last.
+    /// The worker's incarnation in the last list.
     worker: Option<WorkerId>,
-    /// No order before.
-    next: Time,
-    /// Since when the list lacks it.
-    missed: Option<Time>,
-    /// How often it was called no part of the wave.
-    other: u32,
+    /// No order is sent before this time.
+    retry_at: Time,
+    /// Time since which the list lacks the VM.
+    missing_since: Option<Time>,
+    /// Number of answers that the VM is not part of the wave.
+    denials: u32,
 }
 
 #[derive(Debug, Default)]
 enum Phase {
     #[default]
     Due,
-    /// It is emptied since then; whether tasks that end by themselves are waited for no longer.
+    /// The VM is being emptied since this time; whether tasks that end by themselves are no longer
+    /// waited for.
     Closing(Time, bool),
-    /// It is to go down; which life of its worker, and whether an order is out.
+    /// The VM is to go down: the worker's incarnation, and whether an order is in flight.
     Ordered(Option<WorkerId>, bool),
-    /// It is down since then; which life of its worker was there before.
+    /// The VM is down since this time; the incarnation that its worker had before.
     Down(Time, Option<WorkerId>),
     Over,
 }
 
-impl Course {
-    /// A wave as its holder begins it, with what the store has of it.
+impl WaveProgress {
+    /// Creates the progress of a wave, continuing from its stored entry if there is one.
     pub fn new(wave: Wave, rev: Rev, entry: Option<&Entry>, unix: u64, now: Time) -> Self {
-        // A wave that the operators have changed is begun anew; what is done stays done.
+        // A wave that the operators have changed starts anew, except that finished VMs stay
+        // finished.
         let since = entry.filter(|e| e.rev == rev).map_or(unix, |e| e.since.min(unix));
         let passed = Duration::from_millis(unix - since);
-        let due = now + wave.within.saturating_sub(passed);
-        let part = |m: &VmId| {
-            let mut part = Part::default();
+        let deadline = now + wave.within.saturating_sub(passed);
+        let progress = |m: &VmId| {
+            let mut progress = VmProgress::default();
             if let Some(entry) = entry {
                 if entry.done.contains(m) {
-                    (part.phase, part.begun) = (Phase::Over, true);
+                    (progress.phase, progress.begun) = (Phase::Over, true);
                 } else if let Some(tries) = entry.out.get(m) {
-                    part.tries = (*tries, *tries);
-                    // Whether the order was carried out is not known; given again, it tells.
-                    (part.phase, part.open) = (Phase::Closing(now, false), true);
+                    progress.tries = (*tries, *tries);
+                    // Whether the order was carried out is not known; the answer to a repeated
+                    // order shows it.
+                    (progress.phase, progress.unsettled) = (Phase::Closing(now, false), true);
                 }
             }
-            (m.clone(), part)
+            (m.clone(), progress)
         };
-        let parts = wave.vms.iter().map(part).collect();
+        let vms = wave.vms.iter().map(progress).collect();
         let over = entry.is_some_and(|e| e.over && e.rev == rev);
-        Course { wave, rev, since, over, due, parts }
+        WaveProgress { wave, rev, since, over, deadline, vms }
     }
 
-    /// What the store has to have of it.
+    /// The entry of this wave for the ledger.
     pub fn entry(&self) -> Entry {
-        let out = |p: &Part| !p.begun && (p.open || matches!(p.phase, Phase::Ordered(..)));
-        let out = self.parts.iter().filter(|(_, p)| out(p)).map(|(m, p)| (m.clone(), p.tries.0));
-        let done = self.parts.iter().filter(|(_, p)| p.begun).map(|(m, _)| m.clone());
+        let out =
+            |p: &VmProgress| !p.begun && (p.unsettled || matches!(p.phase, Phase::Ordered(..)));
+        let out = self.vms.iter().filter(|(_, p)| out(p)).map(|(m, p)| (m.clone(), p.tries.0));
+        let done = self.vms.iter().filter(|(_, p)| p.begun).map(|(m, _)| m.clone());
         Entry {
             rev: self.rev,
             since: self.since,
@@ -122,15 +126,15 @@
         }
     }
 
-    /// The VMs that are in this wave's hands.
+    /// The VMs that this wave is emptying or has taken down.
     pub fn taken(&self) -> impl Iterator<Item = &VmId> {
-        let taken = |p: &Part| !matches!(p.phase, Phase::Due | Phase::Over);
-        self.parts.iter().filter(move |(_, p)| taken(p)).map(|(m, _)| m)
+        let taken = |p: &VmProgress| !matches!(p.phase, Phase::Due | Phase::Over);
+        self.vms.iter().filter(move |(_, p)| taken(p)).map(|(m, _)| m)
     }
 
-    /// The workers of its VMs, and their turns.
+    /// The workers of the wave's VMs, and their turns.
     pub fn turns(&self) -> impl Iterator<Item = (WorkerId, Turn)> {
-        self.parts.values().flat_map(|p| {
+        self.vms.values().flat_map(|p| {
             let now = p.worker.clone();
             match &p.phase {
                 Phase::Due => vec![(now, Turn::Due)],
@@ -146,152 +150,159 @@
         })
     }
 
-    /// Takes in what the list of VMs shows.
+    /// Processes a new list of VMs.
     pub fn listed(&mut self, list: &List, fleet: &Fleet) {
-        for (m, part) in &mut self.parts {
+        for (m, progress) in &mut self.vms {
             let Some(vm) = list.all.get(m) else {
-                // A VM that the list lacks twice is gone: it needs no upkeep any more.
-                if list.sent - *part.missed.get_or_insert(list.sent) >= LAG {
-                    part.phase = Phase::Over;
-                    part.open = false;
+                // A VM that is missing from the list for [`LAG`] is gone and needs no maintenance.
+                if list.sent - *progress.missing_since.get_or_insert(list.sent) >= LAG {
+                    progress.phase = Phase::Over;
+                    progress.unsettled = false;
                 }
                 continue;
             };
-            if part.missed.take().is_some() && matches!(part.phase, Phase::Over) && !part.begun {
-                part.phase = Phase::Due;
+            if progress.missing_since.take().is_some()
+                && matches!(progress.phase, Phase::Over)
+                && !progress.begun
+            {
+                progress.phase = Phase::Due;
             }
-            part.seen(vm, list.sent, fleet);
+            progress.seen(vm, list.sent, fleet);
         }
     }
 
-    /// How many VMs are down for this wave, or may go down at any moment.
+    /// Number of VMs that are down for this wave or may go down at any moment.
     fn down(&self, list: &List) -> u32 {
         let upkeep = |m: &VmId| list.all.get(m).is_some_and(|m| m.state == VmState::Upkeep);
-        let down = |(m, p): &(&VmId, &Part)| {
-            p.open || upkeep(m) || matches!(p.phase, Phase::Ordered(..) | Phase::Down(..))
+        let down = |(m, p): &(&VmId, &VmProgress)| {
+            p.unsettled || upkeep(m) || matches!(p.phase, Phase::Ordered(..) | Phase::Down(..))
         };
-        u32::try_from(self.parts.iter().filter(down).count()).unwrap_or(u32::MAX)
+        u32::try_from(self.vms.iter().filter(down).count()).unwrap_or(u32::MAX)
     }
 
-    /// Goes on with what time and the workers allow; `taken` are the VMs in any wave's hands.
+    /// Decides which VMs to empty, to force and to order down now; `taken` are the VMs that any
+    /// wave or loan is working on.
     pub fn step(
         &mut self,
         list: &List,
-        words: &Words,
+        reports: &Reports,
         taken: &BTreeSet<VmId>,
         fleet: &Fleet,
         now: Time,
     ) {
         let facts: Vec<Facts> =
-            self.parts.iter().map(|(m, p)| p.facts(m, list, words, taken, now)).collect();
-        let left = if self.due > now { self.due - now } else { Duration::ZERO };
+            self.vms.iter().map(|(m, p)| p.facts(m, list, reports, taken, now)).collect();
+        let left = if self.deadline > now { self.deadline - now } else { Duration::ZERO };
         let allowed = Allowed { left, cap: self.wave.cap, down: fleet.upkeep };
         let Plan { close, force } = plan(&facts, allowed);
-        for (i, (m, part)) in self.parts.iter_mut().enumerate() {
+        for (i, (m, progress)) in self.vms.iter_mut().enumerate() {
             if close.contains(&i) {
-                part.phase = Phase::Closing(now, false);
+                progress.phase = Phase::Closing(now, false);
                 log::info!(target: "upkeep", did = "closing", wave:% = self.wave.no, vm:% = m; "VM is emptied.");
-            } else if let (true, Phase::Closing(_, forced)) = (force.contains(&i), &mut part.phase)
+            } else if let (true, Phase::Closing(_, forced)) =
+                (force.contains(&i), &mut progress.phase)
             {
                 *forced = true;
             }
         }
-        self.ready(list, words, now);
-        for part in self.parts.values_mut() {
-            let again = matches!(part.phase, Phase::Ordered(_, false)) && part.next <= now;
-            part.tries.0 += u32::from(again && part.tries.0 == part.tries.1);
+        self.decide_orders(list, reports, now);
+        for progress in self.vms.values_mut() {
+            let retry =
+                matches!(progress.phase, Phase::Ordered(_, false)) && progress.retry_at <= now;
+            progress.tries.0 += u32::from(retry && progress.tries.0 == progress.tries.1);
         }
-        let over = |p: &Part| matches!(p.phase, Phase::Down(..) | Phase::Over);
-        if !self.over && self.parts.values().all(over) {
+        let over = |p: &VmProgress| matches!(p.phase, Phase::Down(..) | Phase::Over);
+        if !self.over && self.vms.values().all(over) {
             self.over = true;
-            log::info!(target: "upkeep", did = "completed", wave:% = self.wave.no, late = self.due < now; "Wave is completed.");
+            log::info!(target: "upkeep", did = "completed", wave:% = self.wave.no, late = self.deadline < now; "Wave is completed.");
         }
     }
 
-    /// Orders are to be given for VMs that are empty, as many as may be down.
-    fn ready(&mut self, list: &List, words: &Words, now: Time) {
-        let mut room = self.wave.cap.max(1).saturating_sub(self.down(list));
-        for (m, part) in &mut self.parts {
-            let Phase::Closing(..) = part.phase else { continue };
+    /// Decides on orders for clear VMs, as far as the limit of VMs that are down allows.
+    fn decide_orders(&mut self, list: &List, reports: &Reports, now: Time) {
+        let mut slots = self.wave.cap.max(1).saturating_sub(self.down(list));
+        for (m, progress) in &mut self.vms {
+            let Phase::Closing(..) = progress.phase else { continue };
             let Some(vm) = list.all.get(m).filter(|m| m.state == VmState::Up) else {
                 continue;
             };
-            // One that may go down at any moment is counted already.
-            let room_left = room > 0 || part.open;
-            if part.next > now || !room_left || !clear(vm.worker.as_ref(), words, now) {
+            // A VM with an unsettled order counts as down already.
+            let slot_free = slots > 0 || progress.unsettled;
+            if progress.retry_at > now || !slot_free || !clear(vm.worker.as_ref(), reports, now) {
                 continue;
             }
-            room -= u32::from(!part.open);
-            part.phase = Phase::Ordered(vm.worker.clone(), false);
-            part.tries.0 += 1;
+            slots -= u32::from(!progress.unsettled);
+            progress.phase = Phase::Ordered(vm.worker.clone(), false);
+            progress.tries.0 += 1;
         }
     }
 
-    /// A VM for which an order goes out now; `stored` are the orders that the store has.
+    /// Returns a VM whose order is to be sent now; `stored` are the orders in the stored ledger.
     ///
-    /// Guards against a holder that stood still and doesn't know that there is another: each order,
-    /// also one that is given again, is in the ledger first, which the other has changed meanwhile.
-    /// Where the platform checks no tokens, nothing else would stop it.
-    pub fn calls(
+    /// Every order, also a repeated one, has to be in the ledger before it is sent. A holder that
+    /// was paused and does not know of its successor can't write it, because the successor has
+    /// changed the ledger. If the platform checks no tokens, nothing else would stop that holder.
+    pub fn next_order(
         &mut self,
         stored: &BTreeMap<VmId, u32>,
-        words: &Words,
+        reports: &Reports,
         now: Time,
     ) -> Option<VmId> {
-        for (m, part) in &mut self.parts {
-            let Phase::Ordered(worker, flying) = &mut part.phase else { continue };
-            let (decided, sent) = part.tries;
-            if *flying || sent == decided || stored.get(m) != Some(&decided) {
+        for (m, progress) in &mut self.vms {
+            let Phase::Ordered(worker, in_flight) = &mut progress.phase else { continue };
+            let (decided, sent) = progress.tries;
+            if *in_flight || sent == decided || stored.get(m) != Some(&decided) {
                 continue;
             }
-            // Whatever has happened since: what goes down must still be that life, and be empty.
-            if !clear(worker.as_ref(), words, now) {
+            // The VM must still have the same incarnation of its worker, and that worker must still
+            // be clear.
+            if !clear(worker.as_ref(), reports, now) {
                 continue;
             }
-            *flying = true;
-            part.tries.1 = decided;
+            *in_flight = true;
+            progress.tries.1 = decided;
             return Some(m.clone());
         }
         None
     }
 
-    /// Takes in what became of an order.
+    /// Processes the outcome of an order.
     pub fn answered(&mut self, m: &VmId, reply: &Result<VmReply, Fault>, now: Time) {
         log::info!(target: "upkeep", did = "ordered", wave:% = self.wave.no, vm:% = m, reply:? = reply; "Upkeep was ordered.");
-        let Some(part) = self.parts.get_mut(m) else { return };
-        part.next = now + AGAIN;
+        let Some(progress) = self.vms.get_mut(m) else { return };
+        progress.retry_at = now + RETRY_PAUSE;
         match reply {
-            Ok(VmReply::Begun) => return part.begin(now),
-            Ok(VmReply::None) => (part.phase, part.open) = (Phase::Over, false),
+            Ok(VmReply::Begun) => return progress.begin(now),
+            Ok(VmReply::None) => (progress.phase, progress.unsettled) = (Phase::Over, false),
             Ok(VmReply::OtherWave) => {
-                part.other += 1;
-                if part.other >= BELIEVED {
-                    (part.phase, part.open) = (Phase::Over, false);
+                progress.denials += 1;
+                if progress.denials >= MAX_DENIALS {
+                    (progress.phase, progress.unsettled) = (Phase::Over, false);
                 }
             }
-            // It is not up: its next life has to be emptied first.
+            // The VM is not up; the next incarnation of its worker has to be emptied first.
             Ok(VmReply::Busy) => {
-                if let Phase::Ordered(..) = part.phase {
-                    part.phase = Phase::Closing(now, true);
+                if let Phase::Ordered(..) = progress.phase {
+                    progress.phase = Phase::Closing(now, true);
                 }
             }
             Ok(VmReply::Fence) | Err(Fault::Refused | Fault::Unsent) => {}
-            Err(_) => part.open = true,
+            Err(_) => progress.unsettled = true,
         }
-        if let Phase::Ordered(_, flying) = &mut part.phase {
-            *flying = false;
+        if let Phase::Ordered(_, in_flight) = &mut progress.phase {
+            *in_flight = false;
         }
     }
 }
 
-impl Part {
+impl VmProgress {
     fn begin(&mut self, now: Time) {
         let old = match std::mem::take(&mut self.phase) {
             Phase::Ordered(worker, ..) => worker,
             Phase::Down(_, worker) => worker,
             _ => None,
         };
-        (self.begun, self.open) = (true, false);
+        (self.begun, self.unsettled) = (true, false);
         self.phase = Phase::Down(now, old);
     }
 
@@ -299,18 +310,18 @@
         self.worker = vm.worker.clone();
         use VmState::{Down, Up, Upkeep};
         match &self.phase {
-            // An order without an answer: the list shows that it was carried out.
+            // The list shows that an unanswered order was carried out.
             Phase::Ordered(..) if vm.state == Upkeep => self.begin(sent),
-            Phase::Closing(..) if vm.state == Upkeep && self.open => self.begin(sent),
+            Phase::Closing(..) if vm.state == Upkeep && self.unsettled => self.begin(sent),
             Phase::Ordered(worker, false) if vm.state == Up && vm.worker != *worker => {
                 self.phase = Phase::Closing(sent, true);
             }
             Phase::Down(since, old) => {
-                // One that had its upkeep before the order was given is up all the while.
+                // A VM whose maintenance was done before the order stays up throughout.
                 let new = sent >= *since && vm.worker != *old;
-                let back = vm.state == Up && (new || sent >= *since + LAG);
+                let returned = vm.state == Up && (new || sent >= *since + LAG);
                 let crashed = vm.state == Down && sent >= *since + fleet.upkeep + LAG;
-                if back || crashed {
+                if returned || crashed {
                     self.phase = Phase::Over;
                 }
             }
@@ -322,12 +333,12 @@
         &self,
         m: &VmId,
         list: &List,
-        words: &Words,
+        reports: &Reports,
         taken: &BTreeSet<VmId>,
         now: Time,
     ) -> Facts {
         let vm = list.all.get(m);
-        let word = vm.and_then(|m| words.get(m.worker.as_ref()?)).map(|w| &w.1);
+        let report = vm.and_then(|m| reports.get(m.worker.as_ref()?)).map(|w| &w.1);
         let up = vm.is_some_and(|m| m.state == VmState::Up);
         let stage = match self.phase {
             Phase::Due => Stage::Due,
@@ -337,16 +348,16 @@
         };
         Facts {
             stage,
-            able: up && !taken.contains(m) && !word.is_some_and(|w| w.leaving),
-            brief: word.map_or(0, |w| w.brief),
-            lasting: word.map_or(0, |w| w.lasting),
+            able: up && !taken.contains(m) && !report.is_some_and(|w| w.leaving),
+            brief: report.map_or(0, |w| w.brief),
+            lasting: report.map_or(0, |w| w.lasting),
         }
     }
 }
 
-/// Whether nothing runs at a worker and nothing will, by fresh word of its owner; a VM without a
-/// worker has nothing.
-pub(super) fn clear(worker: Option<&WorkerId>, words: &Words, now: Time) -> bool {
+/// Whether a recent report of the owner says that nothing runs at a worker and nothing will start
+/// there. A VM without a worker is clear.
+pub(super) fn clear(worker: Option<&WorkerId>, reports: &Reports, now: Time) -> bool {
     let Some(worker) = worker else { return true };
-    words.get(worker).is_some_and(|(sent, held)| now - *sent <= FRESH && held.clear())
+    reports.get(worker).is_some_and(|(sent, held)| now - *sent <= MAX_REPORT_AGE && held.clear())
 }
--- a/src/upkeep/ledger.rs
+++ b/src/upkeep/ledger.rs
@@ -1,4 +1,4 @@
-//! What the store keeps of waves of upkeep.
+//! The ledger: the state of maintenance waves and loans in the store.
 
 use {
     crate::{
@@ -9,17 +9,18 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// The key of the ledger.
+/// Key of the ledger.
 pub const LEDGER: &str = "dwr/u";
 
-/// How far each wave is, as its holder has stored it.
+/// The state of all waves and loans, as the holder has stored it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// The holder's token: whoever finds a higher one than its own is not the holder any more.
+    /// Token of the holder that wrote the ledger. A holder that reads a higher token than its own
+    /// has been deposed.
     pub token: u64,
-    /// The waves.
+    /// The waves by number.
     pub waves: BTreeMap<WaveNo, Entry>,
-    /// The VMs that are lent, or may be.
+    /// The VMs that are lent, or may be if an order is unanswered.
     #[serde(default)]
     pub loans: BTreeMap<VmId, Lent>,
 }
@@ -27,27 +28,28 @@
 /// A VM that is lent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lent {
-    /// The pool that it came from.
+    /// The pool from which the VM was lent.
     pub home: PoolId,
-    /// The pool that it is lent to.
+    /// The pool to which it is lent.
     pub to: PoolId,
-    /// Whether it is to go back.
+    /// Whether it is to return to its home pool.
     pub back: bool,
-    /// How many orders were given for it or are about to be.
+    /// Number of orders that were sent for it or are about to be.
     pub tries: u32,
 }
 
-/// How far a wave is.
+/// The progress of one wave.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The revision of the wave's item that it was begun with.
+    /// Revision of the operators' item with which the wave was started.
     pub rev: Rev,
-    /// When it was begun, in milliseconds of the Unix clock.
+    /// Start of the wave, in milliseconds of Unix time.
     pub since: u64,
-    /// The VMs for which an order may be under way, and how many were given or are about to be.
+    /// The VMs for which an order may be under way, with the number of orders that were sent or are
+    /// about to be.
     pub out: BTreeMap<VmId, u32>,
-    /// Those that have begun their upkeep.
+    /// The VMs whose maintenance has begun.
     pub done: BTreeSet<VmId>,
-    /// Whether it is completed.
+    /// Whether the wave is completed.
     pub over: bool,
 }
--- a/src/upkeep/loans.rs
+++ b/src/upkeep/loans.rs
@@ -1,4 +1,4 @@
-//! VMs of standby pools that are lent to pools whose work waits.
+//! Loans: VMs of standby pools that are lent to pools whose work waits.
 
 use {
     crate::{
@@ -8,7 +8,7 @@
         shard::{Need, record::Turn},
         time::Time,
         upkeep::{
-            course::{List, Words, clear},
+            course::{List, Reports, clear},
             ledger::Lent,
         },
     },
@@ -18,11 +18,11 @@
     },
 };
 
-/// The pause before an order is given again, and that before one whose answer was good and that the list
-/// doesn't show.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
-/// How long a VM that was empty is given to be clear, before it is used again.
-const CLOSING: Duration = Duration::from_secs(4);
+/// Pause before an order is repeated: after a failure, and after an accepted order whose effect the
+/// list does not show yet.
+const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
+/// Time within which a closed VM has to become clear. After it, the VM is used again.
+const CLOSING_LIMIT: Duration = Duration::from_secs(4);
 
 /// All loans.
 #[derive(Debug, Default)]
@@ -30,7 +30,7 @@
     standby: BTreeSet<PoolId>,
     tides: BTreeMap<PoolId, Tide>,
     all: BTreeMap<VmId, Loan>,
-    /// Pools that VMs can't go to.
+    /// Moves that the platform has declined: the VM and the pool to which it can't go.
     barred: BTreeSet<(VmId, PoolId)>,
 }
 
@@ -40,35 +40,35 @@
     home: PoolId,
     to: PoolId,
     phase: Phase,
-    /// How many orders were decided on, and how many of these went out.
+    /// Number of orders decided, and number of these that were sent.
     tries: (u32, u32),
-    flying: bool,
-    /// Whether an order that had no answer may yet be carried out.
-    open: bool,
-    next: Time,
-    missed: Option<Time>,
+    in_flight: bool,
+    /// Whether an unanswered order may still be carried out.
+    unsettled: bool,
+    retry_at: Time,
+    missing_since: Option<Time>,
     worker: Option<WorkerId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// It is on its way.
+    /// The VM is on its way to the other pool.
     Going,
-    /// It is there, and empty since then.
-    There(Option<Time>),
-    /// It is to go back: nothing starts there any more, since then.
+    /// The VM has arrived; if it is empty, since when.
+    Arrived(Option<Time>),
+    /// The VM is to return: nothing starts there since this time.
     Closing(Time),
-    /// It is on its way back.
+    /// The VM is on its way back.
     Returning,
 }
 
 impl Loans {
-    /// Takes in which pools stand by.
-    pub fn pools(&mut self, standby: BTreeSet<PoolId>) {
+    /// Sets the standby pools.
+    pub fn set_standby(&mut self, standby: BTreeSet<PoolId>) {
         self.standby = standby;
     }
 
-    /// Whether there is anything to lend or to be given back.
+    /// Whether there are standby pools or lent VMs.
     pub fn any(&self) -> bool {
         !self.standby.is_empty() || !self.all.is_empty()
     }
@@ -79,7 +79,7 @@
         !self.all.is_empty() || (wanted && !self.standby.is_empty())
     }
 
-    /// What the store has to have of it.
+    /// The entries of all loans for the ledger.
     pub fn entries(&self) -> BTreeMap<VmId, Lent> {
         let entry = |l: &Loan| Lent {
             home: l.home.clone(),
@@ -90,24 +90,24 @@
         self.all.iter().map(|(vm, l)| (vm.clone(), entry(l))).collect()
     }
 
-    /// Goes on from what the store has.
+    /// Restores the loans from the stored ledger.
     pub fn load(&mut self, entries: &BTreeMap<VmId, Lent>, now: Time) {
         for (vm, e) in entries {
-            // Whether its last order was carried out is not known: the list shows it, and an order that
-            // may be under way keeps it from being used.
+            // Whether the last order was carried out is not known. The list shows it, and until
+            // then the VM is not used, because the order may still be under way.
             let phase = if e.back { Phase::Closing(now) } else { Phase::Going };
             let loan = Loan {
                 tries: (e.tries, e.tries),
-                open: true,
+                unsettled: true,
                 ..Loan::new(e.home.clone(), e.to.clone(), phase)
             };
             self.all.insert(vm.clone(), loan);
         }
     }
 
-    /// The VMs that are in the hands of loans.
+    /// The VMs that are on their way or being emptied.
     pub fn taken(&self) -> impl Iterator<Item = &VmId> {
-        let taken = |l: &Loan| !matches!(l.phase, Phase::There(_));
+        let taken = |l: &Loan| !matches!(l.phase, Phase::Arrived(_));
         self.all.iter().filter(move |(_, l)| taken(l)).map(|(vm, _)| vm)
     }
 
@@ -118,24 +118,24 @@
         all.filter_map(|l| Some((l.worker.clone()?, Turn::Closing)))
     }
 
-    /// The workers of VMs that are lent.
+    /// The workers of lent VMs.
     pub fn workers(&self) -> impl Iterator<Item = &WorkerId> {
         self.all.values().filter_map(|l| l.worker.as_ref())
     }
 
-    /// Takes in what the list of VMs shows.
+    /// Processes a new list of VMs.
     pub fn listed(&mut self, list: &List) {
         self.all.retain(|vm, loan| match list.all.get(vm) {
             Some(vm) => {
-                loan.missed = None;
+                loan.missing_since = None;
                 loan.seen(vm)
             }
-            None => list.sent - *loan.missed.get_or_insert(list.sent) < LAG,
+            None => list.sent - *loan.missing_since.get_or_insert(list.sent) < LAG,
         });
     }
 
-    /// Takes in how long each pool's work waits.
-    pub fn needs(&mut self, needs: &[Need], now: Time) {
+    /// Updates how long the work of each pool has waited.
+    pub fn set_needs(&mut self, needs: &[Need], now: Time) {
         let mut waits: BTreeMap<&PoolId, Duration> = BTreeMap::new();
         for need in needs {
             let known = waits.entry(&need.pool).or_default();
@@ -149,11 +149,12 @@
         }
     }
 
-    /// Lends what is wanted and calls back what is not; `taken` are VMs in other hands.
-    pub fn step(&mut self, list: &List, words: &Words, taken: &BTreeSet<VmId>, now: Time) {
+    /// Lends VMs to pools that need them and calls back VMs that are no longer needed; `taken` are
+    /// the VMs of maintenance waves.
+    pub fn step(&mut self, list: &List, reports: &Reports, taken: &BTreeSet<VmId>, now: Time) {
         for (vm, loan) in &mut self.all {
             let tide = self.tides.entry(loan.to.clone()).or_default();
-            loan.step(vm, tide, words, taken, now);
+            loan.step(vm, tide, reports, taken, now);
         }
         let (standby, barred) = (&self.standby, &self.barred);
         for (pool, tide) in self.tides.iter_mut().filter(|(p, _)| !standby.contains(p)) {
@@ -173,46 +174,46 @@
         }
     }
 
-    /// An order that goes out now; `stored` are those that the store has.
-    pub fn calls(
+    /// Returns an order to be sent now; `stored` are the loans in the stored ledger.
+    pub fn next_order(
         &mut self,
         stored: &BTreeMap<VmId, Lent>,
-        words: &Words,
+        reports: &Reports,
         now: Time,
     ) -> Option<(VmId, Deed)> {
         for (vm, loan) in &mut self.all {
             let (decided, sent) = loan.tries;
-            let there = stored.get(vm).is_some_and(|s| s.tries == decided);
-            if loan.flying || sent == decided || !there {
+            let noted = stored.get(vm).is_some_and(|s| s.tries == decided);
+            if loan.in_flight || sent == decided || !noted {
                 continue;
             }
             let to = match loan.phase {
                 Phase::Going => &loan.to,
-                Phase::Returning if clear(loan.worker.as_ref(), words, now) => &loan.home,
+                Phase::Returning if clear(loan.worker.as_ref(), reports, now) => &loan.home,
                 _ => continue,
             };
-            (loan.flying, loan.tries.1) = (true, decided);
+            (loan.in_flight, loan.tries.1) = (true, decided);
             return Some((vm.clone(), Deed::Move(to.clone())));
         }
         None
     }
 
-    /// Takes in what became of an order.
+    /// Processes the outcome of an order.
     pub fn answered(&mut self, vm: &VmId, reply: &Result<VmReply, Fault>, now: Time) {
         log::info!(target: "upkeep", did = "moved", vm:% = vm, reply:? = reply; "Move was ordered.");
         let Some(loan) = self.all.get_mut(vm) else { return };
-        (loan.flying, loan.next) = (false, now + AGAIN.0);
+        (loan.in_flight, loan.retry_at) = (false, now + RETRY_PAUSES.0);
         let going = loan.phase == Phase::Going;
         match reply {
-            Ok(VmReply::Begun) => (loan.open, loan.next) = (false, now + AGAIN.1),
+            Ok(VmReply::Begun) => (loan.unsettled, loan.retry_at) = (false, now + RETRY_PAUSES.1),
             Ok(VmReply::None) if going => {
                 self.barred.insert((vm.clone(), loan.to.clone()));
                 self.all.remove(vm);
             }
-            Ok(VmReply::Busy) if going && !loan.open => drop(self.all.remove(vm)),
+            Ok(VmReply::Busy) if going && !loan.unsettled => drop(self.all.remove(vm)),
             Ok(VmReply::Busy) if !going => loan.phase = Phase::Closing(now),
             Ok(_) | Err(Fault::Refused | Fault::Unsent) => {}
-            Err(_) => loan.open = true,
+            Err(_) => loan.unsettled = true,
         }
     }
 }
@@ -224,35 +225,43 @@
             to,
             phase,
             tries: (0, 0),
-            flying: false,
-            open: false,
-            next: Time::ZERO,
-            missed: None,
+            in_flight: false,
+            unsettled: false,
+            retry_at: Time::ZERO,
+            missing_since: None,
             worker: None,
         }
     }
 
-    /// Takes in what the list shows; returns whether it is still lent.
+    /// Processes the VM's row of the list; returns whether the loan goes on.
     fn seen(&mut self, vm: &Vm) -> bool {
         self.worker = vm.worker.clone();
         let up = vm.state == VmState::Up;
         match self.phase {
             Phase::Going if vm.pool == self.to && up => {
-                (self.phase, self.open) = (Phase::There(None), false);
+                (self.phase, self.unsettled) = (Phase::Arrived(None), false);
                 true
             }
             Phase::Going => true,
-            // While an order may still be carried out it is kept in mind, wherever it is.
-            _ => vm.pool == self.to || self.open || self.flying,
+            // While an order may still be carried out, the loan is kept, whatever pool the VM is
+            // in.
+            _ => vm.pool == self.to || self.unsettled || self.in_flight,
         }
     }
 
-    fn step(&mut self, vm: &VmId, tide: &Tide, words: &Words, taken: &BTreeSet<VmId>, now: Time) {
-        let word = self.worker.as_ref().and_then(|w| words.get(w)).map(|w| &w.1);
+    fn step(
+        &mut self,
+        vm: &VmId,
+        tide: &Tide,
+        reports: &Reports,
+        taken: &BTreeSet<VmId>,
+        now: Time,
+    ) {
+        let report = self.worker.as_ref().and_then(|w| reports.get(w)).map(|w| &w.1);
         match &mut self.phase {
-            Phase::There(empty) => {
-                let none = word.is_some_and(|w| w.brief + w.lasting == 0);
-                *empty = none.then(|| empty.unwrap_or(now));
+            Phase::Arrived(empty) => {
+                let idle = report.is_some_and(|w| w.brief + w.lasting == 0);
+                *empty = idle.then(|| empty.unwrap_or(now));
                 if let Some(since) = *empty
                     && !taken.contains(vm)
                     && tide.give_back(since, now)
@@ -261,17 +270,18 @@
                 }
             }
             Phase::Closing(since) => {
-                if clear(self.worker.as_ref(), words, now) {
+                if clear(self.worker.as_ref(), reports, now) {
                     self.phase = Phase::Returning;
                     self.tries.0 += 1;
-                } else if now - *since >= CLOSING && !self.open {
-                    // Something has started there just before: it is wanted.
-                    self.phase = Phase::There(None);
+                } else if now - *since >= CLOSING_LIMIT && !self.unsettled {
+                    // A task started there just before the VM was closed, so the VM is still
+                    // needed.
+                    self.phase = Phase::Arrived(None);
                 }
             }
             Phase::Going | Phase::Returning => {
-                let again = !self.flying && self.next <= now && self.tries.0 == self.tries.1;
-                self.tries.0 += u32::from(again);
+                let retry = !self.in_flight && self.retry_at <= now && self.tries.0 == self.tries.1;
+                self.tries.0 += u32::from(retry);
             }
         }
     }
