--- a/src/ports.rs
+++ b/src/ports.rs
@@ -1,8 +1,9 @@
-//! The ports between the product and the outside: typed calls, and how a form writes and reads them.
+//! The ports to the platform: typed calls and replies, and the functions that encode and decode
+//! them.
 //!
-//! A form is a [`Forms`]: plain functions that turn a call into a [`Wire`] request and its answer
-//! into a typed reply. It keeps nothing and decides nothing; deadlines, repeats and what follows
-//! from an answer are the product's.
+//! A platform is described by a [`Forms`], a set of plain functions that encode a call as a
+//! [`Wire`] request and decode the answer into a typed reply. The functions keep no state and make
+//! no decisions: deadlines, retries and the reaction to an answer are up to the scheduler.
 
 mod site;
 mod store;
@@ -20,87 +21,88 @@
     bytes::Bytes,
 };
 
-/// The number of a change in the store, over all its keys; rises.
+/// The store's revision of a change. Revisions rise over all keys of the store.
 pub type Rev = u64;
 
-/// One request as it goes out.
+/// An encoded HTTP request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wire {
-    /// The method.
+    /// The HTTP method.
     pub method: &'static str,
-    /// The path with its query.
+    /// The path, including the query.
     pub path: Box<str>,
-    /// Headers besides the host's.
+    /// Headers other than `host`.
     pub headers: Vec<(&'static str, Box<str>)>,
-    /// The body; empty where there is none.
+    /// The body; empty if there is none.
     pub body: Bytes,
 }
 
-/// Why a call has no reply.
+/// The reason why a call has no reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// It was refused: nothing was done, and nothing will be.
+    /// The call was refused: it has had no effect and will have none.
     Refused,
-    /// It could not be sent: nothing was done.
+    /// The call could not be sent and has had no effect.
     Unsent,
-    /// No answer: it may have been done, or may be later.
+    /// No answer arrived: the call may have taken effect, or may still do so.
     Unknown,
-    /// It was refused for what stands in the store, which is too large to be read with the answer:
-    /// nothing was done.
+    /// The call was refused because of the present items of the store, which are too large to be
+    /// returned with the answer. It has had no effect.
     TooLarge,
-    /// An answer that can't be read.
+    /// The answer can't be decoded.
     Bad(Box<str>),
 }
 
-/// A form: how the outside is spoken to.
+/// The encoders and decoders for one platform.
 #[derive(Clone, Copy)]
 pub struct Forms {
-    /// Reads the settings file.
+    /// Decodes the settings file.
     pub settings: fn(&str) -> Result<Site, Error>,
-    /// The path that the balancer asks.
+    /// Path at which the load balancer asks whether the member is ready.
     pub ready: &'static str,
-    /// The header in which a caller says how long it waits, in milliseconds.
+    /// Name of the header in which a caller says how long it waits, in milliseconds.
     pub deadline: &'static str,
-    /// What the keys of all that operators write begin with.
+    /// Prefix of all keys that the operators write.
     pub operators: &'static str,
-    /// The key of the configuration.
+    /// Key of the configuration.
     pub config: &'static str,
-    /// What the keys of waves of upkeep begin with.
+    /// Prefix of the keys of maintenance waves.
     pub waves: &'static str,
-    /// What the keys of the list of workers begin with; the worker's id follows.
+    /// Prefix of the keys of the worker list; the worker's id follows.
     pub workers: &'static str,
-    /// Reads the configuration.
+    /// Decodes the configuration.
     pub queues: fn(&[u8]) -> Result<Queues, Error>,
-    /// Reads a worker's entry of the list.
+    /// Decodes a worker's entry in the worker list, given its id and its value.
     pub listed: fn(&str, &[u8]) -> Result<Listed, Error>,
-    /// Writes a call of the store.
+    /// Encodes a call to the store.
     pub ask_store: fn(&StoreCall) -> Wire,
-    /// Reads the store's answer: status and body.
+    /// Decodes the store's answer, given its status and body.
     pub store: fn(&StoreCall, u16, &[u8]) -> Result<StoreReply, Fault>,
-    /// Writes a call of the worker with this id.
+    /// Encodes a call to the worker with this id.
     pub ask_worker: fn(&WorkerId, &WorkerCall) -> Wire,
-    /// Reads the worker's answer.
+    /// Decodes the worker's answer.
     pub worker: fn(&WorkerCall, u16, &[u8]) -> Result<WorkerReply, Fault>,
-    /// Writes a call for advice.
+    /// Encodes an advice call.
     pub ask_advice: fn(&AdviceCall) -> Wire,
-    /// Reads the advice.
+    /// Decodes the answer to an advice call.
     pub advice: fn(u16, &[u8]) -> Result<Advice, Fault>,
-    /// Writes the call for a page of the list of VMs; the first has no token.
+    /// Encodes the request for a page of the list of VMs, given the page token; empty for the first
+    /// page.
     pub ask_vms: fn(&str) -> Wire,
-    /// Reads a page of the list of VMs.
+    /// Decodes a page of the list of VMs.
     pub vms: fn(u16, &[u8]) -> Result<Vms, Fault>,
-    /// Writes an order for a VM.
+    /// Encodes an order for a VM.
     pub ask_vm: fn(&VmCall) -> Wire,
-    /// Reads what became of it.
+    /// Decodes the answer to an order for a VM.
     pub vm: fn(u16, &[u8]) -> Result<VmReply, Fault>,
-    /// Reads a wave of upkeep.
+    /// Decodes a maintenance wave.
     pub wave: fn(&[u8]) -> Result<Wave, Error>,
-    /// Writes how a wave stands, whether it is completed: key and value.
+    /// Encodes the state of a wave, given whether it is completed, as key and value.
     pub told_wave: fn(WaveNo, bool) -> (Box<str>, Bytes),
-    /// Reads a caller's job.
+    /// Decodes a caller's job.
     pub job: fn(&[u8]) -> Result<Job, Error>,
-    /// Writes a job's state.
+    /// Encodes the state of a job.
     pub state: fn(State) -> Bytes,
-    /// Writes the number of a queue's jobs that have not begun.
+    /// Encodes the number of a queue's jobs that have not started.
     pub waiting: fn(u64) -> Bytes,
 }
--- a/src/ports/site.rs
+++ b/src/ports/site.rs
@@ -1,81 +1,81 @@
-//! What a process learns at its start: addresses and bounds.
+//! The settings of a process: addresses, limits and time bounds.
 
 use {
     crate::ids::Zone,
     std::{net::SocketAddr, time::Duration},
 };
 
-/// What a process learns at its start and on a reload.
+/// The settings that a process reads at its start and on a reload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// This VM's name.
+    /// Name of this VM.
     pub node: Box<str>,
-    /// Its availability zone.
+    /// Availability zone of this VM.
     pub zone: Zone,
-    /// Its share of a processor, in cores.
+    /// Share of the processors that this process may use, in cores.
     pub cores: f64,
-    /// Where callers come in.
+    /// Address on which callers are served.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this member is ready.
+    /// Address on which the load balancer asks whether this member is ready.
     pub ready: SocketAddr,
-    /// Where other members call.
+    /// Address on which other members call.
     pub control: SocketAddr,
-    /// Where metrics are shown: at the first of these that is free.
+    /// Candidate addresses for the metrics endpoint; the first free one is used.
     pub metrics: Box<[SocketAddr]>,
-    /// The store.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// How many reads a second the store serves to all members together.
+    /// Reads per second that the store serves to all members together.
     pub reads: f64,
-    /// The advice service, where there is one.
+    /// Address of the advice service, if there is one.
     pub advice: Option<SocketAddr>,
-    /// The list of VMs, where there is one.
+    /// Address of the list of VMs, if there is one.
     pub vms: Option<SocketAddr>,
-    /// What orders for VMs may take, and how many there may be.
+    /// Limits for VM orders.
     pub fleet: Fleet,
-    /// Bounds.
+    /// Time bounds of the deployment.
     pub bounds: Bounds,
 }
 
-/// The bounds of orders for VMs.
+/// Limits for VM orders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fleet {
-    /// The most orders a second, of all members together.
+    /// Most orders per second, of all members together.
     pub rate: f64,
-    /// How long an upkeep takes, until a new life of the worker joins.
+    /// Time from the start of a VM's maintenance until a new incarnation of its worker joins.
     pub upkeep: Duration,
-    /// How long a move takes, until then.
+    /// Time from the start of a VM's move until a new incarnation of its worker joins.
     pub moved: Duration,
-    /// The least time between orders of two holders for one VM.
+    /// Least time between the orders of two holders for the same VM.
     pub turn: Duration,
 }
 
 /// The bounds of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The longest lease of what runs at a worker.
+    /// Longest lease for the runs at a worker.
     pub hold: Duration,
-    /// The longest that a stop takes.
+    /// Longest time that a stop of a run takes.
     pub stop: Duration,
-    /// How long a gang's members wait for each other.
+    /// Time for which the members of a gang wait for each other.
     pub gang: Duration,
-    /// How long the state of a job that is over is kept.
+    /// Time for which the state of a finished job is kept.
     pub keep: Duration,
-    /// How much longer work takes away from its rack.
+    /// Factor by which work takes longer away from its rack.
     pub remote: f64,
-    /// The work between two checkpoints.
+    /// Work between two checkpoints.
     pub save: Duration,
-    /// How long a start from a checkpoint takes.
+    /// Time that a start from a checkpoint takes.
     pub restore: Duration,
-    /// How long a lasting task may be over its target.
+    /// Time for which a long-running task may exceed its latency target.
     pub harm: Duration,
-    /// How long after a start a lasting task may not be at work yet.
+    /// Time after its start within which a long-running task may not be serving yet.
     pub notice: Duration,
-    /// How long after an acknowledged change of it the configuration may be behind.
+    /// Longest delay until an acknowledged change of the configuration is visible.
     pub config: Duration,
-    /// How long after its notice a leaving worker may still get work.
+    /// Time after the notice of its leaving for which a worker may still get work.
     pub drain: Duration,
-    /// How long a stop of this process may take.
+    /// Time that a stop of this process may take.
     pub grace: Duration,
-    /// The shortest lease of the store.
+    /// Shortest lease that the store grants.
     pub ttl: Duration,
 }
--- a/src/ports/store.rs
+++ b/src/ports/store.rs
@@ -1,114 +1,114 @@
-//! Calls and replies of the store.
+//! Calls to the store and its replies.
 
 use {crate::ports::Rev, bytes::Bytes, std::time::Duration};
 
-/// A call of the store.
+/// A call to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreCall {
     /// Reads one item.
     Get {
-        /// Its key.
+        /// Key of the item.
         key: Box<str>,
     },
-    /// Reads one page of items.
+    /// Reads one page of items in key order.
     Range {
-        /// What their keys begin with.
+        /// Prefix of the keys.
         prefix: Box<str>,
-        /// The key before the first, or nothing.
+        /// Key after which the page begins; empty for the first page.
         after: Box<str>,
-        /// Whether it may be seconds old.
+        /// Whether the answer may be some seconds out of date.
         stale: bool,
     },
     /// Waits for changes.
     Watch {
-        /// What their keys begin with.
+        /// Prefix of the keys.
         prefix: Box<str>,
-        /// The change after which.
+        /// Revision after which changes are reported.
         after: Rev,
-        /// How long at most.
+        /// Longest wait.
         wait: Duration,
     },
     /// Changes items, all or none.
     Txn(Txn),
-    /// Makes a lease.
+    /// Creates a lease.
     Lease {
-        /// How long it lasts without being renewed.
+        /// Time for which the lease lasts without being renewed.
         ttl: Duration,
     },
     /// Renews a lease.
     Keep {
-        /// Its number.
+        /// Number of the lease.
         lease: u64,
     },
     /// Ends a lease.
     EndLease {
-        /// Its number.
+        /// Number of the lease.
         lease: u64,
     },
 }
 
 impl StoreCall {
-    /// Whether the call may be made twice: it changes nothing, or only what is so already.
+    /// Whether the call may be repeated safely: a second execution changes nothing.
     pub fn repeats(&self) -> bool {
         !matches!(self, StoreCall::Txn(_) | StoreCall::Lease { .. })
     }
 }
 
-/// A change of items, all or none.
+/// An atomic change of items.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Txn {
-    /// Items and the revisions that they must have; 0 where there must be none.
+    /// The expected revisions of items; 0 if the item must not exist.
     pub expect: Vec<(Box<str>, Rev)>,
-    /// What is written.
+    /// The items to write.
     pub puts: Vec<Put>,
-    /// What is removed.
+    /// The keys of the items to remove.
     pub remove: Vec<Box<str>>,
 }
 
-/// The most rows of one [`Txn`], of all three kinds together.
+/// Most rows of a [`Txn`]: expectations, writes and removals together.
 pub const ROWS: usize = 32;
 
-/// One item to be written.
+/// An item to be written.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Put {
-    /// Its key.
+    /// Key of the item.
     pub key: Box<str>,
-    /// Its value.
+    /// Value of the item.
     pub value: Bytes,
-    /// The lease with which it ends; 0 is none.
+    /// The lease with which the item expires; 0 for none.
     pub lease: u64,
 }
 
-/// One item.
+/// An item of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// Its key.
+    /// Key of the item.
     pub key: Box<str>,
-    /// Its value; none where it was removed.
+    /// Value of the item; `None` if it was removed.
     pub value: Option<Bytes>,
-    /// Its last change; 0 where there is no such item.
+    /// Revision of the last change; 0 if the item does not exist.
     pub rev: Rev,
 }
 
-/// The answer of the store.
+/// A reply of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
-    /// One item, or none.
+    /// The item, or `None` if it does not exist.
     Item(Option<Item>),
-    /// Items, whether there are more, and the store's revision.
+    /// Items, whether more follow, and the store's revision.
     Page(Vec<Item>, bool, Rev),
-    /// Changes, and the revision after which to go on.
+    /// Changes, and the revision after which the next watch starts.
     Events(Vec<Item>, Rev),
-    /// The changes asked for are forgotten: read the range again.
+    /// The store no longer has the requested changes: the range has to be read again.
     Forgotten,
-    /// Done, with its revision.
+    /// The change is done, with this revision.
     Done(Rev),
-    /// Nothing was done: how the items expected stand.
+    /// Nothing was changed, because expectations were not met; the present items follow.
     Conflict(Vec<Item>),
-    /// There is no such lease: nothing was done.
+    /// The lease does not exist; nothing was changed.
     NoLease,
-    /// A lease: its number and how long it lasts.
+    /// The number of a new lease, and how long it lasts.
     Lease(u64, Duration),
-    /// Renewed or ended.
+    /// The lease was renewed or ended.
     Kept,
 }
--- a/src/ports/vms.rs
+++ b/src/ports/vms.rs
@@ -1,4 +1,4 @@
-//! The list of VMs, orders for them, and waves of upkeep.
+//! The list of VMs, orders for VMs, and maintenance waves.
 
 use {
     crate::ids::{PoolId, VmId, WaveNo, WorkerId},
@@ -8,94 +8,94 @@
 /// One page of the list of VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Vms {
-    /// The VMs; the life of a worker that is not on any page is over, unless it is newer than
-    /// the list.
+    /// The VMs of this page. A worker incarnation that is on no page has ended, unless it is newer
+    /// than the list.
     pub all: Vec<Vm>,
-    /// The token of the next page; none on the last.
+    /// Token of the next page; `None` on the last page.
     pub next: Option<Box<str>>,
 }
 
-/// A VM, which has one life of a worker after the other.
+/// A VM. Over time it has a sequence of worker incarnations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Vm {
-    /// Its name, the same for all its lives.
+    /// Id of the VM, the same for all incarnations of its worker.
     pub id: VmId,
-    /// The pool that it is in.
+    /// The pool that the VM is in.
     pub pool: PoolId,
-    /// How it stands.
+    /// State of the VM.
     pub state: VmState,
-    /// The life of its worker.
+    /// The present incarnation of its worker, if there is one.
     pub worker: Option<WorkerId>,
 }
 
-/// How a VM stands.
+/// The state of a VM.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum VmState {
-    /// Its worker is there.
+    /// The worker is present.
     #[display("up")]
     Up,
-    /// It is on its way to another pool.
+    /// The VM is moving to another pool.
     #[display("moving")]
     Moving,
-    /// It has its upkeep.
+    /// The VM is under maintenance.
     #[display("upkeep")]
     Upkeep,
-    /// It is down.
+    /// The VM is down.
     #[display("down")]
     Down,
 }
 
-/// An order for one VM; what runs there ends at once.
+/// An order for one VM, which ends everything that runs there at once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VmCall {
     /// The VM.
     pub vm: VmId,
-    /// What is to be done.
+    /// The requested change.
     pub deed: Deed,
-    /// Who orders it.
+    /// Name of the holder that orders it.
     pub holder: Box<str>,
-    /// Its token: lower ones than the highest seen for this VM are refused.
+    /// Token of the holder; tokens below the highest that this VM has seen are refused.
     pub token: u64,
 }
 
-/// What is to be done with a VM.
+/// The change that is ordered for a VM.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Deed {
-    /// Its upkeep, as a part of a wave.
+    /// Maintenance, as part of this wave.
     Upkeep(WaveNo),
-    /// It changes to another pool.
+    /// A move to this pool.
     Move(PoolId),
 }
 
-/// What became of an order for a VM.
+/// The platform's answer to an order for a VM.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum VmReply {
-    /// It has begun, now or before.
+    /// The change has begun, now or earlier.
     #[display("begun")]
     Begun,
     /// Another holder has used a higher token.
     #[display("fence")]
     Fence,
-    /// It is not up, or leaving.
+    /// The VM is not up, or is leaving.
     #[display("busy")]
     Busy,
-    /// It is not of that wave.
+    /// The VM is not part of that wave.
     #[display("other_wave")]
     OtherWave,
-    /// There is no such VM, or it can't go there.
+    /// The VM does not exist, or can't move to that pool.
     #[display("none")]
     None,
 }
 
-/// A wave of upkeep, as the operators order it.
+/// A maintenance wave, as the operators order it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wave {
-    /// Its number.
+    /// Number of the wave.
     pub no: WaveNo,
-    /// Its VMs; each needs its upkeep once.
+    /// The VMs; each needs its maintenance once.
     pub vms: Vec<VmId>,
-    /// How long it may take in all.
+    /// Time limit for the whole wave.
     pub within: Duration,
-    /// How many of them may be down for it at once.
+    /// Most VMs that may be down for the wave at once.
     pub cap: u32,
 }
--- a/src/ports/worker.rs
+++ b/src/ports/worker.rs
@@ -1,4 +1,4 @@
-//! Calls and replies of workers, and advice on which of them may run a step.
+//! Calls to workers and their replies, and advice on the workers that may run a step.
 
 use {
     crate::{
@@ -8,40 +8,41 @@
     std::time::Duration,
 };
 
-/// A call of a worker.
+/// A call to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerCall {
-    /// Starts a task's run.
+    /// Starts a run of a task.
     Start(Start),
-    /// Stops a run, and bars it and those before it from starting later.
+    /// Stops a run, and prevents this run and earlier ones of the task from starting later.
     Stop {
         /// The task.
         task: TaskKey,
-        /// Its run.
+        /// Number of the run.
         run: u32,
-        /// The owner's token.
+        /// Token of the owner.
         token: u64,
     },
-    /// Renews the lease of all that runs, and asks what runs and what has ended.
+    /// Renews the lease of all runs at the worker, and asks which runs are present and which have
+    /// ended.
     Hold {
-        /// Until when, in milliseconds of the worker's clock.
+        /// New end of the lease, in milliseconds of the worker's clock; `None` leaves it as it is.
         until: Option<u64>,
-        /// The owner's token.
+        /// Token of the owner.
         token: u64,
-        /// The last end that is stored.
+        /// Number of the last end that the owner has stored.
         seen: u64,
-        /// How long the answer may wait for an end, in whole milliseconds.
+        /// Time for which the answer may wait for an end, in whole milliseconds.
         wait: Duration,
     },
-    /// Lets a run work at a share of its speed.
+    /// Throttles a run to a share of its speed.
     Pace {
         /// The task.
         task: TaskKey,
-        /// Its run.
+        /// Number of the run.
         run: u32,
-        /// The share, in hundredths.
+        /// The share, in percent.
         percent: u8,
-        /// The owner's token.
+        /// Token of the owner.
         token: u64,
     },
 }
@@ -51,134 +52,136 @@
 pub struct Start {
     /// The task.
     pub task: TaskKey,
-    /// Its run.
+    /// Number of the run.
     pub run: u32,
-    /// What the job gives with each task.
+    /// The payload that the job passes to each of its tasks.
     pub text: Box<str>,
-    /// The lease, in milliseconds of the worker's clock.
+    /// End of the lease, in milliseconds of the worker's clock.
     pub until: u64,
-    /// The owner's token.
+    /// Token of the owner.
     pub token: u64,
-    /// Where it goes on from; empty is the beginning.
+    /// The checkpoint to continue from; empty to start from the beginning.
     pub saved: Box<str>,
-    /// What the advice gave.
+    /// The ticket that came with the placement advice.
     pub ticket: Option<Box<str>>,
 }
 
-/// The answer of a worker.
+/// The reply of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerReply {
-    /// Done; its clock, in milliseconds.
+    /// The call was carried out; the worker's clock, in milliseconds.
     Done(u64),
-    /// Nothing was done; its clock, or 0 where the answer doesn't tell it, and why.
+    /// Nothing was done; the worker's clock in milliseconds, or 0 if the answer lacks it, and the
+    /// reason.
     Refused(u64, Refusal),
-    /// What runs and what has ended.
+    /// The runs that are present and those that have ended.
     Held(Held),
-    /// Another life answered: the one that was meant is over.
+    /// Another incarnation answered: the addressed one has ended.
     Other,
     /// The worker is unwell, and nothing was done.
     Unwell,
 }
 
-/// Why a worker did nothing.
+/// The reason why a worker did nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen a higher token.
+    /// The worker has seen a higher token.
     Fence,
-    /// This run, or a later one, was stopped or has ended there.
+    /// This run or a later one of the task was stopped or has ended there.
     Old,
-    /// The lease was over when the order arrived.
+    /// The lease had expired when the order arrived.
     Late,
-    /// It has no room.
+    /// The worker has no room.
     Room,
     /// The ticket is missing or no longer valid.
     Ticket,
-    /// The order is not well-formed.
+    /// The order is malformed.
     Bad,
 }
 
-/// What a worker says of itself.
+/// A worker's report on its runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Held {
-    /// Its clock, in milliseconds.
+    /// Clock of the worker, in milliseconds.
     pub clock: u64,
-    /// What runs.
+    /// The runs that are present.
     pub running: Vec<Row>,
-    /// What has ended and isn't noted.
+    /// The ended runs that the owner has not yet confirmed as stored.
     pub ended: Vec<End>,
 }
 
-/// The most ends in one answer.
+/// Most ended runs in one answer.
 pub const ENDS: usize = 500;
 
-/// A run that is there.
+/// A run that is present at a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     /// The task.
     pub task: TaskKey,
-    /// Its run.
+    /// Number of the run.
     pub run: u32,
-    /// Its last checkpoint; empty is none.
+    /// The last checkpoint; empty if there is none.
     pub saved: Box<str>,
-    /// How much of its work is done, in hundredths.
+    /// Progress of the run, in percent.
     pub percent: u8,
-    /// Of a task that serves, its tail in milliseconds; of others, the processors in use.
+    /// For a task that serves requests, its tail latency in milliseconds; for other tasks, the
+    /// processors in use.
     pub load: u64,
 }
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct End {
-    /// Counts the ends of one life of the worker, from 1.
+    /// Number of this end among those of the worker's incarnation, from 1.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
-    /// Its run.
+    /// Number of the run.
     pub run: u32,
-    /// How.
+    /// How the run ended.
     pub how: How,
-    /// Its last checkpoint; empty is none.
+    /// The last checkpoint; empty if there is none.
     pub saved: Box<str>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum How {
-    /// Its work is done.
+    /// The work is done.
     #[display("done")]
     Done,
-    /// Through its own fault or the worker's.
+    /// The task or the worker failed.
     #[display("failed")]
     Failed,
-    /// It was stopped.
+    /// The run was stopped.
     #[display("stopped")]
     Stopped,
-    /// Its lease ended.
+    /// The lease expired.
     #[display("lapsed")]
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     #[display("broken")]
     Broken,
-    /// Its gang did not come together.
+    /// The gang did not assemble in time.
     #[display("alone")]
     Alone,
 }
 
-/// A call for advice: which of these workers may run a step.
+/// A call for placement advice: which of these workers may run a step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdviceCall {
     /// The step.
     pub step: StepKey,
-    /// The workers.
+    /// The candidate workers.
     pub workers: Vec<WorkerId>,
 }
 
-/// The answer to a call for advice: those that may, with a ticket for each, and how long these are
-/// valid, where the answer says.
+/// Placement advice: the workers that may run the step, each with a ticket, and the validity of the
+/// tickets.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
-    /// Worker and ticket.
+    /// The accepted workers and their tickets.
     pub good: Vec<(WorkerId, Box<str>)>,
-    /// How long the tickets are valid.
+    /// Validity of the tickets; `None` if the answer does not state it.
     pub valid: Option<Duration>,
 }
