--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,10 +1,10 @@
-//! The log: one line for each record, within a budget, written by a thread of its own.
+//! The log: one line per record, with a rate limit, written by a thread of its own.
 //!
-//! A line is `TIME LEVEL TARGET: TEXT KEY=VALUE...`, with the time in UTC and values quoted where
-//! they hold blanks. Each place in the source that logs is a kind and has so many lines a second;
-//! the next line of a kind says how many were left out before it. What the reader of the output
-//! doesn't take fills a bounded ring, and what finds the ring full is dropped and counted: no duty
-//! waits for a reader.
+//! A line is `TIME LEVEL TARGET: TEXT KEY=VALUE...`, with the time in UTC and with quotes around
+//! values that contain blanks. Every log statement in the source has a budget of lines per second;
+//! its next line states how many were left out before. Lines that wait for the reader of the output
+//! are kept in a bounded buffer, and a line that finds the buffer full is dropped and counted, so
+//! that no task of the process waits for a slow reader.
 
 use {
     crate::time::Time,
@@ -24,98 +24,100 @@
     },
 };
 
-/// The lines of one kind in a second.
-pub const LINES: u32 = 100;
-/// The bytes that wait for the writer at the most.
-pub const RING: usize = 256 * 1024;
-/// How long lines are gathered for one write: each costs two wakes. What a process that dies has
-/// not written by then is lost.
-const GATHER: Duration = Duration::from_millis(250);
-/// How long the end of the process waits for the last write, and how often it looks.
-const LAST: (Duration, Duration) = (Duration::from_millis(600), Duration::from_millis(10));
+/// Most lines per second of one log statement.
+pub const LINES_PER_SECOND: u32 = 100;
+/// Most bytes that wait for the writer.
+pub const RING_BYTES: usize = 256 * 1024;
+/// Time for which lines are collected before a write, because each write costs two wake-ups. Lines
+/// collected when a process dies are lost.
+const BATCH_DELAY: Duration = Duration::from_millis(250);
+/// Longest wait for the last write at the end of the process, and the interval between checks.
+const EXIT_WAIT: (Duration, Duration) = (Duration::from_millis(600), Duration::from_millis(10));
 /// A day, in seconds.
-const DAY: u64 = 86_400;
+const DAY_SECONDS: u64 = 86_400;
 
-/// How many lines of one kind may be written in a second.
+/// Limits the lines of one log statement per second.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    most: u32,
+    limit: u32,
     since: Time,
-    used: u32,
+    lines: u32,
     left_out: u64,
 }
 
 impl Budget {
-    /// So many lines a second.
-    pub fn new(most: u32) -> Self {
-        Budget { most, since: Time::ZERO, used: 0, left_out: 0 }
+    /// Creates a budget of `limit` lines per second.
+    pub fn new(limit: u32) -> Self {
+        Budget { limit, since: Time::ZERO, lines: 0, left_out: 0 }
     }
 
-    /// Asks for one line: how many were left out before it, or nothing where it is left out too.
+    /// Requests one line: returns the number of lines left out before it, or `None` if this line is
+    /// to be left out too.
     pub fn take(&mut self, now: Time) -> Option<u64> {
-        if self.used == 0 || now - self.since >= Duration::from_secs(1) {
-            (self.since, self.used) = (now, 0);
+        if self.lines == 0 || now - self.since >= Duration::from_secs(1) {
+            (self.since, self.lines) = (now, 0);
         }
-        if self.used >= self.most {
+        if self.lines >= self.limit {
             self.left_out += 1;
             return None;
         }
-        self.used += 1;
+        self.lines += 1;
         Some(mem::take(&mut self.left_out))
     }
 
-    /// How many were left out since the last line.
+    /// Number of lines left out since the last line that was granted.
     pub fn left_out(&self) -> u64 {
         self.left_out
     }
 }
 
-/// Lines that wait to be written; what finds no room is dropped and counted.
+/// A bounded buffer of lines to be written; lines that do not fit are dropped and counted.
 #[derive(Clone)]
 pub struct Ring {
-    shared: Arc<(Mutex<Waiting>, Condvar)>,
-    most: usize,
+    shared: Arc<(Mutex<Buffer>, Condvar)>,
+    limit: usize,
 }
 
 #[derive(Default)]
-struct Waiting {
+struct Buffer {
     lines: Vec<u8>,
     dropped: u64,
     writing: bool,
 }
 
 impl Ring {
-    /// An empty ring for so many bytes.
-    pub fn new(most: usize) -> Self {
-        Ring { shared: Arc::default(), most }
+    /// Creates an empty buffer of `limit` bytes.
+    pub fn new(limit: usize) -> Self {
+        Ring { shared: Arc::default(), limit }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
         self.shared.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a line in, if it has room; never waits for the writer.
+    /// Appends a line if it fits; never waits for the writer.
     pub fn put(&self, line: &[u8]) {
-        let mut waiting = self.lock();
-        if waiting.lines.len() + line.len() > self.most {
-            waiting.dropped += 1;
+        let mut buffer = self.lock();
+        if buffer.lines.len() + line.len() > self.limit {
+            buffer.dropped += 1;
             return;
         }
-        // Who writes looks again by itself while there is something.
-        let wake = waiting.lines.is_empty() && !waiting.writing;
-        waiting.lines.extend_from_slice(line);
-        drop(waiting);
+        // The writer checks the buffer again before it waits, so a wake-up is needed only if it is
+        // idle.
+        let wake = buffer.lines.is_empty() && !buffer.writing;
+        buffer.lines.extend_from_slice(line);
+        drop(buffer);
         if wake {
             self.shared.1.notify_one();
         }
     }
 
-    /// All that waits, with a line on what was dropped.
+    /// Takes all waiting lines, followed by a line that states how many were dropped.
     pub fn drain(&self) -> Vec<u8> {
-        let mut waiting = self.lock();
-        let mut lines = mem::take(&mut waiting.lines);
-        let dropped = mem::take(&mut waiting.dropped);
-        drop(waiting);
+        let mut buffer = self.lock();
+        let mut lines = mem::take(&mut buffer.lines);
+        let dropped = mem::take(&mut buffer.dropped);
+        drop(buffer);
         if dropped > 0 {
             let time = stamp(SystemTime::now());
             let _ = writeln!(
@@ -126,17 +128,17 @@
         lines
     }
 
-    /// Writes what comes, until it can't be written any more.
+    /// Writes lines as they arrive, until a write fails.
     fn write(&self, mut out: impl Write) {
         loop {
-            let mut waiting = self.lock();
-            waiting.writing = false;
-            while waiting.lines.is_empty() {
-                waiting = self.shared.1.wait(waiting).unwrap_or_else(PoisonError::into_inner);
+            let mut buffer = self.lock();
+            buffer.writing = false;
+            while buffer.lines.is_empty() {
+                buffer = self.shared.1.wait(buffer).unwrap_or_else(PoisonError::into_inner);
             }
-            waiting.writing = true;
-            drop(waiting);
-            thread::sleep(GATHER);
+            buffer.writing = true;
+            drop(buffer);
+            thread::sleep(BATCH_DELAY);
             let lines = self.drain();
             if out.write_all(&lines).and_then(|()| out.flush()).is_err() {
                 return;
@@ -144,16 +146,16 @@
         }
     }
 
-    /// Waits until all is written, but not longer than this.
+    /// Waits until all lines are written, at most for `limit`.
     fn flush(&self, limit: Duration) {
         let begin = Instant::now();
         while begin.elapsed() < limit {
-            let waiting = self.lock();
-            if waiting.lines.is_empty() && !waiting.writing {
+            let buffer = self.lock();
+            if buffer.lines.is_empty() && !buffer.writing {
                 return;
             }
-            drop(waiting);
-            thread::sleep(LAST.1);
+            drop(buffer);
+            thread::sleep(EXIT_WAIT.1);
         }
     }
 }
@@ -169,34 +171,34 @@
     }
 }
 
-/// The budgets of all kinds; a kind is a place in the source.
+/// The budgets of all log statements, by file and line.
 struct Budgets {
-    begun: Instant,
-    kinds: Mutex<FxHashMap<(&'static str, u32), Budget>>,
+    started_at: Instant,
+    budgets: Mutex<FxHashMap<(&'static str, u32), Budget>>,
 }
 
 impl Budgets {
     fn take(&self, record: &Record<'_>) -> Option<u64> {
-        let kind = (record.file_static().unwrap_or(""), record.line().unwrap_or(0));
-        let now = Time::ZERO + self.begun.elapsed();
-        let mut kinds = self.kinds.lock().unwrap_or_else(PoisonError::into_inner);
-        kinds.entry(kind).or_insert_with(|| Budget::new(LINES)).take(now)
+        let place = (record.file_static().unwrap_or(""), record.line().unwrap_or(0));
+        let now = Time::ZERO + self.started_at.elapsed();
+        let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
+        budgets.entry(place).or_insert_with(|| Budget::new(LINES_PER_SECOND)).take(now)
     }
 }
 
 static OUT: OnceLock<Ring> = OnceLock::new();
 
-/// Begins to log to the standard output; `usual` is what is logged where the environment doesn't
-/// say.
-pub fn begin(usual: &str) {
-    let ring = OUT.get_or_init(|| Ring::new(RING)).clone();
-    let budgets = Budgets { begun: Instant::now(), kinds: Mutex::default() };
+/// Starts logging to the standard output; `default_filter` is the filter that applies if the environment
+/// sets none.
+pub fn begin(default_filter: &str) {
+    let ring = OUT.get_or_init(|| Ring::new(RING_BYTES)).clone();
+    let budgets = Budgets { started_at: Instant::now(), budgets: Mutex::default() };
     let to = ring.clone();
     let writer = thread::Builder::new().name("log".into()).spawn(move || to.write(io::stdout()));
     if writer.is_err() {
         return;
     }
-    let _ = Builder::from_env(Env::default().default_filter_or(usual))
+    let _ = Builder::from_env(Env::default().default_filter_or(default_filter))
         .target(Target::Pipe(Box::new(ring)))
         .format(move |out, record| match budgets.take(record) {
             Some(left_out) => out.write_all(line(record, left_out, SystemTime::now()).as_bytes()),
@@ -205,14 +207,14 @@
         .try_init();
 }
 
-/// Waits for what was logged to be written, but not long: the process is about to end.
+/// Waits a short time for the logged lines to be written, because the process is about to end.
 pub fn end() {
     if let Some(ring) = OUT.get() {
-        ring.flush(LAST.0);
+        ring.flush(EXIT_WAIT.0);
     }
 }
 
-/// The line of a record.
+/// Formats a record as a line.
 pub fn line(record: &Record<'_>, left_out: u64, time: SystemTime) -> String {
     let mut line = Line(String::with_capacity(192));
     let (level, target) = (record.level(), record.target());
@@ -221,7 +223,7 @@
     if left_out > 0 {
         let _ = write!(line.0, " left_out={left_out}");
     }
-    // A cause may hold line ends; a line is one record.
+    // A value may contain line breaks, but a record has to stay on one line.
     if line.0.contains('\n') {
         line.0 = line.0.replace('\n', " ");
     }
@@ -229,7 +231,7 @@
     line.0
 }
 
-/// A line that its key-values are added to.
+/// A line under construction, to which key-value pairs are appended.
 struct Line(String);
 
 impl<'kvs> VisitSource<'kvs> for Line {
@@ -247,16 +249,16 @@
     }
 }
 
-/// A time in UTC, to the millisecond.
+/// Formats a time in UTC, with milliseconds.
 pub fn stamp(time: SystemTime) -> String {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     let (secs, ms) = (since.as_secs(), since.subsec_millis());
-    let (year, month, day) = date(secs / DAY);
-    let (h, m, s) = (secs % DAY / 3600, secs % 3600 / 60, secs % 60);
+    let (year, month, day) = date(secs / DAY_SECONDS);
+    let (h, m, s) = (secs % DAY_SECONDS / 3600, secs % 3600 / 60, secs % 60);
     format!("{year:04}-{month:02}-{day:02}T{h:02}:{m:02}:{s:02}.{ms:03}Z")
 }
 
-/// The date of a day since 1970, in years that begin with March, so that leap days come last.
+/// Converts days since 1970 to a date. Years are counted from March, so that leap days come last.
 fn date(days: u64) -> (u64, u64, u64) {
     let days = days + 719_468;
     let (era, day) = (days / 146_097, days % 146_097);
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -1,9 +1,10 @@
-//! One job's way through the logs of many processes.
+//! Traces one job through the logs of many processes.
 //!
-//! Lines are those of [`logs`](crate::logs), plain or behind a time in seconds and a node's name, as
-//! a test bed shows them. What can't be read is passed over: files have gaps, and the last line of a
-//! process that died is cut. Clocks differ: a node whose line says an effect before the cause that
-//! another node tells is moved on as a whole, so that its own order stays.
+//! The input has the lines of [`logs`](crate::logs), either plain or prefixed with a time in
+//! seconds and the name of a node, as the test bed prints them. Lines that can't be parsed are
+//! skipped, because files have gaps and the last line of a process that died is cut off. The clocks
+//! of nodes differ: if a node's line shows an effect before its cause on another node, all lines of
+//! the first node are shifted, so that their own order is kept.
 
 use {
     crate::work::JobNo,
@@ -18,10 +19,10 @@
 mod sum;
 
 pub use read::{Line, read};
-use sum::sum;
+use sum::summarize;
 
-/// What only an owner tells of a job.
-const OWNER: [&str; 10] = [
+/// Values of `did` in the records about a job that only the owner of its shard writes.
+const OWNER_EVENTS: [&str; 10] = [
     "known",
     "start",
     "again",
@@ -34,52 +35,53 @@
     "away",
 ];
 
-/// What is traced: a job, a step or a task of it.
+/// The subject of a trace: a job, a step or a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Id {
     job: Box<str>,
-    /// The whole name, where it names more than the job.
-    part: Option<Box<str>>,
+    /// The whole name, if it names more than the job.
+    target: Option<Box<str>>,
 }
 
 impl Id {
-    /// Reads a job's number, or a step's or task's name; nothing where it is neither.
+    /// Parses the number of a job or the name of a step or task; returns `None` for anything else.
     pub fn read(word: &str) -> Option<Self> {
         let (job, rest) = word.split_once('.').unwrap_or((word, ""));
         job.parse::<JobNo>().ok()?;
         let parts: Vec<&str> = rest.split('.').filter(|p| !p.is_empty()).collect();
         let numbers = parts.iter().all(|p| p.parse::<u32>().is_ok());
-        let whole = rest.is_empty() || parts.join(".") == rest;
-        let part = (!parts.is_empty()).then(|| word.into());
-        (numbers && whole && parts.len() <= 3 && !word.ends_with('.'))
-            .then(|| Id { job: job.into(), part })
+        let well_formed = rest.is_empty() || parts.join(".") == rest;
+        let target = (!parts.is_empty()).then(|| word.into());
+        (numbers && well_formed && parts.len() <= 3 && !word.ends_with('.'))
+            .then(|| Id { job: job.into(), target })
     }
 
-    /// Whether a line is of it: of the job as a whole, or of what is named or holds it.
+    /// Whether a line concerns this id: the job as a whole, the named step or task, one that
+    /// contains it, or one that it contains.
     fn is(&self, line: &Line) -> bool {
         if line.get("job") != Some(&self.job) {
             return false;
         }
         let named = line.get("task").or(line.get("step"));
-        let (Some(part), Some(named)) = (&self.part, named) else { return true };
+        let (Some(target), Some(named)) = (&self.target, named) else { return true };
         let within =
             |a: &str, b: &str| a == b || a.strip_prefix(b).is_some_and(|r| r.starts_with('.'));
-        within(named, part) || within(part, named)
+        within(named, target) || within(target, named)
     }
 }
 
-/// What the lines say of one id.
+/// The trace of one id.
 #[derive(Clone, Debug, Serialize)]
 pub struct Trace {
-    /// Whether any line names it.
+    /// Whether any line concerns the id.
     pub ok: bool,
-    /// Where its time went.
+    /// A summary that states how the time was spent.
     pub sentence: Box<str>,
-    /// From its first line to its last, in milliseconds.
+    /// Time from the first line to the last, in milliseconds.
     pub total_ms: i64,
-    /// What its steps waited for before their first start, in milliseconds by reason.
+    /// Time that the steps waited before their first start, in milliseconds by reason.
     pub waited_ms: BTreeMap<Box<str>, u64>,
-    /// The work of runs that were lost, failed or stopped, in milliseconds.
+    /// Work of runs that were lost, failed or stopped, in milliseconds.
     pub lost_ms: u64,
     /// The lines in order.
     pub lines: Vec<Line>,
@@ -95,9 +97,10 @@
     }
 }
 
-/// Puts the lines of an id in order, with what befell its shard and its workers meanwhile.
+/// Selects the lines of an id, together with those about its shard and its workers in that time,
+/// and orders them.
 pub fn trace(id: &Id, mut all: Vec<Line>) -> Trace {
-    let shift = shifts(all.iter().filter(|l| id.is(l)));
+    let shift = clock_shifts(all.iter().filter(|l| id.is(l)));
     for line in &mut all {
         line.at += shift.get(&line.node).copied().unwrap_or(0);
     }
@@ -110,36 +113,38 @@
     };
     let values = |key| mine.iter().filter_map(|l| l.get(key)).collect::<BTreeSet<&str>>();
     let (shards, workers) = (values("shard"), values("worker"));
-    let around = |l: &&Line| {
+    let concerns = |l: &&Line| {
         let told = |key, of: &BTreeSet<&str>| l.get(key).is_some_and(|v| of.contains(v));
         let other = l.get("job").is_none() && (from..=to).contains(&l.at);
         other && (told("shard", &shards) || told("worker", &workers))
     };
-    let mut lines: Vec<Line> = all.iter().filter(|l| id.is(l) || around(l)).cloned().collect();
-    lines.sort_by_key(|l| (l.at, l.stage()));
-    // What is told again and again of a shard stands where it was told first.
+    let mut lines: Vec<Line> = all.iter().filter(|l| id.is(l) || concerns(l)).cloned().collect();
+    lines.sort_by_key(|l| (l.at, l.rank()));
+    // A line about a shard or worker that a node repeats is kept only once, at its first place.
     let mut told = BTreeSet::new();
     lines.retain(|l| id.is(l) || told.insert((l.node.clone(), l.text.clone())));
-    sum(lines, to - from)
+    summarize(lines, to - from)
 }
 
-/// How much each node's clock has to be moved on, so that no effect comes before its cause.
-fn shifts<'a>(lines: impl Iterator<Item = &'a Line>) -> BTreeMap<Box<str>, i64> {
+/// By how many milliseconds each node's clock has to be shifted so that no effect precedes its
+/// cause.
+fn clock_shifts<'a>(lines: impl Iterator<Item = &'a Line>) -> BTreeMap<Box<str>, i64> {
     let lines: Vec<&Line> = lines.collect();
     let taken = lines.iter().find(|l| l.did() == "taken");
     let mut shift: BTreeMap<Box<str>, i64> = BTreeMap::new();
-    let mut move_on = |node: &str, ms: i64| {
+    let mut raise = |node: &str, ms: i64| {
         if ms > 0 {
             let all = shift.entry(node.into()).or_default();
             *all = (*all).max(ms);
         }
     };
     let Some(taken) = taken else { return shift };
-    for line in lines.iter().filter(|l| OWNER.contains(&l.did()) && l.node != taken.node) {
-        move_on(&line.node, taken.at - line.at);
+    for line in lines.iter().filter(|l| OWNER_EVENTS.contains(&l.did()) && l.node != taken.node) {
+        raise(&line.node, taken.at - line.at);
     }
     let moved = |l: &Line| l.at + shift.get(&l.node).copied().unwrap_or(0);
-    // What one owner started another one has ended later, where a takeover lies between.
+    // After a takeover, one owner may start a step and the next one finish the job: the end must
+    // not precede the start.
     let over = lines.iter().find(|l| l.did() == "over");
     let started = lines.iter().filter(|l| l.did() == "start").map(|l| moved(l)).max();
     if let (Some(over), Some(started)) = (over, started)
--- a/src/trace/read.rs
+++ b/src/trace/read.rs
@@ -1,20 +1,20 @@
-//! Reads log lines, plain ones and those behind a time and a node's name.
+//! Parses log lines, with or without the test bed's prefix.
 
 use {
     serde::{Serialize, Serializer},
     std::collections::BTreeMap,
 };
 
-/// One line.
+/// A parsed line.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// When, in milliseconds of the Unix clock as far as clocks can be put right.
+    /// Time in milliseconds of Unix time, corrected for the node's clock if that is possible.
     pub at: i64,
-    /// The node, or the file where lines don't say.
+    /// Name of the node, or of the file if the lines have no prefix.
     pub node: Box<str>,
     /// The line from its level on.
     pub text: Box<str>,
-    /// Its key-values.
+    /// The key-value pairs.
     #[serde(serialize_with = "pairs")]
     pub pairs: BTreeMap<Box<str>, Box<str>>,
 }
@@ -29,18 +29,18 @@
         self.pairs.get(key).map(|v| &**v)
     }
 
-    /// What it says was done.
+    /// The event that the line records: its value of `did`, or an empty text.
     pub fn did(&self) -> &str {
         self.get("did").unwrap_or("")
     }
 
-    /// A number of it, 0 where there is none.
+    /// The value of a key as a number; 0 if it is missing or not a number.
     pub fn number(&self, key: &str) -> u64 {
         self.get(key).and_then(|v| v.parse().ok()).unwrap_or(0)
     }
 
-    /// The order of what is told of one moment.
-    pub fn stage(&self) -> u8 {
+    /// Rank of the event among lines with the same time: causes before effects.
+    pub fn rank(&self) -> u8 {
         match self.did() {
             "taken" => 0,
             "known" => 1,
@@ -51,46 +51,47 @@
     }
 }
 
-/// Reads the lines of one file; what is no line of a log is passed over.
+/// Parses the lines of one file and skips everything that is not a log line.
 ///
-/// A test bed's time is when the line came out, which is late by the gathering of lines, and true.
-/// So each node's clock is put right by the least that its lines came out after their own time.
+/// The test bed's prefix has the time at which a line was received. That clock is right, but the
+/// time is late by the batching of log lines. So each node's clock is corrected by the smallest
+/// difference between the prefix and the time in the line itself.
 pub fn read(name: &str, bytes: &[u8]) -> Vec<Line> {
     let text = String::from_utf8_lossy(bytes);
-    let mut late: BTreeMap<Box<str>, i64> = BTreeMap::new();
+    let mut shifts: BTreeMap<Box<str>, i64> = BTreeMap::new();
     let mut lines = vec![];
-    for (outer, line) in text.lines().filter_map(|l| one(name, l)) {
+    for (outer, line) in text.lines().filter_map(|l| parse_line(name, l)) {
         if let Some(outer) = outer {
             let by = outer - line.at;
-            late.entry(line.node.clone()).and_modify(|b| *b = (*b).min(by)).or_insert(by);
+            shifts.entry(line.node.clone()).and_modify(|b| *b = (*b).min(by)).or_insert(by);
         }
         lines.push(line);
     }
     for line in &mut lines {
-        line.at += late.get(&line.node).copied().unwrap_or(0);
+        line.at += shifts.get(&line.node).copied().unwrap_or(0);
     }
     lines
 }
 
-/// A line, and the outer time in milliseconds where it has one.
-fn one(name: &str, line: &str) -> Option<(Option<i64>, Line)> {
+/// A parsed line and, if it has a prefix, the time of the prefix in milliseconds.
+fn parse_line(name: &str, line: &str) -> Option<(Option<i64>, Line)> {
     let line = line.trim();
     let (first, rest) = line.split_once(' ')?;
-    if let Some(at) = stamp(first) {
-        return Some((None, parts(name, at, rest)));
+    if let Some(at) = parse_time(first) {
+        return Some((None, new_line(name, at, rest)));
     }
     let outer: f64 = first.parse().ok()?;
     let (node, rest) = rest.trim_start().split_once(' ')?;
     let (time, rest) = rest.trim_start().split_once(' ')?;
-    Some((Some((outer * 1000.0) as i64), parts(node, stamp(time)?, rest)))
+    Some((Some((outer * 1000.0) as i64), new_line(node, parse_time(time)?, rest)))
 }
 
-fn parts(node: &str, at: i64, text: &str) -> Line {
-    Line { at, node: node.into(), text: text.into(), pairs: words(text) }
+fn new_line(node: &str, at: i64, text: &str) -> Line {
+    Line { at, node: node.into(), text: text.into(), pairs: parse_pairs(text) }
 }
 
-/// The key-values of a line; the last one of a cut line may be cut too.
-fn words(text: &str) -> BTreeMap<Box<str>, Box<str>> {
+/// The key-value pairs of a line. The last value of a line that was cut off may be incomplete.
+fn parse_pairs(text: &str) -> BTreeMap<Box<str>, Box<str>> {
     let mut pairs = BTreeMap::new();
     let mut rest = text;
     while !rest.is_empty() {
@@ -101,14 +102,14 @@
             rest = after;
             continue;
         };
-        let (value, after) = value_of(value);
+        let (value, after) = parse_value(value);
         pairs.insert(word.into(), value);
         rest = after;
     }
     pairs
 }
 
-fn value_of(text: &str) -> (Box<str>, &str) {
+fn parse_value(text: &str) -> (Box<str>, &str) {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
         return (text[..end].into(), &text[end..]);
@@ -124,8 +125,8 @@
     (value.into(), "")
 }
 
-/// Milliseconds of the Unix clock of a time like `2026-12-02T22:50:19.123Z`.
-fn stamp(word: &str) -> Option<i64> {
+/// Converts a time such as `2026-12-02T22:50:19.123Z` to milliseconds of Unix time.
+fn parse_time(word: &str) -> Option<i64> {
     let (date, time) = word.strip_suffix('Z')?.split_once('T')?;
     let mut date = date.splitn(3, '-').map(|n| n.parse::<i64>().ok());
     let (year, month, day) = (date.next()??, date.next()??, date.next()??);
@@ -135,7 +136,7 @@
     if !(1..=12).contains(&month) || !(1970..10_000).contains(&year) || !(1..=31).contains(&day) {
         return None;
     }
-    // Years that begin with March, so that leap days come last.
+    // Years are counted from March, so that leap days come last.
     let (year, month) = if month > 2 { (year, month - 3) } else { (year - 1, month + 9) };
     let days = 365 * year + year / 4 - year / 100 + year / 400 + (153 * month + 2) / 5 + day - 1;
     let seconds = (days - 719_468) * 86_400 + h * 3600 + m * 60 + s;
--- a/src/trace/sum.rs
+++ b/src/trace/sum.rs
@@ -1,4 +1,4 @@
-//! Says in one sentence where a job's time went.
+//! Summarizes in one sentence how a job's time was spent.
 
 use {
     crate::trace::{Line, Trace},
@@ -8,20 +8,20 @@
     },
 };
 
-/// What the lines of one job come to.
-pub(super) fn sum(lines: Vec<Line>, total_ms: i64) -> Trace {
+/// Builds the trace from the selected lines of one id.
+pub(super) fn summarize(lines: Vec<Line>, total_ms: i64) -> Trace {
     let mut waited_ms: BTreeMap<Box<str>, u64> = BTreeMap::new();
     for start in lines.iter().filter(|l| l.did() == "start") {
         let reason = start.get("reason").unwrap_or("unknown");
         *waited_ms.entry(reason.into()).or_default() += start.number("delay_ms");
     }
-    let lost_ms = lines.iter().map(lost).sum();
+    let lost_ms = lines.iter().map(lost_work).sum();
     let sentence = sentence(&lines, total_ms, &waited_ms, lost_ms);
     Trace { ok: true, sentence, total_ms, waited_ms, lost_ms, lines }
 }
 
-/// The work of a run that came to nothing.
-fn lost(line: &Line) -> u64 {
+/// Work of a run that was lost, in milliseconds.
+fn lost_work(line: &Line) -> u64 {
     match (line.did(), line.get("how")) {
         ("end", Some("done")) => 0,
         ("end", _) => line.number("took_ms"),
@@ -38,9 +38,10 @@
 ) -> Box<str> {
     let find = |did: &str| lines.iter().find(|l| l.did() == did);
     let count = |did: &str| lines.iter().filter(|l| l.did() == did).count();
-    // An end that its owner could not store is told again by the next; the last one counts.
+    // The owner that could not store an end logs it, and its successor logs it again. The last line
+    // counts.
     let over = lines.iter().rfind(|l| l.did() == "over");
-    let mut said = match (over, find("start"), find("taken")) {
+    let mut text = match (over, find("start"), find("taken")) {
         (Some(over), ..) => {
             let state = over.get("state").unwrap_or("over");
             format!("It was {state} {} ms after it came", over.number("after_ms"))
@@ -58,7 +59,7 @@
     };
     if let Some(first) = find("start") {
         let (after, reason) = (first.number("after_ms"), first.get("reason").unwrap_or("?"));
-        let _ = write!(said, "; {after} ms passed before its first start (reason: {reason})");
+        let _ = write!(text, "; {after} ms passed before its first start (reason: {reason})");
     }
     let waits: Vec<String> = waited_ms
         .iter()
@@ -66,37 +67,37 @@
         .map(|(reason, ms)| format!("{ms} ms for {reason}"))
         .collect();
     if !waits.is_empty() {
-        let _ = write!(said, "; its steps waited {}", waits.join(" and "));
+        let _ = write!(text, "; its steps waited {}", waits.join(" and "));
     }
     let failed =
         lines.iter().filter(|l| l.did() == "end" && l.get("how") == Some("failed")).count();
-    let gone = count("lost");
-    if failed + gone + count("stop") > 0 {
+    let lost = count("lost");
+    if failed + lost + count("stop") > 0 {
         let stopped = count("stop");
         let _ = write!(
-            said,
-            "; {gone} runs were lost, {failed} failed and {stopped} were stopped, {lost_ms} ms of their work came to nothing"
+            text,
+            "; {lost} runs were lost, {failed} failed and {stopped} were stopped, {lost_ms} ms of their work came to nothing"
         );
     }
     let away = lines.iter().filter(|l| l.did() == "away").max_by_key(|l| l.number("away_ms"));
     if let Some(line) = away {
         let (ms, cause) = (line.number("away_ms"), line.get("cause").unwrap_or("?"));
-        let _ = write!(said, "; a lasting task was away for {ms} ms or more (cause: {cause})");
+        let _ = write!(text, "; a lasting task was away for {ms} ms or more (cause: {cause})");
     }
-    let unheard = lines.iter().filter(|l| l.did() == "lost").map(|l| l.number("heard_ms")).max();
-    if let Some(ms) = unheard.filter(|ms| *ms > 0) {
-        let _ = write!(said, "; a loss was certain {ms} ms after its worker was last heard");
+    let detection = lines.iter().filter(|l| l.did() == "lost").map(|l| l.number("heard_ms")).max();
+    if let Some(ms) = detection.filter(|ms| *ms > 0) {
+        let _ = write!(text, "; a loss was certain {ms} ms after its worker was last heard");
     }
-    // A refusal is the end of what came to nothing else, and told as such above.
+    // A job that was refused and never accepted is reported as such above.
     let refused: BTreeSet<&str> =
         lines.iter().filter(|l| l.did() == "refused").filter_map(|l| l.get("reason")).collect();
     if !refused.is_empty() && (count("taken") > 0 || count("over") > 0) {
         let reasons = refused.into_iter().collect::<Vec<_>>().join(", ");
-        let _ = write!(said, "; {} requests for it were refused ({reasons})", count("refused"));
+        let _ = write!(text, "; {} requests for it were refused ({reasons})", count("refused"));
     }
     if count("owned") > 0 {
-        let _ = write!(said, "; its shard was taken over {} times", count("owned"));
+        let _ = write!(text, "; its shard was taken over {} times", count("owned"));
     }
-    said.push('.');
-    said.into()
+    text.push('.');
+    text.into()
 }
