--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things; each has its own type, so that two cannot be confused.
+//! Identifiers. Each kind has its own type, so that two kinds can't be confused.
 
 use {
     derive_more::{Display, FromStr},
@@ -17,7 +17,7 @@
         pub struct $name(pub Box<str>);
 
         impl $name {
-            /// The name as text.
+            /// The identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -39,23 +39,24 @@
 }
 
 text_id! {
-    /// A worker, by the name that the platform's VM list gives it.
+    /// A worker incarnation, by the name in the platform's list of VMs.
     WorkerId
-    /// A VM, by the name that it keeps over the lives of its worker.
+    /// A VM, by the name that it keeps over all incarnations of its worker.
     VmId
-    /// A rack of workers; the unit in which workers are owned.
+    /// A rack of workers, the unit of worker ownership.
     RackId
     /// An availability zone.
     Zone
-    /// A service of the operators' text, long-running and called by requests.
+    /// A service of the operators' configuration text: long-running, and called by requests.
     ServiceId
-    /// A pool of alike workers, as the VM list names it.
+    /// A pool of similar workers, by its name in the list of VMs.
     PoolId
-    /// A job of the operators' text: a service's replicas, batch work, or a gang.
+    /// A job of the operators' configuration text: the replicas of a service, batch work, or a
+    /// gang.
     JobId
     /// A team with quotas.
     TeamId
-    /// A caller, as its requests name it.
+    /// A caller, by the name in its requests.
     CallerId
     /// The key of a non-idempotent request.
     Key
@@ -76,17 +77,18 @@
 }
 
 number_id! {
-    /// A wave of upkeep, as the operators number it.
+    /// Number of a maintenance wave, given by the operators.
     WaveNo(u64)
-    /// The count of owners that a row has had; a worker refuses dispatches of a lower one.
+    /// Number of owners that a row has had; a worker refuses dispatches with a lower one than it
+    /// has seen.
     Epoch(u64)
-    /// The version of the configuration, counted up by each accepted text.
+    /// Version of the configuration; it rises with each accepted text.
     Version(u64)
-    /// The version of a record in the platform's key-value service; 0 where there is none.
+    /// Revision of a record in the platform's key-value service; 0 if the record does not exist.
     Revision(u64)
-    /// The number of a task within its job.
+    /// Number of a task within its job.
     TaskIndex(u32)
-    /// The number of a task's attempt, from 1.
+    /// Number of a task's attempt, from 1.
     Attempt(u32)
     /// A hash bucket of jobs and keys.
     Bucket(u16)
@@ -136,7 +138,8 @@
     Incarnation(u64, "16")
     /// A request, unique over all members.
     RequestId(u128, "32")
-    /// One submission of a text, so that a lost answer can be settled by reading.
+    /// One submission of a text. If its answer is lost, reading the text shows whether it was
+    /// accepted.
     SubmissionId(u64, "16")
 }
 
@@ -144,21 +147,22 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{job}/{index}")]
 pub struct TaskId {
-    /// The job that it is part of.
+    /// The job of the task.
     pub job: JobId,
-    /// Its number within the job.
+    /// Number of the task within the job.
     pub index: TaskIndex,
 }
 
-/// How many buckets there are: enough that each of some sixty members has its share.
+/// Number of buckets, enough to spread the load over about sixty members.
 pub const BUCKETS: u16 = 64;
 
-/// The bucket of a key.
+/// Returns the bucket of a key.
 pub fn bucket_of(name: &str) -> Bucket {
     Bucket((xxh3_64(name.as_bytes()) % u64::from(BUCKETS)) as u16)
 }
 
-/// The bucket of a team's jobs: all in one, so that one member counts the team's quota.
+/// Returns the bucket of a team's jobs. A team has only one, so that a single member counts its
+/// quota.
 pub fn team_bucket(team: &TeamId) -> Bucket {
     bucket_of(team.as_str())
 }
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes of machines and of work.
+//! Sizes of workers and tasks.
 
 use {
     derive_more::{Add, AddAssign, Sum},
@@ -69,7 +69,7 @@
 #[serde(transparent)]
 pub struct Accels(pub u64);
 
-/// What a task needs, or what a worker has.
+/// The resources that a task needs or a worker has.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Add, AddAssign, Sum, Serialize, Deserialize,
 )]
@@ -82,7 +82,7 @@
     pub accels: Accels,
 }
 
-/// Why a size could not be read.
+/// The part of a size that could not be parsed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum SizeError {
     /// cores are a number like 2, 0.5 or 500m
@@ -94,17 +94,17 @@
 impl std::error::Error for SizeError {}
 
 impl Size {
-    /// A size from whole cores, mebibytes and accelerators.
+    /// Creates a size from whole cores, mebibytes and accelerators.
     pub const fn new(cores: u64, memory: u64, accels: u64) -> Self {
         Size { cores: Cores(cores * 1000), memory: Memory(memory), accels: Accels(accels) }
     }
 
-    /// Whether this fits into `room` in every dimension.
+    /// Whether this size fits into `room` in every dimension.
     pub fn fits(&self, room: &Size) -> bool {
         self.cores <= room.cores && self.memory <= room.memory && self.accels <= room.accels
     }
 
-    /// What is left of this after `taken`, or `None` where `taken` does not fit.
+    /// Subtracts `taken`, or returns `None` if `taken` is larger in any dimension.
     pub fn checked_sub(&self, taken: &Size) -> Option<Size> {
         Some(Size {
             cores: Cores(self.cores.0.checked_sub(taken.cores.0)?),
@@ -113,7 +113,7 @@
         })
     }
 
-    /// What is left of this after `taken`, no dimension below zero.
+    /// Subtracts `taken`; dimensions do not fall below zero.
     pub fn saturating_sub(&self, taken: &Size) -> Size {
         Size {
             cores: Cores(self.cores.0.saturating_sub(taken.cores.0)),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// So many times this, no dimension beyond what can be counted.
+    /// Multiplies every dimension by `n`, saturating at the largest value.
     pub fn times(&self, n: u64) -> Size {
         Size {
             cores: Cores(self.cores.0.saturating_mul(n)),
@@ -131,7 +131,7 @@
         }
     }
 
-    /// How often this fits into `room`.
+    /// How many times this size fits into `room`.
     pub fn count(&self, room: &Size) -> u64 {
         let times = |need: u64, room: u64| room.checked_div(need).unwrap_or(u64::MAX);
         times(self.cores.0, room.cores.0)
@@ -139,7 +139,7 @@
             .min(times(self.accels.0, room.accels.0))
     }
 
-    /// The greater of the two in each dimension.
+    /// The maximum of both sizes in each dimension.
     pub fn max(&self, other: &Size) -> Size {
         Size {
             cores: self.cores.max(other.cores),
@@ -178,7 +178,7 @@
 impl FromStr for Cores {
     type Err = SizeError;
 
-    /// Reads `2`, `0.5` or `500m`; errs on anything else and on parts below a thousandth.
+    /// Parses `2`, `0.5` or `500m`; errs on anything else and on more than three decimals.
     fn from_str(s: &str) -> Result<Self, SizeError> {
         if let Some(m) = s.strip_suffix('m') {
             return digits(m).map(Cores).ok_or(SizeError::Cores);
@@ -201,7 +201,7 @@
 impl FromStr for Memory {
     type Err = SizeError;
 
-    /// Reads `512MB` or `64GB`; errs on a missing or other unit.
+    /// Parses `512MB` or `64GB`; errs if the unit is missing or another one.
     fn from_str(s: &str) -> Result<Self, SizeError> {
         let (number, scale) = match (s.strip_suffix("GB"), s.strip_suffix("MB")) {
             (Some(n), _) => (n, 1024),
@@ -213,7 +213,7 @@
     }
 }
 
-/// A number written in digits only; `u64::from_str` would take a sign as well.
+/// Parses a number of digits only; `u64::from_str` would accept a sign as well.
 fn digits(s: &str) -> Option<u64> {
     if s.bytes().all(|b| b.is_ascii_digit()) { s.parse().ok() } else { None }
 }
--- a/src/work.rs
+++ b/src/work.rs
@@ -1,4 +1,5 @@
-//! What a caller's job says: steps of tasks, and what each step asks for.
+//! Jobs as callers submit them: steps of tasks with their requirements, and the queues and workers
+//! of the configuration.
 
 use {
     crate::{
@@ -11,10 +12,10 @@
     std::{fmt, num::ParseIntError, str::FromStr, time::Duration},
 };
 
-/// The most tasks of one job; a job's progress must fit into one record of the store.
+/// Most tasks of one job, because the progress of a job must fit into one record of the store.
 pub const TASKS: u64 = 20_000;
 
-/// A job's number, chosen by its caller.
+/// Number of a job, chosen by its caller.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobNo(pub u64);
 
@@ -33,7 +34,7 @@
 impl FromStr for JobNo {
     type Err = Error;
 
-    /// Reads 16 lower-case hexadecimal digits; errs with [`Kind::BadRequest`] on anything else.
+    /// Parses 16 lower-case hexadecimal digits; errs with [`Kind::BadRequest`] on anything else.
     fn from_str(s: &str) -> Result<Self, Error> {
         let plain = s.len() == 16 && s.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
         let bad = || Error::new(Kind::BadRequest, "a job's number has 16 hexadecimal digits");
@@ -44,32 +45,32 @@
     }
 }
 
-/// One step of one occurrence of a job.
+/// Identifies a step of one occurrence of a job.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{job}.{time}.{step}")]
 pub struct StepKey {
     /// The job.
     pub job: JobNo,
-    /// The occurrence, from 0.
+    /// Number of the occurrence, from 0.
     pub time: u32,
-    /// The step, from 0.
+    /// Number of the step, from 0.
     pub step: u16,
 }
 
-/// One task.
+/// Identifies a task.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{step}.{index}")]
 pub struct TaskKey {
-    /// Its step.
+    /// The step of the task.
     pub step: StepKey,
-    /// Its number within the step, from 0.
+    /// Number of the task within the step, from 0.
     pub index: u32,
 }
 
 impl FromStr for TaskKey {
     type Err = Error;
 
-    /// Reads what `Display` writes; errs with [`Kind::BadRequest`] on anything else.
+    /// Parses the output of `Display`; errs with [`Kind::BadRequest`] on anything else.
     fn from_str(s: &str) -> Result<Self, Error> {
         let bad = || Error::new(Kind::BadRequest, "a task's name has four parts");
         let mut parts = s.split('.');
@@ -86,69 +87,71 @@
     }
 }
 
-/// A job as its caller hands it in.
+/// A job as its caller submits it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// What the workers are given with each task.
+    /// Payload that is passed to the workers with each task.
     pub text: Box<str>,
-    /// Its steps.
+    /// The steps of the job.
     pub steps: Box<[Step]>,
-    /// When it runs, where it runs at times.
+    /// The occurrences of the job; `None` if it runs once, at once.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub times: Option<Times>,
 }
 
-/// The occurrences of a job that runs at times.
+/// The occurrences of a periodic job.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Times {
-    /// How often it runs; above 0.
+    /// Number of occurrences; above 0.
     pub count: u32,
-    /// When the first is due, in milliseconds of the Unix clock.
+    /// Time at which the first occurrence is due, in milliseconds of Unix time.
     pub first: u64,
-    /// Between one and the next, in milliseconds.
+    /// Interval between occurrences, in milliseconds.
     pub every: u64,
 }
 
-/// A step: so many alike tasks.
+/// A step of a job: a number of identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Step {
-    /// How many tasks; above 0.
+    /// Number of tasks; above 0.
     pub count: u32,
-    /// What each takes of a worker.
+    /// Resources of a worker that each task needs.
     pub size: Size,
-    /// About how long each takes, in milliseconds.
+    /// Estimated duration of a task, in milliseconds.
     pub estimate: u64,
-    /// The steps that must be done before, by their numbers.
+    /// Numbers of the steps that must be done before this one starts.
     pub after: Box<[u16]>,
-    /// Whether the tasks checkpoint.
+    /// Whether the tasks write checkpoints.
     pub saves: bool,
-    /// Whether the tasks work only together.
+    /// Whether the tasks form a gang, which makes progress only while all of them run.
     pub gang: bool,
-    /// Whether the tasks are slower on more than one rack.
+    /// Whether the tasks are slower if they are spread over several racks.
     pub tight: bool,
     /// A label that the worker must have.
     pub needs: Option<Box<str>>,
-    /// The rack on which the tasks are fastest.
+    /// The rack on which the tasks run fastest.
     pub near: Option<RackId>,
-    /// The most tasks on one worker; 0 is any number.
+    /// Most tasks of the step on one worker; 0 for no limit.
     pub apart: u32,
-    /// Whether copies of a task may run side by side.
+    /// Whether speculative copies of a task may run.
     pub copies: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the tasks are long-running, that is, run until the job is cancelled.
     pub lasts: bool,
-    /// What the tasks run.
+    /// The image that the tasks run.
     pub image: Box<str>,
-    /// The tail, in milliseconds, below which a lasting task's response times must stay; 0 is none.
+    /// Tail latency below which the responses of a long-running task must stay, in milliseconds; 0
+    /// for none.
     pub target: u64,
-    /// Whether the tasks live on the processors that others leave unused.
+    /// Whether the tasks are fillers, which run on processors that other tasks leave unused.
     pub fills: bool,
-    /// How many lasting tasks may be away at once through the system's own doing.
+    /// Most long-running tasks of the step that the system may take away at once by its own
+    /// decisions; `None` if the job does not say.
     pub may_miss: Option<u32>,
 }
 
 impl Step {
-    /// What a task is counted for at a worker.
+    /// Resources that are reserved at a worker for one task. Fillers reserve no processors.
     pub fn counted(&self) -> Size {
         let mut size = self.size;
         if self.fills {
@@ -159,10 +162,11 @@
 }
 
 impl Job {
-    /// Checks what the form alone can't rule out.
+    /// Checks the rules that decoding alone does not enforce.
     ///
-    /// Errs with [`Kind::BadRequest`] where a step has no task, names a step that isn't before it
-    /// (so that no circle can be), or where the job has no step or over [`TASKS`] tasks.
+    /// Errs with [`Kind::BadRequest`] if a step has no task or names a step that does not precede
+    /// it (so that there are no cycles), or if the job has no step, too many steps, no occurrence
+    /// or more than [`TASKS`] tasks.
     pub fn check(&self) -> Result<(), Error> {
         let bad = |why: String| Err(Error::new(Kind::BadRequest, why));
         if self.steps.is_empty() {
@@ -191,7 +195,7 @@
     }
 }
 
-/// How a job stands.
+/// The state of a job.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
@@ -199,87 +203,87 @@
     #[default]
     #[display("queued")]
     Queued,
-    /// A task has started, and not all have ended.
+    /// A task has started, and not all tasks have ended.
     #[display("running")]
     Running,
-    /// All tasks have ended as done.
+    /// All tasks have completed.
     #[display("completed")]
     Done,
     /// A task has failed as often as its queue allows.
     #[display("failed")]
     Failed,
-    /// Its caller has cancelled it.
+    /// The caller has cancelled the job.
     #[display("cancelled")]
     Cancelled,
 }
 
 impl State {
-    /// Whether nothing of the job will start again.
+    /// Whether the state is final: nothing of the job will start again.
     pub fn over(self) -> bool {
         matches!(self, State::Done | State::Failed | State::Cancelled)
     }
 }
 
-/// A queue, as the configuration has it: where its jobs come in and how they are served.
+/// A queue of the configuration: which requests it accepts and how its jobs are scheduled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name, the same from version to version.
+    /// Name of the queue, the same in all versions of the configuration.
     pub name: Box<str>,
-    /// The host that callers name.
+    /// Host that callers address; empty for any.
     pub host: Box<str>,
-    /// What their paths begin with.
+    /// Prefix of the paths that callers request.
     pub prefix: Box<str>,
-    /// The workers that run its tasks.
+    /// The pool of workers that run its tasks.
     pub pool: PoolId,
-    /// 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// How often a task may fail.
+    /// Number of failures of one task after which its job fails.
     pub attempts: u32,
-    /// How many times its longest chain of work a job may take.
+    /// Factor on the longest chain of work of a job, for the time that the job may take.
     pub stretch: f64,
-    /// How much longer.
+    /// Time that the job may take in addition.
     pub slack: Duration,
-    /// What advice on its steps costs, where it needs any.
+    /// Cost of placement advice on its steps; `None` if it needs no advice.
     pub advice: Option<AdviceCost>,
 }
 
-/// What a call for advice takes.
+/// The cost of placement advice.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdviceCost {
-    /// Each call.
+    /// Time for each call.
     pub base: Duration,
-    /// Each worker named.
+    /// Additional time for each worker named in a call.
     pub each: Duration,
-    /// How long its tickets are valid.
+    /// Validity of the tickets.
     pub valid: Duration,
 }
 
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Queues {
-    /// Counts up.
+    /// Version number; it rises with each change.
     pub version: u64,
     /// The queues.
     pub all: Vec<Queue>,
     /// The pools.
     pub pools: Vec<Pool>,
-    /// The largest body of a caller, in bytes.
+    /// Largest body that a caller may send, in bytes.
     pub body: usize,
 }
 
 /// A pool of workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its name.
+    /// Name of the pool.
     pub name: PoolId,
-    /// Whether its workers refuse what does not fit.
+    /// Whether its workers refuse tasks for which they have no room.
     pub guards: bool,
-    /// Whether its machines are off.
+    /// Whether it is a standby pool, whose VMs are off.
     pub standby: bool,
 }
 
 impl Queues {
-    /// The queue whose host matches and whose prefix is the longest that `path` begins with.
+    /// Returns the queue that accepts `host` and has the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
         let fits = |q: &&Queue| {
             (q.host.is_empty() || q.host.eq_ignore_ascii_case(host)) && path.starts_with(&*q.prefix)
@@ -287,40 +291,40 @@
         self.all.iter().filter(fits).max_by_key(|q| q.prefix.len())
     }
 
-    /// The queue of a name.
+    /// Returns the queue with this name.
     pub fn named(&self, name: &str) -> Option<&Queue> {
         self.all.iter().find(|q| *q.name == *name)
     }
 }
 
-/// A worker, as the list has it.
+/// A worker's entry in the worker list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
-    /// One life of a worker.
+    /// Id of the worker's present incarnation.
     pub id: crate::ids::WorkerId,
-    /// Its pool.
+    /// The pool of the worker.
     pub pool: PoolId,
-    /// Where it takes orders.
+    /// Address on which the worker takes orders.
     pub addr: std::net::SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the worker.
     pub zone: Zone,
-    /// Whether it is leaving.
+    /// Whether the worker is leaving.
     pub draining: bool,
-    /// How long a leaving worker stays at least.
+    /// Least time for which a leaving worker stays.
     pub left: Option<Duration>,
-    /// What it has room for.
+    /// Total resources of the worker.
     pub size: Size,
-    /// Its labels.
+    /// Labels of the worker.
     pub labels: Box<[Box<str>]>,
 }
 
 impl Listed {
-    /// Its rack, or its id where it names none.
+    /// The rack of the worker, or the worker's id if its labels name no rack.
     pub fn rack(&self) -> &str {
         self.labels.get(1).map_or(self.id.as_str(), |rack| rack)
     }
 
-    /// Whether the worker has a label.
+    /// Whether the worker has this label.
     pub fn has(&self, label: &str) -> bool {
         self.labels.iter().any(|l| **l == *label)
     }
