--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -1,4 +1,4 @@
-//! The log: its lines, its budget, and its ring.
+//! Tests of the log: lines, budget and buffer.
 
 use {
     dogwoodreach::{
@@ -21,11 +21,11 @@
     assert_eq!(budget.take(ms(200)), Some(0));
     assert_eq!([budget.take(ms(300)), budget.take(ms(1_099))], [None, None]);
     assert_eq!(budget.left_out(), 2);
-    // Within the next second, and told once.
+    // The next second has begun: the count of omitted lines is reported once.
     assert_eq!(budget.take(ms(1_100)), Some(2));
     assert_eq!(budget.take(ms(1_100)), Some(0));
     assert_eq!(budget.take(ms(1_200)), None);
-    // A clock that stands still or goes back opens nothing.
+    // A clock that stands still or goes back grants no lines.
     assert_eq!(budget.take(ms(900)), None);
     assert_eq!(budget.take(ms(60_000)), Some(2));
 }
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A job's way through the logs of many processes, and where its time went.
+//! Tests of the trace of a job through the logs of many processes.
 
 use {
     dogwoodreach::{
@@ -17,7 +17,7 @@
 2026-12-02T10:00:06.000Z INFO entry: Request is refused. did=refused job=00000000000000c3 reason=platform cause=\"the store refuses or doesn't answer\" took_ms=412
 ";
 
-/// Its clock is 3 s slow.
+/// The clock of this node is 3 s slow.
 const OWNER: &str = "\
 2026-12-02T10:00:02.400Z INFO shard: Step starts. did=start job=00000000000000a1 step=00000000000000a1.0.0 run=1 worker=w7 delay_ms=350 reason=room after_ms=380
 2026-12-02T10:00:03.400Z INFO shard: Worker is silent. worker=w7 silent=3
@@ -25,14 +25,14 @@
 2026-12-02T10:00:04.400Z INFO shard: Run is gone without an end. did=lost job=00000000000000a1 task=00000000000000a1.0.0.1 run=1 worker=w7 ran_ms=2000
 2026-12-02T10:00:04.4";
 
-/// The next owner, which has started the task again.
+/// The next owner, which starts the task again.
 const NEXT: &str = "\
 2026-12-02T10:00:09.000Z INFO owner: Shard is owned. did=owned shard=000 token=2 jobs=3
 2026-12-02T10:00:09.200Z INFO shard: Step starts. did=start job=00000000000000a1 step=00000000000000a1.0.1 run=1001 worker=w9 delay_ms=900 reason=settle after_ms=4200
 2026-12-02T10:00:10.000Z INFO shard: Job is over. did=over job=00000000000000a1 state=completed after_ms=5000
 ";
 
-fn of(word: &str, files: &[(&str, &str)]) -> Trace {
+fn trace_of(word: &str, files: &[(&str, &str)]) -> Trace {
     let lines = files.iter().flat_map(|(name, text)| read(name, text.as_bytes())).collect();
     trace(&Id::read(word).expect("an id"), lines)
 }
@@ -62,8 +62,9 @@
 
 #[test]
 fn lines_stand_in_order_in_spite_of_skew_and_gaps() {
-    // Story: the first owner's clock is slow and it dies in mid-line; the next takes over.
-    let all = of(JOB, &[("next", NEXT), ("owner", OWNER), ("entry", ENTRY)]);
+    // The first owner's clock is slow, and the owner dies in the middle of a line; the next one
+    // takes over.
+    let all = trace_of(JOB, &[("next", NEXT), ("owner", OWNER), ("entry", ENTRY)]);
     let want = [
         "INFO entry: Job is taken in",
         "INFO shard: Step starts",
@@ -86,29 +87,30 @@
 
 #[test]
 fn an_end_that_was_told_twice_counts_as_the_last() {
-    // Story: an owner sees the job done and can't store that; the next one does.
+    // An owner sees the end of the job and can't store it; its successor does.
     let first = "2026-12-02T10:00:05.900Z INFO shard: Job is over. did=over job=00000000000000a1 \
                  state=completed after_ms=900\n";
-    let all = of(JOB, &[("entry", ENTRY), ("owner", first), ("next", NEXT)]);
+    let all = trace_of(JOB, &[("entry", ENTRY), ("owner", first), ("next", NEXT)]);
     assert!(all.sentence.starts_with("It was completed 5000 ms after it came"), "{all}");
 }
 
 #[test]
 fn a_task_has_its_own_lines_and_those_of_its_job() {
-    let all = of("00000000000000a1.0.0.0", &[("owner", OWNER), ("entry", ENTRY)]);
+    let all = trace_of("00000000000000a1.0.0.0", &[("owner", OWNER), ("entry", ENTRY)]);
     let want = ["INFO entry: Job is taken in", "INFO shard: Step starts"];
     assert_eq!(texts(&all), want);
 }
 
 #[test]
 fn a_lasting_task_that_is_away_is_said() {
-    // Story: two tasks of a step are away one after the other; the longest says why.
+    // Two tasks of a step are away one after the other; the summary names the longest absence and
+    // its cause.
     let away = "\
 2026-12-02T10:00:07.000Z INFO shard: Lasting task is away. did=away job=00000000000000a1 step=00000000000000a1.0.0 tasks=1 first=3 away_ms=2100 cause=room
 2026-12-02T10:00:08.000Z INFO shard: Lasting task is away. did=away job=00000000000000a1 step=00000000000000a1.0.0 tasks=1 first=3 away_ms=3100 cause=\"room kept for gangs\"
 2026-12-02T10:00:20.000Z INFO shard: Lasting task is away. did=away job=00000000000000a1 step=00000000000000a1.0.0 tasks=1 first=5 away_ms=2050 cause=room
 ";
-    let all = of(JOB, &[("entry", ENTRY), ("owner", away)]);
+    let all = trace_of(JOB, &[("entry", ENTRY), ("owner", away)]);
     let want = "; a lasting task was away for 3100 ms or more (cause: room kept for gangs)";
     assert!(all.sentence.contains(want), "{all}");
     assert_eq!(all.lines.len(), 4);
@@ -116,20 +118,20 @@
 
 #[test]
 fn what_is_missing_is_said() {
-    assert!(!of("00000000000000ff", &[("entry", ENTRY)]).ok);
-    let started = of(JOB, &[("owner", OWNER)]);
+    assert!(!trace_of("00000000000000ff", &[("entry", ENTRY)]).ok);
+    let started = trace_of(JOB, &[("owner", OWNER)]);
     assert!(started.sentence.starts_with("These lines have no end of it"), "{started}");
-    let taken = of("00000000000000b2", &[("entry", ENTRY), ("owner", OWNER)]);
+    let taken = trace_of("00000000000000b2", &[("entry", ENTRY), ("owner", OWNER)]);
     assert_eq!(&*taken.sentence, "It was taken in, and no line tells of a start.");
-    let refused = of("00000000000000c3", &[("entry", ENTRY)]);
+    let refused = trace_of("00000000000000c3", &[("entry", ENTRY)]);
     let want = "It was refused after 412 ms: platform (the store refuses or doesn't answer).";
     assert_eq!(&*refused.sentence, want);
 }
 
 #[test]
 fn lines_behind_a_time_and_a_node_are_read() {
-    // Story: the test bed's times are when lines came out, up to 250 ms late, in the order that the
-    // processes wrote; the owner's clock is an hour slow.
+    // The test bed's times are those at which lines were received: up to 250 ms late, in the order
+    // in which the processes wrote them. The owner's clock is an hour slow.
     let bed = "\
 built in 1.0 s; 28937 lines in 163 files
   5.250 edge-1 2026-12-02T10:00:05.000Z INFO entry: Job is taken in. did=taken job=00000000000000a1
@@ -137,7 +139,7 @@
   6.100 edge-2 2026-12-02T09:00:05.100Z INFO shard: Step starts. did=start job=00000000000000a1 reason=none after_ms=30
 role           on         n    cores, mean
   6.300 edge-1 2026-12-02T10:00:06.200Z INFO entry: Jo";
-    let all = of(JOB, &[("bed", bed)]);
+    let all = trace_of(JOB, &[("bed", bed)]);
     let want =
         ["INFO entry: Job is taken in", "INFO shard: Step starts", "INFO shard: Job is over"];
     assert_eq!(texts(&all), want);
@@ -167,13 +169,13 @@
 
 #[test]
 fn refusals_of_what_was_taken_in_are_told() {
-    // Story: a caller cancels at members that the store refuses, and is told no until the job is
-    // done. Its work is told as a success, and what the caller complains of was left out.
+    // A caller's cancellations are refused by members that the store refuses, until the job is
+    // done. The summary has to state these refusals, although the job completed.
     let no = "2026-12-02T10:00:07.000Z INFO entry: Request is refused. did=refused \
               job=00000000000000a1 method=DELETE reason=platform took_ms=5\n";
-    let all = of(JOB, &[("entry", ENTRY), ("next", NEXT), ("other", &no.repeat(2))]);
+    let all = trace_of(JOB, &[("entry", ENTRY), ("next", NEXT), ("other", &no.repeat(2))]);
     assert!(all.sentence.contains("; 2 requests for it were refused (platform)"), "{all}");
-    let refused = of("00000000000000c3", &[("entry", ENTRY)]);
+    let refused = trace_of("00000000000000c3", &[("entry", ENTRY)]);
     assert!(!refused.sentence.contains("requests for it"), "{refused}");
 }
 
--- a/tests/wave/mod.rs
+++ b/tests/wave/mod.rs
@@ -1,5 +1,5 @@
-//! VMs, owners of their workers and a store, for holders of waves in virtual time; the rules are
-//! checked at every step.
+//! A simulation of VMs, owners and a store in virtual time, for holders of maintenance waves. The
+//! rules for VM orders are checked at every step.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -27,45 +27,45 @@
     unit::{SPARE, Unit},
 };
 
-/// The time between two ticks.
-const STEP: Duration = Duration::from_millis(20);
-/// How far the list of VMs is behind.
-const LAG: Duration = Duration::from_millis(900);
-/// How long an answer takes.
-const WAY: Duration = Duration::from_millis(20);
-/// How long an answer is waited for.
-const LIMIT: Duration = Duration::from_millis(800);
-/// How long a VM is down for its upkeep.
+/// Time between two ticks.
+const TICK: Duration = Duration::from_millis(20);
+/// Delay of the list of VMs.
+const LIST_LAG: Duration = Duration::from_millis(900);
+/// Delay of a request and of its answer.
+const ANSWER_DELAY: Duration = Duration::from_millis(20);
+/// Time after which a call without an answer fails.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time that a VM is down for its maintenance.
 pub const DOWN: Duration = Duration::from_secs(2);
-/// The least time between orders of two holders for one VM.
-const TURN: Duration = Duration::from_secs(3);
+/// Least time between the orders of two holders for the same VM.
+const HOLDER_GAP: Duration = Duration::from_secs(3);
 
-/// What becomes of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Luck {
     Fine,
-    /// It is carried out, and nobody hears of it.
+    /// The order is carried out, but its answer is lost.
     Unheard,
-    /// Nobody hears of it, and it is carried out so much later.
+    /// The answer is lost, and the order is carried out after this delay.
     Late(Duration),
-    /// It is lost.
+    /// The order is lost.
     Lost,
-    /// There are too many.
+    /// The platform refuses the order because of overload.
     Refused,
 }
 
-/// A holder.
+/// A holder in the simulation.
 pub struct Holder {
     pub upkeep: Upkeep,
     pub token: u64,
     pub gone: bool,
     pub paused: bool,
-    held: Vec<Event>,
+    backlog: Vec<Event>,
 }
 
-enum Mail {
-    Tell(usize, Event),
-    Carry(usize, Order),
+enum Message {
+    Deliver(usize, Event),
+    Execute(usize, Order),
     Late(VmCall),
 }
 
@@ -75,40 +75,40 @@
     pub vms: Vec<Unit>,
     pub holders: Vec<Holder>,
     pub waves: Vec<(u64, Wave)>,
-    /// What becomes of the next orders; those after them are fine.
+    /// Outcomes of the next orders; later orders succeed.
     pub luck: VecDeque<Luck>,
-    /// How long work waits.
+    /// How long work has waited, as the owners report it.
     pub needs: Vec<Need>,
-    /// What becomes of the next writes.
+    /// Outcomes of the next writes.
     pub fates: VecDeque<Fate>,
-    /// How many calls were made of any kind, and how many lists were read.
+    /// Number of calls of all kinds, and number of these that read the list of VMs.
     pub calls: u32,
     pub lists: u32,
-    /// The orders so far: when, by which token, for which VM, and the answer.
+    /// All orders: time, token, VM and answer.
     pub orders: Vec<(Time, u64, VmId, VmReply)>,
-    /// The most that were down at once.
+    /// Most VMs that were down at once.
     pub down: usize,
-    /// The revision of what was last told of the wave.
-    heard: u64,
-    shown: VecDeque<(Time, Vec<Vm>)>,
-    mail: Vec<(Time, Mail)>,
-    late: Vec<(Time, dogwoodreach::ports::Txn)>,
+    /// Revision of the wave state that was checked last.
+    state_rev: u64,
+    list_history: VecDeque<(Time, Vec<Vm>)>,
+    messages: Vec<(Time, Message)>,
+    late_writes: Vec<(Time, dogwoodreach::ports::Txn)>,
 }
 
 pub fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A wave of the first so many VMs.
+/// A wave of the first `count` VMs.
 pub fn wave(count: usize, seconds: u64, cap: u32) -> Wave {
     let vms = (0..count).map(|i| VmId::from(&*format!("m{i}"))).collect();
     Wave { no: WaveNo(1), vms, within: Duration::from_secs(seconds), cap }
 }
 
 impl Yard {
-    /// So many VMs, and one holder.
+    /// Creates a simulation with `count` VMs and one holder.
     pub fn new(count: usize) -> Self {
-        let mut yard = Yard {
+        let mut sim = Yard {
             now: Time::ZERO,
             store: Store::new(1),
             vms: (0..count).map(Unit::new).collect(),
@@ -121,27 +121,27 @@
             lists: 0,
             orders: vec![],
             down: 0,
-            heard: 0,
-            shown: VecDeque::new(),
-            mail: vec![],
-            late: vec![],
+            state_rev: 0,
+            list_history: VecDeque::new(),
+            messages: vec![],
+            late_writes: vec![],
         };
-        yard.take_over();
-        yard
+        sim.take_over();
+        sim
     }
 
-    /// Another holder begins.
+    /// Starts another holder with the next token.
     pub fn take_over(&mut self) {
         let token = self.holders.len() as u64 + 1;
-        let fleet = Fleet { rate: 60.0, upkeep: DOWN, moved: ms(1_500), turn: TURN };
+        let fleet = Fleet { rate: 60.0, upkeep: DOWN, moved: ms(1_500), turn: HOLDER_GAP };
         let told = |no, over: bool| (format!("told/{no}").into(), over.to_string().into());
         let holder = format!("node-{token}").into();
         let upkeep = Upkeep::new(Setup { holder, token, fleet, unix: 1_700_000_000_000, told });
-        self.holders.push(Holder { upkeep, token, gone: false, paused: false, held: vec![] });
+        self.holders.push(Holder { upkeep, token, gone: false, paused: false, backlog: vec![] });
         self.hear_waves();
     }
 
-    /// The last so many VMs stand by.
+    /// Makes the last `count` VMs standby VMs.
     pub fn stand_by(&mut self, count: usize) {
         let first = self.vms.len() - count;
         for vm in &mut self.vms[first..] {
@@ -152,19 +152,19 @@
         self.hear_pools();
     }
 
-    /// The holders hear which pools stand by.
+    /// Sends the standby pools to all holders.
     pub fn hear_pools(&mut self) {
         for at in 0..self.holders.len() {
-            self.tell(at, Event::Pools([PoolId::from(SPARE)].into()));
+            self.deliver(at, Event::Pools([PoolId::from(SPARE)].into()));
         }
     }
 
-    /// Work of the pool has waited for so long, from now on.
+    /// Sets how long the pool's work has waited, in milliseconds.
     pub fn waits(&mut self, ms: u64) {
         self.needs = vec![Need { pool: "pool".into(), waits: ms }];
     }
 
-    /// How many VMs are lent.
+    /// Number of lent VMs.
     pub fn lent(&self) -> usize {
         let lent = |m: &&Unit| !m.moves.is_empty() && m.pool.as_str() != SPARE;
         self.vms.iter().filter(lent).count()
@@ -178,21 +178,21 @@
         self.hear_waves();
     }
 
-    /// The holders hear of the waves that are ordered.
+    /// Sends the ordered waves to all holders.
     pub fn hear_waves(&mut self) {
         let left = !self.closing().turns.is_empty();
         for at in 0..self.holders.len() {
-            self.tell(at, Event::Waves(self.waves.clone(), left));
+            self.deliver(at, Event::Waves(self.waves.clone(), left));
         }
     }
 
-    /// The workers to be emptied.
+    /// The workers to be emptied, as stored.
     pub fn closing(&self) -> Closing {
         let item = self.store.get(CLOSING).and_then(|i| i.value);
         item.and_then(|v| read(&v)).unwrap_or_default()
     }
 
-    /// What is told of the first wave.
+    /// Whether the first wave is completed, as stored; `None` if its state was not written.
     pub fn told(&self) -> Option<bool> {
         let value = self.store.get("told/1")?.value?;
         Some(&value[..] == b"true")
@@ -202,48 +202,48 @@
         self.told() == Some(true)
     }
 
-    fn tell(&mut self, at: usize, event: Event) {
+    fn deliver(&mut self, at: usize, event: Event) {
         let holder = &mut self.holders[at];
         if holder.gone {
             return;
         }
         if holder.paused {
-            return holder.held.push(event);
+            return holder.backlog.push(event);
         }
         for order in holder.upkeep.on(event, self.now) {
             self.calls += 1;
-            self.mail.push((self.now + WAY, Mail::Carry(at, order)));
+            self.messages.push((self.now + ANSWER_DELAY, Message::Execute(at, order)));
         }
     }
 
-    /// A holder stands still, or goes on with all that came meanwhile.
+    /// Pauses a holder, or resumes it with all events that arrived meanwhile.
     pub fn pause(&mut self, at: usize, paused: bool) {
         self.holders[at].paused = paused;
-        for event in mem::take(&mut self.holders[at].held) {
-            self.tell(at, event);
+        for event in mem::take(&mut self.holders[at].backlog) {
+            self.deliver(at, event);
         }
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for this time.
     pub fn run(&mut self, ms: u64) {
         let over = self.now + Duration::from_millis(ms);
         while self.now < over {
-            self.pass();
+            self.tick();
         }
     }
 
-    /// Lets time pass until something is so; returns when.
+    /// Runs the simulation until `is` holds; returns the time at which it does.
     pub fn until(&mut self, what: &str, ms: u64, is: impl Fn(&Yard) -> bool) -> Time {
         let over = self.now + Duration::from_millis(ms);
         while !is(self) {
             assert!(self.now < over, "{what}: not within {ms} ms: {:?}", self.orders);
-            self.pass();
+            self.tick();
         }
         self.now
     }
 
-    fn pass(&mut self) {
-        self.now = self.now + STEP;
+    fn tick(&mut self) {
+        self.now = self.now + TICK;
         let now = self.now;
         for m in &mut self.vms {
             if m.state != VmState::Up && m.until <= now {
@@ -253,41 +253,41 @@
                 }
             }
         }
-        self.owners();
-        let row = |m: &Unit| Vm {
+        self.update_workers();
+        let listed = |m: &Unit| Vm {
             id: m.id.clone(),
             pool: m.pool.clone(),
             state: m.state,
             worker: (m.state == VmState::Up).then(|| m.worker()),
         };
-        let all = self.vms.iter().filter(|m| m.there).map(row).collect();
-        self.shown.push_back((now, all));
-        while self.shown.len() > 1 && self.shown[1].0 + LAG <= now {
-            self.shown.pop_front();
+        let all = self.vms.iter().filter(|m| m.there).map(listed).collect();
+        self.list_history.push_back((now, all));
+        while self.list_history.len() > 1 && self.list_history[1].0 + LIST_LAG <= now {
+            self.list_history.pop_front();
         }
-        for (at, txn) in mem::take(&mut self.late) {
+        for (at, txn) in mem::take(&mut self.late_writes) {
             if at <= now {
                 self.store.txn(&txn);
             } else {
-                self.late.push((at, txn));
+                self.late_writes.push((at, txn));
             }
         }
-        for (at, mail) in mem::take(&mut self.mail) {
-            match mail {
-                mail if at > now => self.mail.push((at, mail)),
-                Mail::Tell(to, event) => self.tell(to, event),
-                Mail::Carry(from, order) => self.carry(from, order),
-                Mail::Late(call) => drop(self.vm(&call)),
+        for (at, message) in mem::take(&mut self.messages) {
+            match message {
+                message if at > now => self.messages.push((at, message)),
+                Message::Deliver(to, event) => self.deliver(to, event),
+                Message::Execute(from, order) => self.execute(from, order),
+                Message::Late(call) => drop(self.apply(&call)),
             }
         }
         for at in 0..self.holders.len() {
-            self.tell(at, Event::Tick);
+            self.deliver(at, Event::Tick);
         }
         self.check();
     }
 
-    /// The owners of the workers hear of the turns.
-    fn owners(&mut self) {
+    /// Applies the stored turns to the workers, as their owners do.
+    fn update_workers(&mut self) {
         let closing = self.closing();
         for m in &mut self.vms {
             let turn = closing.turn(&m.worker());
@@ -303,9 +303,9 @@
         }
     }
 
-    fn carry(&mut self, from: usize, order: Order) {
-        let back = self.now + WAY;
-        let unheard = self.now + LIMIT;
+    fn execute(&mut self, from: usize, order: Order) {
+        let back = self.now + ANSWER_DELAY;
+        let unheard = self.now + CALL_TIMEOUT;
         let (at, event) = match order {
             Order::Read => (back, Event::Read(Ok(self.store.get(LEDGER)))),
             Order::Store(number, txn) => match self.fates.pop_front().unwrap_or(Fate::Answered) {
@@ -313,40 +313,40 @@
                 Fate::Refused => (back, Event::Stored(number, Err(Fault::Refused))),
                 Fate::Unheard => (unheard, Event::Stored(number, Err(Fault::Unknown))),
                 Fate::Lost(wait) => {
-                    self.late.push((self.now + wait, txn));
+                    self.late_writes.push((self.now + wait, txn));
                     (unheard, Event::Stored(number, Err(Fault::Unknown)))
                 }
             },
             Order::List => {
                 self.lists += 1;
-                let all = self.shown.front().expect("time has passed").1.clone();
+                let all = self.list_history.front().expect("time has passed").1.clone();
                 (back, Event::Listed(self.now, Ok(all)))
             }
             Order::Ask(workers) => {
-                (back, Event::Held(self.now, self.held(&workers), self.needs.clone()))
+                (back, Event::Held(self.now, self.reports(&workers), self.needs.clone()))
             }
             Order::Call(call) => {
                 let told = call.clone();
                 let (at, reply) = match self.luck.pop_front().unwrap_or(Luck::Fine) {
-                    Luck::Fine => (back, Ok(self.vm(&call))),
+                    Luck::Fine => (back, Ok(self.apply(&call))),
                     Luck::Refused => (back, Err(Fault::Refused)),
                     Luck::Lost => (unheard, Err(Fault::Unknown)),
                     Luck::Unheard => {
-                        self.vm(&call);
+                        self.apply(&call);
                         (unheard, Err(Fault::Unknown))
                     }
                     Luck::Late(wait) => {
-                        self.mail.push((self.now + wait, Mail::Late(call)));
+                        self.messages.push((self.now + wait, Message::Late(call)));
                         (unheard, Err(Fault::Unknown))
                     }
                 };
                 (at, Event::Answered(told, reply))
             }
         };
-        self.mail.push((at, Mail::Tell(from, event)));
+        self.messages.push((at, Message::Deliver(from, event)));
     }
 
-    fn held(&self, workers: &[WorkerId]) -> Vec<Held> {
+    fn reports(&self, workers: &[WorkerId]) -> Vec<Held> {
         let up = self.vms.iter().filter(|m| m.state == VmState::Up);
         let asked = up.filter(|m| workers.contains(&m.worker()));
         let one = |m: &Unit| Held {
@@ -360,10 +360,10 @@
         asked.map(one).collect()
     }
 
-    /// The platform carries an order out, and checks the rules.
-    fn vm(&mut self, call: &VmCall) -> VmReply {
+    /// Carries out an order as the platform does, and checks the rules.
+    fn apply(&mut self, call: &VmCall) -> VmReply {
         let (now, no) = (self.now, WaveNo(1));
-        let reply = self.judge(call);
+        let reply = self.decide(call);
         self.orders.push((now, call.token, call.vm.clone(), reply));
         let cap = self.waves.iter().find(|w| w.1.no == no).map_or(0, |w| w.1.cap as usize);
         let down = self.vms.iter().filter(|m| m.state == VmState::Upkeep).count();
@@ -386,7 +386,7 @@
         reply
     }
 
-    fn judge(&mut self, call: &VmCall) -> VmReply {
+    fn decide(&mut self, call: &VmCall) -> VmReply {
         let now = self.now;
         let Some(m) = self.vms.iter_mut().find(|m| m.id == call.vm && m.there) else {
             return VmReply::None;
@@ -395,7 +395,10 @@
             return VmReply::Fence;
         }
         if let Some((at, token)) = m.last.replace((now, call.token)) {
-            assert!(token == call.token || now - at >= TURN, "at {now}: holders take turns");
+            assert!(
+                token == call.token || now - at >= HOLDER_GAP,
+                "at {now}: orders of two holders within {HOLDER_GAP:?}"
+            );
         }
         m.token = call.token;
         match &call.deed {
@@ -418,16 +421,20 @@
         let down = self.vms.iter().filter(|m| m.state == VmState::Upkeep).count();
         self.down = self.down.max(down);
         let rev = self.store.get("told/1").map_or(0, |i| i.rev);
-        if mem::replace(&mut self.heard, rev) != rev && self.completed() {
+        if mem::replace(&mut self.state_rev, rev) != rev && self.completed() {
             let left = self.vms.iter().filter(|m| m.there && !m.foreign);
             let waves = self.waves.iter().flat_map(|w| &w.1.vms).collect::<Vec<_>>();
             for m in left.filter(|m| waves.contains(&&m.id)) {
-                assert!(!m.begun.is_empty(), "completed, and {} has not begun", m.id);
+                assert!(
+                    !m.begun.is_empty(),
+                    "wave completed, but the maintenance of {} has not begun",
+                    m.id
+                );
             }
         }
     }
 
-    /// How many upkeeps each VM had.
+    /// Number of maintenances that each VM had.
     pub fn upkeeps(&self) -> BTreeMap<&str, usize> {
         self.vms.iter().map(|m| (m.id.as_str(), m.begun.len())).collect()
     }
--- a/tests/wave/unit.rs
+++ b/tests/wave/unit.rs
@@ -1,4 +1,4 @@
-//! A VM, over the lives of its worker.
+//! A simulated VM, with the incarnations of its worker.
 
 use {
     super::ms,
@@ -10,46 +10,46 @@
     std::time::Duration,
 };
 
-/// How long a VM is on its way to another pool.
+/// Time that a move to another pool takes.
 const MOVE: Duration = Duration::from_millis(1_500);
-/// The pool that stands by.
+/// Name of the standby pool.
 pub const SPARE: &str = "spare";
 
-/// A VM.
+/// A simulated VM.
 pub struct Unit {
     pub id: VmId,
-    /// Its pool.
+    /// Pool of the VM.
     pub pool: PoolId,
-    /// Whether anything runs there.
+    /// Whether tasks run on it.
     pub busy: bool,
-    /// Whether it can't go to another pool.
+    /// Whether it can't move to another pool.
     pub bound: bool,
-    /// Its moves: when, and to which pool.
+    /// Its moves: time and target pool.
     pub moves: Vec<(Time, PoolId)>,
-    /// Whether it is in the list.
+    /// Whether it is in the list of VMs.
     pub there: bool,
     pub state: VmState,
-    /// Counts its lives.
+    /// Number of the worker's incarnation, from 1.
     pub life: u32,
-    /// When it is up again.
+    /// Time at which it is up again.
     pub until: Time,
     pub token: u64,
-    /// The last order: when, and by which token.
+    /// The last order: time and token.
     pub last: Option<(Time, u64)>,
-    /// When its upkeeps began.
+    /// Times at which its maintenance began.
     pub begun: Vec<Time>,
-    /// How long its tasks take to leave; how long where they aren't waited for.
+    /// Time until its tasks have left: after it is closed, and after it is forced.
     pub empties: (Duration, Duration),
-    /// Since when its present life is closed, and since when forced.
+    /// Times since which its present incarnation is closed and forced.
     pub closed: (Option<Time>, Option<Time>),
-    /// Whether the platform doesn't know it as one of the wave.
+    /// Whether the platform does not know it as part of the wave.
     pub foreign: bool,
 }
 
 impl Unit {
-    pub fn new(no: usize) -> Self {
+    pub fn new(number: usize) -> Self {
         Unit {
-            id: VmId::from(&*format!("m{no}")),
+            id: VmId::from(&*format!("m{number}")),
             pool: "pool".into(),
             busy: true,
             bound: false,
@@ -76,21 +76,21 @@
         over(self.closed.0, self.empties.0) || over(self.closed.1, self.empties.1)
     }
 
-    /// Whether it stands by.
+    /// Whether it is a standby VM that is off.
     pub fn off(&self) -> bool {
         self.pool.as_str() == SPARE && self.state == VmState::Down
     }
 
-    /// It goes to another pool; what runs there would be lost.
+    /// Moves it to another pool; checks that no task is lost.
     pub fn go(&mut self, pool: PoolId, now: Time) {
         let clear = self.off() || (self.closed.0.is_some() && (!self.busy || self.empty(now)));
-        assert!(clear, "at {now}: {} is moved, and isn't clear", self.id);
+        assert!(clear, "at {now}: {} is moved but is not clear", self.id);
         self.moves.push((now, pool.clone()));
         self.pool = pool;
         self.down(VmState::Moving, now + MOVE);
     }
 
-    /// It goes down and comes back as another life.
+    /// Takes it down; it comes up with the next incarnation of its worker.
     pub fn down(&mut self, state: VmState, until: Time) {
         (self.state, self.until, self.closed) = (state, until, (None, None));
     }
