--- a/src/logs.rs
+++ b/src/logs.rs
@@ -122,7 +122,7 @@
             let time = stamp(SystemTime::now());
             let _ = writeln!(
                 lines,
-                "{time} WARN logs: Lines were dropped, as they were not read in time. dropped={dropped}"
+                "{time} WARN logs: Lines were dropped because the output was not read in time. dropped={dropped}"
             );
         }
         lines
@@ -148,8 +148,8 @@
 
     /// Waits until all lines are written, at most for `limit`.
     fn flush(&self, limit: Duration) {
-        let begin = Instant::now();
-        while begin.elapsed() < limit {
+        let started_at = Instant::now();
+        while started_at.elapsed() < limit {
             let buffer = self.lock();
             if buffer.lines.is_empty() && !buffer.writing {
                 return;
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -58,7 +58,7 @@
 
     /// Whether a line concerns this id: the job as a whole, the named step or task, one that
     /// contains it, or one that it contains.
-    fn is(&self, line: &Line) -> bool {
+    fn matches(&self, line: &Line) -> bool {
         if line.get("job") != Some(&self.job) {
             return false;
         }
@@ -100,11 +100,11 @@
 /// Selects the lines of an id, together with those about its shard and its workers in that time,
 /// and orders them.
 pub fn trace(id: &Id, mut all: Vec<Line>) -> Trace {
-    let shift = clock_shifts(all.iter().filter(|l| id.is(l)));
+    let shift = clock_shifts(all.iter().filter(|l| id.matches(l)));
     for line in &mut all {
         line.at += shift.get(&line.node).copied().unwrap_or(0);
     }
-    let mine: Vec<&Line> = all.iter().filter(|l| id.is(l)).collect();
+    let mine: Vec<&Line> = all.iter().filter(|l| id.matches(l)).collect();
     let (Some(from), Some(to)) = (mine.iter().map(|l| l.at).min(), mine.iter().map(|l| l.at).max())
     else {
         let sentence = "No line names it.".into();
@@ -114,15 +114,16 @@
     let values = |key| mine.iter().filter_map(|l| l.get(key)).collect::<BTreeSet<&str>>();
     let (shards, workers) = (values("shard"), values("worker"));
     let concerns = |l: &&Line| {
-        let told = |key, of: &BTreeSet<&str>| l.get(key).is_some_and(|v| of.contains(v));
+        let named = |key, of: &BTreeSet<&str>| l.get(key).is_some_and(|v| of.contains(v));
         let other = l.get("job").is_none() && (from..=to).contains(&l.at);
-        other && (told("shard", &shards) || told("worker", &workers))
+        other && (named("shard", &shards) || named("worker", &workers))
     };
-    let mut lines: Vec<Line> = all.iter().filter(|l| id.is(l) || concerns(l)).cloned().collect();
+    let mut lines: Vec<Line> =
+        all.iter().filter(|l| id.matches(l) || concerns(l)).cloned().collect();
     lines.sort_by_key(|l| (l.at, l.rank()));
     // A line about a shard or worker that a node repeats is kept only once, at its first place.
-    let mut told = BTreeSet::new();
-    lines.retain(|l| id.is(l) || told.insert((l.node.clone(), l.text.clone())));
+    let mut seen = BTreeSet::new();
+    lines.retain(|l| id.matches(l) || seen.insert((l.node.clone(), l.text.clone())));
     summarize(lines, to - from)
 }
 
--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -275,7 +275,7 @@
     ///
     /// A deposed holder that continued would send orders that the platform refuses again and again.
     fn resign(&mut self, by: &str) {
-        log::warn!(target: "upkeep", did = "deposed", token = self.setup.token, by; "Waves have another holder.");
+        log::warn!(target: "upkeep", did = "deposed", token = self.setup.token, by; "Another holder has taken over; this one stops.");
         self.deposed = true;
     }
 
--- a/src/upkeep/course.rs
+++ b/src/upkeep/course.rs
@@ -268,7 +268,7 @@
 
     /// Processes the outcome of an order.
     pub fn answered(&mut self, m: &VmId, reply: &Result<VmReply, Fault>, now: Time) {
-        log::info!(target: "upkeep", did = "ordered", wave:% = self.wave.no, vm:% = m, reply:? = reply; "Upkeep was ordered.");
+        log::info!(target: "upkeep", did = "ordered", wave:% = self.wave.no, vm:% = m, reply:? = reply; "Maintenance was ordered.");
         let Some(progress) = self.vms.get_mut(m) else { return };
         progress.retry_at = now + RETRY_PAUSE;
         match reply {
--- a/src/work.rs
+++ b/src/work.rs
@@ -13,7 +13,7 @@
 };
 
 /// Most tasks of one job, because the progress of a job must fit into one record of the store.
-pub const TASKS: u64 = 20_000;
+pub const MAX_TASKS: u64 = 20_000;
 
 /// Number of a job, chosen by its caller.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -166,7 +166,7 @@
     ///
     /// Errs with [`Kind::BadRequest`] if a step has no task or names a step that does not precede
     /// it (so that there are no cycles), or if the job has no step, too many steps, no occurrence
-    /// or more than [`TASKS`] tasks.
+    /// or more than [`MAX_TASKS`] tasks.
     pub fn check(&self) -> Result<(), Error> {
         let bad = |why: String| Err(Error::new(Kind::BadRequest, why));
         if self.steps.is_empty() {
@@ -180,16 +180,16 @@
                 return bad(format!("step {i} has no task"));
             }
             if let Some(after) = step.after.iter().find(|a| usize::from(**a) >= i) {
-                return bad(format!("step {i} waits for step {after}, which isn't before it"));
+                return bad(format!("step {i} depends on step {after}, which does not precede it"));
             }
         }
         if self.times.is_some_and(|t| t.count == 0) {
-            return bad("a job that runs at times runs at least once".into());
+            return bad("a periodic job has at least one occurrence".into());
         }
         let tasks: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
         let times = self.times.map_or(1, |t| u64::from(t.count));
-        if tasks.saturating_mul(times) > TASKS {
-            return bad(format!("a job has at most {TASKS} tasks"));
+        if tasks.saturating_mul(times) > MAX_TASKS {
+            return bad(format!("a job has at most {MAX_TASKS} tasks"));
         }
         Ok(())
     }
--- a/tests/trace.rs
+++ b/tests/trace.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_lasting_task_that_is_away_is_said() {
+fn the_summary_names_the_longest_absence() {
     // Two tasks of a step are away one after the other; the summary names the longest absence and
     // its cause.
     let away = "\
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn what_is_missing_is_said() {
+fn the_summary_names_missing_events() {
     assert!(!trace_of("00000000000000ff", &[("entry", ENTRY)]).ok);
     let started = trace_of(JOB, &[("owner", OWNER)]);
     assert!(started.sentence.starts_with("These lines have no end of it"), "{started}");
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn no_input_stops_it() {
+fn corrupt_input_does_not_panic() {
     let mut rng = fastrand::Rng::with_seed(9);
     let whole = [ENTRY, OWNER, NEXT].concat().into_bytes();
     for _ in 0..300 {
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -29,14 +29,14 @@
 fn a_wave_is_done_in_time_with_as_many_down_as_allowed() {
     let mut sim = Yard::new(6);
     sim.order(wave(6, 30, 2));
-    sim.until("wave state is written", 500, |y| y.told() == Some(false));
+    sim.until("told", 500, |y| y.told() == Some(false));
     sim.until("completed", 30_000, Yard::completed);
     assert_eq!(sim.down, 2);
     assert_finished(&mut sim);
 }
 
 #[test]
-fn without_a_wave_nothing_is_called() {
+fn without_a_wave_no_calls_are_made() {
     // Most sites have no wave on most days. Each call to the store is billed, so a holder that
     // polls its ledger without need costs more than all its decisions.
     let mut sim = Yard::new(3);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn what_is_completed_costs_nothing_any_more() {
+fn a_completed_wave_causes_no_calls() {
     let mut sim = Yard::new(2);
     sim.order(wave(2, 20, 1));
     sim.until("completed", 20_000, Yard::completed);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn refusals_are_not_the_end() {
+fn a_refused_order_is_repeated() {
     // The platform refuses orders for a moment because of overload. A refused order has no effect,
     // so the VM stays closed until an order is accepted.
     let mut sim = Yard::new(2);
@@ -256,7 +256,7 @@
         let mut sim = Yard::new(3);
         sim.vms.iter_mut().for_each(|m| m.empties = (secs(20), secs(20)));
         sim.order(wave(3, 60, 1));
-        sim.until("workers are closed", 2_000, |y| !y.closing().turns.is_empty());
+        sim.until("closing", 2_000, |y| !y.closing().turns.is_empty());
         sim.holders[0].gone = dies;
         sim.waves.clear();
         sim.run(TAKEOVER_MS);
@@ -264,7 +264,7 @@
             sim.take_over();
         }
         sim.hear_waves();
-        sim.until("workers are open again", 2_000, |y| y.closing().turns.is_empty());
+        sim.until("open", 2_000, |y| y.closing().turns.is_empty());
         assert!(sim.orders.is_empty());
     }
 }
--- a/tests/wave/unit.rs
+++ b/tests/wave/unit.rs
@@ -47,9 +47,9 @@
 }
 
 impl Unit {
-    pub fn new(number: usize) -> Self {
+    pub fn new(no: usize) -> Self {
         Unit {
-            id: VmId::from(&*format!("m{number}")),
+            id: VmId::from(&*format!("m{no}")),
             pool: "pool".into(),
             busy: true,
             bound: false,
