--- a/src/work.rs
+++ b/src/work.rs
@@ -180,7 +180,7 @@
                 return bad(format!("step {i} has no task"));
             }
             if let Some(after) = step.after.iter().find(|a| usize::from(**a) >= i) {
-                return bad(format!("step {i} depends on step {after}, which does not precede it"));
+                return bad(format!("step {i} waits for step {after}, which isn't before it"));
             }
         }
         if self.times.is_some_and(|t| t.count == 0) {
