--- a/src/upkeep/course.rs
+++ b/src/upkeep/course.rs
@@ -154,7 +154,7 @@
     pub fn listed(&mut self, list: &List, fleet: &Fleet) {
         for (m, progress) in &mut self.vms {
             let Some(vm) = list.all.get(m) else {
-                // A VM that is missing from the list for [`LAG`] is gone and needs no maintenance.
+                // A VM that is missing from the list for `LAG` is gone and needs no maintenance.
                 if list.sent - *progress.missing_since.get_or_insert(list.sent) >= LAG {
                     progress.phase = Phase::Over;
                     progress.unsettled = false;
