--- a/codegen/src/main.rs
+++ b/codegen/src/main.rs
@@ -1,4 +1,5 @@
-//! Writes `src/gen/*.rs` from `schema/*.json`; with `--check`, only says whether they are current.
+//! Generates `src/gen/*.rs` from `schema/*.json`. With `--check`, writes nothing, reports for each
+//! file whether it is current, and fails if one is not.
 
 use {
     schemars::schema::{InstanceType, RootSchema, SchemaObject},
@@ -6,7 +7,7 @@
     typify::{TypeSpace, TypeSpaceImpl, TypeSpaceSettings},
 };
 
-/// The types that stand for a schema type with a format.
+/// JSON type, `format` and the Rust type that the generated code uses for them.
 const FORMATS: &[(InstanceType, Option<&str>, &str)] = &[
     (InstanceType::String, None, "::std::boxed::Box<str>"),
     (InstanceType::String, Some("socket-addr"), "::std::net::SocketAddr"),
@@ -32,6 +33,7 @@
     (InstanceType::Object, Some("task-id"), "crate::ids::TaskId"),
 ];
 
+/// Name of each schema file and generated module, with the module's doc comment.
 const PARTS: &[(&str, &str)] = &[
     ("messages", "Messages between members, and with the platform, workers and operators."),
     ("settings", "The settings of a member, as they are once read."),
--- a/examples/buckets.rs
+++ b/examples/buckets.rs
@@ -1,6 +1,8 @@
-//! The cost of an owner's buckets: time for an event and for idle ticks, with so many tasks running.
+//! Benchmark of the CPU cost of an owner's buckets: time per event and share of a core for idle
+//! ticks, with the given number of running tasks.
 //!
-//! `cargo run --release --example buckets [TASKS]`; the store and the racks answer at once.
+//! Run it with `cargo run --release --example buckets [TASKS]`. The simulated store and racks answer
+//! at once.
 
 use {
     dogwoodreach::{
@@ -19,7 +21,8 @@
     },
 };
 
-/// Teams, each with a job; 310 of the target stand in nine members' buckets.
+/// Number of teams with one job each: one member's share of the target, which is 310 teams in the
+/// buckets of nine members.
 const TEAMS: u32 = 35;
 
 struct Bench {
@@ -41,7 +44,7 @@
                 tasks.div_ceil(TEAMS)
             );
         }
-        let plan = Plan::read(&text).expect("the text is sound");
+        let plan = Plan::read(&text).expect("the plan must be valid");
         let size = Size::new(16, 64 << 10, 0);
         let rack = RackLoad {
             free: size.times(4000),
@@ -78,9 +81,9 @@
     fn tick(&mut self) {
         let racks = self.racks.clone();
         let mut out = vec![];
-        let sure = Some(self.now + Duration::from_secs(8));
-        let wants = self.time(|jobs, now| jobs.tick(now, sure, &racks, &mut out));
-        wants.into_iter().for_each(|want| self.carry_out(want));
+        let lease_end = Some(self.now + Duration::from_secs(8));
+        let wants = self.time(|jobs, now| jobs.tick(now, lease_end, &racks, &mut out));
+        wants.into_iter().for_each(|want| self.execute(want));
         for order in out {
             match order {
                 Order::Get(Purpose::Bucket(b, e, c), key) => {
@@ -99,7 +102,7 @@
         }
     }
 
-    fn carry_out(&mut self, want: Want) {
+    fn execute(&mut self, want: Want) {
         match want {
             Want::Reserve(ask) => {
                 let row = |(n, i): (usize, &dogwoodreach::messages::ReserveItem)| ReserveRow {
@@ -112,15 +115,15 @@
                 let rows = ask.items.iter().enumerate().map(row).collect();
                 let reply = Some(ReserveReply { rows });
                 let wants = self.time(|jobs, now| jobs.reserved(&ask, reply, now));
-                wants.into_iter().for_each(|want| self.carry_out(want));
+                wants.into_iter().for_each(|want| self.execute(want));
             }
             Want::Start(ask) => {
-                let word = |s: dogwoodreach::messages::StartItem| {
+                let running_item = |s: dogwoodreach::messages::StartItem| {
                     let (attempt, task, worker) = (s.attempt, s.task, s.worker);
                     let state = TaskState::Running;
                     (s.bucket, EndItem { attempt, state, task, used: None, worker })
                 };
-                self.running.extend(ask.start.into_iter().map(word));
+                self.running.extend(ask.start.into_iter().map(running_item));
             }
             _ => {}
         }
@@ -142,9 +145,9 @@
     }
     println!("idle: {:.2}% of a core at 100 ticks a second", bench.spent.as_secs_f64() * 10.0);
     bench.spent = Duration::ZERO;
-    let words: Vec<_> = bench.running.iter().cycle().take(4000).cloned().collect();
-    let count = words.len() as u32;
-    for (bucket, item) in words {
+    let items: Vec<_> = bench.running.iter().cycle().take(4000).cloned().collect();
+    let count = items.len() as u32;
+    for (bucket, item) in items {
         bench.time(|jobs, now| jobs.heard(bucket, &[item], now));
         bench.tick();
         bench.now = bench.now + Duration::from_millis(1);
--- a/tests/site/forms.rs
+++ b/tests/site/forms.rs
@@ -1,4 +1,4 @@
-//! A form for tests: JSON with plain names.
+//! [`Forms`] for tests: calls, replies and stored items as JSON with plain field names.
 
 use {
     bytes::Bytes,
@@ -16,7 +16,7 @@
     std::time::Duration,
 };
 
-/// The form.
+/// The wire and item formats of the test site.
 pub static FORMS: Forms = Forms {
     settings,
     ready: "/ready",
@@ -44,15 +44,15 @@
     waiting: |n| n.to_string().into(),
 };
 
-/// How many reads a second the store serves.
-pub const READS: f64 = 400.0;
+/// Reads per second that the store serves according to the settings.
+pub const READS_PER_S: f64 = 400.0;
 
 fn settings(text: &str) -> Result<Site, Error> {
-    let bad = |e: &dyn std::fmt::Display| Error::new(Kind::BadSettings, e.to_string());
-    let v: Value = serde_json::from_str(text).map_err(|e| bad(&e))?;
+    let bad_settings = |e: &dyn std::fmt::Display| Error::new(Kind::BadSettings, e.to_string());
+    let v: Value = serde_json::from_str(text).map_err(|e| bad_settings(&e))?;
     let addr = |name: &str| {
         let text = v[name].as_str().unwrap_or("");
-        text.parse().map_err(|e| bad(&e))
+        text.parse().map_err(|e| bad_settings(&e))
     };
     let ms = Duration::from_millis;
     Ok(Site {
@@ -64,7 +64,7 @@
         control: addr("control")?,
         metrics: [addr("metrics")?].into(),
         store: addr("store")?,
-        reads: READS,
+        reads: READS_PER_S,
         advice: None,
         vms: addr("store").ok(),
         fleet: Fleet { rate: 60.0, upkeep: ms(2000), moved: ms(1500), turn: ms(3000) },
@@ -86,7 +86,7 @@
     })
 }
 
-/// The configuration is a version and the prefixes of the queues, each named by its prefix.
+/// Reads a configuration: a version and the prefixes of the queues, each of which is also its name.
 fn queues(bytes: &[u8]) -> Result<Queues, Error> {
     let (version, prefixes): (u64, Vec<Box<str>>) =
         serde_json::from_slice(bytes).map_err(|e| Error::new(Kind::BadText, e.to_string()))?;
@@ -109,20 +109,20 @@
     })
 }
 
-/// The VMs are items of the store, each the id of its worker; all are up.
+/// Reads the list of VMs: items of the store whose value is the ID of the worker. All VMs are up.
 fn vms(_: u16, body: &[u8]) -> Result<Vms, Fault> {
     let v: Value = serde_json::from_slice(body).map_err(|e| Fault::Bad(e.to_string().into()))?;
-    let one = |i: Item| Vm {
+    let vm = |i: Item| Vm {
         id: (&i.key["machines/".len()..]).into(),
         pool: PoolId::from("pool"),
         state: VmState::Up,
         worker: i.value.and_then(|w| Some(WorkerId::from(std::str::from_utf8(&w).ok()?))),
     };
-    let all = v["items"].as_array().into_iter().flatten().map(item).map(one).collect();
+    let all = v["items"].as_array().into_iter().flatten().map(item).map(vm).collect();
     Ok(Vms { all, next: None })
 }
 
-/// A worker's value is where it is, or nothing.
+/// Reads a worker's item, which may hold the worker's address.
 fn listed(id: &str, value: &[u8]) -> Result<Listed, Error> {
     let v: Value = serde_json::from_slice(value).unwrap_or_default();
     let addr = v["addr"].as_str().and_then(|a| a.parse().ok());
@@ -138,7 +138,8 @@
     })
 }
 
-/// A wave is its number, its VMs, how many milliseconds it may take, and how many are down at once.
+/// Reads a maintenance wave: its number, its VMs, the time limit in milliseconds, and the number of
+/// VMs that may be down at once.
 fn wave(bytes: &[u8]) -> Result<Wave, Error> {
     let (no, vms, within, cap) =
         serde_json::from_slice(bytes).map_err(|e| Error::new(Kind::BadText, e.to_string()))?;
--- a/tests/site/link.rs
+++ b/tests/site/link.rs
@@ -1,4 +1,4 @@
-//! A narrow link: all connections through it share its rate towards who connects.
+//! A slow network link: a TCP proxy whose connections share one rate limit towards the client.
 
 use {
     std::{
@@ -18,75 +18,75 @@
     },
 };
 
-/// The bytes that are sent at once.
-const PART: usize = 8 * 1024;
+/// Number of bytes forwarded at a time.
+const CHUNK_BYTES: usize = 8 * 1024;
 
-/// When the link is free again.
-type Free = Arc<Mutex<Instant>>;
+/// Time at which the link has sent all bytes accepted so far.
+type FreeAt = Arc<Mutex<Instant>>;
 
-/// A link.
+/// A running proxy.
 pub struct Link {
-    /// Where it begins.
+    /// Address that clients connect to.
     pub addr: SocketAddr,
-    /// How many bytes it has carried.
-    pub carried: Arc<AtomicUsize>,
+    /// Number of bytes sent to clients so far.
+    pub bytes_sent: Arc<AtomicUsize>,
 }
 
-/// Serves a link to an address on a thread of its own, of so many bytes a second.
-pub fn serve(to: SocketAddr, rate: u32) -> Link {
+/// Starts a proxy to `target` on a thread of its own, limited to `bytes_per_s` towards the client.
+pub fn serve(target: SocketAddr, bytes_per_s: u32) -> Link {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.set_nonblocking(true).expect("set");
     let addr = listener.local_addr().expect("an address");
-    let carried = Arc::new(AtomicUsize::new(0));
-    let count = carried.clone();
+    let bytes_sent = Arc::new(AtomicUsize::new(0));
+    let count = bytes_sent.clone();
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         runtime.expect("a runtime").block_on(async move {
             let listener = TcpListener::from_std(listener).expect("a listener");
-            let free: Free = Arc::new(Mutex::new(Instant::now()));
+            let free_at: FreeAt = Arc::new(Mutex::new(Instant::now()));
             loop {
-                let (near, _) = listener.accept().await.expect("a connection");
-                let (free, count) = (free.clone(), count.clone());
+                let (client, _) = listener.accept().await.expect("a connection");
+                let (free_at, count) = (free_at.clone(), count.clone());
                 tokio::spawn(async move {
-                    let Ok(far) = TcpStream::connect(to).await else { return };
-                    let (from_near, to_near) = near.into_split();
-                    let (from_far, to_far) = far.into_split();
-                    // Either end may close at any time.
+                    let Ok(server) = TcpStream::connect(target).await else { return };
+                    let (from_client, to_client) = client.into_split();
+                    let (from_server, to_server) = server.into_split();
+                    // Either side may close the connection at any time.
                     tokio::select! {
-                        _ = pass(from_near, to_far) => {}
-                        () = narrow(from_far, to_near, &free, rate, &count) => {}
+                        _ = forward(from_client, to_server) => {}
+                        () = throttle(from_server, to_client, &free_at, bytes_per_s, &count) => {}
                     }
                 });
             }
         });
     });
-    Link { addr, carried }
+    Link { addr, bytes_sent }
 }
 
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf) -> std::io::Result<u64> {
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf) -> std::io::Result<u64> {
     copy(&mut from, &mut to).await
 }
 
-async fn narrow(
+async fn throttle(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    free: &Free,
-    rate: u32,
-    carried: &AtomicUsize,
+    free_at: &FreeAt,
+    bytes_per_s: u32,
+    bytes_sent: &AtomicUsize,
 ) {
-    let mut part = vec![0; PART];
-    while let Ok(n) = from.read(&mut part).await
+    let mut chunk = vec![0; CHUNK_BYTES];
+    while let Ok(n) = from.read(&mut chunk).await
         && n > 0
     {
         let at = {
-            let mut free = free.lock().await;
-            let takes = Duration::from_secs(n as u64) / rate;
-            *free = (*free).max(Instant::now()) + takes;
-            *free
+            let mut free_at = free_at.lock().await;
+            let duration = Duration::from_secs(n as u64) / bytes_per_s;
+            *free_at = (*free_at).max(Instant::now()) + duration;
+            *free_at
         };
         sleep_until(at).await;
-        carried.fetch_add(n, Ordering::Relaxed);
-        if to.write_all(&part[..n]).await.is_err() {
+        bytes_sent.fetch_add(n, Ordering::Relaxed);
+        if to.write_all(&chunk[..n]).await.is_err() {
             return;
         }
     }
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -1,6 +1,6 @@
-//! A member on a site of its own: a store in memory, and a caller.
+//! Test harness: a member on a thread and a site of its own, an in-memory store and an HTTP client.
 
-#![allow(dead_code)] // each test file uses a part
+#![allow(dead_code)] // each test file uses only some of the items
 
 pub mod forms;
 pub mod link;
@@ -28,29 +28,29 @@
     store::Store,
 };
 
-/// How long anything may take that is waited for.
-const LONG: Duration = Duration::from_secs(10);
+/// Limit for each wait of a test.
+const WAIT_LIMIT: Duration = Duration::from_secs(10);
 
-/// A member that runs.
-pub struct Cell {
-    /// The store.
+/// A running member.
+pub struct TestMember {
+    /// The member's store, for reads, writes and fault injection by the test.
     pub store: Store,
-    /// Where it is.
-    pub addr: SocketAddr,
-    /// Where callers come in.
+    /// Address of the store's server for this member; [`Store::set_fault`] takes it.
+    pub store_addr: SocketAddr,
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks.
+    /// Address of the readiness check for the load balancer.
     pub ready: SocketAddr,
-    /// Where it shows metrics.
+    /// Address of the metrics pages.
     pub metrics: SocketAddr,
-    /// The member's thread.
-    pub member: JoinHandle<Exit>,
+    /// The thread that runs the member.
+    pub thread: JoinHandle<Exit>,
     client: Client,
 }
 
-/// An address to listen on, below the ports that the system gives to outgoing connections: one of
-/// these may be given away between the look and the member's own start.
-fn free() -> SocketAddr {
+/// Returns a free address to listen on. Its port is below the range for outgoing connections: the
+/// system could assign a port of that range between this check and the start of the member.
+fn free_addr() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
         let n = process::id() * 64 + NEXT.fetch_add(1, Ordering::Relaxed);
@@ -61,78 +61,89 @@
     }
 }
 
-impl Cell {
-    /// A member with a store that has a configuration and a worker, once it is ready.
-    pub async fn new(name: &str) -> Cell {
+impl TestMember {
+    /// Starts a member with a new store that holds a configuration and a worker, and waits until the
+    /// member is ready.
+    pub async fn new(name: &str) -> TestMember {
         let store = Store::default();
         store.put(FORMS.config, r#"[1, ["/a/", "/b/"]]"#);
         store.put("workers/w1", "{}");
-        let addr = store.serve();
-        Cell::join(name, store, addr).await
+        let store_addr = store.serve();
+        TestMember::join(name, store, store_addr).await
     }
 
-    /// A member with a store that there is already, once it is ready.
-    pub async fn join(name: &str, store: Store, addr: SocketAddr) -> Cell {
-        let (callers, ready, metrics) = (free(), free(), free());
+    /// Starts a member with an existing store and waits until the member is ready.
+    pub async fn join(name: &str, store: Store, store_addr: SocketAddr) -> TestMember {
+        let (callers, ready, metrics) = (free_addr(), free_addr(), free_addr());
         let settings = json!({
-            "callers": callers, "ready": ready, "control": free(), "metrics": metrics,
-            "store": addr,
+            "callers": callers, "ready": ready, "control": free_addr(), "metrics": metrics,
+            "store": store_addr,
         });
         let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
         std::fs::write(&path, settings.to_string()).expect("written");
-        let member = thread::spawn(move || site::run(&FORMS, &path));
-        let cell = Cell { store, addr, callers, ready, metrics, member, client: Client::new(4) };
+        let thread = thread::spawn(move || site::run(&FORMS, &path));
+        let member = TestMember {
+            store,
+            store_addr,
+            callers,
+            ready,
+            metrics,
+            thread,
+            client: Client::new(4),
+        };
         let ready = async || {
-            assert!(!cell.member.is_finished(), "the member has ended");
-            cell.is_ready().await
+            assert!(!member.thread.is_finished(), "the member has ended");
+            member.is_ready().await
         };
-        cell.until("ready", ready).await;
-        cell.until("owned", async || cell.store.get("dwr/t/o/000").is_some()).await;
-        // The length of a queue comes from owners that have read their shards.
-        cell.until("at work", async || cell.status("GET", "/a/", "").await == 200).await;
-        cell
+        member.wait_until("ready", ready).await;
+        member.wait_until("owned", async || member.store.get("dwr/t/o/000").is_some()).await;
+        // Owners answer with the length of a queue only after they have read their shards.
+        member.wait_until("at work", async || member.status("GET", "/a/", "").await == 200).await;
+        member
     }
 
-    /// Whether the member says that it is ready.
+    /// Returns whether the readiness check succeeds.
     pub async fn is_ready(&self) -> bool {
-        let ask = Request::get(uri(self.ready, "/ready")).body(Full::default()).expect("a request");
-        let answer = self.client.send(ask, LONG).await;
+        let request =
+            Request::get(uri(self.ready, "/ready")).body(Full::default()).expect("a request");
+        let answer = self.client.send(request, WAIT_LIMIT).await;
         answer.is_ok_and(|(head, _)| head.status == 200)
     }
 
-    /// A page of the member's metrics.
+    /// Fetches a page from the metrics address.
     pub async fn page(&self, path: &str) -> Whole<Parts> {
-        let ask = Request::get(uri(self.metrics, path)).body(Full::default()).expect("a request");
-        self.client.send(ask, LONG).await.expect("an answer")
+        let request =
+            Request::get(uri(self.metrics, path)).body(Full::default()).expect("a request");
+        self.client.send(request, WAIT_LIMIT).await.expect("an answer")
     }
 
-    /// Waits for something.
-    pub async fn until(&self, what: &str, mut is: impl AsyncFnMut() -> bool) {
-        let end = Instant::now() + LONG;
-        while !is().await {
-            assert!(Instant::now() < end, "{what} never came");
+    /// Polls `condition` until it holds; panics with `what` after [`WAIT_LIMIT`].
+    pub async fn wait_until(&self, what: &str, mut condition: impl AsyncFnMut() -> bool) {
+        let end = Instant::now() + WAIT_LIMIT;
+        while !condition().await {
+            assert!(Instant::now() < end, "timed out waiting for: {what}");
             tokio::task::yield_now().await;
         }
     }
 
-    /// Sends a caller's request; it waits so many milliseconds for its answer.
-    pub async fn send(&self, method: &str, path: &str, body: &str, wait: u64) -> Whole<Parts> {
-        let ask = Request::builder()
+    /// Sends a caller's request with a deadline of `wait_ms` milliseconds.
+    pub async fn send(&self, method: &str, path: &str, body: &str, wait_ms: u64) -> Whole<Parts> {
+        let request = Request::builder()
             .method(method)
             .uri(uri(self.callers, path))
             .header("host", "host.example")
-            .header("x-deadline", wait.to_string())
+            .header("x-deadline", wait_ms.to_string())
             .body(Full::new(Bytes::copy_from_slice(body.as_bytes())))
             .expect("a request");
-        self.client.send(ask, LONG).await.expect("an answer")
+        self.client.send(request, WAIT_LIMIT).await.expect("an answer")
     }
 
-    /// The status of the answer to a caller's request.
+    /// Sends a caller's request with a deadline of 1 s and returns the status of the response.
     pub async fn status(&self, method: &str, path: &str, body: &str) -> u16 {
         self.send(method, path, body, 1000).await.0.status.as_u16()
     }
 
-    /// The keys of jobs and cancels.
+    /// Returns the keys of submitted jobs and cancels that are in the store.
     pub fn inbox(&self) -> Vec<String> {
         self.store.keys("dwr/in/")
     }
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -1,4 +1,4 @@
-//! A store in memory, served over HTTP, that can be told to fail.
+//! An in-memory key-value store, served over HTTP, with fault injection.
 
 use {
     bytes::Bytes,
@@ -17,63 +17,63 @@
     tokio::{net::TcpListener, sync::Notify, time::timeout},
 };
 
-/// What happens to a write of a job or a cancel.
+/// Fault of one write of a job or a cancel.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
-    /// It is done, and nobody hears of it.
-    Lost,
-    /// It is not done, and nobody hears of it.
-    Swallowed,
-    /// Nobody hears of it, and it is done when the test says so, if its condition still holds.
-    Late,
-    /// It is refused.
+pub enum WriteFault {
+    /// The write is applied, but no reply is sent.
+    LostReply,
+    /// The write is not applied, and no reply is sent.
+    Unapplied,
+    /// No reply is sent, and [`Store::apply_delayed`] applies the write if its condition still holds.
+    Delayed,
+    /// The write is not applied and gets a 503.
     Refused,
 }
 
-/// How the store treats calls of one address that it serves.
+/// Fault of all calls to one of the store's addresses.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Shut {
-    /// It refuses them.
+pub enum AddrFault {
+    /// Calls get a 503.
     Busy,
-    /// It doesn't answer.
+    /// Calls get no reply.
     Silent,
 }
 
-/// One item: its value, revision and lease.
+/// Value, revision and lease of an item; the lease is 0 if the item has none.
 pub type Row = (String, u64, u64);
 
 #[derive(Default)]
 struct State {
     rev: u64,
-    leases: u64,
-    live: Vec<u64>,
+    last_lease: u64,
+    live_leases: Vec<u64>,
     rows: BTreeMap<String, Row>,
     log: Vec<(u64, String, Option<String>)>,
-    plan: VecDeque<Fate>,
-    late: Vec<Value>,
-    /// Reads of these prefixes have no answer.
-    mute: Vec<String>,
-    /// Watches of these prefixes get no events.
-    blind: Vec<String>,
-    /// Watches of a prefix that are still to be refused.
-    refused: Option<(String, u32)>,
-    /// The prefixes of ranges that were read.
+    planned: VecDeque<WriteFault>,
+    delayed: Vec<Value>,
+    /// Prefixes whose ranges and watches get no reply.
+    muted: Vec<String>,
+    /// Prefixes whose watches get no events.
+    suppressed: Vec<String>,
+    /// A prefix and the number of its watches that are still to be refused.
+    refusals: Option<(String, u32)>,
+    /// Prefix of each range read so far.
     ranges: Vec<String>,
-    /// How many items were read.
+    /// Number of reads of single items so far.
     gets: usize,
-    /// Addresses whose callers are turned away.
-    shut: BTreeMap<SocketAddr, Shut>,
+    /// Faults in force, by the address that is called.
+    addr_faults: BTreeMap<SocketAddr, AddrFault>,
 }
 
-/// The store, and its test's hand on it.
+/// Handle of the store, used by its server threads and by the test.
 #[derive(Clone, Default)]
 pub struct Store {
     state: Arc<Mutex<State>>,
-    moved: Arc<Notify>,
+    changed: Arc<Notify>,
 }
 
 impl Store {
-    /// Serves a store on a thread of its own.
+    /// Serves the store on a thread of its own and at a new address, which is returned.
     pub fn serve(&self) -> SocketAddr {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         listener.set_nonblocking(true).expect("set");
@@ -88,12 +88,13 @@
                 serve(listener, limits, pending(), move |head, body| {
                     let this = this.clone();
                     async move {
-                        let ask = serde_json::from_slice(&body.expect("a body")).expect("JSON");
-                        let shut = this.state.lock().expect("state").shut.get(&addr).copied();
-                        match shut {
-                            Some(Shut::Busy) => answer(503, "{}"),
-                            Some(Shut::Silent) => pending().await,
-                            None => this.call(head.uri.path(), ask).await,
+                        let request = serde_json::from_slice(&body.expect("a body")).expect("JSON");
+                        let fault =
+                            this.state.lock().expect("state").addr_faults.get(&addr).copied();
+                        match fault {
+                            Some(AddrFault::Busy) => answer(503, "{}"),
+                            Some(AddrFault::Silent) => pending().await,
+                            None => this.call(head.uri.path(), request).await,
                         }
                     }
                 })
@@ -103,19 +104,19 @@
         addr
     }
 
-    /// From now on, callers that come by this address are turned away, or served again.
-    pub fn shut(&self, addr: SocketAddr, how: Option<Shut>) {
+    /// Sets the fault of all later calls to `addr`; `None` ends it.
+    pub fn set_fault(&self, addr: SocketAddr, fault: Option<AddrFault>) {
         let mut state = self.state.lock().expect("state");
-        match how {
-            Some(how) => state.shut.insert(addr, how),
-            None => state.shut.remove(&addr),
+        match fault {
+            Some(fault) => state.addr_faults.insert(addr, fault),
+            None => state.addr_faults.remove(&addr),
         };
     }
 
     /// Writes an item.
     pub fn put(&self, key: &str, value: &str) {
         self.state.lock().expect("state").write(key, Some((value.into(), 0)));
-        self.moved.notify_waiters();
+        self.changed.notify_waiters();
     }
 
     /// Reads an item.
@@ -123,114 +124,114 @@
         self.state.lock().expect("state").rows.get(key).cloned()
     }
 
-    /// The keys that begin so.
+    /// Returns the keys that begin with `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.state.lock().expect("state");
         state.rows.keys().filter(|k| k.starts_with(prefix)).cloned().collect()
     }
 
-    /// Says what happens to the next writes of jobs and cancels.
-    pub fn plan(&self, fates: &[Fate]) {
-        self.state.lock().expect("state").plan.extend(fates);
+    /// Queues faults, one for each of the next writes of jobs and cancels.
+    pub fn plan_faults(&self, faults: &[WriteFault]) {
+        self.state.lock().expect("state").planned.extend(faults);
     }
 
-    /// Does what is late, as far as its condition still holds, and forgets what was planned.
-    pub fn land(&self) {
+    /// Applies the delayed writes whose condition still holds, and discards the queued faults.
+    pub fn apply_delayed(&self) {
         let mut state = self.state.lock().expect("state");
-        state.plan.clear();
-        for ask in std::mem::take(&mut state.late) {
-            state.call("/txn", &ask);
+        state.planned.clear();
+        for request in std::mem::take(&mut state.delayed) {
+            state.call("/txn", &request);
         }
         drop(state);
-        self.moved.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// From now on, watches of this prefix see nothing.
-    pub fn blind(&self, prefix: &str) {
-        self.state.lock().expect("state").blind.push(prefix.into());
+    /// Makes all later watches of `prefix` return no events.
+    pub fn suppress_events(&self, prefix: &str) {
+        self.state.lock().expect("state").suppressed.push(prefix.into());
     }
 
-    /// From now on, ranges and watches of this prefix have no answer, or have one again.
-    pub fn mute(&self, prefix: &str, mute: bool) {
+    /// Sets whether ranges and watches of `prefix` get no reply.
+    pub fn set_muted(&self, prefix: &str, muted: bool) {
         let mut state = self.state.lock().expect("state");
-        state.mute.retain(|m| m != prefix);
-        if mute {
-            state.mute.push(prefix.into());
+        state.muted.retain(|m| m != prefix);
+        if muted {
+            state.muted.push(prefix.into());
         }
     }
 
-    /// Refuses so many of the next watches of a prefix; those that wait are cut.
-    pub fn refuse(&self, prefix: &str, count: u32) {
-        self.state.lock().expect("state").refused = Some((prefix.into(), count));
-        self.moved.notify_waiters();
+    /// Refuses the next `count` watches of `prefix`, including those that are waiting.
+    pub fn refuse_watches(&self, prefix: &str, count: u32) {
+        self.state.lock().expect("state").refusals = Some((prefix.into(), count));
+        self.changed.notify_waiters();
     }
 
-    /// Whether all watches have been refused that were to be.
-    pub fn has_refused(&self) -> bool {
-        self.state.lock().expect("state").refused.as_ref().is_none_or(|(_, n)| *n == 0)
+    /// Returns whether all watches named by [`Store::refuse_watches`] have been refused.
+    pub fn all_refused(&self) -> bool {
+        self.state.lock().expect("state").refusals.as_ref().is_none_or(|(_, n)| *n == 0)
     }
 
-    /// How often a prefix was read.
-    pub fn ranges(&self, prefix: &str) -> usize {
+    /// Returns how many ranges of exactly this prefix were read.
+    pub fn range_count(&self, prefix: &str) -> usize {
         self.state.lock().expect("state").ranges.iter().filter(|r| *r == prefix).count()
     }
 
-    /// How many items were read.
-    pub fn gets(&self) -> usize {
+    /// Returns how many single items were read.
+    pub fn get_count(&self) -> usize {
         self.state.lock().expect("state").gets
     }
 
-    /// Ends all leases.
-    pub fn end_leases(&self) {
+    /// Ends all leases and removes their items.
+    pub fn expire_leases(&self) {
         let mut state = self.state.lock().expect("state");
-        for lease in state.live.clone() {
-            state.end(lease);
+        for lease in state.live_leases.clone() {
+            state.end_lease(lease);
         }
         drop(state);
-        self.moved.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    async fn call(&self, path: &str, ask: Value) -> Response<Full<Bytes>> {
-        let prefix = text(&ask, "prefix");
-        if self.state.lock().expect("state").mute.iter().any(|m| m == prefix) {
+    async fn call(&self, path: &str, request: Value) -> Response<Full<Bytes>> {
+        let prefix = text(&request, "prefix");
+        if self.state.lock().expect("state").muted.iter().any(|m| m == prefix) {
             return pending().await;
         }
         if path == "/watch" {
-            return self.watch(&ask).await;
+            return self.watch(&request).await;
         }
-        let fate = self.state.lock().expect("state").fate(path, &ask);
-        if fate == Some(Fate::Refused) {
+        let fault = self.state.lock().expect("state").take_fault(path, &request);
+        if fault == Some(WriteFault::Refused) {
             return answer(503, "{}");
         }
-        if fate == Some(Fate::Late) {
-            self.state.lock().expect("state").late.push(ask);
+        if fault == Some(WriteFault::Delayed) {
+            self.state.lock().expect("state").delayed.push(request);
             return pending().await;
         }
-        if fate == Some(Fate::Swallowed) {
+        if fault == Some(WriteFault::Unapplied) {
             return pending().await;
         }
-        let (status, said) = self.state.lock().expect("state").call(path, &ask);
-        self.moved.notify_waiters();
-        if fate == Some(Fate::Lost) {
+        let (status, reply) = self.state.lock().expect("state").call(path, &request);
+        self.changed.notify_waiters();
+        if fault == Some(WriteFault::LostReply) {
             return pending().await;
         }
-        answer(status, said.to_string())
+        answer(status, reply.to_string())
     }
 
-    async fn watch(&self, ask: &Value) -> Response<Full<Bytes>> {
-        let (prefix, after) = (text(ask, "prefix"), number(ask, "after"));
-        let wait = Duration::from_millis(number(ask, "wait"));
+    async fn watch(&self, request: &Value) -> Response<Full<Bytes>> {
+        let (prefix, after) = (text(request, "prefix"), number(request, "after"));
+        let wait = Duration::from_millis(number(request, "wait"));
         let found = async {
             loop {
-                let moved = self.moved.notified();
-                if self.state.lock().expect("state").refuses(prefix) {
+                let changed = self.changed.notified();
+                if self.state.lock().expect("state").take_refusal(prefix) {
                     return None;
                 }
-                let (events, rev) = self.state.lock().expect("state").since(prefix, after);
+                let (events, rev) = self.state.lock().expect("state").events_since(prefix, after);
                 if !events.is_empty() {
                     return Some((events, rev));
                 }
-                moved.await;
+                changed.await;
             }
         };
         let found = timeout(wait, found).await.unwrap_or(Some((vec![], after)));
@@ -247,7 +248,7 @@
     v[name].as_u64().unwrap_or(0)
 }
 
-fn rows(v: &Value, name: &str) -> Vec<Value> {
+fn array(v: &Value, name: &str) -> Vec<Value> {
     v[name].as_array().cloned().unwrap_or_default()
 }
 
@@ -266,25 +267,25 @@
         };
     }
 
-    fn end(&mut self, lease: u64) {
-        self.live.retain(|l| *l != lease);
-        let gone: Vec<String> =
+    fn end_lease(&mut self, lease: u64) {
+        self.live_leases.retain(|l| *l != lease);
+        let expired: Vec<String> =
             self.rows.iter().filter(|(_, r)| r.2 == lease).map(|(k, _)| k.clone()).collect();
-        for key in gone {
+        for key in expired {
             self.write(&key, None);
         }
     }
 
-    fn refuses(&mut self, prefix: &str) -> bool {
-        let Some((_, left)) = self.refused.as_mut().filter(|(p, n)| p == prefix && *n > 0) else {
+    fn take_refusal(&mut self, prefix: &str) -> bool {
+        let Some((_, left)) = self.refusals.as_mut().filter(|(p, n)| p == prefix && *n > 0) else {
             return false;
         };
         *left -= 1;
         true
     }
 
-    fn since(&self, prefix: &str, after: u64) -> (Vec<Value>, u64) {
-        if self.blind.iter().any(|b| b == prefix) {
+    fn events_since(&self, prefix: &str, after: u64) -> (Vec<Value>, u64) {
+        if self.suppressed.iter().any(|b| b == prefix) {
             return (vec![], after);
         }
         let new = self.log.iter().filter(|(r, k, _)| *r > after && k.starts_with(prefix));
@@ -292,9 +293,9 @@
         (events, self.rev)
     }
 
-    fn fate(&mut self, path: &str, ask: &Value) -> Option<Fate> {
-        let job = rows(ask, "puts").iter().any(|p| text(p, "key").starts_with("dwr/in/"));
-        if path == "/txn" && job { self.plan.pop_front() } else { None }
+    fn take_fault(&mut self, path: &str, request: &Value) -> Option<WriteFault> {
+        let job = array(request, "puts").iter().any(|p| text(p, "key").starts_with("dwr/in/"));
+        if path == "/txn" && job { self.planned.pop_front() } else { None }
     }
 
     fn item(&self, key: &str) -> Value {
@@ -304,51 +305,54 @@
         }
     }
 
-    fn call(&mut self, path: &str, ask: &Value) -> (u16, Value) {
+    fn call(&mut self, path: &str, request: &Value) -> (u16, Value) {
         match path {
             "/get" => {
                 self.gets += 1;
-                (200, self.item(text(ask, "key")))
+                (200, self.item(text(request, "key")))
             }
             "/range" => {
-                let prefix = text(ask, "prefix");
+                let prefix = text(request, "prefix");
                 self.ranges.push(prefix.into());
-                let after = text(ask, "after");
+                let after = text(request, "after");
                 let keys = self.rows.keys().filter(|k| k.starts_with(prefix) && &***k > after);
                 let items: Vec<Value> = keys.map(|k| self.item(k)).collect();
                 (200, json!({"items": items, "rev": self.rev}))
             }
-            "/txn" => self.txn(ask),
-            // A worker, which does all and says nothing.
+            "/txn" => self.txn(request),
+            // Stands in for a worker, which accepts every call.
             "/worker" => (200, json!({})),
-            // An order for a machine, which is noted.
+            // Stands in for the platform's VM calls: records the order for the test.
             "/machine" => {
-                let key = format!("orders/{}", ask[0].as_str().unwrap_or(""));
-                self.write(&key, Some((ask.to_string(), 0)));
+                let key = format!("orders/{}", request[0].as_str().unwrap_or(""));
+                self.write(&key, Some((request.to_string(), 0)));
                 (200, json!({}))
             }
             "/lease" => {
-                self.leases += 1;
-                self.live.push(self.leases);
-                (200, json!({"lease": self.leases}))
+                self.last_lease += 1;
+                self.live_leases.push(self.last_lease);
+                (200, json!({"lease": self.last_lease}))
             }
-            "/keep" if self.live.contains(&number(ask, "lease")) => (200, json!({})),
+            "/keep" if self.live_leases.contains(&number(request, "lease")) => (200, json!({})),
             "/end" => {
-                self.end(number(ask, "lease"));
+                self.end_lease(number(request, "lease"));
                 (200, json!({}))
             }
             _ => (404, json!({})),
         }
     }
 
-    fn txn(&mut self, ask: &Value) -> (u16, Value) {
-        let expect = rows(ask, "expect");
-        let stands = |e: &Value| self.item(text(e, "key"));
-        if expect.iter().any(|e| number(&stands(e), "rev") != number(e, "rev")) {
-            return (412, expect.iter().map(stands).collect());
+    fn txn(&mut self, request: &Value) -> (u16, Value) {
+        let expect = array(request, "expect");
+        let current = |e: &Value| self.item(text(e, "key"));
+        if expect.iter().any(|e| number(&current(e), "rev") != number(e, "rev")) {
+            return (412, expect.iter().map(current).collect());
         }
-        let puts = rows(ask, "puts");
-        if puts.iter().any(|p| number(p, "lease") > 0 && !self.live.contains(&number(p, "lease"))) {
+        let puts = array(request, "puts");
+        if puts
+            .iter()
+            .any(|p| number(p, "lease") > 0 && !self.live_leases.contains(&number(p, "lease")))
+        {
             return (404, json!({}));
         }
         let rev = self.rev + 1;
@@ -356,7 +360,7 @@
             let value = (text(p, "value").to_owned(), number(p, "lease"));
             self.set(text(p, "key"), Some(value), rev);
         }
-        for key in rows(ask, "remove") {
+        for key in array(request, "remove") {
             self.set(key.as_str().expect("a key"), None, rev);
         }
         self.rev = rev;
--- a/tests/site_config.rs
+++ b/tests/site_config.rs
@@ -1,14 +1,15 @@
-//! A large configuration over a narrow link, and one that this member can't know.
+//! Tests of a large configuration over a slow link, and of a configuration that a member cannot
+//! confirm as current.
 
 #[path = "site/mod.rs"]
-mod cell;
+mod common;
 
 use {
-    cell::{
-        Cell,
+    common::{
+        TestMember,
         forms::FORMS,
         link::{self, Link},
-        store::{Shut, Store},
+        store::{AddrFault, Store},
     },
     std::{
         future::Future,
@@ -18,13 +19,14 @@
     tokio::{task::JoinSet, time::interval},
 };
 
-/// A link of 10 Mbit/s, in bytes a second.
-const NARROW: u32 = 1_250_000;
-/// The bytes of a large configuration: as many as an item may have, but for some.
-const LARGE: usize = 1_000_000;
-/// Callers at once, and the pause of each between two jobs.
+/// 10 Mbit/s.
+const LINK_BYTES_PER_S: u32 = 1_250_000;
+/// Approximate size of a large configuration, just below the size limit of an item.
+const CONFIG_BYTES: usize = 1_000_000;
+/// Number of concurrent callers.
 const CALLERS: u32 = 10;
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause of each caller between two jobs.
+const CALLER_PAUSE: Duration = Duration::from_millis(100);
 const JOB: &str = r#"{"text": "t", "steps": [{"count": 2}]}"#;
 
 fn run(test: impl Future<Output = ()>) {
@@ -32,100 +34,105 @@
     runtime.expect("a runtime").block_on(test);
 }
 
-/// A large configuration with the queues `/a/` and this one.
-fn large(version: u64, queue: &str) -> String {
-    let more = (0..LARGE / 22).map(|n| format!(r#""/more/{n:011}/""#));
+/// Returns a large configuration with the queues `/a/`, `queue` and many others.
+fn large_config(version: u64, queue: &str) -> String {
+    let more = (0..CONFIG_BYTES / 22).map(|n| format!(r#""/more/{n:011}/""#));
     let all: Vec<String> =
         [r#""/a/""#.into(), format!(r#""{queue}""#)].into_iter().chain(more).collect();
     format!("[{version},[{}]]", all.join(","))
 }
 
-/// A member with a narrow link to a store that has a small configuration.
-async fn narrow(name: &str) -> (Cell, Link) {
+/// Starts a member with a slow link to a store that holds a small configuration.
+async fn member_on_narrow_link(name: &str) -> (TestMember, Link) {
     let store = Store::default();
     store.put(FORMS.config, r#"[1, ["/a/", "/b/"]]"#);
     store.put("workers/w1", "{}");
-    let addr = store.serve();
-    let link = link::serve(addr, NARROW);
-    let mut cell = Cell::join(name, store, link.addr).await;
-    cell.addr = addr;
-    (cell, link)
+    let store_addr = store.serve();
+    let link = link::serve(store_addr, LINK_BYTES_PER_S);
+    let mut member = TestMember::join(name, store, link.addr).await;
+    member.store_addr = store_addr;
+    (member, link)
 }
 
 #[test]
 fn a_large_configuration_is_in_force_after_an_outage() {
-    // A reading that is given up before the link can carry it begins anew for ever.
+    // A read of the configuration that times out before the link has carried it would restart
+    // forever.
     run(async {
-        let (cell, _) = narrow("large-outage").await;
-        cell.store.shut(cell.addr, Some(Shut::Silent));
-        cell.until("away", async || !cell.is_ready().await).await;
-        cell.store.put(FORMS.config, &large(2, "/c/"));
-        cell.store.shut(cell.addr, None);
-        cell.until("in force", async || cell.status("GET", "/c/", "").await == 200).await;
+        let (member, _) = member_on_narrow_link("large-outage").await;
+        member.store.set_fault(member.store_addr, Some(AddrFault::Silent));
+        member.wait_until("away", async || !member.is_ready().await).await;
+        member.store.put(FORMS.config, &large_config(2, "/c/"));
+        member.store.set_fault(member.store_addr, None);
+        member.wait_until("in force", async || member.status("GET", "/c/", "").await == 200).await;
     });
 }
 
 #[test]
 fn jobs_do_not_each_fetch_the_configuration() {
-    // Each conflict carries the configuration, and fills the link on which a newer one is to come.
+    // Each conflict reply carries the whole configuration. These replies would fill the link and
+    // delay the newer configuration.
     run(async {
-        let (cell, link) = narrow("large-jobs").await;
-        let (cell, before) = (Arc::new(cell), link.carried.load(Relaxed));
-        cell.store.put(FORMS.config, &large(2, "/c/"));
+        let (member, link) = member_on_narrow_link("large-jobs").await;
+        let (member, before) = (Arc::new(member), link.bytes_sent.load(Relaxed));
+        member.store.put(FORMS.config, &large_config(2, "/c/"));
         let mut callers = JoinSet::new();
         for caller in 0..CALLERS {
-            let cell = cell.clone();
+            let member = member.clone();
             callers.spawn(async move {
-                let mut pause = interval(PAUSE);
+                let mut pause = interval(CALLER_PAUSE);
                 for number in 0.. {
                     pause.tick().await;
                     let path = format!("/a/{caller:08x}{number:08x}");
-                    // A refusal is fine; the caller comes back with another job.
-                    cell.send("POST", &path, JOB, 3000).await;
+                    // Refusals are expected; the caller goes on with another job.
+                    member.send("POST", &path, JOB, 3000).await;
                 }
             });
         }
-        cell.until("in force", async || cell.status("GET", "/c/", "").await == 200).await;
-        let carried = link.carried.load(Relaxed) - before;
-        assert!(carried < 2 * LARGE, "{carried} bytes for a configuration of {LARGE}");
+        member.wait_until("in force", async || member.status("GET", "/c/", "").await == 200).await;
+        let sent = link.bytes_sent.load(Relaxed) - before;
+        assert!(sent < 2 * CONFIG_BYTES, "{sent} bytes for a configuration of {CONFIG_BYTES}");
         callers.shutdown().await;
-        cell.until("a job is taken in", async || {
-            cell.status("POST", "/c/00000000000000c1", JOB).await == 200
-        })
-        .await;
+        member
+            .wait_until("an accepted job", async || {
+                member.status("POST", "/c/00000000000000c1", JOB).await == 200
+            })
+            .await;
     });
 }
 
 #[test]
 fn a_job_handed_in_twice_beside_a_large_configuration_is_taken_in_once() {
-    // A conflict for the job itself was taken for a newer configuration, which never came.
+    // A conflict on the job's own key was mistaken for a newer configuration, for which the member
+    // then waited in vain.
     run(async {
-        let cell = Cell::new("large-twice").await;
-        cell.store.put(FORMS.config, &large(2, "/c/"));
-        cell.until("in force", async || cell.status("GET", "/c/", "").await == 200).await;
+        let member = TestMember::new("large-twice").await;
+        member.store.put(FORMS.config, &large_config(2, "/c/"));
+        member.wait_until("in force", async || member.status("GET", "/c/", "").await == 200).await;
         for _ in 0..2 {
-            assert_eq!(cell.status("POST", "/c/00000000000000c1", JOB).await, 200);
+            assert_eq!(member.status("POST", "/c/00000000000000c1", JOB).await, 200);
         }
-        assert_eq!(cell.status("POST", "/c/00000000000000c2", JOB).await, 200);
-        assert_eq!(cell.inbox().len(), 2);
+        assert_eq!(member.status("POST", "/c/00000000000000c2", JOB).await, 200);
+        assert_eq!(member.inbox().len(), 2);
     });
 }
 
 #[test]
 fn a_member_that_cannot_know_the_configuration_refuses() {
-    // It answered by a configuration that had been replaced seconds before.
+    // A member without answers to its reads and watches served requests by a configuration that had
+    // been replaced seconds before.
     run(async {
-        let cell = Cell::new("config-silent").await;
-        cell.store.mute(FORMS.operators, true);
-        cell.store.put(FORMS.config, r#"[2, ["/b/"]]"#);
-        let refuses = async || cell.status("GET", "/a/", "").await == 503;
-        cell.until("a count is refused", refuses).await;
-        let (head, _) = cell.send("GET", "/new/", "", 1000).await;
+        let member = TestMember::new("config-silent").await;
+        member.store.set_muted(FORMS.operators, true);
+        member.store.put(FORMS.config, r#"[2, ["/b/"]]"#);
+        let refuses = async || member.status("GET", "/a/", "").await == 503;
+        member.wait_until("a refused queue count", refuses).await;
+        let (head, _) = member.send("GET", "/new/", "", 1000).await;
         assert_eq!(head.status, 503);
         assert!(head.headers.contains_key("retry-after"));
-        assert!(!cell.is_ready().await);
-        cell.store.mute(FORMS.operators, false);
-        cell.until("removed", async || cell.status("GET", "/a/", "").await == 404).await;
-        cell.until("ready again", async || cell.is_ready().await).await;
+        assert!(!member.is_ready().await);
+        member.store.set_muted(FORMS.operators, false);
+        member.wait_until("removed", async || member.status("GET", "/a/", "").await == 404).await;
+        member.wait_until("ready again", async || member.is_ready().await).await;
     });
 }
--- a/tests/site_states.rs
+++ b/tests/site_states.rs
@@ -1,10 +1,10 @@
-//! How jobs stand while the owner of their shard says nothing.
+//! Tests of state requests for jobs whose shard has an unresponsive owner.
 
 #[path = "site/mod.rs"]
-mod cell;
+mod common;
 
 use {
-    cell::{Cell, forms::READS},
+    common::{TestMember, forms::READS_PER_S},
     std::{
         net::TcpListener,
         sync::{
@@ -18,18 +18,19 @@
 };
 
 const JOB: &str = r#"{"text": "t", "steps": [{"count": 2}]}"#;
-const QUESTIONS: usize = 300;
+const REQUESTS: usize = 300;
 
-/// A member that never answers; how many connections it has had.
-fn silent() -> (u16, Arc<AtomicUsize>) {
+/// Starts a member that accepts connections but never answers. Returns its port and the number of
+/// connections so far.
+fn silent_member() -> (u16, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let port = listener.local_addr().expect("an address").port();
     let count = Arc::new(AtomicUsize::new(0));
-    let seen = count.clone();
+    let accepts = count.clone();
     thread::spawn(move || {
         let mut open = vec![];
         for stream in listener.incoming() {
-            seen.fetch_add(1, Ordering::Relaxed);
+            accepts.fetch_add(1, Ordering::Relaxed);
             open.push(stream);
         }
     });
@@ -38,46 +39,51 @@
 
 #[test]
 fn questions_for_states_do_not_take_all_that_the_store_serves() {
-    // Each question that the owner left open was a call to it and two or three reads of the store, which
-    // then refused the owner's renewals too: 2,800 a second, which never ended.
+    // Each state request that the owner left unanswered cost a call to the owner and two or three
+    // reads of the store. At 2,800 reads a second the store refused the owner's lease renewals too,
+    // and the overload never ended.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let cell = Arc::new(Cell::new("states").await);
-        let taken = async || cell.status("POST", "/a/00000000000000c1", JOB).await == 200;
-        cell.until("a job is taken in", taken).await;
-        let (port, asked) = silent();
+        let member = Arc::new(TestMember::new("states").await);
+        let accepted = async || member.status("POST", "/a/00000000000000c1", JOB).await == 200;
+        member.wait_until("an accepted job", accepted).await;
+        let (port, owner_calls) = silent_member();
         let row = format!(r#"{{"control": "127.0.0.1:{port}", "zone": "z", "draining": false}}"#);
-        cell.store.put("dwr/t/m/00000000000000ff", &row);
+        member.store.put("dwr/t/m/00000000000000ff", &row);
         let row = r#"{"owner": "00000000000000ff", "token": 9, "control": null}"#;
-        cell.store.put("dwr/t/o/000", row);
+        member.store.put("dwr/t/o/000", row);
         let passed = async || {
-            let page = cell.page("/metrics").await.1;
+            let page = member.page("/metrics").await.1;
             String::from_utf8_lossy(&page)
                 .lines()
                 .any(|l| l.contains("shards") && l.ends_with(" 0"))
         };
-        cell.until("the shard has passed on", passed).await;
-        let (before, begin) = (cell.store.gets(), Instant::now());
+        member.wait_until("the loss of the shard", passed).await;
+        let (before, begin) = (member.store.get_count(), Instant::now());
         let mut calls = JoinSet::new();
-        for _ in 0..QUESTIONS {
-            let cell = cell.clone();
+        for _ in 0..REQUESTS {
+            let member = member.clone();
             calls.spawn_local(async move {
-                let (head, _) = cell.send("GET", "/a/00000000000000c1", "", 3000).await;
+                let (head, _) = member.send("GET", "/a/00000000000000c1", "", 3000).await;
                 (head.status.as_u16(), head.headers.contains_key("retry-after"))
             });
         }
         let answers = calls.join_all().await;
-        // A quarter of what the store serves, between two members, and what gathered in a second.
-        let share = READS / 4.0 / 2.0 * (begin.elapsed().as_secs_f64() + 1.0);
-        let reads = cell.store.gets() - before;
+        // State requests may use a quarter of the store's read rate, shared by two members, plus what
+        // accumulates in one second.
+        let share = READS_PER_S / 4.0 / 2.0 * (begin.elapsed().as_secs_f64() + 1.0);
+        let reads = member.store.get_count() - before;
         assert!(reads as f64 <= share, "{reads} reads, {share} allowed");
-        let told = answers.iter().filter(|a| a.0 == 200).count();
-        let later = answers.iter().filter(|a| **a == (503, true)).count();
+        let answered = answers.iter().filter(|a| a.0 == 200).count();
+        let refused = answers.iter().filter(|a| **a == (503, true)).count();
         assert!(
-            told > 0 && told + later == QUESTIONS,
-            "{told} told, {later} told when to come back"
+            answered > 0 && answered + refused == REQUESTS,
+            "{answered} answered, {refused} refused with `retry-after`"
+        );
+        let owner_calls = owner_calls.load(Ordering::Relaxed);
+        assert!(
+            owner_calls > 0 && owner_calls <= REQUESTS / 10,
+            "{owner_calls} calls to the owner"
         );
-        let asked = asked.load(Ordering::Relaxed);
-        assert!(asked > 0 && asked <= QUESTIONS / 10, "{asked} calls to the owner");
     });
 }
--- a/tests/site_stop.rs
+++ b/tests/site_stop.rs
@@ -1,10 +1,11 @@
-//! The signals that a member heeds; a file of its own, as signals go to the whole process.
+//! Test of the signals that a member handles. It has a file of its own because signals reach the
+//! whole test process.
 
 #[path = "site/mod.rs"]
-mod cell;
+mod common;
 
 use {
-    cell::Cell,
+    common::TestMember,
     dogwoodreach::cli::Exit,
     std::{
         process::{self, Command},
@@ -21,30 +22,36 @@
 
 #[test]
 fn a_member_rereads_its_settings_and_stops_in_order() {
-    // Story: the settings change, then the machine is taken away. Nothing may end at the first
-    // signal. At the second the balancer has to see it at once, callers that come all the same are
-    // served, the shard is given back without waiting for a lease, and the process ends by itself.
+    // SIGHUP re-reads the settings and must stop nothing. After SIGTERM the readiness check must fail
+    // at once for the load balancer, requests that still arrive must be served, the shard must be
+    // released before the lease ends, and the process must exit without another signal.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
-        let cell = Cell::new("stop").await;
+        let member = TestMember::new("stop").await;
         signal("-HUP");
-        assert_eq!(cell.status("POST", "/a/00000000000000a1", JOB).await, 200);
-        assert!(cell.is_ready().await);
+        assert_eq!(member.status("POST", "/a/00000000000000a1", JOB).await, 200);
+        assert!(member.is_ready().await);
 
         let begin = Instant::now();
         signal("-TERM");
-        cell.until("not ready", async || !cell.is_ready().await).await;
-        let (head, _) = cell.send("POST", "/a/00000000000000a2", JOB, 1000).await;
+        member.wait_until("not ready", async || !member.is_ready().await).await;
+        let (head, _) = member.send("POST", "/a/00000000000000a2", JOB, 1000).await;
         assert_eq!(head.status, 200);
         assert_eq!(head.headers["connection"], "close");
         let free = r#"{"owner":null,"token":1}"#;
-        let released = async || cell.store.get("dwr/t/o/000").expect("a row").0 == free;
-        cell.until("the release", released).await;
-        assert!(begin.elapsed() < Duration::from_secs(2), "callers are still served");
+        let released = async || member.store.get("dwr/t/o/000").expect("a row").0 == free;
+        member.wait_until("the release", released).await;
+        assert!(
+            begin.elapsed() < Duration::from_secs(2),
+            "the shard must be released while callers are still served"
+        );
 
-        let store = cell.store.clone();
-        assert_eq!(cell.member.join().expect("no panic"), Exit::Done);
-        assert!(begin.elapsed() < Duration::from_secs(5), "within the grace");
-        assert!(store.keys("dwr/t/m/").is_empty(), "its row has ended with its lease");
+        let store = member.store.clone();
+        assert_eq!(member.thread.join().expect("no panic"), Exit::Done);
+        assert!(
+            begin.elapsed() < Duration::from_secs(5),
+            "the member must exit within the grace period"
+        );
+        assert!(store.keys("dwr/t/m/").is_empty(), "the member row must be gone with the lease");
     });
 }
