--- a/examples/buckets.rs
+++ b/examples/buckets.rs
@@ -1,8 +1,8 @@
 //! Benchmark of the CPU cost of an owner's buckets: time per event and share of a core for idle
 //! ticks, with the given number of running tasks.
 //!
-//! Run it with `cargo run --release --example buckets [TASKS]`. The simulated store and racks answer
-//! at once.
+//! Run it with `cargo run --release --example buckets [TASKS]`. The simulated store and racks
+//! answer at once.
 
 use {
     dogwoodreach::{
--- a/tests/site.rs
+++ b/tests/site.rs
@@ -130,8 +130,8 @@
 
 #[test]
 fn a_job_that_was_refused_is_never_stored() {
-    // The first try hangs and is applied seconds later, the second is refused. With a 503 the caller
-    // would submit the job elsewhere, and it would run twice. Covers every pair of faults.
+    // The first try hangs and is applied seconds later, the second is refused. With a 503 the
+    // caller would submit the job elsewhere, and it would run twice. Covers every pair of faults.
     run(async {
         let member = TestMember::new("never").await;
         let faults = [Refused, LostReply, Unapplied, Delayed];
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -62,8 +62,8 @@
 }
 
 impl TestMember {
-    /// Starts a member with a new store that holds a configuration and a worker, and waits until the
-    /// member is ready.
+    /// Starts a member with a new store that holds a configuration and a worker, and waits until
+    /// the member is ready.
     pub async fn new(name: &str) -> TestMember {
         let store = Store::default();
         store.put(FORMS.config, r#"[1, ["/a/", "/b/"]]"#);
--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -24,7 +24,8 @@
     LostReply,
     /// The write is not applied, and no reply is sent.
     Unapplied,
-    /// No reply is sent, and [`Store::apply_delayed`] applies the write if its condition still holds.
+    /// No reply is sent, and [`Store::apply_delayed`] applies the write if its condition still
+    /// holds.
     Delayed,
     /// The write is not applied and gets a 503.
     Refused,
--- a/tests/site_relay.rs
+++ b/tests/site_relay.rs
@@ -55,8 +55,9 @@
 
 #[test]
 fn a_member_that_is_refused_serves_on() {
-    // The store answers one machine with 503 for seconds and serves all others. The member's callers
-    // were refused, and its shards made no progress until another member had taken them over.
+    // The store answers one machine with 503 for seconds and serves all others. The member's
+    // callers were refused, and its shards made no progress until another member had taken them
+    // over.
     run(with_store_fault("busy", Busy));
 }
 
@@ -115,7 +116,8 @@
                 owner.status("GET", "/a/00000000000000e1", "").await == 200
             })
             .await;
-        // The first owner may own the shard again once the store serves it and not the other member.
+        // The first owner may own the shard again once the store serves it and not the other
+        // member.
         owner.store.set_fault(owner.store_addr, None);
         owner.store.set_fault(own, Some(Silent));
         let returned = async || {
--- a/tests/site_states.rs
+++ b/tests/site_states.rs
@@ -69,8 +69,8 @@
             });
         }
         let answers = calls.join_all().await;
-        // State requests may use a quarter of the store's read rate, shared by two members, plus what
-        // accumulates in one second.
+        // State requests may use a quarter of the store's read rate, shared by two members, plus
+        // what accumulates in one second.
         let share = READS_PER_S / 4.0 / 2.0 * (begin.elapsed().as_secs_f64() + 1.0);
         let reads = member.store.get_count() - before;
         assert!(reads as f64 <= share, "{reads} reads, {share} allowed");
--- a/tests/site_stop.rs
+++ b/tests/site_stop.rs
@@ -22,9 +22,9 @@
 
 #[test]
 fn a_member_rereads_its_settings_and_stops_in_order() {
-    // SIGHUP re-reads the settings and must stop nothing. After SIGTERM the readiness check must fail
-    // at once for the load balancer, requests that still arrive must be served, the shard must be
-    // released before the lease ends, and the process must exit without another signal.
+    // SIGHUP re-reads the settings and must stop nothing. After SIGTERM the readiness check must
+    // fail at once for the load balancer, requests that still arrive must be served, the shard must
+    // be released without waiting for a lease to end, and the process must exit by itself.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime").block_on(async {
         let member = TestMember::new("stop").await;
