--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -1,15 +1,17 @@
-//! The attempts of tasks, as the owner of one bucket keeps them.
+//! Attempts of the tasks of one bucket, as the bucket's owner records them.
 //!
-//! Calls [`commit`](crate::commit) and leaves what follows as an [`Order`]; [`bucket`](crate::bucket)
-//! calls it.
+//! Uses [`commit`](crate::commit) and returns the resulting calls as [`Order`]s; called by
+//! [`bucket`](crate::bucket).
 //!
-//! An attempt's intent is committed before its start goes out, so that whoever owns the bucket next
-//! knows that it may run. Without it, an owner that dies between a start and its record would be
-//! followed by one that starts the task again elsewhere, and the task would run in two places.
+//! The intent to start an attempt is committed before the start is sent, so that the bucket's next
+//! owner knows that the attempt may be running. Otherwise, if an owner died between sending a start
+//! and recording it, its successor would start the task again elsewhere and the task would run in
+//! two places.
 //!
-//! A task's next attempt waits until the one before has ended, was stopped with confirmation, was
-//! shown by a report not to run, or its lease has lapsed. Absence from a report proves nothing about
-//! starts that may yet be on their way when the report was taken; see [`FLIGHT`].
+//! The next attempt of a task pending until the previous one has ended, was stopped with
+//! confirmation, was shown by a report not to run, or its lease has expired. A report that omits an
+//! attempt proves nothing about a start that may still have been in transit when the report was
+//! taken; see [`FLIGHT`].
 
 use {
     crate::{
@@ -26,63 +28,65 @@
     },
 };
 
-/// The longest flight of a start, from this owner to the worker by way of the rack's owner. It goes
-/// along as the start's not-after time; whoever gets it later drops it.
+/// The longest transit time of a start from this owner to the worker by way of the rack's owner.
+/// The start carries its latest valid time; whoever receives it later drops it.
 pub const FLIGHT: Duration = Duration::from_secs(1);
 
-/// How long a worker runs a task without a renewal.
+/// How long a worker runs a task without a renewal of its lease.
 pub const LEASE: Duration = Duration::from_secs(20);
 
-/// What two clocks may drift apart while a lease runs: a hundredth, where a bad clock has a
-/// thousandth.
+/// Allowance for the drift between two clocks during a lease: 1 % of the lease, ten times the drift
+/// of a bad clock (0.1 %).
 pub const DRIFT: Duration = Duration::from_millis(250);
 
-/// How long an intent waits for its commit: as long as a reservation lasts at the rack's owner.
+/// How long an intent pending for its commit. Equals the lifetime of a reservation at the rack's
+/// owner.
 pub const COMMIT_WAIT: Duration = Duration::from_secs(5);
 
-/// The room of all tasks in the record, in bytes; the claims have the other half.
+/// Space for all tasks in the record, in bytes. Claims have the other half.
 pub const ROOM: usize = 400_000;
 
-/// What a row may grow by when its state changes, in bytes.
-const GROWTH: usize = 96;
+/// By how much a row can grow when its state changes, in bytes.
+const ROW_GROWTH_BYTES: usize = 96;
 
-/// The longest reason that is kept, in bytes.
-const REASON_MAX: usize = 64;
+/// The longest reason that is stored, in bytes.
+const REASON_MAX_BYTES: usize = 64;
 
-/// The attempts of one bucket, the latest of each task.
+/// The latest attempt of each task of one bucket.
 #[derive(Default)]
 pub struct Attempts {
     rows: BTreeMap<TaskId, Entry>,
-    waits: VecDeque<(Time, TaskId, Attempt)>,
+    pending: VecDeque<(Time, TaskId, Attempt)>,
     bytes: usize,
 }
 
 struct Entry {
     row: TaskRow,
-    /// The write that has to be done before the start goes out; none once it has.
+    /// The write that must be committed before the start is sent; `None` once it is committed.
     ticket: Option<Ticket>,
-    /// From when on no start of this attempt can take effect.
-    settled: Time,
-    /// From when on the attempt's lease has lapsed, where the rack's owner has stopped renewing.
-    lapse: Option<Time>,
+    /// The time after which no start of this attempt can take effect.
+    settled_at: Time,
+    /// The time at which the attempt's lease has expired, if the rack's owner has stopped renewing
+    /// it.
+    lapses_at: Option<Time>,
 }
 
-/// Where an attempt is to run.
+/// Where an attempt is to run, and on which reservation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place {
     /// The task.
     pub task: TaskId,
-    /// The worker that has the room reserved.
+    /// The worker on which room is reserved.
     pub worker: WorkerId,
     /// The rack of that worker.
     pub rack: RackId,
-    /// The epoch of the rack's owner that reserved.
+    /// The epoch in which the rack's owner made the reservation.
     pub epoch: Epoch,
-    /// What is reserved.
+    /// The reserved resources.
     pub size: Size,
 }
 
-/// Why an attempt can't be made now.
+/// Why an attempt can't be created now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Refused {
     /// this member doesn't own the bucket, or has not yet read its record
@@ -96,7 +100,7 @@
 impl std::error::Error for Refused {}
 
 impl Attempts {
-    /// The rows, for the record.
+    /// The rows to be written to the record.
     pub fn rows(&self) -> impl Iterator<Item = &TaskRow> {
         self.rows.values().map(|e| &e.row)
     }
@@ -106,9 +110,10 @@
         self.rows.get(task).map(|e| &e.row)
     }
 
-    /// Makes the next attempt of a task; its start follows the commit.
+    /// Creates the next attempt of a task. The start is sent once the intent is committed.
     ///
-    /// Errs where an attempt may be running, where the record is full, and where it isn't ours.
+    /// Errs if an attempt of the task may be running, if the record is full, or if this member does
+    /// not own the bucket.
     pub fn place(
         &mut self,
         place: Place,
@@ -119,7 +124,7 @@
             return Err(Refused::Unowned);
         }
         let last = self.rows.get(&place.task);
-        if last.is_some_and(|e| live(e.row.state)) {
+        if last.is_some_and(|e| may_run(e.row.state)) {
             return Err(Refused::Live);
         }
         let attempt = Attempt(last.map_or(0, |e| e.row.attempt.0) + 1);
@@ -134,40 +139,41 @@
             task: place.task,
             worker: Some(place.worker),
         };
-        if self.bytes - last.map_or(0, |e| cost(&e.row)) + cost(&row) > ROOM {
+        if self.bytes - last.map_or(0, |e| row_bytes(&e.row)) + row_bytes(&row) > ROOM {
             return Err(Refused::Full);
         }
-        self.waits.push_back((now + COMMIT_WAIT, row.task.clone(), attempt));
+        self.pending.push_back((now + COMMIT_WAIT, row.task.clone(), attempt));
         self.insert(row, Some(commit.touch()), now);
         Ok(attempt)
     }
 
-    /// Sends the starts whose intents are committed; `sure` is the end of this owner's lease on the
-    /// bucket, counted so that no other owner can have read the record before.
+    /// Sends the starts whose intents are committed. `sure` is the end of this owner's lease on the
+    /// bucket, computed so that no other owner can have read the record before it.
     pub fn committed(&mut self, now: Time, sure: Time, commit: &mut Commit, out: &mut Vec<Order>) {
-        while let Some((_, task, attempt)) = self.waits.front() {
+        while let Some((_, task, attempt)) = self.pending.front() {
             let ticket = self.waiting(task, *attempt);
             if ticket.is_some_and(|ticket| ticket > commit.done()) {
                 break;
             }
-            let Some((_, task, _)) = self.waits.pop_front() else { break };
+            let Some((_, task, _)) = self.pending.pop_front() else { break };
             let Some(entry) = self.rows.get_mut(&task).filter(|_| ticket.is_some()) else {
                 continue;
             };
-            // The answer to the write may have been held back while another owner took over. It
-            // would read a worker's report that is younger than any start it knows of, and then
-            // this start would come. So a start goes out only while the lease outlasts its flight.
+            // The reply to the write may have been delayed while another owner took over. That
+            // owner could read a worker's report that is newer than any start it knows of, and this
+            // start would arrive afterwards. A start is therefore sent only if the lease outlasts
+            // its transit time.
             if now + FLIGHT > sure {
                 self.withdraw(&task, "the owner's lease was ending", commit);
                 continue;
             }
             entry.ticket = None;
-            entry.settled = now + FLIGHT + DRIFT;
+            entry.settled_at = now + FLIGHT + DRIFT;
             out.push(Order::Start { row: entry.row.clone(), until: now + FLIGHT });
         }
     }
 
-    /// Asks for an attempt to be stopped; the confirmation comes by [`Attempts::heard`].
+    /// Requests that an attempt be stopped; [`Attempts::heard`] takes the confirmation.
     pub fn stop(&mut self, task: &TaskId, commit: &mut Commit, out: &mut Vec<Order>) {
         let Some(entry) = self.rows.get_mut(task) else { return };
         if entry.ticket.is_some() {
@@ -180,9 +186,9 @@
         }
     }
 
-    /// Takes word from the rack's owner of an attempt that runs or has ended.
+    /// Applies a state that the rack's owner reports for an attempt.
     ///
-    /// `lost` from the rack's owner means that it certainly doesn't run and never will.
+    /// `lost` from the rack's owner means that the attempt does not run and never will.
     pub fn heard(
         &mut self,
         task: &TaskId,
@@ -191,13 +197,13 @@
         commit: &mut Commit,
     ) {
         let Some(entry) = self.rows.get_mut(task) else { return };
-        // Word of an earlier attempt was delayed, and says nothing about this one.
-        if entry.row.attempt != attempt || !live(entry.row.state) {
+        // A delayed message about an earlier attempt says nothing about this one.
+        if entry.row.attempt != attempt || !may_run(entry.row.state) {
             return;
         }
-        let begun = entry.row.state == TaskState::Intent && entry.ticket.is_none();
+        let sent = entry.row.state == TaskState::Intent && entry.ticket.is_none();
         match state {
-            TaskState::Running if begun => {
+            TaskState::Running if sent => {
                 entry.row.state = state;
                 commit.touch_later();
                 return;
@@ -212,7 +218,8 @@
         commit.touch();
     }
 
-    /// Takes a worker's report that was true at `taken`, by this member's clock and at the earliest.
+    /// Applies a worker's report. `taken` is the earliest time, by this member's clock, at which
+    /// the report was true.
     pub fn report(
         &mut self,
         worker: &WorkerId,
@@ -220,13 +227,15 @@
         tasks: &[TaskReport],
         commit: &mut Commit,
     ) {
-        let here: Vec<_> = self
+        let running: Vec<_> = self
             .rows
             .values()
-            .filter(|e| live(e.row.state) && e.row.worker.as_ref() == Some(worker))
-            .map(|e| (e.row.task.clone(), e.row.attempt, e.ticket.is_none() && taken > e.settled))
+            .filter(|e| may_run(e.row.state) && e.row.worker.as_ref() == Some(worker))
+            .map(|e| {
+                (e.row.task.clone(), e.row.attempt, e.ticket.is_none() && taken > e.settled_at)
+            })
             .collect();
-        for (task, attempt, settled) in here {
+        for (task, attempt, settled) in running {
             match tasks.iter().find(|t| t.task == task && t.attempt == attempt) {
                 Some(found) => self.heard(&task, attempt, found.state, commit),
                 None if settled => self.heard(&task, attempt, TaskState::Lost, commit),
@@ -235,31 +244,34 @@
         }
     }
 
-    /// Takes the promise of the rack's owner that no renewal lets the attempt run after `until`.
+    /// Records that the rack's owner will not renew the attempt's lease beyond `until`.
     pub fn cut(&mut self, task: &TaskId, attempt: Attempt, until: Time) {
         let Some(entry) = self.rows.get_mut(task) else { return };
-        if entry.row.attempt == attempt && live(entry.row.state) && entry.ticket.is_none() {
-            // A start on its way opens a lease of its own.
-            entry.lapse = Some((until + DRIFT).max(entry.settled + LEASE + DRIFT));
+        if entry.row.attempt == attempt && may_run(entry.row.state) && entry.ticket.is_none() {
+            // A start still in transit opens a lease of its own.
+            entry.lapses_at = Some((until + DRIFT).max(entry.settled_at + LEASE + DRIFT));
         }
     }
 
-    /// Does what is due: withdraws intents that waited too long, and ends lapsed attempts.
+    /// Does the work that is due: withdraws intents that waited too long, and ends attempts whose
+    /// lease has expired.
     pub fn tick(&mut self, now: Time, commit: &mut Commit) {
-        while let Some((_, task, attempt)) = self.waits.pop_front_if(|(until, ..)| now >= *until) {
+        while let Some((_, task, attempt)) = self.pending.pop_front_if(|(until, ..)| now >= *until)
+        {
             if self.waiting(&task, attempt).is_some() {
                 self.withdraw(&task, "the commit took too long", commit);
             }
         }
         for entry in self.rows.values_mut() {
-            if entry.lapse.is_some_and(|lapse| now >= lapse) {
+            if entry.lapses_at.is_some_and(|at| now >= at) {
                 entry.close(TaskState::Lost);
                 commit.touch();
             }
         }
     }
 
-    /// Replaces all by what the owner before left: each attempt without an end may be running.
+    /// Replaces all rows by those of the previous owner. Each attempt without a recorded end may be
+    /// running.
     pub fn adopt(&mut self, rows: Vec<TaskRow>, now: Time) {
         *self = Attempts::default();
         for row in rows {
@@ -267,22 +279,22 @@
         }
     }
 
-    /// Drops a task whose attempt can't be running; errs otherwise.
+    /// Removes a task whose attempt can't be running; errs otherwise.
     pub fn forget(&mut self, task: &TaskId, commit: &mut Commit) -> Result<(), Refused> {
         let Some(entry) = self.rows.get(task) else { return Ok(()) };
-        if live(entry.row.state) {
+        if may_run(entry.row.state) {
             return Err(Refused::Live);
         }
-        self.bytes -= cost(&entry.row);
+        self.bytes -= row_bytes(&entry.row);
         self.rows.remove(task);
         commit.touch();
         Ok(())
     }
 
-    /// Ends an attempt whose start has not gone out, and now never will.
+    /// Ends an attempt whose start has not been sent. The start will not be sent later.
     fn withdraw(&mut self, task: &TaskId, reason: &str, commit: &mut Commit) {
         let Some(entry) = self.rows.get_mut(task) else { return };
-        debug_assert!(entry.ticket.is_some() && reason.len() <= REASON_MAX);
+        debug_assert!(entry.ticket.is_some() && reason.len() <= REASON_MAX_BYTES);
         entry.close(TaskState::Lost);
         entry.row.reason = Some(reason.into());
         commit.touch();
@@ -294,10 +306,10 @@
     }
 
     fn insert(&mut self, row: TaskRow, ticket: Option<Ticket>, now: Time) {
-        self.bytes += cost(&row);
-        let entry = Entry { ticket, settled: now + FLIGHT + DRIFT, lapse: None, row };
+        self.bytes += row_bytes(&row);
+        let entry = Entry { ticket, settled_at: now + FLIGHT + DRIFT, lapses_at: None, row };
         if let Some(old) = self.rows.insert(entry.row.task.clone(), entry) {
-            self.bytes -= cost(&old.row);
+            self.bytes -= row_bytes(&old.row);
         }
     }
 }
@@ -306,17 +318,19 @@
     fn close(&mut self, state: TaskState) {
         self.row.state = state;
         self.ticket = None;
-        self.lapse = None;
+        self.lapses_at = None;
     }
 }
 
 /// Whether an attempt in this state may be running.
-fn live(state: TaskState) -> bool {
+fn may_run(state: TaskState) -> bool {
     matches!(state, TaskState::Intent | TaskState::Running | TaskState::Stopping)
 }
 
-/// The bytes that a row takes in the record, at most, whatever it becomes.
-fn cost(row: &TaskRow) -> usize {
+/// Upper bound of the bytes that a row takes in the record, in any state.
+fn row_bytes(row: &TaskRow) -> usize {
     let fixed = TaskRow { reason: None, state: TaskState::Intent, tries: None, ..row.clone() };
-    serde_json::to_string(&fixed).map_or(ROOM, |text| text.len()) + GROWTH + REASON_MAX
+    serde_json::to_string(&fixed).map_or(ROOM, |text| text.len())
+        + ROW_GROWTH_BYTES
+        + REASON_MAX_BYTES
 }
--- a/src/core.rs
+++ b/src/core.rs
@@ -1,8 +1,8 @@
-//! The decisions' duty: events in, orders out, in one thread and without I/O.
+//! The decision thread: takes events and returns orders, in one thread and without I/O.
 //!
-//! Everything that has to be repeated until it has taken effect (fences, beats, reports, words of
-//! ended attempts) hangs on [`Event::Tick`] and on state, not on single messages: a message that a
-//! full ring dropped is made again.
+//! Everything that must be repeated until it takes effect (fences, beats, reports, notices of ended
+//! attempts) is driven by [`Event::Tick`] and by state, not by single messages. A message that was
+//! dropped because a ring was full is therefore sent again.
 
 mod calls;
 mod claims;
@@ -36,36 +36,37 @@
 const OWNERS: &str = "shared/owners/";
 const ALL_BUCKETS: &str = "buckets";
 
-/// How often a peer is told this member's state.
+/// Interval between the beats that a peer gets from this member.
 const BEAT: Duration = Duration::from_millis(250);
-/// How old a peer's beat may be to count as in touch.
+/// Maximum age of a peer's last beat for the peer to count as in contact.
 const TOUCH: Duration = Duration::from_secs(3);
-/// How much later than here the service must have answered a peer to show that this member is cut
-/// off. All renew each second, so in an outage the last answers are less than two seconds apart;
-/// a lease has run for 3.4 s without an answer when this is asked.
+/// If the key-value service has answered a peer this much later than it last answered here, this
+/// member is cut off. All members renew each second, so in an outage of the service their last
+/// replies are less than 2 s apart; a lease has run for 3.4 s without a reply when this is checked.
 const BEHIND: Duration = Duration::from_secs(2);
-/// How often ownership is looked over.
+/// Interval between checks of ownership.
 const OWN: Duration = Duration::from_millis(100);
-/// How long a stopping member goes on after its last work, so that a balancer has seen it leave.
+/// How long a stopping member continues after its last work, so that a load balancer sees it leave.
 const QUIET: Duration = Duration::from_secs(1);
-/// How long a member that has a text waits at most for endpoints of every service: a takeover with
-/// its fences and lagging reports, after which a service still without any has none anywhere.
+/// The longest time that a member with a configuration waits for endpoints of every service before
+/// it is ready. It covers a takeover with its fences and delayed reports; a service without
+/// endpoints after that has none anywhere.
 const WARM: Duration = Duration::from_secs(10);
 
-/// How long a wish for urgent work waits until room has been made; a caller's call lasts longer.
+/// How long a reservation for urgent work waits for room to be made. A caller's call lasts longer.
 const PREEMPT: Duration = Duration::from_millis(900);
 
-/// A peer as this member knows it.
+/// What this member knows of a peer.
 struct Peer {
     heard: Time,
     beat: Option<Beat>,
-    /// When the key-value service last answered it.
+    /// When the key-value service last answered the peer.
     contact: Time,
     due: Time,
     flying: bool,
 }
 
-/// A handover that its receiver has not taken in yet.
+/// A handover that its receiver has not accepted yet.
 struct Passing {
     to: Incarnation,
     over: Handover,
@@ -96,11 +97,11 @@
     urgent: Vec<Urgent>,
     roll: Roll,
     unreached: Vec<(Incarnation, Call)>,
-    /// Whether it was told that requests are refused as the configuration may be old.
+    /// Whether the log already says that requests are refused because the configuration may be old.
     stale: bool,
 }
 
-/// A wish for urgent work, which waits until room has been made.
+/// A reservation for urgent work that waits for room to be made.
 struct Urgent {
     ticket: Option<Ticket>,
     ask: ReserveAsk,
@@ -108,7 +109,7 @@
 }
 
 impl Core {
-    /// A member that knows nothing yet; `unix` is the Unix clock at [`Time::ZERO`], in seconds.
+    /// Creates a member without any state; `unix` is the Unix time at [`Time::ZERO`], in seconds.
     pub fn new(me: MemberRecord, unix: u64, metrics: Arc<Metrics>) -> Self {
         let id = me.incarnation;
         Core {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Takes in one event and returns the orders that follow.
+    /// Handles one event and returns the resulting orders.
     pub fn on(&mut self, event: Event, now: Time) -> Vec<Order> {
         match event {
             Event::Ask(ask) => self.ask(*ask, now),
@@ -173,7 +174,7 @@
         mem::take(&mut self.out)
     }
 
-    /// This member's run.
+    /// The incarnation of this member.
     pub(crate) fn me(&self) -> Incarnation {
         self.me.incarnation
     }
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between members: those that came in, and the answers to those that went out.
+//! Calls between members: incoming calls, and replies to outgoing calls.
 
 use {
     super::Core,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Answers a peer's call, at once or when its claim is decided.
+    /// Replies to a peer's call, at once or when its claim is decided.
     pub(super) fn asked(&mut self, ticket: Ticket, call: Call, now: Time) {
         if let Call::Claim(ask) = call {
             if !self.jobs.owns(bucket_of(ask.key.as_str())) {
@@ -47,7 +47,7 @@
         self.out.push(Order::Back(ticket, back));
     }
 
-    /// Serves a call; none where this member does not own what it is about.
+    /// Serves a call. Returns `None` if this member does not own the call's subject.
     pub(super) fn serve(&mut self, call: Call, now: Time) -> Option<Back> {
         match call {
             Call::Beat(beat) => Some(Back::Beat(self.heard(beat, now))),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Takes a peer's answer.
+    /// Handles a peer's reply.
     pub(super) fn called(
         &mut self,
         to: Incarnation,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// What follows from a call that was not answered.
+    /// Handles a call that got no reply.
     pub(super) fn lost_call(&mut self, to: Incarnation, call: Call, now: Time) {
         match call {
             Call::Beat(_) => {
--- a/src/core/claims.rs
+++ b/src/core/claims.rs
@@ -1,4 +1,5 @@
-//! The claims on keys of the requests at this member: asked for, answered, and their ends told.
+//! Claims on the keys of this member's requests: requests for claims, their replies, and notices of
+//! their ends.
 
 use {
     super::Core,
@@ -13,11 +14,11 @@
     std::time::Duration,
 };
 
-/// The pause before a request is tried again.
+/// The pause before a claim is requested again.
 pub(super) const RECLAIM: Duration = Duration::from_millis(100);
 
 impl Core {
-    /// Asks the owner of a request's key for the claim.
+    /// Requests the claim from the owner of a request's key.
     pub(super) fn claim(&mut self, request: RequestId, now: Time) {
         let Some(p) = self.requests.table.get(&request) else { return };
         let Some(claim) = &p.claim else { return };
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Takes the answer to an ask; none where it was lost.
+    /// Handles the reply to a claim request; `None` if the reply was lost.
     pub(crate) fn claimed(&mut self, ask: RequestId, reply: Option<ClaimReply>, now: Time) {
         let request = self.requests.keys.asks.get(&ask).copied().unwrap_or(ask);
         let Some(p) = self.requests.table.get_mut(&request) else { return };
@@ -67,14 +68,14 @@
         self.finish(request, Err(kind.into()), now);
     }
 
-    /// Takes the answer to the word of a claim's end.
+    /// Handles the reply to the notice of a claim's end.
     pub(crate) fn claim_told(&mut self, end: &ClaimEnd, taken: bool) {
         if taken {
             self.requests.keys.ends.remove(&(end.key.clone(), end.request));
         }
     }
 
-    /// The word of a claim's end that this member told itself is committed.
+    /// Handles the commit of a claim's end that this member, as the key's owner, recorded itself.
     pub(crate) fn kept(&mut self, ticket: Ticket) {
         if let Some(at) = self.requests.keys.told.remove(&ticket) {
             self.requests.keys.ends.remove(&at);
@@ -87,7 +88,7 @@
         self.tell_end(end(claim, verdict), now);
     }
 
-    /// Answers the requests whose claim was not decided in time.
+    /// Fails the requests whose claim was not decided in time.
     pub(super) fn expire_claims(&mut self, now: Time) {
         while self.requests.keys.limits.first().is_some_and(|(at, _)| *at <= now) {
             let Some((_, id)) = self.requests.keys.limits.pop_first() else { break };
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Tells the ends again that are not known to be kept.
+    /// Sends again the notices of ends that are not confirmed as committed.
     pub(super) fn tell_again(&mut self, now: Time) {
         let ends = self.requests.keys.ends.values_mut();
         let due: Vec<ClaimEnd> = ends
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Schedules another ask; under another id where the last one may have been committed.
+    /// Schedules another claim request. It uses a new id if the last one may have been committed.
     fn ask_anew(&mut self, request: RequestId, doubt: bool, now: Time) {
         let me = u128::from(self.me().0) << 64;
         let Some(p) = self.requests.table.get_mut(&request) else { return };
--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -1,4 +1,4 @@
-//! What operators ask, and how a member stops.
+//! Operators' calls, and the orderly stop of a member.
 
 use {
     super::{Core, QUIET},
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Ends the process once nothing is owned, nothing waits, and a balancer has had time to see.
+    /// Ends the process once the member owns nothing, no request waits, and a load balancer has had
+    /// time to see the member leave.
     pub(super) fn stop_when_idle(&mut self, now: Time) {
         let Some(since) = self.drain else { return };
         let alone = self.ownership.members().values().all(|m| m.draining);
--- a/src/core/owners.rs
+++ b/src/core/owners.rs
@@ -1,4 +1,4 @@
-//! What a member owns: the platform's lists and records, and what changes hands.
+//! Ownership of racks and buckets: the platform's lists, the shared records, and changes of owner.
 
 use {
     super::{
@@ -18,7 +18,7 @@
 };
 
 impl Core {
-    /// Takes in the platform's list.
+    /// Applies the platform's list of VMs.
     pub(super) fn listed(&mut self, list: VmList, now: Time) {
         let mut zones: BTreeMap<Zone, BTreeSet<RowId>> = BTreeMap::new();
         let vms = self.roll.take(list, now);
@@ -38,7 +38,7 @@
         self.racks.listed(vms, now);
     }
 
-    /// Takes in what changed in the key-value service.
+    /// Applies changes of the watched records in the key-value service.
     pub(super) fn watched(&mut self, list: KvList, now: Time) {
         self.ownership.answered(now);
         let all = (0..BUCKETS).map(|b| bucket_row(Bucket(b))).collect();
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! The course of a request through this member: let in, claimed, waiting, sent, answered.
+//! The course of a request through this member: admission, claim, queue, dispatch and reply.
 
 use {
     super::{Core, claims::RECLAIM},
@@ -20,17 +20,18 @@
     std::time::Duration,
 };
 
-/// How many times a service's usual run time makes a request a long one, which leaves some slots to
-/// the others: below that the variation of usual requests would count as long.
+/// A request counts as long, and leaves some slots to others, if it is expected to run this many
+/// times the service's usual run time. With a smaller factor, the variation of usual requests would
+/// count as long.
 const LONG: u32 = 4;
-/// How lately a service must have had an endpoint for a request to wait until racks have changed
-/// hands; where there has been none for longer, it is refused at once.
+/// A request waits for racks to change owner only if its service had an endpoint within this time;
+/// otherwise it is refused at once.
 const LIVELY: Duration = Duration::from_secs(10);
-/// What a slot stays taken beyond the request's lease: the drift of two clocks and one flight.
+/// How long a slot stays taken after the request's lease: the drift of two clocks and one transit.
 const SPARE: Duration = Duration::from_millis(500);
 
 impl Core {
-    /// Takes in a request.
+    /// Admits a request.
     pub(crate) fn ask(&mut self, ask: Ask, now: Time) {
         let ticket = ask.ticket;
         let refused = match self.config.plan().services.get(&ask.service) {
@@ -48,7 +49,7 @@
         self.reply(ticket, Err(refused.into()));
     }
 
-    /// A caller has hung up: what has not been dispatched is dropped.
+    /// Handles a caller that hung up: its request is dropped unless it was dispatched.
     pub(crate) fn gone(&mut self, ticket: Ticket, now: Time) {
         let Some(id) = self.requests.tickets.get(&ticket).copied() else { return };
         if self.requests.table.get(&id).is_some_and(|p| p.stage == Stage::Waiting) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Takes the outcome of a dispatch to an endpoint of this member's.
+    /// Handles the outcome of a dispatch to one of this member's endpoints.
     pub(crate) fn ran(
         &mut self,
         request: RequestId,
@@ -77,7 +78,7 @@
         self.pump(now);
     }
 
-    /// Takes the outcome of a forwarding.
+    /// Handles the outcome of a forwarded request.
     pub(crate) fn forwarded(
         &mut self,
         request: RequestId,
@@ -95,15 +96,15 @@
             && matches!(e.kind(), Kind::NoEndpoint | Kind::Draining)
             && self.requests.table.get_mut(&request).is_some_and(|p| p.patient(now))
         {
-            // The peer's racks have changed hands since its beat. That has cost no endpoint
-            // anything, and the peer gets nothing more until its next beat: the budget, which
-            // bounds what failing endpoints are asked, is left alone.
+            // The peer's racks have changed owner since its beat. No endpoint was involved, and the
+            // peer gets no more requests until its next beat. The retry budget, which limits the
+            // load on failing endpoints, is therefore not charged.
             return self.route(request, now);
         }
         self.settle(request, outcome, now);
     }
 
-    /// Answers what can no longer be run in time, and tells claims' ends again.
+    /// Fails the requests that can't run in time any more, and resends notices of claims' ends.
     pub(crate) fn expire(&mut self, now: Time) {
         let mut late = vec![];
         for line in self.requests.lines.values_mut() {
@@ -127,9 +128,9 @@
         self.pump(now);
     }
 
-    /// Sends waiting requests to the slots that are free.
+    /// Dispatches waiting requests to free slots.
     pub(crate) fn pump(&mut self, now: Time) {
-        // An owner whose lease is over may have been replaced.
+        // An owner whose lease has expired may have been replaced.
         if !self.may_dispatch(now) {
             return;
         }
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Sends what waits for a service elsewhere, as its racks have passed to another member.
+    /// Forwards requests that wait for a service whose racks have passed to another member.
     fn move_on(&mut self, service: &ServiceId, now: Time) {
         let Some(line) = self.requests.lines.get_mut(service).filter(|l| !l.queue.is_empty())
         else {
@@ -189,7 +190,8 @@
         if keyed { self.claim(id, now) } else { self.route(id, now) }
     }
 
-    /// Lets a request wait for a slot here, or sends it to a peer that is expected to serve it sooner.
+    /// Queues a request for a slot here, or forwards it to a peer that is expected to serve it
+    /// sooner.
     pub(super) fn route(&mut self, id: RequestId, now: Time) {
         let Some(p) = self.requests.table.get_mut(&id) else { return };
         p.stage = Stage::Waiting;
@@ -221,7 +223,7 @@
         let lively = self.requests.lively.get(&name).is_some_and(|at| now - *at < LIVELY);
         let patient = self.requests.table.get_mut(&id).is_some_and(|p| p.patient(now));
         if error.kind() == Kind::NoEndpoint && hops == 0 && lively && patient {
-            // Its racks are changing hands; what comes next is known in milliseconds.
+            // The service's racks are changing owner; the new owner is known within milliseconds.
             self.requests.again.insert((now + RECLAIM, id));
             return;
         }
@@ -255,7 +257,7 @@
         line.gate.admit(&mut line.queue, item, now)
     }
 
-    /// Sends a request that is next to an endpoint with a free slot.
+    /// Dispatches the next request to an endpoint with a free slot.
     fn dispatch(&mut self, worker: WorkerId, item: Item, now: Time) {
         let id = item.id;
         let Some(p) = self.requests.table.get_mut(&id) else { return };
@@ -281,7 +283,7 @@
         self.out.push(Order::Run(Box::new(run)));
     }
 
-    /// Sends a request to a peer; false where the peer is not registered any more.
+    /// Forwards a request to a peer. Returns false if the peer is not registered any more.
     fn forward(&mut self, id: RequestId, to: Incarnation, now: Time) -> bool {
         let Some(addr) = self.ownership().members().get(&to).map(|m| m.bodies) else {
             return false;
@@ -304,10 +306,10 @@
         true
     }
 
-    /// Decides what follows from an outcome: the final answer, or another try.
+    /// Decides whether an outcome is final or the request is tried again.
     ///
-    /// Only what certainly did not run is tried again; a second dispatch of what may be running
-    /// would run it in two places.
+    /// Only a request that certainly did not run is tried again. A second dispatch of a request
+    /// that may be running would run it in two places.
     fn settle(&mut self, id: RequestId, outcome: Outcome, now: Time) {
         let Some(p) = self.requests.table.get(&id) else { return };
         let error: Error = match outcome {
@@ -329,7 +331,7 @@
         }
     }
 
-    /// Gives a request its final answer.
+    /// Sends a request its final reply.
     pub(super) fn finish(&mut self, id: RequestId, verdict: Verdict, now: Time) {
         let Some(p) = self.requests.table.remove(&id) else { return };
         self.requests.tickets.remove(&p.ask.ticket);
--- a/src/core/touch.rs
+++ b/src/core/touch.rs
@@ -1,4 +1,4 @@
-//! Who is in touch: the beats between members, and what follows from them for serving.
+//! Contact between members: the beats, and whether this member may serve and dispatch.
 
 use {
     super::{BEAT, BEHIND, Core, Peer, TOUCH, WARM},
@@ -17,12 +17,13 @@
         !self.draining() && self.warm.is_some_and(|at| at <= now) && self.current(now)
     }
 
-    /// Notes when this member first knows where to send requests of every service.
+    /// Marks this member as ready once it knows endpoints of every service.
     ///
-    /// Guards against a new member that says ready as soon as it has the text: it knows neither
-    /// workers nor what its peers have for a second or so, and its callers would be refused with
-    /// `no_endpoint` in every rolling replacement. Later losses don't count: they are the same for
-    /// all members, and a balancer with no member left could not even pass the refusals on.
+    /// Without this, a new member would report ready as soon as it has the configuration. For about
+    /// a second it knows neither workers nor its peers' endpoints, so every rolling replacement
+    /// would refuse callers with `no_endpoint`. Later losses of endpoints don't count: they are the
+    /// same for all members, and a load balancer without any ready member could not even pass the
+    /// refusals on.
     pub(super) fn warm_up(&mut self, now: Time) {
         if self.config.version().0 == 0 {
             return;
@@ -34,12 +35,13 @@
         }
     }
 
-    /// Whether the configuration held here can still be the one in force.
+    /// Whether the configuration held here may still be the one in force.
     ///
-    /// Guards against serving by a text that was replaced: a member that is cut off would do so for
-    /// as long as the cut lasts. It is in touch if the key-value service has answered it, or a peer
-    /// that the service has answered, within seconds; or, in an outage of the service, when half of
-    /// the other members are heard, as then no text can have been accepted.
+    /// Without this, a member that is cut off would serve by a replaced configuration for as long
+    /// as the cut lasts. The member is in contact if, within `TOUCH`, the key-value service has
+    /// answered it, or has answered a peer that this member hears. During an outage of the service
+    /// it is enough to hear half of the other members, as no configuration can have been accepted
+    /// then.
     pub(crate) fn current(&self, now: Time) -> bool {
         if self.ownership.silence(now) < TOUCH {
             return true;
@@ -58,7 +60,8 @@
         linked || (others > 0 && 2 * count >= others)
     }
 
-    /// Tells, once until it is current again, that requests are refused as the configuration may be old.
+    /// Logs, once until the configuration is current again, that requests are refused because the
+    /// configuration may be old.
     pub(super) fn tell_stale(&mut self, now: Time) {
         if mem::replace(&mut self.stale, true) {
             return;
@@ -71,9 +74,10 @@
 
     /// Whether this member may dispatch to its workers.
     ///
-    /// Its lease runs, or the key-value service answers nobody: then nobody can take over either.
-    /// A peer that the service has answered well after it last answered here is the sign that this
-    /// member alone is cut off. Beyond that, a worker refuses a dispatch whose epoch has been passed.
+    /// It may if its lease runs, or if the key-value service answers no member, as then no member
+    /// can take over either. A peer that the service has answered well after it last answered here
+    /// shows that only this member is cut off. In addition, a worker refuses a dispatch whose epoch
+    /// is older than the highest that it has seen.
     pub(crate) fn may_dispatch(&self, now: Time) -> bool {
         if self.ownership.leased(now) {
             return true;
@@ -144,7 +148,7 @@
         BeatReply { version: self.config.version(), kv: millis(self.ownership.silence(now)) }
     }
 
-    /// Fetches the configuration from a peer that holds a newer one.
+    /// Fetches the configuration from a peer that holds a newer version.
     pub(super) fn newer(&mut self, from: Incarnation, version: crate::ids::Version, now: Time) {
         if version > self.config.version() && (!self.fetching || self.fetch + TOUCH < now) {
             self.fetching = true;
--- a/src/core/work.rs
+++ b/src/core/work.rs
@@ -1,4 +1,5 @@
-//! What a member's buckets call for: room, starts, probes, and the words of attempts' ends.
+//! Carries out what a member's buckets request: reservations, starts, probes, and notices of
+//! attempts that ended.
 
 use {
     super::{Core, PREEMPT, TOUCH, Urgent, rack_row},
@@ -14,7 +15,7 @@
 };
 
 impl Core {
-    /// Carries out what the buckets call for.
+    /// Runs the jobs' periodic work and carries out what the buckets request.
     pub(super) fn work(&mut self, now: Time) {
         let sure = self.sure(now);
         let racks = if self.jobs.due(now) { self.all_racks(now) } else { vec![] };
@@ -39,12 +40,12 @@
         }
     }
 
-    /// Until when nobody can take over from this member.
+    /// The time until which no other member can take over from this one; `None` without a lease.
     pub(super) fn sure(&self, now: Time) -> Option<Time> {
         self.ownership.until().filter(|_| self.ownership.leased(now))
     }
 
-    /// Sends a want to the owner of a rack, which may be this member.
+    /// Sends a request of the buckets to the owner of a rack, which may be this member.
     pub(super) fn at_rack(&mut self, rack: RackId, want: Want, now: Time) {
         let Some((owner, _)) = self.ownership.owner(&rack_row(&rack)) else { return };
         let Some(call) = call(want) else { return };
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Sends a wish for room to the member that is likeliest to have it.
+    /// Sends a reservation request to the member most likely to have room.
     pub(super) fn reserve(&mut self, ask: ReserveAsk, now: Time) {
         if let Some(rack) = &ask.rack {
             return match self.ownership.owner(&rack_row(rack)) {
@@ -77,7 +78,7 @@
             }
             for rack in racks.iter().filter(|r| r.pool == ask.pool) {
                 let full = !size.fits(&rack.widest);
-                // Where nobody has room, an owner can make some for urgent work.
+                // If no rack has room, an owner can make some for urgent work.
                 if full && !(urgent && rack.workers > 0) {
                     continue;
                 }
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Finds room on this member's racks; for urgent work, answers once room has been made.
+    /// Reserves room on this member's racks. For urgent work, replies once room has been made.
     pub(super) fn reserve_here(&mut self, ticket: Option<Ticket>, ask: ReserveAsk, now: Time) {
         let reply = match self.may_dispatch(now) {
             true => self.racks.reserve(&ask, now),
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Answers the urgent wishes whose room has been made, or whose time is over.
+    /// Replies to the urgent reservations whose room has been made or whose wait is over.
     pub(super) fn answer_urgent(&mut self, now: Time) {
         for u in mem::take(&mut self.urgent) {
             let reply = self.racks.reserve(&u.ask, now);
@@ -133,10 +134,11 @@
         }
     }
 
-    /// Takes the answer of one owner; what it had no room for is asked of the next.
+    /// Handles the reply of one owner; items that it had no room for are requested from the next
+    /// one.
     ///
-    /// Guards against an owner that has room by its beat, and yet none on a worker that the attempt
-    /// may have: asked first each time, it would keep the attempt waiting for ever.
+    /// An owner may have room according to its beat, but none on a worker that the attempt may use.
+    /// If that owner were asked first each time, the attempt would wait forever.
     pub(super) fn asked_of(
         &mut self,
         by: Incarnation,
@@ -165,14 +167,14 @@
         self.carry_out(wants, now);
     }
 
-    /// What is free on all racks, as far as is known here.
+    /// The free resources of all racks, as far as this member knows them.
     pub(super) fn all_racks(&self, now: Time) -> Vec<RackLoad> {
         let peers = self.peers.values().filter(|p| now - p.heard < TOUCH);
         let theirs = peers.filter_map(|p| p.beat.as_ref()).flat_map(|b| b.racks.iter().cloned());
         theirs.chain(self.racks.loads()).collect()
     }
 
-    /// Tells the buckets' owners what became of their attempts.
+    /// Reports the states of attempts to the owners of their buckets.
     pub(super) fn tell(&mut self, now: Time) {
         for (bucket, items) in self.racks.tell() {
             match self.bucket_owner(bucket) {
--- a/src/effect.rs
+++ b/src/effect.rs
@@ -1,7 +1,8 @@
-//! What follows from a change of a bucket's record: calls of the KV, answers, starts and stops.
+//! Orders that follow from a change of a bucket's record: calls of the key-value store, replies,
+//! starts and stops.
 //!
-//! Written by [`claims`](crate::claims) and [`attempts`](crate::attempts), given out by
-//! [`bucket`](crate::bucket).
+//! [`claims`](crate::claims) and [`attempts`](crate::attempts) create them;
+//! [`bucket`](crate::bucket) hands them out.
 
 use crate::{
     Time,
@@ -10,28 +11,28 @@
     messages::{ClaimReply, TaskRow},
 };
 
-/// What the owner of a bucket is to do.
+/// What the owner of a bucket must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Call the KV, and give back the answer, or the lack of one.
+    /// Call the key-value store and pass its reply back, or report that there was none.
     Kv(Call),
-    /// Answer a request's ask for a claim.
+    /// Reply to a request for a claim.
     Reply {
-        /// The request that asked.
+        /// The request for which the claim was made.
         request: RequestId,
         /// The answer.
         reply: ClaimReply,
     },
-    /// Tell an entry member that the end which it sent is committed, so that it stops sending.
+    /// Tell an entry member that the claim's end it sent is committed, so that it stops sending it.
     Kept {
-        /// The number that came with the end.
+        /// The number that came with the claim's end.
         call: u64,
     },
     /// Tell the rack's owner to start an attempt.
     Start {
         /// The attempt.
         row: TaskRow,
-        /// The time after which it must not take effect any more.
+        /// The time after which the start must not take effect.
         until: Time,
     },
     /// Tell the rack's owner to stop an attempt.
@@ -39,6 +40,6 @@
         /// The attempt.
         row: TaskRow,
     },
-    /// Give the bucket up: another member owns it.
+    /// Give up the bucket, as another member owns it.
     Lost,
 }
--- a/src/gangs.rs
+++ b/src/gangs.rs
@@ -1,12 +1,12 @@
-//! The gangs that are being placed: each asks the owners of racks, one after another, for its room.
+//! Gangs that are being placed: each requests its room from the owners of racks, one after another.
 //!
-//! Owns what gangs have asked for and got so far. Calls [`decide::gang`](crate::decide::gang) alone;
-//! [`jobs`](crate::jobs) calls it.
+//! Owns the requests and the reserved room of these gangs. Calls only
+//! [`decide::gang`](crate::decide::gang); called by [`jobs`](crate::jobs).
 //!
-//! An answer may come when its round was given up: it shows as rows for a rack that is asked anew.
-//! Counted there, the gang would start on room that was released meanwhile, one half of it without
-//! room. So a gang asks again only once its last ask was answered, or is known to be lost, and what
-//! a late answer has reserved is released.
+//! A reply may arrive after its round was given up, with rows for a rack that is asked again. If
+//! these rows counted for the new round, the gang would start although part of its room had been
+//! released meanwhile. A gang therefore sends a new request only after its last one was answered or
+//! is known to be lost, and room that a late reply reserved is released.
 
 use {
     crate::{
@@ -26,7 +26,7 @@
     rng: Rng,
 }
 
-/// The wishes of a gang, by the rack that is asked for them.
+/// The tasks of a gang, by the rack from which their room is requested.
 type Parts = BTreeMap<RackId, Vec<ReserveItem>>;
 
 struct Gang {
@@ -36,33 +36,34 @@
     got: Vec<ReserveRow>,
     round: u32,
     again: Time,
-    /// Whether an ask is not answered yet.
+    /// Whether a request awaits its reply.
     flying: bool,
-    /// Whether that ask is of a round that was given up.
+    /// Whether that request belongs to a round that was given up.
     late: bool,
     /// Whether the gang is no longer wanted.
     gone: bool,
 }
 
-/// What follows for a gang.
+/// The next step for a gang.
 pub enum Step {
-    /// Ask the owner of a rack.
+    /// Request room from the owner of a rack.
     Ask(ReserveAsk),
-    /// All its tasks have room: make their attempts.
+    /// All tasks have room: create their attempts.
     Place(Vec<ReserveRow>),
-    /// Release this room; the tasks wait again.
+    /// Release this room and requeue the tasks.
     Drop(Vec<ReserveRow>, Vec<TaskId>),
-    /// Nothing now.
+    /// Do nothing now.
     Wait,
 }
 
 impl Gangs {
-    /// No gangs; `seed` sets the jitter of the back-off.
+    /// Creates an empty set; `seed` determines the jitter of the back-off.
     pub fn new(seed: u64) -> Self {
         Gangs { all: BTreeMap::new(), rng: Rng::with_seed(seed) }
     }
 
-    /// Begins to place a gang; its tasks wait on where the racks together have not the room now.
+    /// Starts to place a gang. Its tasks are requeued if the racks together have too little room
+    /// now.
     pub fn begin(
         &mut self,
         job: &JobId,
@@ -94,7 +95,7 @@
         gang.step(order)
     }
 
-    /// Takes the answer of a rack's owner; none where it gave none.
+    /// Handles the reply of a rack's owner; `None` if there was none.
     pub fn answered(&mut self, ask: &ReserveAsk, reply: Option<ReserveReply>, now: Time) -> Step {
         let Some(job) = ask.items.first().map(|i| i.task.job.clone()) else { return Step::Wait };
         let (Some(gang), Some(rack)) = (self.all.get_mut(&job), &ask.rack) else {
@@ -133,7 +134,7 @@
         self.all.iter().filter(|(_, g)| !g.gone).map(|(job, _)| job)
     }
 
-    /// A gang is no longer wanted; returns its tasks, and the room to release.
+    /// Removes a gang that is no longer wanted; returns its tasks and the room to release.
     pub fn forget(&mut self, job: &JobId) -> (Vec<TaskId>, Vec<ReserveRow>) {
         let Some(gang) = self.all.get_mut(job) else { return (vec![], vec![]) };
         let tasks = gang.tasks();
@@ -179,10 +180,11 @@
     }
 }
 
-/// Divides a gang over racks, as few as can be; none where they have not the room together.
+/// Divides a gang over as few racks as possible; `None` if together they have too little room.
 ///
-/// What a rack told of itself may be old; its owner has the last word. Where nobody has room for an
-/// urgent gang, a rack's owner can make some for a task on each of its workers, by checkpoints.
+/// The reported load of a rack may be out of date; the rack's owner decides. If there is no room
+/// for an urgent gang, a rack's owner can make room for one task on each of its workers by
+/// checkpoints.
 fn divide(items: Vec<ReserveItem>, pool: &PoolId, racks: &[RackLoad]) -> Option<Parts> {
     let first = items.first()?;
     let (size, urgent) = (first.size, first.urgent);
@@ -193,7 +195,8 @@
     Some(counts.into_iter().map(|(rack, n)| (rack, items.by_ref().take(n).collect())).collect())
 }
 
-/// How many of `tasks` each rack takes, those with the most room first; none where that is too few.
+/// How many of `tasks` each rack takes, those with the most room first; `None` if the racks can't
+/// take all.
 fn spread(
     mut tasks: usize,
     pool: &PoolId,
@@ -214,7 +217,7 @@
     (tasks == 0).then_some(counts)
 }
 
-/// How many tasks of this size a rack may have room for, at the most.
+/// Upper bound of the tasks of this size for which a rack has room.
 fn room(size: &Size, rack: &RackLoad) -> u64 {
     size.count(&rack.free).min(size.count(&rack.widest).saturating_mul(u64::from(rack.workers)))
 }
--- a/src/gate.rs
+++ b/src/gate.rs
@@ -1,4 +1,4 @@
-//! Who may make control calls and operators' calls: whoever shows the secret of the settings.
+//! Authentication of control calls and operators' calls by the secret of the settings.
 
 use {
     crate::{error::Kind, metrics::Metrics},
@@ -14,22 +14,22 @@
 }
 
 impl Gate {
-    /// A gate that admits who shows `secret`.
+    /// Creates a gate that admits callers that show `secret`.
     pub fn new(secret: &str, metrics: Arc<Metrics>) -> Self {
         Gate { secret: secret.into(), metrics }
     }
 
-    /// Whether `shown` is the secret; takes as long for each guess of the same length.
+    /// Compares `shown` with the secret, in the same time for all values of the same length.
     pub fn matches(&self, shown: &[u8]) -> bool {
         self.secret.as_bytes().ct_eq(shown).into()
     }
 
-    /// The secret, to be shown to a peer.
+    /// The secret to be sent to a peer.
     pub fn show(&self) -> &str {
         &self.secret
     }
 
-    /// Counts a refusal.
+    /// Counts a refused call.
     pub fn refused(&self) {
         self.metrics.refused(Kind::Unauthorized);
     }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -334,7 +334,7 @@
 
     /// Takes a peer's word of jobs that have ended.
     pub fn ended(&mut self, jobs: Vec<JobId>) {
-        self.tasks.ended_afar(jobs);
+        self.tasks.add_remote_ended(jobs);
     }
 
     fn stop(&mut self, now: Time) {
--- a/src/member.rs
+++ b/src/member.rs
@@ -1,4 +1,4 @@
-//! One member process: a thread for each duty, joined by bounded rings.
+//! One member process: a thread for each function, connected by bounded rings.
 
 use {
     crate::{
@@ -37,11 +37,11 @@
     },
 };
 
-/// How many events may wait for the decisions; a burst of a second at the peak.
+/// Capacity of the ring of events for the decision thread: one second of the peak load.
 const INBOX: usize = 16 * 1024;
-/// How many orders may wait for a duty.
+/// Capacity of the ring of orders for each of the other threads.
 const RING: usize = 8 * 1024;
-/// How often time is let pass for the decisions.
+/// Interval of the ticks for the decision thread.
 const TICK: Duration = Duration::from_millis(20);
 
 /// The addresses that a running member listens on.
@@ -53,9 +53,9 @@
     metrics: TcpListener,
 }
 
-/// Runs a member until it is told to stop and has handed over all that it owns.
+/// Runs a member until it is told to stop and has handed over everything that it owns.
 ///
-/// Errs with [`Kind::BadSettings`] where an address can't be listened on, before anything starts.
+/// Errs with [`Kind::BadSettings`] before any thread starts if an address can't be listened on.
 pub fn run(settings: &Settings) -> Result<(), Error> {
     let listeners = Listeners::bind(settings)?;
     let local =
@@ -98,7 +98,7 @@
     }
 }
 
-/// The decisions' ends of the rings to the other duties.
+/// The decision thread's ends of the rings to the other threads.
 struct Rings {
     replies: Sender<(Ticket, Verdict)>,
     endpoints: Sender<Order>,
@@ -127,7 +127,7 @@
     let wait = move || {
         let mut stopped = stopped.clone();
         async move {
-            // An end of the sender means the same.
+            // A disconnected sender is handled like a stop.
             while !*stopped.borrow_and_update() && stopped.changed().await.is_ok() {}
         }
     };
@@ -205,7 +205,8 @@
     let core = Core::new(record, unix, metrics.clone());
     runtime()?.block_on(decide(core, events, rings, clock, &metrics));
     stop.send_replace(true);
-    // The signals' thread never ends; the others end with their rings and their last answers.
+    // The signal thread never ends; the others end when their rings close and their last replies
+    // are sent.
     for thread in threads.into_iter().filter(|t| t.thread().name() != Some("signals")) {
         let _ = thread.join();
     }
@@ -213,7 +214,7 @@
     Ok(())
 }
 
-/// The decisions' duty: takes in events, lets time pass, and spreads the orders.
+/// The decision thread: receives events, sends ticks, and distributes the orders.
 async fn decide(
     mut core: Core,
     events: Receiver<Event>,
@@ -255,10 +256,10 @@
 }
 
 impl Rings {
-    /// Passes an order on; returns what follows where the ring is full.
+    /// Passes an order on. Returns the resulting event if the ring is full.
     ///
-    /// A final answer is never dropped: its duty takes answers without waiting for anything, so the
-    /// wait is short and can't be circular.
+    /// A final reply is never dropped. The receiving thread takes replies without waiting for
+    /// anything, so the wait here is short and can't become circular.
     fn send(&self, order: Order, metrics: &Metrics) -> Option<Event> {
         let (ring, name) = match order {
             Order::Reply(ticket, verdict) => {
@@ -290,7 +291,7 @@
     }
 }
 
-/// What follows from an order that its duty never got.
+/// The event that reports an order that its thread never received.
 fn bounced(order: Order) -> Option<Event> {
     let full = || Outcome::Refused(Kind::RingFull.into());
     match order {
@@ -309,7 +310,7 @@
     }
 }
 
-/// Stops the member in order at the first signal, and at once at the second.
+/// Stops the member in order at the first signal, and immediately at the second.
 async fn signals(inbox: Inbox) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
--- a/src/roll.rs
+++ b/src/roll.rs
@@ -1,8 +1,8 @@
-//! The VMs as the platform's list has shown them of late.
+//! The VMs that the platform's list has shown recently.
 //!
-//! The list lags, and one that was just restarted may lack VMs that are well. A VM that is missing is
-//! therefore kept for a while: if it is gone, its own silence says so sooner; if it is well, callers
-//! notice nothing. A mark that it is leaving counts at once.
+//! The list lags, and a list service that was just restarted may omit healthy VMs. A missing VM is
+//! therefore kept for a while. If the VM is gone, its silence shows so sooner; if it is healthy,
+//! callers notice nothing. A mark that a VM is leaving takes effect at once.
 
 use {
     crate::{
@@ -13,17 +13,17 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long a VM that the list lacks is kept: as long as a silent worker keeps its leases.
+/// How long a VM that the list omits is kept: as long as an unresponsive worker keeps its leases.
 const MISSING: Duration = Duration::from_secs(10);
 
-/// The VMs, and since when each is missing from the list.
+/// The VMs, with the time since which each is missing from the list.
 #[derive(Default)]
 pub struct Roll {
     vms: BTreeMap<WorkerId, (Vm, Option<Time>)>,
 }
 
 impl Roll {
-    /// Takes the list, and returns the VMs to reckon with.
+    /// Applies the list and returns the VMs that count as present.
     pub fn take(&mut self, list: VmList, now: Time) -> BTreeMap<WorkerId, Vm> {
         for (_, missing) in self.vms.values_mut() {
             missing.get_or_insert(now);
--- a/src/tasks.rs
+++ b/src/tasks.rs
@@ -1,14 +1,17 @@
-//! The tasks of a member's buckets: which waits, which is next, which is stopped or given up.
+//! The tasks of a member's buckets: which wait, which is placed next, which are stopped or given
+//! up.
 //!
-//! Owns what waits and is held; calls [`decide`](crate::decide) and reads [`text`](crate::text).
+//! Owns the sets of waiting and held tasks. Calls [`decide`](crate::decide) and reads
+//! [`text`](crate::text).
 //!
-//! All jobs of a team stand in one bucket, so that one member counts the team's quota. Room is lent
-//! between teams whose buckets have the same owner.
+//! All jobs of a team belong to one bucket, so that one member accounts for the team's quota.
+//! Resources are lent between teams whose buckets have the same owner.
 //!
-//! What is asked for or may run is *held*: it counts against its team, its allowance and the cancels
-//! from the pick on, until its attempt is over or it found no room. `Tasks::release` is the one
-//! place that gives all of it back, whatever has become of its job or its bucket meanwhile; a count
-//! that were given back by the plan in force would stay for ever once the plan has changed.
+//! A task is *held* while room is being requested for it or while it may run. It counts against its
+//! team's quota, against its allowance of urgent work and for cancellation from the time it is
+//! picked until its attempt is over or no room was found. `Tasks::release` is the only place that
+//! returns all of these counts, even if the task's job or bucket has gone in the meantime. A count
+//! returned according to the current plan would leak whenever the plan changes in between.
 
 mod fault;
 mod gang;
@@ -42,29 +45,29 @@
     },
 };
 
-/// How long a replica that has ended stays down before it is started again.
-const RESTART: Duration = Duration::from_secs(1);
+/// Delay before a replica that has ended is started again.
+const RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// A task, or a whole gang, that is to be placed now.
+/// A task or a whole gang that is to be placed now.
 pub struct Pick {
-    /// What its team was granted.
+    /// The tasks, each with the grant from its team's quota.
     pub asks: Vec<(Ask, Grant)>,
     /// The job.
     pub job: Job,
-    /// Whether room may be made for it by stopping other work.
+    /// Whether other work may be stopped to make room for it.
     pub urgent: bool,
 }
 
-/// What is counted of the tasks here, to see that nothing is left when all is over.
+/// Totals of the tasks here; all are zero once all work is over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Balance {
-    /// The tasks that are asked for or may run.
+    /// The number of held tasks.
     pub held: usize,
-    /// The tasks that wait.
+    /// The number of waiting tasks.
     pub waiting: usize,
-    /// What the teams of the text hold, their own and borrowed.
+    /// Resources that the teams of the plan hold, their own and borrowed.
     pub size: Size,
-    /// What the teams of the text wait for.
+    /// Resources that the waiting tasks of the plan's teams request.
     pub waits: Size,
 }
 
@@ -79,30 +82,30 @@
     allowances: Allowances,
     listed: BTreeMap<JobId, Job>,
     held: BTreeMap<TaskId, Held>,
-    paused: BTreeSet<(Time, TaskId)>,
+    delayed: BTreeSet<(Time, TaskId)>,
     urgent: Urgent,
-    shaky: BTreeSet<WorkerId>,
-    /// The tasks and jobs that are given up, with the reason.
-    given: BTreeMap<TaskId, Box<str>>,
+    failed_workers: BTreeSet<WorkerId>,
+    /// The tasks that are given up, with the reason.
+    abandoned: BTreeMap<TaskId, Box<str>>,
     faults: BTreeMap<JobId, Box<str>>,
     done: BTreeMap<JobId, Ranges>,
-    /// The jobs elsewhere that have ended.
-    afar: BTreeSet<JobId>,
-    joined: BTreeMap<WorkerId, PoolId>,
+    /// Jobs that have ended on other members.
+    remote_ended: BTreeSet<JobId>,
+    worker_pools: BTreeMap<WorkerId, PoolId>,
     stops: Vec<TaskId>,
 }
 
-/// A task that is asked for or may run.
+/// A task for which room is requested or that may run.
 struct Held {
     bucket: Bucket,
-    /// When its attempt was made; none while room is asked for.
-    began: Option<Time>,
-    /// What it takes of its team's allowance of urgent work.
+    /// When its attempt was created; `None` while room is being requested.
+    placed_at: Option<Time>,
+    /// What the task takes of its team's allowance of urgent work.
     urgent: Option<(TeamId, Size)>,
 }
 
 impl Tasks {
-    /// No tasks; `seed` sets the jitter of the back-off.
+    /// Creates an empty set; `seed` determines the jitter of the back-off.
     pub fn new(seed: u64) -> Self {
         Tasks {
             plan: Rc::default(),
@@ -114,24 +117,26 @@
             allowances: Allowances::default(),
             listed: BTreeMap::new(),
             held: BTreeMap::new(),
-            paused: BTreeSet::new(),
+            delayed: BTreeSet::new(),
             urgent: Urgent::default(),
-            shaky: BTreeSet::new(),
-            given: BTreeMap::new(),
+            failed_workers: BTreeSet::new(),
+            abandoned: BTreeMap::new(),
             faults: BTreeMap::new(),
             done: BTreeMap::new(),
-            afar: BTreeSet::new(),
-            joined: BTreeMap::new(),
+            remote_ended: BTreeSet::new(),
+            worker_pools: BTreeMap::new(),
             stops: vec![],
         }
     }
 
-    /// The next task or gang to place; the caller answers by [`Tasks::placed`] or [`Tasks::unplaced`].
+    /// Returns the next task or gang to place. The caller answers with [`Tasks::placed`] or
+    /// [`Tasks::unplaced`].
     pub fn next(&mut self, now: Time) -> Option<Pick> {
         if let Some(pick) = self.next_urgent(now) {
             return Some(pick);
         }
-        // Each turn takes a task out of those that wait, or sets its job aside until the next wake.
+        // Each iteration removes a task from the queue or parks its job until the next wake, so the
+        // loop ends.
         loop {
             let pick = self.order.next(now, &self.quotas)?;
             let name = pick.ask.task.job.clone();
@@ -156,7 +161,7 @@
                 continue;
             }
             self.urgent.remove(&pick.ask.task);
-            if !self.hold_asked(&pick.ask.task, &job, None) {
+            if !self.hold_pending(&pick.ask.task, &job, None) {
                 self.unplaced(&pick.ask.task, now);
                 continue;
             }
@@ -164,12 +169,13 @@
         }
     }
 
-    /// Whether room is still asked for a task; it is not once its job or its bucket is gone.
+    /// Whether room is still being requested for a task. Returns false once its job or its bucket
+    /// is gone.
     pub fn asked(&self, task: &TaskId) -> bool {
-        self.held.get(task).is_some_and(|h| h.began.is_none())
+        self.held.get(task).is_some_and(|h| h.placed_at.is_none())
     }
 
-    /// Whether a task for which room was asked is still to be placed.
+    /// Whether a task for which room was requested is still to be placed.
     pub fn wanted(&self, task: &TaskId) -> bool {
         self.asked(task) && self.listed.contains_key(&task.job) && !self.cancels.cancelled(task)
     }
@@ -179,31 +185,31 @@
         self.cancels.cancelled(task)
     }
 
-    /// The bucket of a task that is asked for or may run.
+    /// The bucket of a held task.
     pub fn bucket(&self, task: &TaskId) -> Option<Bucket> {
         self.held.get(task).map(|h| h.bucket)
     }
 
-    /// A task was given a worker and its attempt made.
+    /// Records that a task was assigned to a worker and that its attempt was created.
     pub fn placed(&mut self, task: &TaskId, worker: &WorkerId, now: Time) {
         self.suspects.started(now, task, worker);
         if let Some(held) = self.held.get_mut(task) {
-            held.began = Some(now);
+            held.placed_at = Some(now);
         }
     }
 
-    /// A picked task found no room: it waits again, behind others for a while.
+    /// Requeues a picked task for which no room was found; its job is parked until the next wake.
     pub fn unplaced(&mut self, task: &TaskId, now: Time) {
         self.release(task);
-        self.back(task, now);
+        self.requeue(task, now);
         self.order.park(now, &task.job, &self.quotas);
     }
 
-    /// Takes the end of an attempt, as it stands in the record now.
+    /// Handles the end of an attempt as it is now recorded.
     pub fn over(&mut self, item: &EndItem, now: Time) {
         let task = &item.task;
-        // What is not held is counted as over already.
-        let Some(began) = self.held.get(task).map(|h| h.began) else { return };
+        // A task that is not held is already counted as over.
+        let Some(placed_at) = self.held.get(task).map(|h| h.placed_at) else { return };
         self.release(task);
         let Some(job) = self.listed.get(&task.job).cloned() else { return };
         let outcome = match item.state {
@@ -212,19 +218,19 @@
             _ => Outcome::Stopped,
         };
         if outcome == Outcome::Failed {
-            self.shaky.insert(item.worker.clone());
+            self.failed_workers.insert(item.worker.clone());
         }
-        self.estimate(item, &job, outcome, began.map(|at| now - at), now);
+        self.estimate(item, &job, outcome, placed_at.map(|at| now - at), now);
         if job.kind == JobKind::Gang && outcome != Outcome::Done {
-            self.break_up(&task.job, now);
+            self.restart_gang(&task.job, now);
         }
         match self.suspects.ended(now, task, &item.worker, outcome) {
             Verdict::Over if job.kind == JobKind::Replicas => {
-                self.paused.insert((now + RESTART, task.clone()));
+                self.delayed.insert((now + RESTART_DELAY, task.clone()));
             }
             Verdict::Over => self.ended(task, &job, now),
             Verdict::Retry(at) => {
-                self.paused.insert((at, task.clone()));
+                self.delayed.insert((at, task.clone()));
             }
             Verdict::GiveUp(fault) => self.give_up(task, &job, fault),
         }
@@ -248,7 +254,7 @@
         }
     }
 
-    /// A task of a batch, or of a gang, has ended well.
+    /// Handles the successful end of a task of a batch or a gang.
     fn ended(&mut self, task: &TaskId, job: &Job, now: Time) {
         let done = self.done.entry(task.job.clone()).or_default();
         done.insert(task.index);
@@ -256,11 +262,11 @@
             return self.order.ended(now, task, &mut self.quotas);
         }
         let done = done.len();
-        if self.holds(&task.job).count() + (done as usize) < job.tasks as usize {
-            // It ran without the others, as one of a gang that is being stopped.
-            return self.break_up(&task.job, now);
+        if self.held_of(&task.job).count() + (done as usize) < job.tasks as usize {
+            // The task ran without the others, as part of a gang that is being stopped.
+            return self.restart_gang(&task.job, now);
         }
-        // Until all have ended, one may yet fail, and then all start anew.
+        // Until all tasks have ended, one may still fail, and then all start again.
         if done >= job.tasks {
             for index in (0..job.tasks).map(TaskIndex) {
                 let task = TaskId { job: task.job.clone(), index };
@@ -269,7 +275,8 @@
         }
     }
 
-    /// The tasks to stop now: room that goes back to lenders, and what the text no longer lists.
+    /// Returns the tasks to stop now: those whose room goes back to the lending team, and those
+    /// that the plan no longer lists.
     pub fn stops(&mut self, now: Time) -> Vec<TaskId> {
         let mut stops = std::mem::take(&mut self.stops);
         stops.extend(self.quotas.returns(now));
@@ -277,59 +284,60 @@
         stops
     }
 
-    /// Lets what has waited long enough, or found no room, be picked again.
+    /// Requeues tasks whose delay is over and unparks jobs that found no room.
     pub fn wake(&mut self, now: Time) {
-        while self.paused.first().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, task)) = self.paused.pop_first() else { break };
-            self.back(&task, now);
+        while self.delayed.first().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, task)) = self.delayed.pop_first() else { break };
+            self.requeue(&task, now);
         }
         self.urgent.wake();
         self.order.wake(now, &self.quotas);
     }
 
-    /// Whether a job is taken in.
+    /// Whether a job was taken in from the plan.
     pub fn lists(&self, name: &JobId) -> bool {
         self.listed.contains_key(name)
     }
 
-    /// Takes the platform's list of workers.
+    /// Updates the workers from the platform's list.
     pub fn workers<'a>(&mut self, vms: impl Iterator<Item = &'a Vm>) {
         let mut now = BTreeMap::new();
         for vm in vms {
             self.suspects.join(&vm.worker, &vm.pool, &vm.rack);
             now.insert(vm.worker.clone(), vm.pool.clone());
         }
-        for gone in self.joined.keys().filter(|w| !now.contains_key(*w)) {
+        for gone in self.worker_pools.keys().filter(|w| !now.contains_key(*w)) {
             self.suspects.leave(gone);
-            self.shaky.remove(gone);
+            self.failed_workers.remove(gone);
         }
-        self.joined = now;
+        self.worker_pools = now;
     }
 
-    /// The workers that an attempt of a task keeps away from.
+    /// The workers that an attempt of a task must avoid.
     ///
-    /// A task that has failed on each worker of a small pool may go back to them: kept away from all
-    /// of them it would wait for ever, neither run nor given up.
+    /// A task that has failed on every worker of a small pool may use them again. If it avoided all
+    /// of them, it would wait forever and neither run nor be given up.
     pub fn avoid(&self, task: &TaskId, now: Time) -> Vec<WorkerId> {
         let held = |w: &&WorkerId| matches!(self.suspects.trust(now, w), Trust::Held(_));
-        let mut avoid: BTreeSet<&WorkerId> = self.shaky.iter().filter(held).collect();
+        let mut avoid: BTreeSet<&WorkerId> = self.failed_workers.iter().filter(held).collect();
         let failed = self.suspects.failed_on(task);
         let pool = self.listed.get(&task.job).map(|j| &j.pool);
-        let mut workers = self.joined.iter().filter(|(_, p)| Some(*p) == pool).map(|(w, _)| w);
+        let mut workers =
+            self.worker_pools.iter().filter(|(_, p)| Some(*p) == pool).map(|(w, _)| w);
         if workers.any(|w| !avoid.contains(w) && !failed.contains(w)) {
             avoid.extend(failed);
         }
         avoid.into_iter().cloned().collect()
     }
 
-    /// What an attempt of a task reserves.
+    /// The resources that an attempt of a task reserves.
     pub fn size(&self, task: &TaskId, declared: Size) -> Size {
         self.estimates.reserve(&task.job, declared)
     }
 
-    /// How a task's room can be had back.
+    /// How the room of a task can be reclaimed, and whether the room is borrowed.
     pub fn hold(&self, task: &TaskId) -> (Hold, bool) {
-        let hold = match self.listed.get(&task.job).map(back_of) {
+        let hold = match self.listed.get(&task.job).map(reclaim_mode) {
             Some(Back::Checkpoint) => Hold::Checkpoint,
             Some(Back::Brief) => Hold::Brief,
             Some(Back::Never) | None => Hold::Never,
@@ -337,25 +345,28 @@
         (hold, self.quotas.borrows(task))
     }
 
-    /// Whether anything of a job may start now.
+    /// Whether any task of a job may start now.
     fn may_start(&self, name: &JobId, job: &Job, now: Time) -> bool {
         match self.suspects.job_trust(now, name) {
             Trust::Held(_) => false,
-            // The time of the last start is known only once it has found room: until then nothing
-            // else of the job is asked for, or a job on trial would start all its tasks at once.
-            Trust::Probe => !self.holds(name).any(|(_, h)| h.began.is_none()) && self.ready(job),
+            // The time of the last start is known only once that task has found room. Until then no
+            // other task of the job may be requested, or a job on trial would start all its tasks
+            // at once.
+            Trust::Probe => {
+                !self.held_of(name).any(|(_, h)| h.placed_at.is_none()) && self.ready(job)
+            }
             Trust::Full => self.ready(job),
         }
     }
 
-    fn holds(&self, name: &JobId) -> impl Iterator<Item = (&TaskId, &Held)> {
+    fn held_of(&self, name: &JobId) -> impl Iterator<Item = (&TaskId, &Held)> {
         let first = TaskId { job: name.clone(), index: TaskIndex(0) };
         self.held.range(first..).take_while(move |(t, _)| t.job == *name)
     }
 
-    /// Counts a task whose room is asked for; returns false where it is cancelled.
-    fn hold_asked(&mut self, task: &TaskId, job: &Job, urgent: Option<(TeamId, Size)>) -> bool {
-        let held = Held { bucket: team_bucket(&job.team), began: None, urgent };
+    /// Marks a task as held while room is requested for it. Returns false if the task is cancelled.
+    fn hold_pending(&mut self, task: &TaskId, job: &Job, urgent: Option<(TeamId, Size)>) -> bool {
+        let held = Held { bucket: team_bucket(&job.team), placed_at: None, urgent };
         self.held.insert(task.clone(), held);
         self.cancels.start(task)
     }
@@ -366,13 +377,13 @@
         if let Some((team, size)) = self.held.remove(task).and_then(|h| h.urgent) {
             self.allowances.ended(&team, size);
         }
-        if !self.listed.contains_key(&task.job) && self.holds(&task.job).next().is_none() {
-            // Nothing of it runs any more, so that no mark is needed.
+        if !self.listed.contains_key(&task.job) && self.held_of(&task.job).next().is_none() {
+            // No task of the job is held any more, so its cancel mark is not needed.
             let _ = self.cancels.relist(&task.job);
         }
     }
 
-    fn back(&mut self, task: &TaskId, now: Time) {
+    fn requeue(&mut self, task: &TaskId, now: Time) {
         let Some(job) = self.listed.get(&task.job) else { return };
         if self.faults.contains_key(&task.job) || task.index.0 >= job.tasks {
             return;
@@ -384,9 +395,9 @@
     }
 }
 
-/// How the room of a job's tasks can be had back; that of urgent work not, as it would be stopped for
-/// what it has borrowed and start again at once, over and over.
-fn back_of(job: &Job) -> Back {
+/// How the room of a job's tasks can be reclaimed. Room of urgent work is not reclaimed: the work
+/// would be stopped because it borrows room and would start again at once, repeatedly.
+fn reclaim_mode(job: &Job) -> Back {
     match job.kind {
         JobKind::Batch if !job.urgent && job.run <= BRIEF => Back::Brief,
         JobKind::Batch if !job.urgent => Back::Checkpoint,
--- a/src/tasks/fault.rs
+++ b/src/tasks/fault.rs
@@ -1,4 +1,4 @@
-//! Tasks and jobs that are given up, with the reason that operators are shown.
+//! Tasks and jobs that are given up, with the reason shown to operators.
 
 use {
     super::Tasks,
@@ -10,24 +10,25 @@
 };
 
 impl Tasks {
-    /// Why a job is given up, if it is.
+    /// Why a job was given up; `None` if it was not.
     pub fn fault(&self, name: &JobId) -> Option<&str> {
         self.faults.get(name).map(|f| &**f)
     }
 
-    /// Gives a task up, or its whole job: a gang is of no use without one of its tasks.
+    /// Gives up a task. If the fault concerns the whole job, or the job is a gang, gives up the
+    /// job: a gang can't work without one of its tasks.
     pub(super) fn give_up(&mut self, task: &TaskId, job: &Job, fault: Fault) {
         let reason: Box<str> = fault.to_string().into();
         if matches!(fault, Fault::Job(_)) || job.kind == JobKind::Gang {
             return self.abandon(&task.job, reason);
         }
-        self.given.insert(task.clone(), reason);
+        self.abandoned.insert(task.clone(), reason);
     }
 
-    /// Gives a job up: nothing of it is started any more; what runs of it goes on.
+    /// Gives up a job: none of its tasks are started any more; those that run continue.
     pub(super) fn abandon(&mut self, name: &JobId, reason: Box<str>) {
         self.order.remove(name, &mut self.quotas);
-        self.paused.retain(|(_, t)| t.job != *name);
+        self.delayed.retain(|(_, t)| t.job != *name);
         self.urgent.drop_job(name);
         self.faults.insert(name.clone(), reason);
     }
--- a/src/tasks/gang.rs
+++ b/src/tasks/gang.rs
@@ -1,4 +1,4 @@
-//! Gangs among the tasks: picked whole, broken up when one of them fails, and begun anew whole.
+//! Gangs: all tasks are picked together, and after a failure all are stopped and started again.
 
 use {
     super::Tasks,
@@ -13,11 +13,11 @@
 };
 
 impl Tasks {
-    /// All tasks of a gang, if its team may hold them all.
+    /// Picks all tasks of a gang, if the team's quota admits all of them.
     pub(super) fn gang(&mut self, name: &JobId, now: Time) -> Option<Vec<(Ask, Grant)>> {
         let job = self.listed.get(name)?.clone();
         let asks = self.order.asks(name);
-        // Those that still run, or wait out a pause, come first: half a gang must not start.
+        // Some tasks still run or wait for a delay to end; part of a gang must not start.
         if asks.len() < job.tasks as usize || asks.is_empty() {
             return None;
         }
@@ -29,10 +29,10 @@
             if grant != Grant::Wait {
                 taken.push((ask, grant));
             }
-            if grant == Grant::Wait || !self.hold_asked(&task, &job, None) {
+            if grant == Grant::Wait || !self.hold_pending(&task, &job, None) {
                 for (ask, _) in taken {
                     self.release(&ask.task);
-                    self.back(&ask.task, now);
+                    self.requeue(&ask.task, now);
                 }
                 return None;
             }
@@ -43,15 +43,16 @@
         Some(taken)
     }
 
-    /// Stops what runs of a gang, and lets what has ended of it wait again: its other tasks can do
-    /// nothing without the one that is lost, and what has ended worked with them.
-    pub(super) fn break_up(&mut self, name: &JobId, now: Time) {
-        let running = self.holds(name).filter(|(_, h)| h.began.is_some()).map(|(t, _)| t.clone());
+    /// Stops the running tasks of a gang and requeues those that have ended. The remaining tasks
+    /// can't work without the lost one, and the results of the ended tasks depended on it.
+    pub(super) fn restart_gang(&mut self, name: &JobId, now: Time) {
+        let running =
+            self.held_of(name).filter(|(_, h)| h.placed_at.is_some()).map(|(t, _)| t.clone());
         let running: Vec<TaskId> = running.collect();
         self.stops.extend(running);
         let done = self.done.remove(name).unwrap_or_default();
         for index in done.iter() {
-            self.paused.insert((now, TaskId { job: name.clone(), index }));
+            self.delayed.insert((now, TaskId { job: name.clone(), index }));
         }
     }
 }
--- a/src/tasks/list.rs
+++ b/src/tasks/list.rs
@@ -1,7 +1,7 @@
-//! The jobs that are taken in and left out, by the text in force and by the buckets owned.
+//! Adds and removes jobs according to the plan in force and the buckets owned.
 
 use {
-    super::{Held, Tasks, back_of, live},
+    super::{Held, Tasks, live, reclaim_mode},
     crate::{
         Time,
         decide::order,
@@ -14,61 +14,64 @@
     std::{rc::Rc, time::Duration},
 };
 
-/// How often a member tries a task that failed under owners before it, whose evidence it has not.
-const TRIES: u32 = 12;
+/// Number of failures after which a member gives up a task that failed under previous owners. The
+/// evidence of those owners about workers is not available to this member.
+const MAX_TRIES: u32 = 12;
 
-/// What a bucket's record says of a job.
+/// The recorded history of a job in its bucket.
 pub struct Past {
-    /// Its attempts.
+    /// Rows of its attempts.
     pub rows: Vec<TaskRow>,
-    /// The tasks whose rows are gone since they have ended well.
+    /// Tasks that have ended successfully and have no row any more.
     pub done: Ranges,
-    /// Why it was given up.
+    /// Why the job was given up.
     pub fault: Option<Box<str>>,
-    /// How long ago it was first taken in.
+    /// Time since the job was first taken in.
     pub age: Duration,
 }
 
 impl Tasks {
-    /// Takes the plan in force: quotas, and the jobs that it no longer lists.
+    /// Applies the plan in force: sets the quotas and removes jobs that the plan no longer lists.
     pub fn planned(&mut self, plan: &Rc<Plan>) {
         let before = std::mem::replace(&mut self.plan, plan.clone());
         let all = self.all();
         for (id, team) in &plan.teams {
             self.quotas.set(id, team.quota.unwrap_or(all), team.weight);
         }
-        // What no team has any more must not be lent.
+        // The quota of a team that was removed must not be lent.
         for id in before.teams.keys().filter(|id| !plan.teams.contains_key(*id)) {
             self.quotas.set(id, Size::default(), 1);
         }
         self.order.relist(&self.quotas);
-        self.afar.retain(|name| plan.jobs.get(name) == before.jobs.get(name));
+        self.remote_ended.retain(|name| plan.jobs.get(name) == before.jobs.get(name));
         let gone: Vec<JobId> = self
             .listed
             .iter()
             .filter(|(name, job)| plan.jobs.get(*name) != Some(*job))
             .map(|(name, _)| name.clone())
             .collect();
-        gone.iter().for_each(|name| self.leave_out(name));
-        // Of what is still being stopped since an earlier text, more may have to be now.
+        gone.iter().for_each(|name| self.unlist(name));
+        // Tasks still being stopped because of an earlier plan may include more that must be
+        // cancelled now.
         let held: Vec<TaskId> =
             self.held.keys().filter(|t| !self.listed.contains_key(&t.job)).cloned().collect();
         held.iter().for_each(|task| self.cancel_unlisted(task));
     }
 
-    /// Takes in a job of the plan, with what its bucket's record says of it.
+    /// Takes in a job of the plan, with its history from the bucket's record.
     ///
-    /// Returns false while tasks of a former text's job of this name are being stopped, or room is
-    /// asked for them: its answers would be taken for those of the new job.
+    /// Returns false while tasks of an earlier job of the same name are being stopped or room is
+    /// being requested for them: replies for those tasks would be mistaken for replies for the new
+    /// job.
     pub fn list(&mut self, name: &JobId, past: Past, now: Time) -> bool {
         let Some(job) = self.plan.jobs.get(name).cloned() else { return true };
         if self.busy(name) {
             return false;
         }
-        let on: Vec<(TaskId, Option<Time>)> =
-            self.holds(name).map(|(t, h)| (t.clone(), h.began)).collect();
-        // What goes on running is counted anew, by the job as it is now.
-        on.iter().for_each(|(task, _)| self.release(task));
+        let running: Vec<(TaskId, Option<Time>)> =
+            self.held_of(name).map(|(t, h)| (t.clone(), h.placed_at)).collect();
+        // Running tasks are counted again, according to the current definition of the job.
+        running.iter().for_each(|(task, _)| self.release(task));
         if self.cancels.relist(name).is_err() {
             return false;
         }
@@ -82,14 +85,14 @@
             width: job.tasks,
             tasks: job.tasks,
             size: job.size,
-            back: back_of(&job),
+            back: reclaim_mode(&job),
         };
         self.listed.insert(name.clone(), job.clone());
         self.order.push(now, entry, &mut self.quotas);
-        self.take_past(name, &job, past, now);
-        for (task, began) in on {
-            if let (Some(held), Some(began)) = (self.held.get_mut(&task), began) {
-                held.began = Some(began);
+        self.restore_job(name, &job, past, now);
+        for (task, placed_at) in running {
+            if let (Some(held), Some(placed_at)) = (self.held.get_mut(&task), placed_at) {
+                held.placed_at = Some(placed_at);
             }
         }
         if job.urgent {
@@ -98,15 +101,16 @@
         true
     }
 
-    /// Marks a row of a job that the plan does not list, so that it is stopped.
+    /// Holds and cancels the task of a row whose job the plan does not list, so that it is stopped.
     pub fn orphan(&mut self, row: &TaskRow, bucket: Bucket, now: Time) {
-        let held = Held { bucket, began: Some(now), urgent: None };
+        let held = Held { bucket, placed_at: Some(now), urgent: None };
         self.held.insert(row.task.clone(), held);
         self.cancels.start(&row.task);
         self.cancels.task(&row.task);
     }
 
-    /// A bucket has passed to another member, which decides on its tasks from now on.
+    /// Drops the tasks of a bucket that passed to another member, which decides on them from now
+    /// on.
     pub fn lost(&mut self, bucket: Bucket) {
         let held: Vec<TaskId> =
             self.held.iter().filter(|(_, h)| h.bucket == bucket).map(|(t, _)| t.clone()).collect();
@@ -123,25 +127,25 @@
             self.drop_job(name);
         }
         gone.extend(held.into_iter().map(|t| t.job));
-        // No task of them is held any more, so that no mark is needed either.
+        // None of their tasks is held any more, so their cancel marks are not needed.
         for name in &gone {
             let _ = self.cancels.relist(name);
         }
     }
 
-    fn leave_out(&mut self, name: &JobId) {
+    fn unlist(&mut self, name: &JobId) {
         self.listed.remove(name);
         self.order.remove(name, &mut self.quotas);
         self.drop_job(name);
     }
 
-    /// Cancels a held task unless the plan lists it, in the bucket in which it is held.
+    /// Cancels a held task unless the plan lists it in the bucket in which it is held.
     fn cancel_unlisted(&mut self, task: &TaskId) {
         let Some(held) = self.held.get(task) else { return };
         let job = self.plan.jobs.get(&task.job);
         let kept = |j: &Job| task.index.0 < j.tasks && team_bucket(&j.team) == held.bucket;
         match job {
-            // One mark for all its tasks, in bounded work however many these are.
+            // One mark covers all tasks of the job, so the work is bounded whatever their number.
             None => self.cancels.job(&task.job),
             Some(job) if !kept(job) => self.cancels.task(task),
             Some(_) => {}
@@ -149,56 +153,56 @@
     }
 
     fn busy(&self, name: &JobId) -> bool {
-        self.holds(name).any(|(t, h)| h.began.is_none() || self.cancels.cancelled(t))
+        self.held_of(name).any(|(t, h)| h.placed_at.is_none() || self.cancels.cancelled(t))
     }
 
-    fn take_past(&mut self, name: &JobId, job: &Job, past: Past, now: Time) {
+    fn restore_job(&mut self, name: &JobId, job: &Job, past: Past, now: Time) {
         for index in past.done.iter().filter(|i| i.0 < job.tasks) {
-            self.take_ended(&TaskId { job: name.clone(), index }, job, now);
+            self.restore_ended(&TaskId { job: name.clone(), index }, job, now);
         }
         for row in past.rows.iter().filter(|r| r.task.index.0 < job.tasks) {
-            self.take_row(row, job, now);
+            self.restore_row(row, job, now);
         }
         if let Some(fault) = past.fault {
             self.abandon(name, fault);
         }
         let done = self.done.get(name).map_or(0, Ranges::len);
         if job.kind == JobKind::Gang && done < job.tasks {
-            // Taken over with one of its tasks lost, it is half a gang.
-            let whole = self.holds(name).count() + done as usize == job.tasks as usize;
+            // A gang taken over with one of its tasks lost is incomplete.
+            let whole = self.held_of(name).count() + done as usize == job.tasks as usize;
             if !whole {
-                self.break_up(name, now);
+                self.restart_gang(name, now);
             }
         } else if job.kind == JobKind::Gang {
             self.order.remove(name, &mut self.quotas);
         }
     }
 
-    fn take_row(&mut self, row: &TaskRow, job: &Job, now: Time) {
+    fn restore_row(&mut self, row: &TaskRow, job: &Job, now: Time) {
         match row.state {
             s if live(s) => {
                 self.order.adopt(now, &row.task, false, &mut self.quotas);
                 let bucket = team_bucket(&job.team);
-                let held = Held { bucket, began: Some(now), urgent: None };
+                let held = Held { bucket, placed_at: Some(now), urgent: None };
                 self.held.insert(row.task.clone(), held);
                 self.cancels.start(&row.task);
             }
             TaskState::Ended if job.kind != JobKind::Replicas => {
-                self.take_ended(&row.task, job, now);
+                self.restore_ended(&row.task, job, now);
             }
-            TaskState::Failed if row.tries.unwrap_or(0) >= TRIES => {
+            TaskState::Failed if row.tries.unwrap_or(0) >= MAX_TRIES => {
                 let reason = format!("the task failed {} times", row.tries.unwrap_or(0));
                 self.order.adopt(now, &row.task, true, &mut self.quotas);
                 match job.kind {
                     JobKind::Gang => self.abandon(&row.task.job, reason.into()),
-                    _ => drop(self.given.insert(row.task.clone(), reason.into())),
+                    _ => drop(self.abandoned.insert(row.task.clone(), reason.into())),
                 }
             }
             _ => {}
         }
     }
 
-    fn take_ended(&mut self, task: &TaskId, job: &Job, now: Time) {
+    fn restore_ended(&mut self, task: &TaskId, job: &Job, now: Time) {
         if job.kind == JobKind::Replicas {
             return;
         }
@@ -206,7 +210,8 @@
             return;
         }
         match job.kind {
-            // It does not wait; but what is left of the gang may yet fail, and then it waits again.
+            // The ended task does not wait, but another task of the gang may still fail; then it
+            // waits again.
             JobKind::Gang => {
                 self.order.adopt(now, task, false, &mut self.quotas);
                 self.quotas.ended(task);
@@ -220,8 +225,8 @@
         self.faults.remove(name);
         self.suspects.forget(name);
         self.estimates.forget(name);
-        self.given.retain(|t, _| t.job != *name);
-        self.paused.retain(|(_, t)| t.job != *name);
+        self.abandoned.retain(|t, _| t.job != *name);
+        self.delayed.retain(|(_, t)| t.job != *name);
         self.urgent.drop_job(name);
     }
 }
--- a/src/tasks/show.rs
+++ b/src/tasks/show.rs
@@ -1,4 +1,4 @@
-//! What operators and other members are told of the tasks.
+//! Information on the tasks for operators and other members.
 
 use {
     super::{Balance, Tasks},
@@ -11,9 +11,9 @@
 };
 
 impl Tasks {
-    /// Why a task does not run, where that is known.
+    /// Why a task does not run, if known.
     pub fn reason(&self, task: &TaskId) -> Option<Box<str>> {
-        if let Some(fault) = self.given.get(task).or_else(|| self.faults.get(&task.job)) {
+        if let Some(fault) = self.abandoned.get(task).or_else(|| self.faults.get(&task.job)) {
             return Some(format!("given up: {fault}").into());
         }
         let job = self.listed.get(&task.job)?;
@@ -30,13 +30,13 @@
         job.kind != JobKind::Replicas && self.done.get(name).is_some_and(|d| d.len() >= job.tasks)
     }
 
-    /// The jobs elsewhere that have ended, so that what depends on them may start.
-    pub fn ended_afar(&mut self, jobs: Vec<JobId>) {
+    /// Records jobs that have ended on other members, so that jobs that depend on them may start.
+    pub fn add_remote_ended(&mut self, jobs: Vec<JobId>) {
         let known = jobs.into_iter().filter(|n| self.plan.jobs.contains_key(n));
-        self.afar.extend(known);
+        self.remote_ended.extend(known);
     }
 
-    /// The jobs here that have ended and that others depend on.
+    /// The jobs here that have ended and on which others depend.
     pub fn done(&self) -> Vec<JobId> {
         let after: BTreeSet<&str> =
             self.plan.jobs.values().flat_map(|j| &j.after).map(|a| &**a).collect();
@@ -44,7 +44,7 @@
         names.filter(|n| self.finished(n)).collect()
     }
 
-    /// What is counted here; all of it is zero when all is over.
+    /// Totals of the tasks here; all are zero once all work is over.
     pub fn balance(&self) -> Balance {
         let teams = || self.plan.teams.keys();
         let size = teams().map(|t| self.quotas.held(t)).map(|(own, lent)| own + lent).sum();
@@ -55,14 +55,14 @@
     pub(super) fn ready(&self, job: &Job) -> bool {
         job.after.iter().all(|name| {
             let id = JobId(name.clone());
-            // What it depends on may be a service or replicas, which are kept up all the time.
+            // A dependency on replicas, which run all the time, counts as met.
             let Some(first) = self.plan.jobs.get(&id) else { return true };
             let here = || self.finished(&id);
-            first.kind == JobKind::Replicas || here() || self.afar.contains(&id)
+            first.kind == JobKind::Replicas || here() || self.remote_ended.contains(&id)
         })
     }
 
-    /// What all workers of the text have.
+    /// Total resources of all workers of the plan.
     pub(super) fn all(&self) -> Size {
         self.plan.pools.values().map(|p| p.size.times(u64::from(p.workers))).sum()
     }
--- a/src/tasks/urgent.rs
+++ b/src/tasks/urgent.rs
@@ -1,4 +1,4 @@
-//! Urgent work, which does not wait for its team's turn; the team's allowance bounds it.
+//! Urgent work, which does not wait for its team's turn and is bounded by the team's allowance.
 
 use {
     super::{Pick, Tasks},
@@ -13,11 +13,11 @@
 
 type Waiting = BTreeMap<JobId, BTreeSet<TaskIndex>>;
 
-/// The tasks of urgent jobs that wait.
+/// The waiting tasks of urgent jobs.
 #[derive(Default)]
 pub(super) struct Urgent {
     open: Waiting,
-    /// Those of jobs that could not start since the last wake.
+    /// Tasks of jobs that could not start since the last wake.
     parked: Waiting,
 }
 
@@ -58,15 +58,15 @@
 }
 
 impl Tasks {
-    /// The next urgent task or gang that its team's allowance lets start.
+    /// Returns the next urgent task or gang that its team's allowance admits.
     ///
-    /// Work over the allowance waits in the usual order, and keeps nobody else's from starting.
+    /// Work over the allowance waits in the normal order and does not block other work.
     pub(super) fn next_urgent(&mut self, now: Time) -> Option<Pick> {
         while let Some(task) = self.urgent.first() {
             if let Some(pick) = self.try_urgent(&task, now) {
                 return Some(pick);
             }
-            // The tasks of a job are alike: where one can't start, none can.
+            // The tasks of a job are alike: if one can't start, none can.
             self.urgent.park(&task.job);
         }
         None
@@ -88,16 +88,16 @@
             return None;
         }
         let mut asks = vec![];
-        let mut sound = true;
+        let mut admitted = true;
         for task in &tasks {
             self.urgent.remove(task);
             self.order.adopt(now, task, false, &mut self.quotas);
-            sound &= self.hold_asked(task, &job, Some((job.team.clone(), job.size)));
-            let back = super::back_of(&job);
+            admitted &= self.hold_pending(task, &job, Some((job.team.clone(), job.size)));
+            let back = super::reclaim_mode(&job);
             let ask = Ask { team: job.team.clone(), task: task.clone(), size: job.size, back };
             asks.push((ask, Grant::Own));
         }
-        if !sound {
+        if !admitted {
             tasks.iter().for_each(|t| self.unplaced(t, now));
             return None;
         }
