--- a/src/bucket.rs
+++ b/src/bucket.rs
@@ -1,7 +1,7 @@
-//! One bucket of jobs and keys at its owner: claims and attempts over one group commit.
+//! One bucket of jobs and keys at its owner: claims and attempts, written by one group commit.
 //!
-//! Owns one bucket's record. Calls [`claims`](crate::claims), [`attempts`](crate::attempts) and
-//! [`commit`](crate::commit); [`jobs`](crate::jobs) calls it.
+//! Owns the bucket's record. Calls [`claims`](crate::claims), [`attempts`](crate::attempts) and
+//! [`commit`](crate::commit); called by [`jobs`](crate::jobs).
 
 mod past;
 
@@ -18,7 +18,7 @@
     },
 };
 
-/// A bucket at its owner.
+/// The state of a bucket at its owner.
 pub struct Bucket {
     commit: Commit,
     claims: Claims,
@@ -29,7 +29,7 @@
 }
 
 impl Bucket {
-    /// The bucket at a new owner; `unix` is the Unix clock at [`Time::ZERO`], in seconds.
+    /// Creates the bucket at a new owner; `unix` is the Unix time at [`Time::ZERO`], in seconds.
     pub fn new(epoch: Epoch, owner: Incarnation, unix: u64) -> Self {
         Bucket {
             commit: Commit::new(epoch, owner),
@@ -41,84 +41,85 @@
         }
     }
 
-    /// Notes until when no other member can take the bucket over.
+    /// Sets the time until which no other member can take over the bucket.
     pub fn renew(&mut self, sure: Time) {
         self.sure = self.sure.max(sure);
     }
 
-    /// Whether the record has been taken over, so that attempts can be made.
+    /// Whether the previous owner's record has been read, so that attempts can be created.
     pub fn ready(&self) -> bool {
         self.commit.ready() && !self.commit.lost()
     }
 
-    /// Whether changes wait for the budget of writes.
+    /// Whether changes wait for the write budget.
     pub fn waits(&self) -> bool {
         self.commit.waits()
     }
 
-    /// Whether an ask for a claim waits for its verdict.
+    /// Whether a claim request awaits its verdict.
     pub fn pending(&self) -> bool {
         self.claims.pending()
     }
 
-    /// The attempts, to be read.
+    /// The attempts, read-only.
     pub fn attempts(&self) -> &Attempts {
         &self.attempts
     }
 
-    /// Decides on an ask for a claim.
+    /// Decides on a claim request.
     pub fn ask(&mut self, ask: ClaimAsk, now: Time) {
         self.claims.ask(ask, now, &mut self.commit, &mut self.out);
     }
 
-    /// Takes word of how a claimed request ended, which is sent until [`Order::Kept`] comes.
+    /// Records how a claimed request ended. The sender repeats the notice until [`Order::Kept`]
+    /// confirms it.
     pub fn end(&mut self, end: ClaimEnd, call: u64) {
         self.claims.end(end, call, &mut self.commit, &mut self.out);
     }
 
-    /// Makes the next attempt of a task; errs where [`Attempts::place`] does.
+    /// Creates the next attempt of a task; errs as [`Attempts::place`] does.
     pub fn place(&mut self, place: Place, now: Time) -> Result<Attempt, Refused> {
         self.attempts.place(place, now, &mut self.commit)
     }
 
-    /// Asks for a task's attempt to be stopped.
+    /// Requests that a task's attempt be stopped.
     pub fn stop(&mut self, task: &TaskId) {
         self.attempts.stop(task, &mut self.commit, &mut self.out);
     }
 
-    /// Takes word of an attempt that runs or has ended.
+    /// Applies the reported state of an attempt.
     pub fn heard(&mut self, item: &EndItem) {
         self.attempts.heard(&item.task, item.attempt, item.state, &mut self.commit);
     }
 
-    /// Takes a worker's report that was true at `taken`.
+    /// Applies a worker's report that was true at `taken`.
     pub fn report(&mut self, worker: &WorkerId, taken: Time, tasks: &[TaskReport]) {
         self.attempts.report(worker, taken, tasks, &mut self.commit);
     }
 
-    /// Takes the promise that an attempt's lease is not renewed beyond `until`.
+    /// Records that an attempt's lease will not be renewed beyond `until`.
     pub fn cut(&mut self, task: &TaskId, attempt: Attempt, until: Time) {
         self.attempts.cut(task, attempt, until);
     }
 
-    /// What is kept of a job beyond its attempts.
+    /// The stored data of a job besides its attempts.
     pub fn past(&self, job: &JobId) -> Option<&Past> {
         self.pasts.get(job)
     }
 
-    /// The jobs of which anything is kept beyond their attempts.
+    /// The jobs with stored data besides their attempts.
     pub fn jobs(&self) -> impl Iterator<Item = &JobId> {
         self.pasts.names()
     }
 
-    /// Takes a job in at this time by the Unix clock, unless it is known.
+    /// Adds a job with this Unix time as its start, unless it is known.
     pub fn begin(&mut self, job: &JobId, unix: u64) {
         if self.pasts.begin(job, unix) {
             self.commit.touch();
         }
     }
 
-    /// Keeps a task that has ended well by its number alone; nothing of it is started any more.
+    /// Records a task that has ended successfully by index only; it will not be started again.
     pub fn finish(&mut self, task: &TaskId) {
         let ended = self.attempts.get(task).is_some_and(|r| r.state == TaskState::Ended);
         if ended && self.pasts.finish(task) {
@@ -126,39 +127,40 @@
         }
     }
 
-    /// Drops the ended tasks of a job of which not all have ended: a gang ends whole.
+    /// Drops the ended tasks of a gang unless all of its tasks have ended.
     pub fn keep_whole(&mut self, job: &JobId, tasks: u32) {
         if self.pasts.keep_whole(job, tasks) {
             self.commit.touch();
         }
     }
 
-    /// Keeps why a job was given up.
+    /// Stores the reason why a job was given up.
     pub fn give_up(&mut self, job: &JobId, fault: &str) {
         if self.pasts.give_up(job, fault) {
             self.commit.touch();
         }
     }
 
-    /// Drops what is kept of a job beyond its attempts.
+    /// Removes the stored data of a job besides its attempts.
     pub fn forget_job(&mut self, job: &JobId) {
         if self.pasts.forget(job) {
             self.commit.touch();
         }
     }
 
-    /// Drops a task; errs where an attempt may be running.
+    /// Removes a task; errs if an attempt may be running.
     pub fn forget(&mut self, task: &TaskId) -> Result<(), Refused> {
         self.attempts.forget(task, &mut self.commit)
     }
 
-    /// Takes the answer to a write, `None` where there was none in time.
+    /// Handles the reply to a write; `None` if there was none in time.
     pub fn wrote(&mut self, call: u64, reply: Option<&KvPutReply>, now: Time) {
         let step = self.commit.wrote(call, reply);
         self.step(step, now);
     }
 
-    /// Takes the answer to a read, `None` where there was none, `Some(None)` where no record is.
+    /// Handles the reply to a read: `None` if there was no reply, `Some(None)` if there is no
+    /// record.
     pub fn read(
         &mut self,
         call: u64,
@@ -169,7 +171,8 @@
         self.step(step, now);
     }
 
-    /// Does what is due and takes out the orders; to be called after each event and in idle times.
+    /// Does the work that is due and returns the orders. Must be called after each event and
+    /// periodically.
     pub fn orders(&mut self, now: Time) -> Vec<Order> {
         if !self.commit.lost() {
             self.claims.tick(now, &mut self.commit, &mut self.out);
--- a/src/bucket/past.rs
+++ b/src/bucket/past.rs
@@ -1,9 +1,9 @@
-//! What a bucket's record keeps of its jobs beyond their attempts.
+//! Data that a bucket's record holds on its jobs besides their attempts.
 //!
-//! A row for each ended task would fill the record: a batch of 20,000 tasks has over ten times its
-//! room. Since tasks end roughly in their order, those that have ended are kept as ranges. The time
-//! from which a job's deadline counts stands here too; counted from each takeover, a batch whose
-//! owners change often would never be late.
+//! A row for each ended task would fill the record: the rows of a batch of 20,000 tasks need more
+//! than ten times its space. Tasks end roughly in order, so ended tasks are stored as ranges. The
+//! record also holds the time from which a job's deadline counts. If each takeover restarted that
+//! time, a batch whose owner changes often would never count as late.
 
 use {
     crate::{
@@ -14,29 +14,29 @@
     std::collections::BTreeMap,
 };
 
-/// The most bounds of ranges in a record: a hundred kilobytes at nine bytes each. What ends beyond
-/// them keeps its own row.
+/// The largest number of range bounds in a record: about 100 kB at nine bytes each. Tasks that end
+/// beyond this limit keep their own rows.
 const BOUNDS: usize = 12_000;
 
-/// The jobs of one bucket.
+/// The stored data of the jobs of one bucket.
 #[derive(Default)]
 pub struct Pasts {
     jobs: BTreeMap<JobId, Past>,
     bounds: usize,
 }
 
-/// What is kept of a job.
+/// The stored data of one job.
 pub struct Past {
-    /// When it was taken in, in seconds of the Unix clock.
+    /// When the job was first taken in, in Unix seconds.
     pub since: u64,
-    /// The tasks that have ended well and have no row.
+    /// The tasks that have ended successfully and have no row.
     pub done: Ranges,
-    /// Why it was given up.
+    /// Why the job was given up.
     pub fault: Option<Box<str>>,
 }
 
 impl Pasts {
-    /// The jobs that the owner before left.
+    /// Restores the jobs that the previous owner recorded.
     pub fn adopt(rows: Vec<JobRow>) -> Self {
         let mut pasts = Pasts::default();
         for row in rows {
@@ -47,7 +47,7 @@
         pasts
     }
 
-    /// The rows, for the record.
+    /// The rows to be written to the record.
     pub fn rows(&self) -> impl Iterator<Item = JobRow> {
         self.jobs.iter().map(|(job, past)| JobRow {
             done: past.done.bounds(),
@@ -57,17 +57,17 @@
         })
     }
 
-    /// What is kept of a job.
+    /// The stored data of a job.
     pub fn get(&self, job: &JobId) -> Option<&Past> {
         self.jobs.get(job)
     }
 
-    /// The jobs of which anything is kept.
+    /// The jobs with stored data.
     pub fn names(&self) -> impl Iterator<Item = &JobId> {
         self.jobs.keys()
     }
 
-    /// Takes a job in, unless it is known; returns whether it is new.
+    /// Adds a job unless it is known; returns whether it is new.
     pub fn begin(&mut self, job: &JobId, unix: u64) -> bool {
         let new = !self.jobs.contains_key(job);
         if new {
@@ -77,7 +77,7 @@
         new
     }
 
-    /// Keeps a task as ended well; returns false where there is no room.
+    /// Records a task as successfully ended; returns false if there is no space.
     pub fn finish(&mut self, task: &TaskId) -> bool {
         let Some(past) = self.jobs.get_mut(&task.job).filter(|_| self.bounds + 2 <= BOUNDS) else {
             return false;
@@ -88,7 +88,8 @@
         true
     }
 
-    /// Drops the ended tasks of a job of which not all have ended; returns whether there were any.
+    /// Drops the ended tasks of a job unless all its tasks have ended; returns whether any were
+    /// dropped.
     pub fn keep_whole(&mut self, job: &JobId, tasks: u32) -> bool {
         let past = self.jobs.get_mut(job);
         let Some(past) = past.filter(|p| (1..tasks).contains(&p.done.len())) else { return false };
@@ -97,14 +98,14 @@
         true
     }
 
-    /// Keeps why a job was given up; returns whether that is new.
+    /// Stores why a job was given up; returns whether the reason is new.
     pub fn give_up(&mut self, job: &JobId, fault: &str) -> bool {
         let Some(past) = self.jobs.get_mut(job).filter(|p| p.fault.is_none()) else { return false };
         past.fault = Some(fault.into());
         true
     }
 
-    /// Drops a job; returns whether it was known.
+    /// Removes a job; returns whether it was known.
     pub fn forget(&mut self, job: &JobId) -> bool {
         let Some(past) = self.jobs.remove(job) else { return false };
         self.bounds -= past.done.bounds_len();
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,4 +1,4 @@
-//! What the decisions' duty is told, and what it orders the other duties to do.
+//! Events that the decision thread receives, and orders that it gives to the other threads.
 
 use {
     crate::{
@@ -22,51 +22,51 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// The way to the decisions' duty.
+/// Delivers events to the decision thread.
 pub(crate) type Inbox = Sender<Event>;
 
-/// The number of a question that waits for its answer, unique within a duty.
+/// Identifies a call that awaits its reply; unique within the calling thread.
 pub type Ticket = u64;
 
-/// A request as a caller, or a member that forwards it, sent it.
+/// A request as received from a caller or from a member that forwarded it.
 #[derive(Clone, Debug)]
 pub struct Ask {
-    /// Where its answer goes.
+    /// The ticket for the reply.
     pub ticket: Ticket,
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// The service that it calls.
+    /// The called service.
     pub service: ServiceId,
-    /// Who calls.
+    /// The identity of the caller.
     pub caller: CallerId,
-    /// Its key, where it is not idempotent and its claim is not made yet.
+    /// The idempotency key, if the request is not idempotent and its claim is not yet made.
     pub key: Option<Key>,
-    /// When its caller gives up; none takes the service's own deadline.
+    /// The caller's deadline; `None` means the service's own deadline.
     pub deadline: Option<Time>,
-    /// How long it is expected to run.
+    /// The expected run time.
     pub run: Option<Duration>,
-    /// How often it was forwarded.
+    /// The number of times the request was forwarded.
     pub hops: u32,
-    /// What the endpoint gets.
+    /// The part that the endpoint receives.
     pub load: Load,
 }
 
-/// What an endpoint gets of a request.
+/// The part of a request that an endpoint receives.
 #[derive(Clone, Debug)]
 pub struct Load {
     /// The method.
     pub method: Box<str>,
-    /// The path and what follows it, after the service's name.
+    /// The path and query after the service's name.
     pub path: Box<str>,
     /// The content type.
     pub kind: Box<str>,
-    /// The key, passed on so that the endpoint can tell repeats by itself.
+    /// The idempotency key, passed on so that the endpoint can detect repeated requests itself.
     pub key: Box<str>,
     /// The body.
     pub body: Bytes,
 }
 
-/// An endpoint's whole answer.
+/// A complete response of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
@@ -77,17 +77,18 @@
     pub body: Bytes,
 }
 
-/// What a caller gets.
+/// The result that a caller gets.
 pub type Verdict = Result<Answer, Error>;
 
-/// What an endpoint, or a peer in its place, made of a request.
+/// The outcome of a request at an endpoint, or at a peer to which it was forwarded.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// The whole answer to this very request.
+    /// The complete response to the request.
     Answered(Answer),
-    /// It was refused and did not run.
+    /// The request was refused and did not run.
     Refused(Error),
-    /// It failed on the way: [`Failure::Unsent`] did not run, the others may have.
+    /// The request failed in transit. With [`Failure::Unsent`] it did not run; with any other
+    /// failure it may have run.
     Failed(Failure),
 }
 
@@ -95,25 +96,25 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Call {
-    /// The regular word of a member's state.
+    /// A periodic report of a member's state.
     Beat(Beat),
-    /// A claim on a key.
+    /// A request for a claim on a key.
     Claim(ClaimAsk),
-    /// How a claimed request ended.
+    /// The end of a claimed request.
     ClaimEnd(ClaimEnd),
-    /// Room for attempts.
+    /// A request for reservations.
     Reserve(ReserveAsk),
-    /// Room that is not needed after all.
+    /// The release of reservations that are not needed.
     Release(ReserveReply),
-    /// Starts and stops.
+    /// Starts and stops of attempts.
     Start(StartAsk),
-    /// Attempts that run or ended.
+    /// A query for the states of running or ended attempts.
     End(EndTell),
-    /// What became of attempts.
+    /// A report of the states of attempts.
     Probe(ProbeAsk),
-    /// What is in flight on a rack that changes its owner.
+    /// The requests and reservations in flight on a rack that changes its owner.
     Handover(Handover),
-    /// The configuration in force.
+    /// A query for the configuration in force.
     Config(),
 }
 
@@ -133,95 +134,95 @@
     ];
 }
 
-/// The answer to a call between members.
+/// The reply to a call between members.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Back {
-    /// To a beat.
+    /// The reply to a beat.
     Beat(BeatReply),
-    /// To a claim.
+    /// The reply to a claim request.
     Claim(ClaimReply),
-    /// To a wish for room.
+    /// The reply to a reservation request.
     Reserve(ReserveReply),
-    /// To starts and stops.
+    /// The reply to starts and stops.
     Start(StartReply),
-    /// To a probe.
+    /// The reply to a probe.
     Probe(ProbeReply),
-    /// The configuration and its revision; none where the member has none.
+    /// The configuration and its revision; `None` if the member has none.
     Config(Option<(Revision, ConfigRecord)>),
-    /// Taken in.
+    /// Accepted.
     Done,
-    /// Not taken in: the callee does not own what the call is about.
+    /// Not accepted: the callee does not own the call's subject.
     Unowned,
 }
 
-/// An operator's question.
+/// An operator's call.
 #[derive(Clone, Debug)]
 pub enum Operate {
-    /// Put a text in force.
+    /// Put a configuration in force.
     Submit(Submit),
     /// Show this member's state.
     Show,
-    /// Stop, with no request interrupted.
+    /// Stop the member without interrupting any request.
     Drain,
 }
 
-/// The answer to an operator.
+/// The reply to an operator.
 #[derive(Clone, Debug)]
 pub enum Operated {
-    /// To a submission.
+    /// The reply to a submission.
     Submit(SubmitReply),
-    /// To a question for the state.
+    /// The reply to a query for the state.
     Show(Box<Show>),
-    /// To an order to stop.
+    /// The reply to a request to stop.
     Drain,
 }
 
-/// What a write or read of a record is for; it comes back with the answer.
+/// The purpose of a read or write of a record; it is returned with the reply.
 #[derive(Clone, Debug)]
 pub enum Purpose {
     /// An ownership table.
     Owners(Swap),
     /// The configuration.
     Config,
-    /// A bucket's record, and the number of the bucket's own call.
+    /// A bucket's record, with the bucket's epoch and the number of the bucket's own call.
     Bucket(Bucket, Epoch, u64),
 }
 
-/// What the decisions' duty is told.
+/// An event for the decision thread.
 #[derive(Debug)]
 pub enum Event {
-    /// A request came.
+    /// A request arrived.
     Ask(Box<Ask>),
-    /// A caller has hung up.
+    /// A caller hung up.
     Gone(Ticket),
-    /// A request's dispatch is over.
+    /// A dispatch of a request is over.
     Ran {
         /// The request.
         request: RequestId,
-        /// Where it was sent.
+        /// The endpoint to which it was sent.
         worker: WorkerId,
-        /// What came of it.
+        /// The outcome.
         outcome: Outcome,
     },
-    /// A request's forwarding is over.
+    /// The forwarding of a request is over.
     Forwarded {
         /// The request.
         request: RequestId,
-        /// Where it was sent.
+        /// The peer to which it was sent.
         to: Incarnation,
-        /// What came of it.
+        /// The outcome.
         outcome: Outcome,
     },
-    /// A worker's answer to orders.
+    /// A worker's reply to orders.
     Ordered {
         /// The worker.
         worker: WorkerId,
         /// The orders.
         ask: Box<WorkerAsk>,
-        /// When they were sent.
+        /// When the orders were sent.
         sent: Time,
-        /// The answer.
+        /// The reply.
         reply: Result<WorkerReply, Failure>,
     },
     /// A worker's report.
@@ -231,41 +232,41 @@
         /// The report.
         report: Result<crate::messages::Report, Failure>,
     },
-    /// A worker's answer to a fence: the highest epoch that it has seen.
+    /// A worker's reply to a fence: the highest epoch that it has seen.
     Fenced {
         /// The worker.
         worker: WorkerId,
-        /// The epoch that it was to take.
+        /// The epoch of the fence.
         epoch: Epoch,
-        /// The answer.
+        /// The reply.
         reply: Result<Epoch, Failure>,
     },
-    /// A peer's answer.
+    /// A peer's reply.
     Called {
         /// The peer.
         to: Incarnation,
-        /// What it was asked.
+        /// The call.
         call: Box<Call>,
-        /// The answer.
+        /// The reply.
         back: Result<Back, Failure>,
     },
     /// A peer's call.
     Asked(Ticket, Call),
-    /// An operator's question.
+    /// An operator's call.
     Operator(Ticket, Operate),
-    /// The platform's list.
+    /// The platform's list of VMs.
     Vms(VmList),
-    /// What changed in the key-value service.
+    /// The changes of the watched records in the key-value service.
     Watched(KvList),
-    /// A renewal, sent at this time, succeeded.
+    /// A lease renewal, sent at this time, succeeded.
     Renewed(Time),
-    /// A record that was read.
+    /// The result of reading a record.
     Got(Purpose, Result<KvEntry, Failure>),
-    /// A record that was written, or not.
+    /// The result of writing a record.
     Put(Purpose, Result<KvPutReply, Failure>),
     /// The process was told to stop.
     Drain,
-    /// Time has passed.
+    /// A periodic tick.
     Tick,
 }
 
@@ -280,17 +281,17 @@
     pub addr: SocketAddr,
     /// The epoch of its rack.
     pub epoch: Epoch,
-    /// How long it may run.
+    /// The longest time that it may run.
     pub lease: Duration,
-    /// When it must not begin any more.
+    /// The time after which it must not begin.
     pub until: Time,
-    /// How long it is expected to run.
+    /// The expected run time.
     pub run: Option<Duration>,
-    /// What the endpoint gets.
+    /// The part that the endpoint receives.
     pub load: Load,
 }
 
-/// A request passed on to a peer.
+/// A request forwarded to a peer.
 #[derive(Clone, Debug)]
 pub struct Forward {
     /// The peer.
@@ -299,30 +300,30 @@
     pub addr: SocketAddr,
     /// The request.
     pub request: RequestId,
-    /// The service that it calls.
+    /// The called service.
     pub service: ServiceId,
-    /// Who calls.
+    /// The identity of the caller.
     pub caller: CallerId,
-    /// What is left of its deadline.
+    /// The remaining time until the deadline.
     pub left: Duration,
-    /// How long it is expected to run.
+    /// The expected run time.
     pub run: Option<Duration>,
-    /// How often it was forwarded, this time included.
+    /// The number of times the request was forwarded, including this one.
     pub hops: u32,
-    /// What the endpoint gets.
+    /// The part that the endpoint receives.
     pub load: Load,
 }
 
-/// What the decisions' duty orders the others to do.
+/// An order from the decision thread to another thread.
 #[derive(Debug)]
 pub enum Order {
-    /// Answer a caller, or a member that forwarded.
+    /// Reply to a caller, or to a member that forwarded a request.
     Reply(Ticket, Verdict),
     /// Send a request to an endpoint.
     Run(Box<Run>),
-    /// Send a request to a peer.
+    /// Forward a request to a peer.
     Forward(Box<Forward>),
-    /// Send orders to a worker, which must not take effect after this time.
+    /// Send orders to a worker. They must not take effect after the given time.
     Worker(WorkerId, SocketAddr, Box<WorkerAsk>, Time),
     /// Ask a worker for its report.
     Report(WorkerId, SocketAddr),
@@ -330,15 +331,15 @@
     Fence(WorkerId, SocketAddr, Epoch),
     /// Call a peer.
     Call(Incarnation, SocketAddr, Box<Call>),
-    /// Answer a peer's call.
+    /// Reply to a peer's call.
     Back(Ticket, Back),
-    /// Answer an operator.
+    /// Reply to an operator.
     Operated(Ticket, Operated),
     /// Read a record.
     Get(Purpose, Box<str>),
     /// Write a record.
     Put(Purpose, Box<str>, KvPut),
-    /// Register this member, or change its record.
+    /// Register this member or update its record.
     Register(MemberRecord),
     /// End the process.
     Stop,
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,15 +1,16 @@
 //! The buckets that a member owns: claims on keys, and the tasks of jobs.
 //!
 //! Owns the member's buckets. Calls [`bucket`](crate::bucket), [`tasks`](crate::tasks) and
-//! [`gangs`](crate::gangs), which don't call each other; [`core`](crate::core) calls it.
+//! [`gangs`](crate::gangs), which don't call each other; called by [`core`](crate::core).
 //!
-//! Decides nothing itself: [`Tasks`] says what is next, [`Gangs`] how a gang gets its room, and each
-//! bucket's record what has been tried. This joins them: picks become wishes for room, room becomes
-//! attempts, and the ends of attempts go back to where the next pick is decided.
+//! This module connects them and decides nothing itself. [`Tasks`] decides what is next, [`Gangs`]
+//! decides how a gang gets its room, and each bucket's record holds the attempts. Picked tasks
+//! become reservation requests, reservations become attempts, and ends of attempts are passed back
+//! to [`Tasks`].
 //!
-//! What an event has touched is sent at once. All buckets are looked over five times a second, for
-//! what only time brings about: after each of thousands of events a second that would take most of a
-//! processor.
+//! The results of an event are sent at once. Work that only the passage of time makes due is found
+//! by a scan of all buckets five times a second. A scan after each of thousands of events per
+//! second would take most of a processor.
 
 mod load;
 mod part;
@@ -45,12 +46,13 @@
     },
 };
 
-/// How often what runs is asked after.
+/// Interval between probes of running attempts.
 const PROBE: Duration = Duration::from_secs(2);
-/// How often what waits is looked over: a fifth of the time in which urgent work has to start.
+/// Interval between scans of waiting tasks: a fifth of the time in which urgent work must start.
 const SCAN: Duration = Duration::from_millis(200);
-/// How many tasks one scan places. At five scans a second this is 1,280 starts a second, above the
-/// peak of 940 even where all of it falls on one member, and bounds the time of one turn.
+/// The largest number of tasks that one scan places. At five scans a second this is 1,280 starts a
+/// second, above the peak of 940 even if one member gets all of it. The limit bounds the time of
+/// one tick.
 const BATCH: usize = 256;
 
 /// The buckets that a member owns.
@@ -59,21 +61,22 @@
     unix: u64,
     buckets: BTreeMap<Bucket, Owned>,
     partings: Partings,
-    /// The buckets whose changes wait for the budget of writes, and when to look again.
+    /// Buckets with changes that wait for the write budget.
     waiting: BTreeSet<Bucket>,
     nap: Time,
     plan: Rc<Plan>,
     tasks: Tasks,
     gangs: Gangs,
     scan: Time,
-    /// When all buckets are next looked over; a scan that an end brings forward leaves this as it is.
+    /// When all buckets are scanned next. A scan that the end of an attempt brings forward does not
+    /// change this time.
     sweep: Time,
     probe: Time,
-    /// Whether a plan has come at all.
+    /// Whether this member has received a plan.
     known: bool,
-    /// Whether a plan has come that is not taken in yet.
+    /// Whether a plan was received, or a bucket lost, that has not been processed yet.
     stale: bool,
-    /// The jobs that are to be taken in once nothing of the same name is in the way.
+    /// Jobs to take in once no task of an earlier job of the same name is left.
     todo: BTreeSet<JobId>,
 }
 
@@ -83,30 +86,30 @@
     loaded: bool,
     running: BTreeMap<TaskId, Attempt>,
     used: BTreeMap<TaskId, Size>,
-    /// Whether there may be something to send.
+    /// Whether there may be orders to send.
     touched: bool,
     /// Whether attempts may have ended.
     changed: bool,
 }
 
-/// What the buckets call for beyond their own records.
+/// A request of the buckets that concerns other state than their own records.
 pub enum Want {
-    /// Room for attempts, all of one pool; whoever has it.
+    /// Reserve room for attempts, all of one pool, on any rack or on the given one.
     Reserve(ReserveAsk),
-    /// Room that is not needed after all, on one rack.
+    /// Release room on one rack that is not needed.
     Release(RackId, ReserveReply),
-    /// Starts and stops at the owner of a rack.
+    /// Start and stop attempts through the owner of a rack.
     Start(StartAsk),
-    /// Word of what became of attempts, from the owner of a rack.
+    /// Ask the owner of a rack for the state of attempts.
     Probe(ProbeAsk),
-    /// The answer to a claim.
+    /// The reply to a claim request.
     Claimed(RequestId, ClaimReply),
-    /// The word of a claim's end with this ticket is committed.
+    /// The claim's end with this ticket is committed.
     Kept(Ticket),
 }
 
 impl Jobs {
-    /// No buckets yet; `unix` is the Unix clock at [`Time::ZERO`], in seconds.
+    /// Creates an empty set of buckets; `unix` is the Unix time at [`Time::ZERO`], in seconds.
     pub fn new(me: Incarnation, unix: u64) -> Self {
         Jobs {
             me,
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Takes the plan in force.
+    /// Applies the plan in force.
     pub fn planned(&mut self, plan: &Rc<Plan>) {
         self.plan = plan.clone();
         self.tasks.planned(plan);
@@ -135,12 +138,12 @@
         self.scan = Time::ZERO;
     }
 
-    /// Takes the platform's list of workers.
+    /// Updates the workers from the platform's list.
     pub fn workers<'a>(&mut self, vms: impl Iterator<Item = &'a Vm>) {
         self.tasks.workers(vms);
     }
 
-    /// A bucket is this member's now.
+    /// Adds a bucket that this member now owns.
     pub fn gained(&mut self, bucket: Bucket, epoch: Epoch) {
         self.lost(bucket);
         let owned = Owned {
@@ -155,27 +158,27 @@
         self.buckets.insert(bucket, owned);
     }
 
-    /// A bucket has passed to another member.
+    /// Removes a bucket that passed to another member.
     pub fn lost(&mut self, bucket: Bucket) {
         if let Some(owned) = self.buckets.remove(&bucket) {
             self.partings.push(owned, bucket);
             self.tasks.lost(bucket);
-            // The gangs being placed there are given up at the next scan.
+            // The next scan gives up the gangs that are being placed in the bucket.
             self.stale = true;
         }
     }
 
-    /// Whether a bucket is this member's.
+    /// Whether this member owns a bucket.
     pub fn owns(&self, bucket: Bucket) -> bool {
         self.buckets.contains_key(&bucket)
     }
 
-    /// How many buckets are owned.
+    /// The number of owned buckets.
     pub fn count(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Asks for a claim; the answer comes as [`Want::Claimed`].
+    /// Requests a claim; the reply comes as [`Want::Claimed`].
     pub fn claim(&mut self, ask: ClaimAsk, now: Time) {
         if let Some(owned) = self.buckets.get_mut(&bucket_of(ask.key.as_str())) {
             owned.state.ask(ask, now);
@@ -183,7 +186,7 @@
         }
     }
 
-    /// Takes word of how a claimed request ended; [`Want::Kept`] follows once it is committed.
+    /// Records how a claimed request ended; [`Want::Kept`] follows once that is committed.
     pub fn claim_end(&mut self, end: ClaimEnd, ticket: Ticket) {
         if let Some(owned) = self.buckets.get_mut(&bucket_of(end.key.as_str())) {
             owned.state.end(end, ticket);
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Takes the answer to a read of a bucket's record.
+    /// Handles the reply to a read of a bucket's record.
     pub fn got(&mut self, at: (Bucket, Epoch, u64), entry: Result<KvEntry, Failure>, now: Time) {
         let reply = match entry {
             Err(_) => None,
@@ -212,7 +215,7 @@
         (owned.touched, owned.changed) = (true, true);
     }
 
-    /// Takes the answer to a write of a bucket's record.
+    /// Handles the reply to a write of a bucket's record.
     pub fn put(&mut self, at: (Bucket, Epoch, u64), reply: Result<KvPutReply, Failure>, now: Time) {
         if let Some(state) = self.partings.get(at.0, at.1) {
             return state.wrote(at.2, reply.ok().as_ref(), now);
@@ -222,7 +225,8 @@
         (owned.touched, owned.changed) = (true, true);
     }
 
-    /// Takes word of attempts from a rack's owner.
+    /// Applies the states of attempts that a rack's owner reports. Returns false if this member has
+    /// not loaded the bucket.
     pub fn heard(&mut self, bucket: Bucket, items: &[EndItem], now: Time) -> bool {
         let Some(owned) = self.buckets.get_mut(&bucket).filter(|o| o.loaded) else { return false };
         for item in items {
@@ -239,7 +243,7 @@
         true
     }
 
-    /// Takes the answer to a probe.
+    /// Handles the reply to a probe.
     pub fn probed(&mut self, ask: &ProbeAsk, reply: ProbeReply, now: Time) {
         let Some(owned) = self.buckets.get_mut(&ask.bucket) else { return };
         (owned.touched, owned.changed) = (true, true);
@@ -255,12 +259,13 @@
         }
     }
 
-    /// Whether the next tick looks over what waits, and needs to know what is free where.
+    /// Whether the next tick scans the waiting tasks and therefore needs the racks' free resources.
     pub fn due(&self, now: Time) -> bool {
         self.scan <= now
     }
 
-    /// Does what is due. `sure` is the end of this member's lease; `racks` says what is free where.
+    /// Does the work that is due. `sure` is the end of this member's lease; `racks` holds the
+    /// racks' free resources.
     pub fn tick(
         &mut self,
         now: Time,
@@ -293,7 +298,7 @@
         wants
     }
 
-    /// The tasks, for operators.
+    /// The state of the tasks, for operators.
     pub fn show(&self) -> Vec<TaskShow> {
         let mut rows = vec![];
         for (name, job) in &self.plan.jobs {
@@ -322,17 +327,17 @@
         rows
     }
 
-    /// What is counted of the tasks here, to see that nothing is left when all is over.
+    /// Totals of the tasks here; all are zero once all work is over.
     pub fn balance(&self) -> Balance {
         self.tasks.balance()
     }
 
-    /// The jobs here that have ended and that others depend on.
+    /// The jobs here that have ended and on which others depend.
     pub fn done(&self) -> Vec<JobId> {
         self.tasks.done()
     }
 
-    /// Takes a peer's word of jobs that have ended.
+    /// Records jobs that have ended on other members.
     pub fn ended(&mut self, jobs: Vec<JobId>) {
         self.tasks.add_remote_ended(jobs);
     }
@@ -355,7 +360,7 @@
     racks.into_iter().map(|(rack, rows)| Want::Release(rack, ReserveReply { rows })).collect()
 }
 
-/// The call that a want becomes, where a peer is to carry it out.
+/// The call that asks a peer to carry out a request; `None` if no call is needed.
 pub fn call(want: Want) -> Option<Call> {
     match want {
         Want::Reserve(ask) => Some(Call::Reserve(ask)),
--- a/src/jobs/load.rs
+++ b/src/jobs/load.rs
@@ -1,4 +1,4 @@
-//! The jobs that are taken in from records and texts, and the attempts that are over.
+//! Takes in jobs from records and plans, and handles the ends of attempts.
 
 use {
     super::{Jobs, Owned, Want, release},
@@ -13,10 +13,10 @@
 };
 
 impl Jobs {
-    /// Takes in the jobs of buckets that have been read, and of a new plan.
+    /// Takes in the jobs of buckets that were read, and of a new plan.
     ///
-    /// Waits for a first plan: a member that takes over before it has the text would hold all that
-    /// runs for unlisted, and stop it.
+    /// Waits for the first plan. Without this, a member that takes over a bucket before it has the
+    /// configuration would regard all running tasks as unlisted and stop them.
     pub(super) fn load(&mut self, now: Time, wants: &mut Vec<Want>) {
         if !self.known {
             return;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Keeps a task, or a whole gang, that has ended by its number alone.
+    /// Records a task or a whole gang that has ended by index only, without a row.
     fn finish(&mut self, id: Bucket, task: &TaskId) {
         let Some(owned) = self.buckets.get_mut(&id) else { return };
         let Some(job) = self.plan.jobs.get(&task.job) else { return };
@@ -105,8 +105,8 @@
         owned.touched = true;
     }
 
-    /// Forgets what the plan does not list here and does not run: a job of the same name that is
-    /// listed later is another one.
+    /// Removes records that the plan does not list here and that are not running. A job of the same
+    /// name that is listed later is a new job.
     fn forget_unlisted(&mut self) {
         for (id, owned) in self.buckets.iter_mut().filter(|(_, o)| o.loaded) {
             let rows = owned.state.attempts().rows().filter(|r| !live(r.state));
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Gives up the gangs that are being placed for a job or a bucket that is gone.
+    /// Gives up the gangs being placed whose job or bucket is gone.
     fn drop_gangs(&mut self, now: Time, wants: &mut Vec<Want>) {
         let gone: Vec<JobId> =
             self.gangs.jobs().filter(|j| !self.tasks.lists(j)).cloned().collect();
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Notices the attempts that are over in the buckets that have changed, or in all.
+    /// Handles ended attempts in the changed buckets, or in all of them.
     pub(super) fn settle_changed(&mut self, all: bool, now: Time) {
         let mut over = vec![];
         for (id, owned) in self.buckets.iter_mut().filter(|(_, o)| all || o.changed) {
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Notices that an attempt is over, however that became known.
+    /// Handles the end of an attempt if its row shows that it has ended, whichever source reported
+    /// it.
     pub(super) fn settle(&mut self, id: Bucket, task: &TaskId, now: Time) {
         let Some(owned) = self.buckets.get_mut(&id) else { return };
         let Some(attempt) = owned.running.get(task).copied() else { return };
--- a/src/jobs/part.rs
+++ b/src/jobs/part.rs
@@ -1,9 +1,9 @@
-//! Buckets that have passed to another member while asks for claims still wait for their verdicts.
+//! Buckets that have passed to another member while claim requests still await their verdicts.
 //!
-//! Such an ask may have been committed already, or be on its way. If the bucket were dropped, its
-//! request would get no answer at all; if it were told "unowned" at once, the claim might stand all
-//! the same. So the bucket's own commit goes on until it knows: by its answer, or by reading that
-//! another owner has written.
+//! Such a request may already be committed or in transit to the store. If the bucket were dropped,
+//! the request would get no reply. If it were answered "unowned" at once, the claim might still
+//! take effect. The bucket's own commit therefore continues until the outcome is known, either from
+//! its reply or from a read that shows a write by another owner.
 
 use {
     super::Owned,
@@ -21,26 +21,26 @@
 }
 
 impl Partings {
-    /// Keeps a bucket for as long as an ask waits there.
+    /// Keeps a bucket as long as a claim request is pending in it.
     pub fn push(&mut self, owned: Owned, id: Bucket) {
         if owned.state.pending() {
             self.all.push((id, owned.epoch, owned.state));
         }
     }
 
-    /// The bucket that waits with this epoch.
+    /// The kept bucket with this epoch.
     pub fn get(&mut self, id: Bucket, epoch: Epoch) -> Option<&mut State> {
         self.all.iter_mut().find(|(i, e, _)| *i == id && *e == epoch).map(|(.., state)| state)
     }
 
-    /// What they have to send; those that are done are dropped.
+    /// The orders of the kept buckets. Drops the buckets without a pending request.
     pub fn orders(&mut self, now: Time) -> Vec<(Bucket, Epoch, Order)> {
         let mut out = vec![];
         self.all.retain_mut(|(id, epoch, state)| {
             out.extend(state.orders(now).into_iter().map(|o| (*id, *epoch, o)));
             state.pending()
         });
-        // Its tasks are the new owner's to decide on.
+        // The new owner decides on the bucket's tasks.
         out.retain(|(.., o)| !matches!(o, Order::Start { .. } | Order::Stop { .. }));
         out
     }
--- a/src/jobs/place.rs
+++ b/src/jobs/place.rs
@@ -1,4 +1,4 @@
-//! Picks become wishes for room, and room becomes attempts.
+//! Turns picked tasks into reservation requests, and reservations into attempts.
 
 use {
     super::{BATCH, Jobs, Want, release},
@@ -16,7 +16,8 @@
 };
 
 impl Jobs {
-    /// Takes the answer to a wish for room: the attempts are made, and started once committed.
+    /// Handles the reply to a reservation request. Attempts are created and are started once they
+    /// are committed.
     pub fn reserved(
         &mut self,
         ask: &ReserveAsk,
@@ -36,7 +37,7 @@
             if row.as_ref().is_some_and(|row| self.place(row, item.size, now)) {
                 continue;
             }
-            // Room that came too late, for a job or a bucket that is gone, is given back.
+            // Release room that came too late, for a job or a bucket that is gone.
             spare.extend(row);
             if self.tasks.asked(&item.task) {
                 self.tasks.unplaced(&item.task, now);
@@ -110,7 +111,8 @@
         }
     }
 
-    /// Half a gang must not start: none of its intents is committed yet.
+    /// Withdraws the attempts of a gang of which only a part was placed; none of its intents is
+    /// committed yet.
     fn withdraw(&mut self, rows: &[ReserveRow], placed: &[bool], now: Time) {
         for (row, placed) in rows.iter().zip(placed) {
             let owned = self.tasks.bucket(&row.task).and_then(|id| self.buckets.get_mut(&id));
--- a/src/jobs/send.rs
+++ b/src/jobs/send.rs
@@ -1,4 +1,4 @@
-//! What the buckets have to send: calls to the key-value service, starts, stops and probes.
+//! Sends the buckets' orders: calls of the key-value store, starts, stops and probes.
 
 use {
     super::{Jobs, Want},
@@ -15,12 +15,12 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How often a bucket is looked at whose changes wait for the budget of writes: a tenth of the time
-/// in which the budget gives one.
+/// How often buckets that wait for the write budget are checked: a tenth of the time in which the
+/// budget grants one write.
 const NAP: Duration = Duration::from_millis(20);
 
 impl Jobs {
-    /// Sends what the buckets have to send.
+    /// Sends the orders of the buckets that have changed.
     pub fn flush(
         &mut self,
         now: Time,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Looks again at the buckets whose changes wait for the budget of writes.
+    /// Marks the buckets that wait for the write budget to be checked again.
     pub(super) fn wake_waiting(&mut self, now: Time) {
         if self.nap > now {
             return;
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Whether an attempt may still start: the text may have changed since its intent was made, and
-    /// list no such task any more, or a gang of another size.
+    /// Whether an attempt may still start. The configuration may have changed since the intent was
+    /// recorded, and may no longer list the task or may list a gang of another size.
     fn may_go(&self, bucket: Bucket, row: &TaskRow) -> bool {
         let task = &row.task;
         let now = self.buckets.get(&bucket).and_then(|o| o.state.attempts().get(task));
@@ -85,7 +85,7 @@
                     attempt: row.attempt,
                     worker: worker.clone(),
                 });
-                // A stop, or its confirmation, may have been lost.
+                // A stop or its confirmation may have been lost.
                 if row.state == TaskState::Stopping {
                     wants.extend(self.start(*id, row, 0, false));
                 }
@@ -117,7 +117,7 @@
             Step::Kept { call } => wants.push(Want::Kept(call)),
             Step::Start { row, .. } if !self.may_go(id, &row) => {
                 let Some(owned) = self.buckets.get_mut(&id) else { return };
-                // Its stop may stand behind it already; then this changes nothing.
+                // If a stop order already follows this start, this call changes nothing.
                 owned.state.stop(&row.task);
                 owned.touched = true;
             }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of tasks under random orders of events; the invariant has the name of the model.
+//! Attempts of tasks under random orders of events. The invariant is named as in the model.
 
 mod bucket;
 
@@ -24,7 +24,8 @@
     lease: Time,
 }
 
-/// What is on its way to the rack's owner or back, or lost; it comes in any order, some twice.
+/// Messages in transit to or from the rack's owner, or lost. They arrive in any order, some of them
+/// twice.
 #[derive(Clone)]
 enum Mail {
     Start(TaskRow, Time),
@@ -43,7 +44,7 @@
     epoch: u64,
     mail: Vec<Mail>,
     running: Vec<Run>,
-    /// Attempts that the rack's owner won't start, or renew, any more.
+    /// Attempts that the rack's owner will no longer start or renew.
     refused: Vec<(TaskId, Attempt)>,
     cut: Vec<(TaskId, Attempt)>,
     starts: u32,
@@ -87,7 +88,7 @@
 
     fn pass(&mut self, time: Duration) {
         self.now = self.now + time;
-        // The worker's clock is as slow as it may be.
+        // The worker's clock is as slow as the allowance permits.
         self.running.retain(|run| self.now < run.lease + DRIFT);
     }
 
@@ -133,7 +134,8 @@
         self.mail.push(Mail::Report(worker, self.now, tasks));
     }
 
-    /// The rack's owner gives an attempt up: it renews it no more and says how long it may last.
+    /// The rack's owner gives up an attempt: it stops renewing it and reports how long it may still
+    /// run.
     fn give_up(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let i = u.int_in_range(0..=TASKS - 1)?;
         let now = self.now;
@@ -147,8 +149,8 @@
         Ok(())
     }
 
-    /// The bucket moves: by release, after which the old owner does nothing, or by takeover, after
-    /// its lease, while it works on.
+    /// The bucket changes owner, either by a release, after which the old owner does nothing, or by
+    /// a takeover after its lease, while it continues to work.
     fn move_owner(&mut self, release: bool) {
         if release {
             self.members.pop();
@@ -210,7 +212,8 @@
         Ok(())
     }
 
-    /// With all failures over and two reports of each worker, every task can be placed again.
+    /// After all failures are over and each worker has reported twice, every task can be placed
+    /// again.
     fn finish(&mut self) {
         self.kv.down = false;
         self.mail.clear();
@@ -234,9 +237,9 @@
     }
 }
 
-// A grant task is placed; its bucket's owner dies, pauses past its lease or hands over; the KV loses
-// answers; the worker's reports lag and word of the end is late. Whoever owns the bucket next must
-// not start the task while an attempt may be running: the grant would be paid twice.
+// A task that pays a grant is placed. Its bucket's owner dies, pauses beyond its lease or hands
+// over; the key-value store loses replies; reports lag and notices of ends are late. The next owner
+// must not start the task while an attempt may be running, or the grant would be paid twice.
 #[test]
 fn one_attempt() {
     let seen = [const { Cell::new(0) }; 3];
@@ -259,9 +262,9 @@
     }
 }
 
-// An owner commits an intent and dies before, or after, it sends the start: the next one can't tell
-// which. It must hold the task back while the start may be on its way, and must let it go once a
-// report that is younger than that shows no such task.
+// An owner commits an intent and dies before or after it sends the start; the next owner can't tell
+// which. It must not start the task while the start may be in transit, and may start it after a
+// newer report shows that the task does not run.
 #[test]
 fn intent_of_a_dead_owner_may_be_running() {
     for sent in [true, false] {
@@ -287,9 +290,10 @@
     }
 }
 
-// An owner's write of an intent takes effect, and the process is paused before it reads the answer.
-// Its lease ends, another member takes over, sees that the worker runs nothing, and starts the task
-// elsewhere. The first owner resumes with a good answer in its hands: it must not send the start.
+// An owner's write of an intent takes effect, and the process is paused before it reads the reply.
+// Its lease ends; another member takes over, sees that the worker runs nothing, and starts the task
+// elsewhere. When the first owner resumes and reads the successful reply, it must not send the
+// start.
 #[test]
 fn paused_owner_sends_no_start() {
     let (mut kv, mut now, mut old) = (Kv::default(), Time::ZERO, Member::new(1));
--- a/tests/bucket/mod.rs
+++ b/tests/bucket/mod.rs
@@ -1,4 +1,5 @@
-//! A fake KV of one record, and a member that owns, or thinks that it owns, one bucket there.
+//! A fake key-value store with one record, and a member that owns, or believes that it owns, one
+//! bucket.
 
 use {
     arbtest::arbitrary::{Result, Unstructured},
@@ -12,12 +13,12 @@
     std::time::Duration,
 };
 
-/// The Unix clock at [`Time::ZERO`].
+/// The Unix time at [`Time::ZERO`], in seconds.
 pub const UNIX: u64 = 1_700_000_000;
 
 type Found = Option<(Revision, Box<BucketRecord>)>;
 
-/// One record with compare-and-swap; it may be down.
+/// One record with compare-and-swap; the store may be down.
 #[derive(Default)]
 pub struct Kv {
     pub found: Found,
@@ -44,7 +45,7 @@
     }
 }
 
-/// A member with the calls that are on their way to the KV, and the answers on their way back.
+/// A member with its calls in transit to the key-value store and the replies in transit back.
 pub struct Member {
     pub bucket: Bucket,
     calls: Vec<(Call, bool)>,
@@ -57,7 +58,7 @@
         Member { bucket, calls: Vec::new(), replies: Vec::new() }
     }
 
-    /// The orders that are not for the KV.
+    /// The orders that are not for the key-value store.
     pub fn orders(&mut self, now: Time) -> Vec<Order> {
         let (kv, rest) =
             self.bucket.orders(now).into_iter().partition(|o| matches!(o, Order::Kv(_)));
@@ -69,8 +70,8 @@
         rest
     }
 
-    /// Lets one thing happen to the calls: effect, answer, loss before or after the effect. A call
-    /// that was given up may take effect at any later time.
+    /// Applies one random event to the calls: effect, reply, or loss before or after the effect. A
+    /// call that was given up may take effect at any later time.
     pub fn turn(&mut self, u: &mut Unstructured<'_>, kv: &mut Kv, now: Time) -> Result<()> {
         match u.int_in_range(0..=9)? {
             0..=3 if !self.calls.is_empty() && !kv.down => {
@@ -99,7 +100,8 @@
         Ok(())
     }
 
-    /// Lets all calls through, with their answers, for longer than the longest rest.
+    /// Applies all calls and delivers their replies, for longer than the longest pause between
+    /// writes.
     pub fn settle(&mut self, kv: &mut Kv, now: &mut Time) -> Vec<Order> {
         let mut out = Vec::new();
         for _ in 0..40 {
@@ -111,7 +113,7 @@
         out
     }
 
-    /// Lets the calls take effect; the answers stay on their way.
+    /// Applies the calls; their replies stay in transit.
     pub fn effect(&mut self, kv: &mut Kv) {
         for (call, waited) in std::mem::take(&mut self.calls) {
             let reply = kv.run(&call);
@@ -121,14 +123,14 @@
         }
     }
 
-    /// Brings the answers that are on their way.
+    /// Delivers the replies in transit.
     pub fn deliver(&mut self, now: Time) {
         for (call, reply) in std::mem::take(&mut self.replies) {
             self.answer(call, reply, now);
         }
     }
 
-    /// Lets the calls take effect, and loses their answers.
+    /// Applies the calls and loses their replies.
     pub fn effect_then_lose(&mut self, kv: &mut Kv, now: Time) {
         for (call, _) in std::mem::take(&mut self.calls) {
             kv.run(&call);
@@ -158,7 +160,7 @@
     }
 }
 
-/// Runs `property` from fixed seeds, each with so many bytes of choices.
+/// Runs `property` from fixed seeds, each with the given number of random bytes.
 pub fn runs(count: u64, size: u64, property: impl Fn(&mut Unstructured<'_>) -> Result<()>) {
     for seed in 0..count {
         let mixed = (seed + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
--- a/tests/jobs.rs
+++ b/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of the text through new texts, takeovers, failures and gangs.
+//! Jobs under changes of the configuration, takeovers and failures, and gangs.
 
 mod cell;
 
@@ -16,8 +16,8 @@
     std::time::Duration,
 };
 
-// An operator takes replicas down from six to three. Those that go on run for ever; the job was not
-// taken in again until all six had ended, so a replica that then died was never replaced.
+// Replicas are reduced from six to three, and the remaining ones run forever. Guards against taking
+// the job in again only after all six have ended: a replica that died later was never replaced.
 #[test]
 fn shrunk_replicas_are_still_replaced() {
     let mut cell = Cell::new(&job("replicas", "feed", 6, ""));
@@ -31,8 +31,8 @@
     assert_eq!(cell.running("feed"), 3);
 }
 
-// The nightly batch is taken out of the text after it has ended, and listed again the next night.
-// The rows of the first night stood in the record still, so nothing of it ran.
+// A batch is removed from the configuration after it has ended and listed again later. Guards
+// against old rows that remain in the record, because of which no task of the new job ran.
 #[test]
 fn a_job_that_is_listed_again_runs_again() {
     let mut cell = Cell::new(&job("batch", "nightly", 3, ""));
@@ -44,7 +44,7 @@
     assert_eq!(cell.floor.starts.len(), 6);
 }
 
-// Part of a text is withdrawn while its tasks still stop, and put back at once.
+// Part of the configuration is removed while its tasks are still stopping, and restored at once.
 #[test]
 fn a_job_listed_again_waits_for_its_old_tasks() {
     let mut cell = Cell::new(&job("batch", "nightly", 3, ""));
@@ -56,8 +56,8 @@
     assert!(cell.show(&task("nightly", 2)).is_some_and(|s| &*s.state == "ended"));
 }
 
-// A job is resized while the owners of racks still look for room for its tasks. The answer made the
-// task count twice against its team, and the second count was never given back.
+// A job is resized while rack owners still look for room for its tasks. Guards against a late reply
+// that counts a task twice against its team's quota, where the second count was never returned.
 #[test]
 fn a_job_resized_while_room_is_asked_leaves_no_count() {
     let mut cell = Cell::new(&job("batch", "nightly", 6, ""));
@@ -78,7 +78,8 @@
     assert_eq!(cell.running("model"), 8, "the team's whole quota is free");
 }
 
-// Two teams' buckets pass to another member while tasks that the text no longer lists still stop.
+// Two teams' buckets pass to another member while tasks that are no longer listed are still
+// stopping.
 #[test]
 fn a_lost_bucket_leaves_no_count() {
     let mut cell = Cell::new(&job("batch", "nightly", 8, ""));
@@ -94,7 +95,8 @@
     assert_eq!(cell.running("model"), 8, "the team's whole quota is free");
 }
 
-// A member starts and gains buckets before it has the text: it took all that runs for unlisted.
+// A member gains buckets before it has a configuration. It must not regard the running tasks as
+// unlisted and stop them.
 #[test]
 fn an_owner_without_a_text_stops_nothing() {
     let mut cell = Cell::new(&job("replicas", "feed", 4, ""));
@@ -109,8 +111,8 @@
     assert_eq!((cell.running("feed"), cell.floor.starts.len()), (4, 4));
 }
 
-// A structural model runs on eight cores at once; one part fails after another has ended. The rest
-// was started again without the part that had ended.
+// A gang runs on eight cores; one task fails after another has ended. Guards against restarting the
+// gang without the task that had ended.
 #[test]
 fn a_gang_that_fails_starts_anew_whole() {
     let mut cell = Cell::new(&job("gang", "model", 4, ""));
@@ -124,8 +126,8 @@
     assert_eq!(cell.floor.starts.len(), 8);
 }
 
-// A gang's member is lost with its worker's process. The owner of its bucket has recorded that, and
-// dies before it has stopped the others: the new owner finds half a gang.
+// A task of a gang is lost with its worker's process. The bucket's owner records that and dies
+// before it has stopped the others: the new owner finds an incomplete gang.
 #[test]
 fn half_a_gang_is_stopped_by_a_new_owner() {
     let mut cell = Cell::new(&job("gang", "model", 4, ""));
@@ -142,7 +144,7 @@
     assert_eq!(again, 4);
 }
 
-// One team's counter has used up its urgent starts; the other team's urgent work stood behind it.
+// One team's allowance of urgent starts is used up. It must not block another team's urgent work.
 #[test]
 fn urgent_work_does_not_wait_for_another_teams_allowance() {
     let urgent = |name: &str, team: &str| {
@@ -157,7 +159,8 @@
     assert!(asked.contains(&"aaa".into()) && asked.contains(&"bbb".into()), "{asked:?}");
 }
 
-// A job that never ran well is on trial: one start at a time. All its tasks were started at once.
+// A job that has never run successfully is on trial, with one start at a time. Guards against
+// starting all of its tasks at once.
 #[test]
 fn a_job_on_trial_starts_one_task_at_a_time() {
     let good: String = (0..4).map(|n| job("replicas", &format!("feed{n}"), 1, "")).collect();
@@ -181,7 +184,7 @@
     assert!((2..=7).contains(&n), "{n} starts in a minute, not one each ten seconds");
 }
 
-// A team is taken out of the text: its quota was lent on to the others for ever.
+// A team is removed from the configuration. Its quota must not be lent to other teams forever.
 #[test]
 fn a_team_that_is_gone_lends_nothing() {
     let mut cell = Cell::new("");
@@ -192,8 +195,9 @@
     assert_eq!(cell.running("nightly"), 8, "the quota, and nothing lent");
 }
 
-// A branch's batch has more tasks than a record has room for rows, and its bucket changes hands in
-// the middle. Each task ran once; the record was full of ended ones before, and the batch stood still.
+// A batch has more tasks than a record has space for rows, and its bucket changes owner midway.
+// Each task must run once. Guards against a record that is full of ended tasks, so that the batch
+// stalls.
 #[test]
 fn a_batch_larger_than_the_record_ends() {
     let small = job("batch", "branch", 4000, "").replace("cores = 1", "cores = 0.01");
@@ -210,8 +214,8 @@
     assert_eq!((ended, cell.floor.starts.len()), (4000, 4000));
 }
 
-// A batch that must end within the hour has waited for fifty minutes when its bucket changes hands.
-// Its hour began anew there, and work that came just then went first.
+// A batch with a deadline of one hour has waited for fifty minutes when its bucket changes owner.
+// Guards against restarting the hour there, which put newly arrived work first.
 #[test]
 fn a_deadline_outlasts_a_takeover() {
     let block = job("replicas", "block", 8, "");
@@ -233,8 +237,8 @@
     assert_eq!(first.map(|(t, _)| t.job.as_str()), Some("old"));
 }
 
-// A rack's owner is slow: its answer comes when the gang has given the round up and asks anew. The
-// late answer must not count for the new round, and its room goes back.
+// A rack's owner is slow: its reply arrives after the gang has given up the round and asks again.
+// The late reply must not count for the new round, and its room must be released.
 #[test]
 fn a_late_answer_counts_for_no_other_round() {
     let at = |secs| Time::ZERO + Duration::from_secs(secs);
@@ -263,7 +267,7 @@
     assert!(matches!(gangs.begin(&job, &pool, items, &floor.loads(), at(22)), Step::Ask(_)));
 }
 
-/// A text of some of five jobs, each of some tasks.
+/// A configuration with some of five jobs, each with some number of tasks.
 fn text(u: &mut Unstructured<'_>) -> Result<String> {
     let mut text = String::new();
     for (kind, name, more) in [
@@ -281,7 +285,7 @@
     Ok(text)
 }
 
-/// Lets one thing happen to the cell.
+/// Applies one random event to the cell.
 fn step(cell: &mut Cell, u: &mut Unstructured<'_>) -> Result<()> {
     let running: Vec<_> = cell.floor.runs.keys().map(|(t, _)| t.clone()).collect();
     match u.int_in_range(0..=59)? {
@@ -301,9 +305,9 @@
     Ok(())
 }
 
-// Texts, ends, failures, takeovers, lost calls and late answers in any order. `OneAttempt`, `Listed`,
-// `Whole` and `NoOvercommit` are checked at each step; when all is over, what is listed has ended,
-// and once nothing is listed any more, nothing is counted or recorded.
+// Configurations, ends, failures, takeovers, lost calls and late replies in any order.
+// `OneAttempt`, `Listed`, `Whole` and `NoOvercommit` are checked at each step. When all is over,
+// every listed job has ended; once nothing is listed any more, nothing is counted or recorded.
 #[test]
 fn any_order_keeps_the_invariants() {
     let starts = std::cell::Cell::new(0);
--- a/tests/release.rs
+++ b/tests/release.rs
@@ -1,4 +1,4 @@
-//! A shard that is to be released writes what is left, soon and nothing else.
+//! A shard that is being released writes its remaining changes promptly, and nothing else.
 
 use {
     dogwoodreach::{
@@ -15,7 +15,7 @@
     standin::site::setup::bounds,
 };
 
-/// The number of the write among these orders; there must be nothing else.
+/// The number of the write among these orders. Fails if there are other orders.
 fn write(orders: &[Order]) -> Option<u64> {
     match orders {
         [] => None,
@@ -26,8 +26,9 @@
 
 #[test]
 fn what_is_left_is_written_within_its_pauses() {
-    // Story: 60 jobs are cancelled as the member is told to stop, and the store answers within 5 ms.
-    // One write holds about 10 jobs; the second was not made before the time for settling was over.
+    // 60 jobs are cancelled as the member is told to stop, and the store answers within 5 ms. One
+    // write holds about 10 jobs. Guards against waiting with the second write until the time for
+    // settling is over.
     let (me, unix) = (Incarnation(1), 1_700_000_000_000);
     let setup = Setup { shard: ShardNo(0), me, token: 1, bounds: bounds(), unix };
     let step = Step { count: 1, ..Step::default() };
