--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -147,9 +147,15 @@
         Ok(attempt)
     }
 
-    /// Sends the starts whose intents are committed. `sure` is the end of this owner's lease on the
+    /// Sends the starts whose intents are committed. `lease_end` is the end of this owner's lease on the
     /// bucket, computed so that no other owner can have read the record before it.
-    pub fn committed(&mut self, now: Time, sure: Time, commit: &mut Commit, out: &mut Vec<Order>) {
+    pub fn committed(
+        &mut self,
+        now: Time,
+        lease_end: Time,
+        commit: &mut Commit,
+        out: &mut Vec<Order>,
+    ) {
         while let Some((_, task, attempt)) = self.pending.front() {
             let ticket = self.waiting(task, *attempt);
             if ticket.is_some_and(|ticket| ticket > commit.done()) {
@@ -163,7 +169,7 @@
             // owner could read a worker's report that is newer than any start it knows of, and this
             // start would arrive afterwards. A start is therefore sent only if the lease outlasts
             // its transit time.
-            if now + FLIGHT > sure {
+            if now + FLIGHT > lease_end {
                 self.withdraw(&task, "the owner's lease was ending", commit);
                 continue;
             }
--- a/src/bucket.rs
+++ b/src/bucket.rs
@@ -24,7 +24,7 @@
     claims: Claims,
     attempts: Attempts,
     pasts: Pasts,
-    sure: Time,
+    lease_end: Time,
     out: Vec<Order>,
 }
 
@@ -36,14 +36,14 @@
             claims: Claims::new(unix),
             attempts: Attempts::default(),
             pasts: Pasts::default(),
-            sure: Time::ZERO,
+            lease_end: Time::ZERO,
             out: Vec::new(),
         }
     }
 
     /// Sets the time until which no other member can take over the bucket.
-    pub fn renew(&mut self, sure: Time) {
-        self.sure = self.sure.max(sure);
+    pub fn renew(&mut self, lease_end: Time) {
+        self.lease_end = self.lease_end.max(lease_end);
     }
 
     /// Whether the previous owner's record has been read, so that attempts can be created.
@@ -192,7 +192,7 @@
             Step::Nothing => {}
             Step::Done => {
                 self.claims.committed(&mut self.commit, &mut self.out);
-                self.attempts.committed(now, self.sure, &mut self.commit, &mut self.out);
+                self.attempts.committed(now, self.lease_end, &mut self.commit, &mut self.out);
             }
             Step::Adopt(record) => {
                 let (claims, tasks, jobs) =
--- a/src/bucket/past.rs
+++ b/src/bucket/past.rs
@@ -16,7 +16,7 @@
 
 /// The largest number of range bounds in a record: about 100 kB at nine bytes each. Tasks that end
 /// beyond this limit keep their own rows.
-const BOUNDS: usize = 12_000;
+const MAX_BOUNDS: usize = 12_000;
 
 /// The stored data of the jobs of one bucket.
 #[derive(Default)]
@@ -79,7 +79,8 @@
 
     /// Records a task as successfully ended; returns false if there is no space.
     pub fn finish(&mut self, task: &TaskId) -> bool {
-        let Some(past) = self.jobs.get_mut(&task.job).filter(|_| self.bounds + 2 <= BOUNDS) else {
+        let Some(past) = self.jobs.get_mut(&task.job).filter(|_| self.bounds + 2 <= MAX_BOUNDS)
+        else {
             return false;
         };
         let before = past.done.bounds_len();
--- a/src/core.rs
+++ b/src/core.rs
@@ -32,44 +32,44 @@
 
 /// The prefix of the records that every member watches.
 pub const SHARED: &str = "shared/";
-const MEMBERS: &str = "shared/members/";
-const OWNERS: &str = "shared/owners/";
-const ALL_BUCKETS: &str = "buckets";
+const MEMBERS_PREFIX: &str = "shared/members/";
+const OWNERS_PREFIX: &str = "shared/owners/";
+const BUCKETS_TABLE: &str = "buckets";
 
 /// Interval between the beats that a peer gets from this member.
-const BEAT: Duration = Duration::from_millis(250);
+const BEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum age of a peer's last beat for the peer to count as in contact.
-const TOUCH: Duration = Duration::from_secs(3);
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
 /// If the key-value service has answered a peer this much later than it last answered here, this
 /// member is cut off. All members renew each second, so in an outage of the service their last
 /// replies are less than 2 s apart; a lease has run for 3.4 s without a reply when this is checked.
-const BEHIND: Duration = Duration::from_secs(2);
+const CUT_OFF_LAG: Duration = Duration::from_secs(2);
 /// Interval between checks of ownership.
-const OWN: Duration = Duration::from_millis(100);
+const OWNERSHIP_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a stopping member continues after its last work, so that a load balancer sees it leave.
-const QUIET: Duration = Duration::from_secs(1);
+const STOP_DELAY: Duration = Duration::from_secs(1);
 /// The longest time that a member with a configuration waits for endpoints of every service before
 /// it is ready. It covers a takeover with its fences and delayed reports; a service without
 /// endpoints after that has none anywhere.
-const WARM: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long a reservation for urgent work waits for room to be made. A caller's call lasts longer.
-const PREEMPT: Duration = Duration::from_millis(900);
+const PREEMPT_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// What this member knows of a peer.
 struct Peer {
-    heard: Time,
+    last_beat: Time,
     beat: Option<Beat>,
     /// When the key-value service last answered the peer.
-    contact: Time,
+    kv_contact: Time,
     due: Time,
-    flying: bool,
+    in_flight: bool,
 }
 
 /// A handover that its receiver has not accepted yet.
-struct Passing {
+struct PendingHandover {
     to: Incarnation,
-    over: Handover,
+    handover: Handover,
     since: Time,
     due: Time,
 }
@@ -86,19 +86,19 @@
     pub(crate) metrics: Arc<Metrics>,
     peers: BTreeMap<Incarnation, Peer>,
     claims: FxHashMap<RequestId, Ticket>,
-    handovers: Vec<Passing>,
-    early: Vec<(Handover, Time)>,
-    own: Time,
-    warm: Option<Time>,
-    drain: Option<Time>,
-    idle: Option<Time>,
+    handovers: Vec<PendingHandover>,
+    early_handovers: Vec<(Handover, Time)>,
+    next_check: Time,
+    ready_at: Option<Time>,
+    drain_since: Option<Time>,
+    idle_since: Option<Time>,
     fetching: bool,
-    fetch: Time,
+    fetched_at: Time,
     urgent: Vec<Urgent>,
     roll: Roll,
     unreached: Vec<(Incarnation, Call)>,
     /// Whether the log already says that requests are refused because the configuration may be old.
-    stale: bool,
+    stale_logged: bool,
 }
 
 /// A reservation for urgent work that waits for room to be made.
@@ -124,17 +124,17 @@
             peers: BTreeMap::new(),
             claims: FxHashMap::default(),
             handovers: vec![],
-            early: vec![],
-            own: Time::ZERO,
-            warm: None,
-            drain: None,
-            idle: None,
+            early_handovers: vec![],
+            next_check: Time::ZERO,
+            ready_at: None,
+            drain_since: None,
+            idle_since: None,
             fetching: false,
-            fetch: Time::ZERO,
+            fetched_at: Time::ZERO,
             urgent: vec![],
             roll: Roll::default(),
             unreached: vec![],
-            stale: false,
+            stale_logged: false,
         }
     }
 
@@ -185,7 +185,7 @@
 
     /// Whether this member is stopping.
     pub fn draining(&self) -> bool {
-        self.drain.is_some()
+        self.drain_since.is_some()
     }
 
     /// The owner of a bucket.
@@ -199,15 +199,15 @@
         }
         self.expire(now);
         self.answer_urgent(now);
-        if self.own <= now {
-            self.own = now + OWN;
+        if self.next_check <= now {
+            self.next_check = now + OWNERSHIP_INTERVAL;
             for swap in self.ownership.step(now, |_| false) {
                 self.swap(swap);
             }
             for table in self.ownership.unsure(now) {
                 let record = OwnersRecord { rows: Default::default() };
                 let swap = Swap { table, expect: Default::default(), record };
-                let key = format!("{OWNERS}{}", swap.table).into();
+                let key = format!("{OWNERS_PREFIX}{}", swap.table).into();
                 self.out.push(Order::Get(Purpose::Owners(swap), key));
             }
         }
@@ -220,7 +220,7 @@
         }
         self.retry_handovers(now);
         self.stop_when_idle(now);
-        self.stale &= !self.current(now);
+        self.stale_logged &= !self.current(now);
         self.warm_up(now);
         self.metrics.state(
             self.racks.count(),
@@ -234,7 +234,7 @@
 
 impl Peer {
     fn new(now: Time) -> Self {
-        Peer { heard: now, beat: None, contact: Time::ZERO, due: now, flying: false }
+        Peer { last_beat: now, beat: None, kv_contact: Time::ZERO, due: now, in_flight: false }
     }
 }
 
@@ -256,5 +256,5 @@
 
 /// The key of a member's record.
 pub fn member_key(id: Incarnation) -> Box<str> {
-    format!("{MEMBERS}{id}").into()
+    format!("{MEMBERS_PREFIX}{id}").into()
 }
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -62,7 +62,7 @@
             Call::Probe(ask) => self.racks.probe(&ask, now).map(Back::Probe),
             Call::Handover(over) => {
                 if !self.racks.handover(&over, now) {
-                    self.early.push((over, now));
+                    self.early_handovers.push((over, now));
                 }
                 Some(Back::Done)
             }
@@ -83,13 +83,13 @@
         if let Some(peer) = self.peers.get_mut(&to)
             && back.is_ok()
         {
-            peer.heard = now;
+            peer.last_beat = now;
         }
         match (call, back) {
             (Call::Beat(_), Ok(Back::Beat(reply))) => {
                 if let Some(peer) = self.peers.get_mut(&to) {
-                    peer.flying = false;
-                    peer.contact = peer.contact.max(now - Duration::from_millis(reply.kv));
+                    peer.in_flight = false;
+                    peer.kv_contact = peer.kv_contact.max(now - Duration::from_millis(reply.kv));
                 }
                 self.newer(to, reply.version, now);
             }
@@ -106,7 +106,8 @@
             (Call::End(word), Ok(Back::Done)) => self.racks.told(&word.items),
             (Call::Probe(ask), Ok(Back::Probe(reply))) => self.jobs.probed(&ask, reply, now),
             (Call::Handover(over), Ok(_)) => {
-                self.handovers.retain(|p| p.over.rack != over.rack || p.over.epoch != over.epoch);
+                self.handovers
+                    .retain(|p| p.handover.rack != over.rack || p.handover.epoch != over.epoch);
             }
             (Call::Config(), back) => {
                 self.fetching = false;
@@ -123,7 +124,7 @@
         match call {
             Call::Beat(_) => {
                 if let Some(peer) = self.peers.get_mut(&to) {
-                    peer.flying = false;
+                    peer.in_flight = false;
                 }
             }
             Call::Claim(ask) => self.claimed(ask.request, None, now),
--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -1,7 +1,7 @@
 //! Operators' calls, and the orderly stop of a member.
 
 use {
-    super::{Core, QUIET},
+    super::{Core, STOP_DELAY},
     crate::{
         config,
         error::Kind,
@@ -103,9 +103,9 @@
     }
 
     pub(super) fn leave(&mut self, now: Time) {
-        if self.drain.is_none() {
+        if self.drain_since.is_none() {
             log::info!(target: "member", "Stopping: racks and buckets are handed over.");
-            self.drain = Some(now);
+            self.drain_since = Some(now);
             self.me.draining = true;
             self.out.push(Order::Register(self.me.clone()));
         }
@@ -114,17 +114,17 @@
     /// Ends the process once the member owns nothing, no request waits, and a load balancer has had
     /// time to see the member leave.
     pub(super) fn stop_when_idle(&mut self, now: Time) {
-        let Some(since) = self.drain else { return };
+        let Some(since) = self.drain_since else { return };
         let alone = self.ownership.members().values().all(|m| m.draining);
         let busy = !self.requests.is_empty()
             || !self.handovers.is_empty()
             || (self.ownership.count() > 0 && !alone && self.ownership.leased(now));
         if busy {
-            self.idle = None;
+            self.idle_since = None;
             return;
         }
-        let idle = *self.idle.get_or_insert(now);
-        if now - idle >= QUIET && now - since >= QUIET {
+        let idle = *self.idle_since.get_or_insert(now);
+        if now - idle >= STOP_DELAY && now - since >= STOP_DELAY {
             self.out.push(Order::Stop);
         }
     }
--- a/src/core/owners.rs
+++ b/src/core/owners.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        ALL_BUCKETS, BEAT, Core, MEMBERS, OWNERS, Passing, TOUCH, bucket_row, rack_row, row_bucket,
-        row_rack,
+        BEAT_INTERVAL, BUCKETS_TABLE, CONTACT_TIMEOUT, Core, MEMBERS_PREFIX, OWNERS_PREFIX,
+        PendingHandover, bucket_row, rack_row, row_bucket, row_rack,
     },
     crate::{
         config,
@@ -26,7 +26,7 @@
             zones.entry(vm.zone.clone()).or_default().insert(rack_row(&vm.rack));
         }
         let known: Vec<Box<str>> = self.ownership.tables().map(Into::into).collect();
-        for table in known.iter().filter(|t| ***t != *ALL_BUCKETS) {
+        for table in known.iter().filter(|t| ***t != *BUCKETS_TABLE) {
             let zone = Zone(table.clone());
             let rows = zones.remove(&zone).unwrap_or_default();
             self.ownership.want(table, Some(zone), rows);
@@ -42,23 +42,23 @@
     pub(super) fn watched(&mut self, list: KvList, now: Time) {
         self.ownership.answered(now);
         let all = (0..BUCKETS).map(|b| bucket_row(Bucket(b))).collect();
-        self.ownership.want(ALL_BUCKETS, None, all);
+        self.ownership.want(BUCKETS_TABLE, None, all);
         for key in &list.gone {
-            if let Some(id) = key.strip_prefix(MEMBERS).and_then(|id| id.parse().ok()) {
+            if let Some(id) = key.strip_prefix(MEMBERS_PREFIX).and_then(|id| id.parse().ok()) {
                 self.ownership.left(id);
                 self.peers.remove(&id);
                 self.requests.forget(id);
             }
         }
         for entry in list.entries {
-            if entry.key.starts_with(MEMBERS) {
+            if entry.key.starts_with(MEMBERS_PREFIX) {
                 if let Ok(record) = serde_json::from_str::<MemberRecord>(&entry.value) {
                     if record.draining {
                         self.requests.forget(record.incarnation);
                     }
                     self.ownership.joined(record);
                 }
-            } else if let Some(table) = entry.key.strip_prefix(OWNERS) {
+            } else if let Some(table) = entry.key.strip_prefix(OWNERS_PREFIX) {
                 if let Ok(record) = serde_json::from_str(&entry.value) {
                     let changes = self.ownership.read(table, entry.revision, record);
                     self.changed(changes, now);
@@ -87,7 +87,7 @@
         } else if let Some(rack) = row_rack(row) {
             self.racks.gained(&rack, epoch, now);
             let early: Vec<(Handover, Time)> =
-                self.early.extract_if(.., |(h, _)| h.rack == rack).collect();
+                self.early_handovers.extract_if(.., |(h, _)| h.rack == rack).collect();
             for (over, _) in early {
                 self.racks.handover(&over, now);
             }
@@ -102,7 +102,12 @@
             let over = self.racks.lost(&rack, epoch);
             if let Some(to) = to {
                 self.call(to, Call::Handover(over.clone()));
-                self.handovers.push(Passing { to, over, since: now, due: now + BEAT });
+                self.handovers.push(PendingHandover {
+                    to,
+                    handover: over,
+                    since: now,
+                    due: now + BEAT_INTERVAL,
+                });
             }
         }
     }
@@ -113,7 +118,7 @@
             value: serde_json::to_string(&swap.record).ok().map(Into::into),
             lease: None,
         };
-        let key = format!("{OWNERS}{}", swap.table).into();
+        let key = format!("{OWNERS_PREFIX}{}", swap.table).into();
         self.out.push(Order::Put(Purpose::Owners(swap), key, put));
     }
 
@@ -186,14 +191,14 @@
     }
 
     pub(super) fn retry_handovers(&mut self, now: Time) {
-        self.early.retain(|(_, at)| now - *at < TOUCH);
+        self.early_handovers.retain(|(_, at)| now - *at < CONTACT_TIMEOUT);
         let members = self.ownership.members();
-        self.handovers.retain(|p| now - p.since < TOUCH && members.contains_key(&p.to));
+        self.handovers.retain(|p| now - p.since < CONTACT_TIMEOUT && members.contains_key(&p.to));
         let due = self.handovers.iter_mut().filter(|p| p.due <= now);
         let again: Vec<(Incarnation, Handover)> = due
             .map(|p| {
-                p.due = now + BEAT;
-                (p.to, p.over.clone())
+                p.due = now + BEAT_INTERVAL;
+                (p.to, p.handover.clone())
             })
             .collect();
         for (to, over) in again {
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,7 +1,7 @@
 //! The course of a request through this member: admission, claim, queue, dispatch and reply.
 
 use {
-    super::{Core, claims::RECLAIM},
+    super::{Core, claims::CLAIM_RETRY},
     crate::{
         decide::{
             admit::Gate,
@@ -23,12 +23,12 @@
 /// A request counts as long, and leaves some slots to others, if it is expected to run this many
 /// times the service's usual run time. With a smaller factor, the variation of usual requests would
 /// count as long.
-const LONG: u32 = 4;
+const LONG_FACTOR: u32 = 4;
 /// A request waits for racks to change owner only if its service had an endpoint within this time;
 /// otherwise it is refused at once.
-const LIVELY: Duration = Duration::from_secs(10);
+const RECENT_ENDPOINT: Duration = Duration::from_secs(10);
 /// How long a slot stays taken after the request's lease: the drift of two clocks and one transit.
-const SPARE: Duration = Duration::from_millis(500);
+const SLOT_MARGIN: Duration = Duration::from_millis(500);
 
 impl Core {
     /// Admits a request.
@@ -220,11 +220,11 @@
         let Err(error) = self.wait(id, &name, &service, slots, now) else {
             return self.pump(now);
         };
-        let lively = self.requests.lively.get(&name).is_some_and(|at| now - *at < LIVELY);
+        let lively = self.requests.lively.get(&name).is_some_and(|at| now - *at < RECENT_ENDPOINT);
         let patient = self.requests.table.get_mut(&id).is_some_and(|p| p.patient(now));
         if error.kind() == Kind::NoEndpoint && hops == 0 && lively && patient {
             // The service's racks are changing owner; the new owner is known within milliseconds.
-            self.requests.again.insert((now + RECLAIM, id));
+            self.requests.again.insert((now + CLAIM_RETRY, id));
             return;
         }
         self.finish(id, Err(error), now);
@@ -250,7 +250,7 @@
         let seed = self.me().0;
         let line = self.requests.lines.entry(name.clone()).or_insert_with(|| Line {
             gate: Gate::new(Rng::with_seed(seed)),
-            queue: Queue::new(slots, service.run * LONG),
+            queue: Queue::new(slots, service.run * LONG_FACTOR),
             running: FxHashMap::default(),
         });
         line.queue.resize(slots);
@@ -261,7 +261,7 @@
     fn dispatch(&mut self, worker: WorkerId, item: Item, now: Time) {
         let id = item.id;
         let Some(p) = self.requests.table.get_mut(&id) else { return };
-        let Some(spot) = self.racks.take(worker.clone(), id, p.deadline + SPARE) else {
+        let Some(spot) = self.racks.take(worker.clone(), id, p.deadline + SLOT_MARGIN) else {
             self.racks.pass(&worker);
             return self.finish(id, Err(Kind::NoEndpoint.into()), now);
         };
--- a/src/core/touch.rs
+++ b/src/core/touch.rs
@@ -1,7 +1,7 @@
 //! Contact between members: the beats, and whether this member may serve and dispatch.
 
 use {
-    super::{BEAT, BEHIND, Core, Peer, TOUCH, WARM},
+    super::{BEAT_INTERVAL, CONTACT_TIMEOUT, CUT_OFF_LAG, Core, Peer, READY_TIMEOUT},
     crate::{
         event::Call,
         ids::Incarnation,
@@ -14,7 +14,7 @@
 impl Core {
     /// Whether this member may serve callers.
     pub fn ready(&self, now: Time) -> bool {
-        !self.draining() && self.warm.is_some_and(|at| at <= now) && self.current(now)
+        !self.draining() && self.ready_at.is_some_and(|at| at <= now) && self.current(now)
     }
 
     /// Marks this member as ready once it knows endpoints of every service.
@@ -28,28 +28,29 @@
         if self.config.version().0 == 0 {
             return;
         }
-        let latest = *self.warm.get_or_insert(now + WARM);
+        let latest = *self.ready_at.get_or_insert(now + READY_TIMEOUT);
         let known = |id, pool| self.racks.slots(pool, now).0 > 0 || self.requests.served(id);
         if latest > now && self.config.plan().services.iter().all(|(id, s)| known(id, &s.pool)) {
-            self.warm = Some(now);
+            self.ready_at = Some(now);
         }
     }
 
     /// Whether the configuration held here may still be the one in force.
     ///
     /// Without this, a member that is cut off would serve by a replaced configuration for as long
-    /// as the cut lasts. The member is in contact if, within `TOUCH`, the key-value service has
+    /// as the cut lasts. The member is in contact if, within `CONTACT_TIMEOUT`, the key-value service has
     /// answered it, or has answered a peer that this member hears. During an outage of the service
     /// it is enough to hear half of the other members, as no configuration can have been accepted
     /// then.
     pub(crate) fn current(&self, now: Time) -> bool {
-        if self.ownership.silence(now) < TOUCH {
+        if self.ownership.silence(now) < CONTACT_TIMEOUT {
             return true;
         }
-        let heard = self.peers.values().filter(|p| now - p.heard < TOUCH);
+        let heard = self.peers.values().filter(|p| now - p.last_beat < CONTACT_TIMEOUT);
         let by_peer = |p: &Peer| {
             let age = p.beat.as_ref().map_or(Duration::MAX, |b| Duration::from_millis(b.kv));
-            age < TOUCH && p.beat.as_ref().is_some_and(|b| b.version <= self.config.version())
+            age < CONTACT_TIMEOUT
+                && p.beat.as_ref().is_some_and(|b| b.version <= self.config.version())
         };
         let (mut count, mut linked) = (0, false);
         for peer in heard {
@@ -63,12 +64,12 @@
     /// Logs, once until the configuration is current again, that requests are refused because the
     /// configuration may be old.
     pub(super) fn tell_stale(&mut self, now: Time) {
-        if mem::replace(&mut self.stale, true) {
+        if mem::replace(&mut self.stale_logged, true) {
             return;
         }
         let (member, version) = (self.me(), self.config.version());
         let silent_ms = millis(self.ownership.silence(now));
-        let heard_ms: Vec<u64> = self.peers.values().map(|p| millis(now - p.heard)).collect();
+        let heard_ms: Vec<u64> = self.peers.values().map(|p| millis(now - p.last_beat)).collect();
         log::warn!(target: "requests", member:% = member, version:% = version, silent_ms, heard_ms:? = heard_ms; "Requests are refused: the configuration may have been replaced.");
     }
 
@@ -86,8 +87,8 @@
         let others = self.ownership.members().keys().filter(|m| **m != self.me());
         let mut silent = 0;
         for member in others {
-            match self.peers.get(member).filter(|p| now - p.heard < TOUCH) {
-                Some(peer) if peer.contact > mine + BEHIND => return false,
+            match self.peers.get(member).filter(|p| now - p.last_beat < CONTACT_TIMEOUT) {
+                Some(peer) if peer.kv_contact > mine + CUT_OFF_LAG => return false,
                 Some(_) => {}
                 None => silent += 1,
             }
@@ -101,11 +102,11 @@
         let mut beat = None;
         for id in others {
             let peer = self.peers.entry(id).or_insert_with(|| Peer::new(now));
-            if peer.flying || peer.due > now {
+            if peer.in_flight || peer.due > now {
                 continue;
             }
-            peer.flying = true;
-            peer.due = now + BEAT;
+            peer.in_flight = true;
+            peer.due = now + BEAT_INTERVAL;
             let beat = beat.get_or_insert_with(|| self.beat(now)).clone();
             self.call(id, Call::Beat(beat));
         }
@@ -142,17 +143,19 @@
             self.requests.report(record, &self.me, &beat.services, now);
         }
         let peer = self.peers.entry(from).or_insert_with(|| Peer::new(now));
-        peer.heard = now;
-        peer.contact = peer.contact.max(now - Duration::from_millis(beat.kv));
+        peer.last_beat = now;
+        peer.kv_contact = peer.kv_contact.max(now - Duration::from_millis(beat.kv));
         peer.beat = Some(beat);
         BeatReply { version: self.config.version(), kv: millis(self.ownership.silence(now)) }
     }
 
     /// Fetches the configuration from a peer that holds a newer version.
     pub(super) fn newer(&mut self, from: Incarnation, version: crate::ids::Version, now: Time) {
-        if version > self.config.version() && (!self.fetching || self.fetch + TOUCH < now) {
+        if version > self.config.version()
+            && (!self.fetching || self.fetched_at + CONTACT_TIMEOUT < now)
+        {
             self.fetching = true;
-            self.fetch = now;
+            self.fetched_at = now;
             self.call(from, Call::Config());
         }
     }
--- a/src/core/work.rs
+++ b/src/core/work.rs
@@ -2,7 +2,7 @@
 //! attempts that ended.
 
 use {
-    super::{Core, PREEMPT, TOUCH, Urgent, rack_row},
+    super::{CONTACT_TIMEOUT, Core, PREEMPT_TIMEOUT, Urgent, rack_row},
     crate::{
         event::{Back, Call, Order, Ticket},
         ids::{Incarnation, RackId, TaskId},
@@ -17,15 +17,15 @@
 impl Core {
     /// Runs the jobs' periodic work and carries out what the buckets request.
     pub(super) fn work(&mut self, now: Time) {
-        let sure = self.sure(now);
+        let lease_end = self.lease_end(now);
         let racks = if self.jobs.due(now) { self.all_racks(now) } else { vec![] };
-        let wants = self.jobs.tick(now, sure, &racks, &mut self.out);
-        self.carry_out(wants, now);
+        let requests = self.jobs.tick(now, lease_end, &racks, &mut self.out);
+        self.carry_out(requests, now);
     }
 
-    pub(super) fn carry_out(&mut self, wants: Vec<Want>, now: Time) {
-        for want in wants {
-            match want {
+    pub(super) fn carry_out(&mut self, requests: Vec<Want>, now: Time) {
+        for request in requests {
+            match request {
                 Want::Claimed(request, reply) => match self.claims.remove(&request) {
                     Some(ticket) => self.out.push(Order::Back(ticket, Back::Claim(reply))),
                     None => self.claimed(request, Some(reply), now),
@@ -33,22 +33,22 @@
                 Want::Kept(ticket) if ticket & OWN_END != 0 => self.kept(ticket),
                 Want::Kept(ticket) => self.out.push(Order::Back(ticket, Back::Done)),
                 Want::Reserve(ask) => self.reserve(ask, now),
-                Want::Release(ref rack, _) => self.at_rack(rack.clone(), want, now),
-                Want::Start(ref ask) => self.at_rack(ask.rack.clone(), want, now),
-                Want::Probe(ref ask) => self.at_rack(ask.rack.clone(), want, now),
+                Want::Release(ref rack, _) => self.at_rack(rack.clone(), request, now),
+                Want::Start(ref ask) => self.at_rack(ask.rack.clone(), request, now),
+                Want::Probe(ref ask) => self.at_rack(ask.rack.clone(), request, now),
             }
         }
     }
 
     /// The time until which no other member can take over from this one; `None` without a lease.
-    pub(super) fn sure(&self, now: Time) -> Option<Time> {
+    pub(super) fn lease_end(&self, now: Time) -> Option<Time> {
         self.ownership.until().filter(|_| self.ownership.leased(now))
     }
 
     /// Sends a request of the buckets to the owner of a rack, which may be this member.
-    pub(super) fn at_rack(&mut self, rack: RackId, want: Want, now: Time) {
+    pub(super) fn at_rack(&mut self, rack: RackId, request: Want, now: Time) {
         let Some((owner, _)) = self.ownership.owner(&rack_row(&rack)) else { return };
-        let Some(call) = call(want) else { return };
+        let Some(call) = call(request) else { return };
         if owner != self.me() {
             return self.call(owner, call);
         }
@@ -70,7 +70,7 @@
         let (size, spread, urgent) = (first.size, first.spread, first.urgent);
         let mine = self.racks.loads();
         let mut best: Option<(bool, u64, Incarnation)> = None;
-        let peers = self.peers.iter().filter(|(_, p)| now - p.heard < TOUCH);
+        let peers = self.peers.iter().filter(|(_, p)| now - p.last_beat < CONTACT_TIMEOUT);
         let theirs = peers.filter_map(|(id, p)| Some((*id, &p.beat.as_ref()?.racks)));
         for (id, racks) in theirs.chain([(self.me(), &mine)]) {
             if ask.tried.contains(&id) {
@@ -103,7 +103,7 @@
             false => ReserveReply { rows: vec![] },
         };
         if reply.rows.is_empty() && self.racks.preempt(&ask, now) {
-            self.urgent.push(Urgent { ticket, ask, until: now + PREEMPT });
+            self.urgent.push(Urgent { ticket, ask, until: now + PREEMPT_TIMEOUT });
             return;
         }
         self.reserve_answer(ticket, ask, reply, now);
@@ -163,13 +163,13 @@
     }
 
     pub(super) fn reserved(&mut self, ask: ReserveAsk, reply: Option<ReserveReply>, now: Time) {
-        let wants = self.jobs.reserved(&ask, reply, now);
-        self.carry_out(wants, now);
+        let requests = self.jobs.reserved(&ask, reply, now);
+        self.carry_out(requests, now);
     }
 
     /// The free resources of all racks, as far as this member knows them.
     pub(super) fn all_racks(&self, now: Time) -> Vec<RackLoad> {
-        let peers = self.peers.values().filter(|p| now - p.heard < TOUCH);
+        let peers = self.peers.values().filter(|p| now - p.last_beat < CONTACT_TIMEOUT);
         let theirs = peers.filter_map(|p| p.beat.as_ref()).flat_map(|b| b.racks.iter().cloned());
         theirs.chain(self.racks.loads()).collect()
     }
--- a/src/event.rs
+++ b/src/event.rs
@@ -108,9 +108,9 @@
     Release(ReserveReply),
     /// Starts and stops of attempts.
     Start(StartAsk),
-    /// A query for the states of running or ended attempts.
+    /// A report of the states of running or ended attempts.
     End(EndTell),
-    /// A report of the states of attempts.
+    /// A query for the states of attempts.
     Probe(ProbeAsk),
     /// The requests and reservations in flight on a rack that changes its owner.
     Handover(Handover),
--- a/src/gangs.rs
+++ b/src/gangs.rs
@@ -33,15 +33,15 @@
     claim: Claim,
     pool: PoolId,
     parts: Parts,
-    got: Vec<ReserveRow>,
+    reserved: Vec<ReserveRow>,
     round: u32,
-    again: Time,
+    retry_at: Time,
     /// Whether a request awaits its reply.
-    flying: bool,
+    in_flight: bool,
     /// Whether that request belongs to a round that was given up.
     late: bool,
     /// Whether the gang is no longer wanted.
-    gone: bool,
+    cancelled: bool,
 }
 
 /// The next step for a gang.
@@ -76,21 +76,21 @@
             claim: Claim::new(now),
             pool: pool.clone(),
             parts: BTreeMap::new(),
-            got: vec![],
+            reserved: vec![],
             round: 0,
-            again: Time::ZERO,
-            flying: false,
+            retry_at: Time::ZERO,
+            in_flight: false,
             late: false,
-            gone: false,
+            cancelled: false,
         };
         let gang = self.all.entry(job.clone()).or_insert_with(new);
         let tasks = items.iter().map(|i| i.task.clone()).collect();
-        if gang.again > now || gang.flying {
+        if gang.retry_at > now || gang.in_flight {
             return Step::Drop(vec![], tasks);
         }
         let Some(parts) = divide(items, pool, racks) else { return Step::Drop(vec![], tasks) };
         gang.parts = parts;
-        gang.got.clear();
+        gang.reserved.clear();
         let order = gang.claim.begin(gang.parts.keys().cloned().collect(), now);
         gang.step(order)
     }
@@ -102,18 +102,18 @@
             return Step::Drop(reply.map_or_else(Vec::new, |r| r.rows), vec![]);
         };
         let rows = reply.map_or_else(Vec::new, |r| r.rows);
-        gang.flying = false;
+        gang.in_flight = false;
         if std::mem::take(&mut gang.late) {
-            if gang.gone {
+            if gang.cancelled {
                 self.all.remove(&job);
             }
             return Step::Drop(rows, vec![]);
         }
         let order = if rows.len() == ask.items.len() {
-            gang.got.extend(rows);
+            gang.reserved.extend(rows);
             gang.claim.granted(rack, gang.round, now)
         } else {
-            gang.got.extend(rows);
+            gang.reserved.extend(rows);
             gang.claim.refused(rack, gang.round, now, &mut self.rng)
         };
         gang.step(order)
@@ -131,16 +131,16 @@
 
     /// The gangs that are being placed.
     pub fn jobs(&self) -> impl Iterator<Item = &JobId> {
-        self.all.iter().filter(|(_, g)| !g.gone).map(|(job, _)| job)
+        self.all.iter().filter(|(_, g)| !g.cancelled).map(|(job, _)| job)
     }
 
     /// Removes a gang that is no longer wanted; returns its tasks and the room to release.
     pub fn forget(&mut self, job: &JobId) -> (Vec<TaskId>, Vec<ReserveRow>) {
         let Some(gang) = self.all.get_mut(job) else { return (vec![], vec![]) };
         let tasks = gang.tasks();
-        let got = std::mem::take(&mut gang.got);
-        if gang.flying {
-            (gang.late, gang.gone) = (true, true);
+        let got = std::mem::take(&mut gang.reserved);
+        if gang.in_flight {
+            (gang.late, gang.cancelled) = (true, true);
             gang.claim = Claim::new(Time::ZERO);
             gang.parts.clear();
         } else {
@@ -159,7 +159,7 @@
         match order {
             Order::Reserve(rack, _, round) => {
                 self.round = round;
-                self.flying = true;
+                self.in_flight = true;
                 let items = self.parts.get(&rack).cloned().unwrap_or_default();
                 Step::Ask(ReserveAsk {
                     pool: self.pool.clone(),
@@ -169,11 +169,11 @@
                     tried: vec![],
                 })
             }
-            Order::Start => Step::Place(std::mem::take(&mut self.got)),
+            Order::Start => Step::Place(std::mem::take(&mut self.reserved)),
             Order::Release(_, again) => {
-                self.again = again;
-                self.late = self.flying;
-                Step::Drop(std::mem::take(&mut self.got), self.tasks())
+                self.retry_at = again;
+                self.late = self.in_flight;
+                Step::Drop(std::mem::take(&mut self.reserved), self.tasks())
             }
             Order::Nothing => Step::Wait,
         }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -19,7 +19,7 @@
 
 pub use crate::tasks::Balance;
 use {
-    self::part::Partings,
+    self::part::Departing,
     crate::{
         Time,
         bucket::Bucket as State,
@@ -47,37 +47,37 @@
 };
 
 /// Interval between probes of running attempts.
-const PROBE: Duration = Duration::from_secs(2);
+const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 /// Interval between scans of waiting tasks: a fifth of the time in which urgent work must start.
-const SCAN: Duration = Duration::from_millis(200);
+const SCAN_INTERVAL: Duration = Duration::from_millis(200);
 /// The largest number of tasks that one scan places. At five scans a second this is 1,280 starts a
 /// second, above the peak of 940 even if one member gets all of it. The limit bounds the time of
 /// one tick.
-const BATCH: usize = 256;
+const MAX_PICKS: usize = 256;
 
 /// The buckets that a member owns.
 pub struct Jobs {
     me: Incarnation,
     unix: u64,
     buckets: BTreeMap<Bucket, Owned>,
-    partings: Partings,
+    departing: Departing,
     /// Buckets with changes that wait for the write budget.
     waiting: BTreeSet<Bucket>,
-    nap: Time,
+    next_wake: Time,
     plan: Rc<Plan>,
     tasks: Tasks,
     gangs: Gangs,
-    scan: Time,
+    next_scan: Time,
     /// When all buckets are scanned next. A scan that the end of an attempt brings forward does not
     /// change this time.
-    sweep: Time,
-    probe: Time,
+    next_sweep: Time,
+    next_probe: Time,
     /// Whether this member has received a plan.
-    known: bool,
+    has_plan: bool,
     /// Whether a plan was received, or a bucket lost, that has not been processed yet.
-    stale: bool,
+    needs_load: bool,
     /// Jobs to take in once no task of an earlier job of the same name is left.
-    todo: BTreeSet<JobId>,
+    unloaded: BTreeSet<JobId>,
 }
 
 struct Owned {
@@ -115,18 +115,18 @@
             me,
             unix,
             buckets: BTreeMap::new(),
-            partings: Partings::default(),
+            departing: Departing::default(),
             waiting: BTreeSet::new(),
-            nap: Time::ZERO,
+            next_wake: Time::ZERO,
             plan: Rc::default(),
             tasks: Tasks::new(me.0),
             gangs: Gangs::new(me.0),
-            scan: Time::ZERO,
-            sweep: Time::ZERO,
-            probe: Time::ZERO,
-            known: false,
-            stale: false,
-            todo: BTreeSet::new(),
+            next_scan: Time::ZERO,
+            next_sweep: Time::ZERO,
+            next_probe: Time::ZERO,
+            has_plan: false,
+            needs_load: false,
+            unloaded: BTreeSet::new(),
         }
     }
 
@@ -134,8 +134,8 @@
     pub fn planned(&mut self, plan: &Rc<Plan>) {
         self.plan = plan.clone();
         self.tasks.planned(plan);
-        (self.known, self.stale) = (true, true);
-        self.scan = Time::ZERO;
+        (self.has_plan, self.needs_load) = (true, true);
+        self.next_scan = Time::ZERO;
     }
 
     /// Updates the workers from the platform's list.
@@ -161,10 +161,10 @@
     /// Removes a bucket that passed to another member.
     pub fn lost(&mut self, bucket: Bucket) {
         if let Some(owned) = self.buckets.remove(&bucket) {
-            self.partings.push(owned, bucket);
+            self.departing.push(owned, bucket);
             self.tasks.lost(bucket);
             // The next scan gives up the gangs that are being placed in the bucket.
-            self.stale = true;
+            self.needs_load = true;
         }
     }
 
@@ -207,7 +207,7 @@
                 }
             },
         };
-        if let Some(state) = self.partings.get(at.0, at.1) {
+        if let Some(state) = self.departing.get(at.0, at.1) {
             return state.read(at.2, reply, now);
         }
         let Some(owned) = self.buckets.get_mut(&at.0).filter(|o| o.epoch == at.1) else { return };
@@ -217,7 +217,7 @@
 
     /// Handles the reply to a write of a bucket's record.
     pub fn put(&mut self, at: (Bucket, Epoch, u64), reply: Result<KvPutReply, Failure>, now: Time) {
-        if let Some(state) = self.partings.get(at.0, at.1) {
+        if let Some(state) = self.departing.get(at.0, at.1) {
             return state.wrote(at.2, reply.ok().as_ref(), now);
         }
         let Some(owned) = self.buckets.get_mut(&at.0).filter(|o| o.epoch == at.1) else { return };
@@ -239,7 +239,7 @@
         for item in items {
             self.settle(bucket, &item.task, now);
         }
-        self.scan = self.scan.min(now);
+        self.next_scan = self.next_scan.min(now);
         true
     }
 
@@ -261,41 +261,41 @@
 
     /// Whether the next tick scans the waiting tasks and therefore needs the racks' free resources.
     pub fn due(&self, now: Time) -> bool {
-        self.scan <= now
+        self.next_scan <= now
     }
 
-    /// Does the work that is due. `sure` is the end of this member's lease; `racks` holds the
+    /// Does the work that is due. `lease_end` is the end of this member's lease; `racks` holds the
     /// racks' free resources.
     pub fn tick(
         &mut self,
         now: Time,
-        sure: Option<Time>,
+        lease_end: Option<Time>,
         racks: &[RackLoad],
         out: &mut Vec<Order>,
     ) -> Vec<Want> {
-        let mut wants = vec![];
-        if self.sweep <= now {
-            self.sweep = now + SCAN;
+        let mut requests = vec![];
+        if self.next_sweep <= now {
+            self.next_sweep = now + SCAN_INTERVAL;
             self.buckets.values_mut().for_each(|o| o.touched = true);
         }
         self.wake_waiting(now);
-        if self.scan <= now {
-            self.scan = now + SCAN;
-            self.load(now, &mut wants);
-            self.settle_changed(self.probe <= now, now);
+        if self.next_scan <= now {
+            self.next_scan = now + SCAN_INTERVAL;
+            self.load(now, &mut requests);
+            self.settle_changed(self.next_probe <= now, now);
             self.stop(now);
             self.tasks.wake(now);
-            self.pick(now, racks, &mut wants);
+            self.pick(now, racks, &mut requests);
             for step in self.gangs.tick(now) {
-                wants.extend(self.gang_step(step, now));
+                requests.extend(self.gang_step(step, now));
             }
         }
-        if self.probe <= now {
-            self.probe = now + PROBE;
-            self.ask_after(&mut wants);
+        if self.next_probe <= now {
+            self.next_probe = now + PROBE_INTERVAL;
+            self.probe_attempts(&mut requests);
         }
-        self.flush(now, sure, out, &mut wants);
-        wants
+        self.flush(now, lease_end, out, &mut requests);
+        requests
     }
 
     /// The state of the tasks, for operators.
@@ -361,8 +361,8 @@
 }
 
 /// The call that asks a peer to carry out a request; `None` if no call is needed.
-pub fn call(want: Want) -> Option<Call> {
-    match want {
+pub fn call(request: Want) -> Option<Call> {
+    match request {
         Want::Reserve(ask) => Some(Call::Reserve(ask)),
         Want::Release(_, rows) => Some(Call::Release(rows)),
         Want::Start(ask) => Some(Call::Start(ask)),
--- a/src/jobs/load.rs
+++ b/src/jobs/load.rs
@@ -17,8 +17,8 @@
     ///
     /// Waits for the first plan. Without this, a member that takes over a bucket before it has the
     /// configuration would regard all running tasks as unlisted and stop them.
-    pub(super) fn load(&mut self, now: Time, wants: &mut Vec<Want>) {
-        if !self.known {
+    pub(super) fn load(&mut self, now: Time, requests: &mut Vec<Want>) {
+        if !self.has_plan {
             return;
         }
         let fresh: Vec<Bucket> = self
@@ -30,15 +30,15 @@
         for id in &fresh {
             self.adopt(*id, now);
         }
-        if !fresh.is_empty() || self.stale {
-            self.stale = false;
+        if !fresh.is_empty() || self.needs_load {
+            self.needs_load = false;
             self.forget_unlisted();
-            self.drop_gangs(now, wants);
+            self.drop_gangs(now, requests);
             let jobs = self.plan.jobs.iter().filter(|(name, _)| !self.tasks.lists(name));
             let here = jobs.filter(|(_, j)| self.buckets.contains_key(&team_bucket(&j.team)));
-            self.todo = here.map(|(name, _)| name.clone()).collect();
+            self.unloaded = here.map(|(name, _)| name.clone()).collect();
         }
-        if !self.todo.is_empty() {
+        if !self.unloaded.is_empty() {
             self.list(now);
         }
     }
@@ -57,7 +57,7 @@
     fn list(&mut self, now: Time) {
         let mut rows: BTreeMap<Bucket, BTreeMap<JobId, Vec<TaskRow>>> = BTreeMap::new();
         let unix = self.unix + now.since(Time::ZERO).as_secs();
-        for name in std::mem::take(&mut self.todo) {
+        for name in std::mem::take(&mut self.unloaded) {
             let Some(job) = self.plan.jobs.get(&name) else { continue };
             let id = team_bucket(&job.team);
             let Some(owned) = self.buckets.get_mut(&id).filter(|o| o.loaded) else { continue };
@@ -81,7 +81,7 @@
                 .map(|r| r.task.clone())
                 .collect();
             if !self.tasks.list(&name, past, now) {
-                self.todo.insert(name);
+                self.unloaded.insert(name);
                 continue;
             }
             ended.iter().for_each(|task| self.finish(id, task));
@@ -124,7 +124,7 @@
     }
 
     /// Gives up the gangs being placed whose job or bucket is gone.
-    fn drop_gangs(&mut self, now: Time, wants: &mut Vec<Want>) {
+    fn drop_gangs(&mut self, now: Time, requests: &mut Vec<Want>) {
         let gone: Vec<JobId> =
             self.gangs.jobs().filter(|j| !self.tasks.lists(j)).cloned().collect();
         for job in gone {
@@ -132,7 +132,7 @@
             for task in tasks.iter().filter(|t| self.tasks.asked(t)).cloned().collect::<Vec<_>>() {
                 self.tasks.unplaced(&task, now);
             }
-            wants.extend(release(rows));
+            requests.extend(release(rows));
         }
     }
 
--- a/src/jobs/part.rs
+++ b/src/jobs/part.rs
@@ -16,11 +16,11 @@
 
 /// The buckets that wait to be dropped.
 #[derive(Default)]
-pub(super) struct Partings {
+pub(super) struct Departing {
     all: Vec<(Bucket, Epoch, State)>,
 }
 
-impl Partings {
+impl Departing {
     /// Keeps a bucket as long as a claim request is pending in it.
     pub fn push(&mut self, owned: Owned, id: Bucket) {
         if owned.state.pending() {
--- a/src/jobs/place.rs
+++ b/src/jobs/place.rs
@@ -1,7 +1,7 @@
 //! Turns picked tasks into reservation requests, and reservations into attempts.
 
 use {
-    super::{BATCH, Jobs, Want, release},
+    super::{Jobs, MAX_PICKS, Want, release},
     crate::{
         Time,
         attempts::Place,
@@ -29,11 +29,11 @@
             return self.gang_step(step, now);
         }
         let rows = reply.map_or_else(Vec::new, |r| r.rows);
-        let mut given: BTreeMap<TaskId, ReserveRow> =
+        let mut reserved: BTreeMap<TaskId, ReserveRow> =
             rows.into_iter().map(|r| (r.task.clone(), r)).collect();
         let mut spare = vec![];
         for item in &ask.items {
-            let row = given.remove(&item.task);
+            let row = reserved.remove(&item.task);
             if row.as_ref().is_some_and(|row| self.place(row, item.size, now)) {
                 continue;
             }
@@ -46,18 +46,18 @@
         release(spare)
     }
 
-    pub(super) fn pick(&mut self, now: Time, racks: &[RackLoad], wants: &mut Vec<Want>) {
+    pub(super) fn pick(&mut self, now: Time, racks: &[RackLoad], requests: &mut Vec<Want>) {
         let mut batches: BTreeMap<(bool, bool, PoolId), ReserveAsk> = BTreeMap::new();
-        let mut left = BATCH;
+        let mut left = MAX_PICKS;
         while left > 0 {
             let Some(pick) = self.tasks.next(now) else { break };
             left = left.saturating_sub(pick.asks.len());
-            let items = self.wishes(&pick, now);
+            let items = self.reserve_items(&pick, now);
             let pool = pick.job.pool.clone();
             if pick.job.kind == JobKind::Gang {
                 let Some(job) = items.first().map(|i| i.task.job.clone()) else { continue };
                 let step = self.gangs.begin(&job, &pool, items, racks, now);
-                wants.extend(self.gang_step(step, now));
+                requests.extend(self.gang_step(step, now));
                 continue;
             }
             let spread = pick.job.kind == JobKind::Replicas;
@@ -66,11 +66,11 @@
                 || ReserveAsk { pool, rack: None, items: vec![], whole: false, tried: vec![] };
             batch.or_insert_with(new).items.extend(items);
         }
-        wants.extend(batches.into_values().map(Want::Reserve));
+        requests.extend(batches.into_values().map(Want::Reserve));
     }
 
-    fn wishes(&self, pick: &Pick, now: Time) -> Vec<ReserveItem> {
-        let wish = |task: &TaskId| {
+    fn reserve_items(&self, pick: &Pick, now: Time) -> Vec<ReserveItem> {
+        let new_item = |task: &TaskId| {
             let bucket = self.buckets.get(&team_bucket(&pick.job.team));
             let row = bucket.and_then(|o| o.state.attempts().get(task));
             ReserveItem {
@@ -82,7 +82,7 @@
                 avoid: self.tasks.avoid(task, now),
             }
         };
-        pick.asks.iter().map(|(ask, _)| wish(&ask.task)).collect()
+        pick.asks.iter().map(|(ask, _)| new_item(&ask.task)).collect()
     }
 
     pub(super) fn gang_step(&mut self, step: gangs::Step, now: Time) -> Vec<Want> {
--- a/src/jobs/send.rs
+++ b/src/jobs/send.rs
@@ -17,26 +17,26 @@
 
 /// How often buckets that wait for the write budget are checked: a tenth of the time in which the
 /// budget grants one write.
-const NAP: Duration = Duration::from_millis(20);
+const WAKE_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Jobs {
     /// Sends the orders of the buckets that have changed.
     pub fn flush(
         &mut self,
         now: Time,
-        sure: Option<Time>,
+        lease_end: Option<Time>,
         out: &mut Vec<Order>,
-        wants: &mut Vec<Want>,
+        requests: &mut Vec<Want>,
     ) {
-        for (id, epoch, step) in self.partings.orders(now) {
-            self.step(id, epoch, step, now, out, wants);
+        for (id, epoch, step) in self.departing.orders(now) {
+            self.apply_order(id, epoch, step, now, out, requests);
         }
         let touched = self.buckets.iter().filter(|(_, o)| o.touched).map(|(id, _)| *id);
         for id in touched.collect::<Vec<Bucket>>() {
             let Some(owned) = self.buckets.get_mut(&id) else { continue };
             owned.touched = false;
-            if let Some(sure) = sure {
-                owned.state.renew(sure);
+            if let Some(lease_end) = lease_end {
+                owned.state.renew(lease_end);
             }
             let epoch = owned.epoch;
             let orders = owned.state.orders(now);
@@ -44,17 +44,17 @@
                 self.waiting.insert(id);
             }
             for step in orders {
-                self.step(id, epoch, step, now, out, wants);
+                self.apply_order(id, epoch, step, now, out, requests);
             }
         }
     }
 
     /// Marks the buckets that wait for the write budget to be checked again.
     pub(super) fn wake_waiting(&mut self, now: Time) {
-        if self.nap > now {
+        if self.next_wake > now {
             return;
         }
-        self.nap = now + NAP;
+        self.next_wake = now + WAKE_INTERVAL;
         for id in std::mem::take(&mut self.waiting) {
             if let Some(owned) = self.buckets.get_mut(&id) {
                 owned.touched = true;
@@ -64,7 +64,7 @@
 
     /// Whether an attempt may still start. The configuration may have changed since the intent was
     /// recorded, and may no longer list the task or may list a gang of another size.
-    fn may_go(&self, bucket: Bucket, row: &TaskRow) -> bool {
+    fn may_start(&self, bucket: Bucket, row: &TaskRow) -> bool {
         let task = &row.task;
         let now = self.buckets.get(&bucket).and_then(|o| o.state.attempts().get(task));
         if now.is_none_or(|r| r.attempt != row.attempt || r.state != TaskState::Intent) {
@@ -74,7 +74,7 @@
         !self.tasks.cancelled(task) && !self.plan.jobs.get(&task.job).is_some_and(gang)
     }
 
-    pub(super) fn ask_after(&self, wants: &mut Vec<Want>) {
+    pub(super) fn probe_attempts(&self, requests: &mut Vec<Want>) {
         for (id, owned) in &self.buckets {
             let mut asks: BTreeMap<RackId, ProbeAsk> = BTreeMap::new();
             for row in owned.state.attempts().rows().filter(|r| live(r.state)) {
@@ -87,21 +87,21 @@
                 });
                 // A stop or its confirmation may have been lost.
                 if row.state == TaskState::Stopping {
-                    wants.extend(self.start(*id, row, 0, false));
+                    requests.extend(self.start(*id, row, 0, false));
                 }
             }
-            wants.extend(asks.into_values().map(Want::Probe));
+            requests.extend(asks.into_values().map(Want::Probe));
         }
     }
 
-    fn step(
+    fn apply_order(
         &mut self,
         id: Bucket,
         epoch: Epoch,
         step: Step,
         now: Time,
         out: &mut Vec<Order>,
-        wants: &mut Vec<Want>,
+        requests: &mut Vec<Want>,
     ) {
         let key = || format!("bucket/{id}").into();
         match step {
@@ -113,9 +113,9 @@
                 let put = KvPut { expect, value, lease: None };
                 out.push(Order::Put(Purpose::Bucket(id, epoch, call), key(), put));
             }
-            Step::Reply { request, reply } => wants.push(Want::Claimed(request, reply)),
-            Step::Kept { call } => wants.push(Want::Kept(call)),
-            Step::Start { row, .. } if !self.may_go(id, &row) => {
+            Step::Reply { request, reply } => requests.push(Want::Claimed(request, reply)),
+            Step::Kept { call } => requests.push(Want::Kept(call)),
+            Step::Start { row, .. } if !self.may_start(id, &row) => {
                 let Some(owned) = self.buckets.get_mut(&id) else { return };
                 // If a stop order already follows this start, this call changes nothing.
                 owned.state.stop(&row.task);
@@ -123,9 +123,9 @@
             }
             Step::Start { row, until } => {
                 let left = u64::try_from((until - now).as_millis()).unwrap_or(0);
-                wants.extend(self.start(id, &row, left, true));
+                requests.extend(self.start(id, &row, left, true));
             }
-            Step::Stop { row } => wants.extend(self.start(id, &row, 0, false)),
+            Step::Stop { row } => requests.extend(self.start(id, &row, 0, false)),
             Step::Lost => log::info!(target: "jobs", "Bucket {id} has another owner."),
         }
     }
--- a/src/member.rs
+++ b/src/member.rs
@@ -38,11 +38,11 @@
 };
 
 /// Capacity of the ring of events for the decision thread: one second of the peak load.
-const INBOX: usize = 16 * 1024;
+const EVENT_RING_LEN: usize = 16 * 1024;
 /// Capacity of the ring of orders for each of the other threads.
-const RING: usize = 8 * 1024;
+const ORDER_RING_LEN: usize = 8 * 1024;
 /// Interval of the ticks for the decision thread.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The addresses that a running member listens on.
 struct Listeners {
@@ -111,12 +111,12 @@
     let metrics = Arc::new(Metrics::new());
     let clock = Clock::start();
     let gate = Gate::new(&settings.member.secret, metrics.clone());
-    let (inbox, events) = bounded(INBOX);
-    let (replies, reply) = bounded(RING);
-    let (to_endpoints, endpoint) = bounded(RING);
-    let (to_peers, peer) = bounded(RING);
-    let (to_operators, operator) = bounded(RING);
-    let (to_session, session) = bounded(RING);
+    let (inbox, events) = bounded(EVENT_RING_LEN);
+    let (replies, reply) = bounded(ORDER_RING_LEN);
+    let (to_endpoints, endpoint) = bounded(ORDER_RING_LEN);
+    let (to_peers, peer) = bounded(ORDER_RING_LEN);
+    let (to_operators, operator) = bounded(ORDER_RING_LEN);
+    let (to_session, session) = bounded(ORDER_RING_LEN);
     let (stop, stopped) = watch::channel(false);
     let limits = settings.limits.clone();
     let limits = Limits {
@@ -134,7 +134,7 @@
     let mut threads: Vec<JoinHandle<()>> = vec![];
     let (box_inbox, box_metrics, me) = (inbox.clone(), metrics.clone(), record.incarnation);
     let (callers_gate, callers_stop) = (gate.clone(), wait.clone());
-    threads.push(duty("callers", move || async move {
+    threads.push(spawn_thread("callers", move || async move {
         let callers = Callers {
             me,
             callers: tokio::net::TcpListener::from_std(listeners.callers)?,
@@ -150,7 +150,7 @@
         Ok(())
     })?);
     let (endpoint_inbox, endpoint_metrics) = (inbox.clone(), metrics.clone());
-    threads.push(duty("endpoints", move || async move {
+    threads.push(spawn_thread("endpoints", move || async move {
         endpoints::run(endpoint, endpoint_inbox, clock, endpoint_metrics).await;
         Ok(())
     })?);
@@ -161,14 +161,14 @@
         orders: peer,
         metrics: metrics.clone(),
     };
-    threads.push(duty("peers", move || peers.run())?);
+    threads.push(spawn_thread("peers", move || peers.run())?);
     let operators = Operators {
         listener: listeners.operators,
         secret: gate,
         inbox: inbox.clone(),
         answers: operator,
     };
-    threads.push(duty("operators", move || operators.run())?);
+    threads.push(spawn_thread("operators", move || operators.run())?);
     let duty_of_session = Session {
         kv: Kv::new(settings.platform.kv),
         vms: settings.platform.vms,
@@ -178,12 +178,12 @@
         clock,
         metrics: metrics.clone(),
     };
-    threads.push(duty("session", move || async move {
+    threads.push(spawn_thread("session", move || async move {
         duty_of_session.run().await;
         Ok(())
     })?);
     let (pages, page_metrics, page_stop) = (listeners.metrics, metrics.clone(), wait());
-    threads.push(duty("metrics", move || async move {
+    threads.push(spawn_thread("metrics", move || async move {
         let listener = tokio::net::TcpListener::from_std(pages)?;
         let limits = Limits { body: 0, connections: 64, patience: Duration::from_secs(5) };
         serve(listener, limits, page_stop, move |head, _| {
@@ -193,7 +193,7 @@
         .await;
         Ok(())
     })?);
-    threads.push(duty("signals", move || signals(inbox))?);
+    threads.push(spawn_thread("signals", move || signals(inbox))?);
     let unix = clock::unix().as_secs();
     let rings = Rings {
         replies,
@@ -222,7 +222,7 @@
     clock: Clock,
     metrics: &Metrics,
 ) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let mut event = tokio::select! {
@@ -285,14 +285,14 @@
             Ok(()) => None,
             Err(TrySendError::Full(order) | TrySendError::Closed(order)) => {
                 metrics.full.with_label_values(&[name]).inc();
-                bounced(order)
+                undelivered(order)
             }
         }
     }
 }
 
 /// The event that reports an order that its thread never received.
-fn bounced(order: Order) -> Option<Event> {
+fn undelivered(order: Order) -> Option<Event> {
     let full = || Outcome::Refused(Kind::RingFull.into());
     match order {
         Order::Run(r) => Some(Event::Ran { request: r.request, worker: r.worker, outcome: full() }),
@@ -329,7 +329,10 @@
     }
 }
 
-fn duty<F>(name: &str, run: impl FnOnce() -> F + Send + 'static) -> io::Result<JoinHandle<()>>
+fn spawn_thread<F>(
+    name: &str,
+    run: impl FnOnce() -> F + Send + 'static,
+) -> io::Result<JoinHandle<()>>
 where
     F: Future<Output = io::Result<()>>,
 {
--- a/src/roll.rs
+++ b/src/roll.rs
@@ -14,7 +14,7 @@
 };
 
 /// How long a VM that the list omits is kept: as long as an unresponsive worker keeps its leases.
-const MISSING: Duration = Duration::from_secs(10);
+const MISSING_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The VMs, with the time since which each is missing from the list.
 #[derive(Default)]
@@ -29,7 +29,7 @@
             missing.get_or_insert(now);
         }
         self.vms.extend(list.vms.into_iter().map(|vm| (vm.worker.clone(), (vm, None))));
-        self.vms.retain(|_, (_, missing)| missing.is_none_or(|at| now - at < MISSING));
+        self.vms.retain(|_, (_, missing)| missing.is_none_or(|at| now - at < MISSING_TIMEOUT));
         self.vms.iter().map(|(id, (vm, _))| (id.clone(), vm.clone())).collect()
     }
 }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -27,7 +27,7 @@
 /// Messages in transit to or from the rack's owner, or lost. They arrive in any order, some of them
 /// twice.
 #[derive(Clone)]
-enum Mail {
+enum Message {
     Start(TaskRow, Time),
     Stop(TaskRow),
     End(EndItem),
@@ -40,9 +40,9 @@
     kv: Kv,
     members: Vec<Member>,
     /// The end of the newest member's lease on the bucket.
-    sure: Time,
+    lease_end: Time,
     epoch: u64,
-    mail: Vec<Mail>,
+    messages: Vec<Message>,
     running: Vec<Run>,
     /// Attempts that the rack's owner will no longer start or renew.
     refused: Vec<(TaskId, Attempt)>,
@@ -60,9 +60,15 @@
     Place { task: task(i), worker, rack: "r".into(), epoch: Epoch(1), size: Size::new(1, 1, 0) }
 }
 
-fn told(row: &TaskRow, state: TaskState) -> Mail {
+fn end_notice(row: &TaskRow, state: TaskState) -> Message {
     let worker = row.worker.clone().expect("it was placed");
-    Mail::End(EndItem { attempt: row.attempt, state, task: row.task.clone(), used: None, worker })
+    Message::End(EndItem {
+        attempt: row.attempt,
+        state,
+        task: row.task.clone(),
+        used: None,
+        worker,
+    })
 }
 
 impl World {
@@ -72,8 +78,8 @@
 
     fn carry(&mut self, order: Order) {
         match order {
-            Order::Start { row, until } => self.mail.push(Mail::Start(row, until)),
-            Order::Stop { row } => self.mail.push(Mail::Stop(row)),
+            Order::Start { row, until } => self.messages.push(Message::Start(row, until)),
+            Order::Stop { row } => self.messages.push(Message::Stop(row)),
             _ => {}
         }
     }
@@ -96,34 +102,34 @@
         if self.now > until || self.refused.contains(&(row.task.clone(), row.attempt)) {
             return;
         }
-        let twin = self.running.iter().find(|run| run.row.task == row.task);
-        assert!(twin.is_none(), "OneAttempt: {row:?} beside {:?}", twin.map(|t| &t.row));
+        let other = self.running.iter().find(|run| run.row.task == row.task);
+        assert!(other.is_none(), "OneAttempt: {row:?} beside {:?}", other.map(|t| &t.row));
         self.starts += 1;
         self.repeats += u32::from(row.attempt > Attempt(1));
-        self.mail.push(told(&row, TaskState::Running));
+        self.messages.push(end_notice(&row, TaskState::Running));
         self.running.push(Run { row, lease: self.now + LEASE });
     }
 
     fn stop(&mut self, row: &TaskRow) {
         self.refused.push((row.task.clone(), row.attempt));
         self.running.retain(|run| run.row.task != row.task || run.row.attempt != row.attempt);
-        self.mail.push(told(row, TaskState::Checkpointed));
+        self.messages.push(end_notice(row, TaskState::Checkpointed));
     }
 
-    fn deliver(&mut self, mail: Mail, m: usize) {
+    fn deliver(&mut self, mail: Message, m: usize) {
         let bucket = &mut self.members[m].bucket;
         match mail {
-            Mail::Start(row, until) => self.start(row, until),
-            Mail::Stop(row) => self.stop(&row),
-            Mail::End(item) => bucket.heard(&item),
-            Mail::Report(worker, taken, tasks) => bucket.report(&worker, taken, &tasks),
+            Message::Start(row, until) => self.start(row, until),
+            Message::Stop(row) => self.stop(&row),
+            Message::End(item) => bucket.heard(&item),
+            Message::Report(worker, taken, tasks) => bucket.report(&worker, taken, &tasks),
         }
     }
 
     fn report(&mut self, worker: usize) {
         let worker = WorkerId::from(WORKERS[worker]);
-        let here = self.running.iter().filter(|run| run.row.worker.as_ref() == Some(&worker));
-        let tasks = here
+        let at_worker = self.running.iter().filter(|run| run.row.worker.as_ref() == Some(&worker));
+        let tasks = at_worker
             .map(|run| TaskReport {
                 attempt: run.row.attempt,
                 state: TaskState::Running,
@@ -131,7 +137,7 @@
                 used: run.row.size,
             })
             .collect();
-        self.mail.push(Mail::Report(worker, self.now, tasks));
+        self.messages.push(Message::Report(worker, self.now, tasks));
     }
 
     /// The rack's owner gives up an attempt: it stops renewing it and reports how long it may still
@@ -154,7 +160,7 @@
     fn move_owner(&mut self, release: bool) {
         if release {
             self.members.pop();
-        } else if self.now < self.sure + DRIFT {
+        } else if self.now < self.lease_end + DRIFT {
             return;
         }
         self.epoch += 1;
@@ -163,9 +169,9 @@
     }
 
     fn renew(&mut self) {
-        let sure = self.now + Duration::from_secs(6);
-        self.sure = sure;
-        self.newest().bucket.renew(sure);
+        let lease_end = self.now + Duration::from_secs(6);
+        self.lease_end = lease_end;
+        self.newest().bucket.renew(lease_end);
     }
 
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
@@ -176,20 +182,20 @@
                 let now = self.now;
                 let _ = self.members[m].bucket.place(place(i, worker), now);
             }
-            3..=7 if !self.mail.is_empty() => {
-                let i = u.choose_index(self.mail.len())?;
-                let start = matches!(self.mail[i], Mail::Start(..));
+            3..=7 if !self.messages.is_empty() => {
+                let i = u.choose_index(self.messages.len())?;
+                let start = matches!(self.messages[i], Message::Start(..));
                 let again = !start && u.ratio(1, 4)?;
-                let mail = if again { self.mail[i].clone() } else { self.mail.remove(i) };
+                let mail = if again { self.messages[i].clone() } else { self.messages.remove(i) };
                 self.deliver(mail, m);
             }
-            8 if !self.mail.is_empty() => {
-                let _lost = self.mail.remove(u.choose_index(self.mail.len())?);
+            8 if !self.messages.is_empty() => {
+                let _lost = self.messages.remove(u.choose_index(self.messages.len())?);
             }
             9 if !self.running.is_empty() => {
                 let run = self.running.remove(u.choose_index(self.running.len())?);
                 let state = *u.choose(&[TaskState::Ended, TaskState::Failed])?;
-                self.mail.push(told(&run.row, state));
+                self.messages.push(end_notice(&run.row, state));
             }
             10 => self.report(u.choose_index(2)?),
             11 => self.members[m].bucket.stop(&task(u.int_in_range(0..=TASKS - 1)?)),
@@ -216,7 +222,7 @@
     /// again.
     fn finish(&mut self) {
         self.kv.down = false;
-        self.mail.clear();
+        self.messages.clear();
         self.running.clear();
         for _ in 0..2 {
             let (kv, now) = (&mut self.kv, &mut self.now);
@@ -225,7 +231,7 @@
             for worker in 0..WORKERS.len() {
                 self.report(worker);
             }
-            for mail in std::mem::take(&mut self.mail) {
+            for mail in std::mem::take(&mut self.messages) {
                 self.deliver(mail, self.members.len() - 1);
             }
         }
@@ -298,12 +304,12 @@
 fn paused_owner_sends_no_start() {
     let (mut kv, mut now, mut old) = (Kv::default(), Time::ZERO, Member::new(1));
     old.settle(&mut kv, &mut now);
-    let sure = now + FLIGHT * 2;
-    old.bucket.renew(sure);
+    let lease_end = now + FLIGHT * 2;
+    old.bucket.renew(lease_end);
     assert_eq!(old.bucket.place(place(0, 0), now), Ok(Attempt(1)));
     assert_eq!(old.orders(now), []);
     old.effect(&mut kv);
-    now = sure + DRIFT;
+    now = lease_end + DRIFT;
     old.deliver(now);
     assert_eq!(old.orders(now), [], "a start went out without a lease");
 }
