--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -8,7 +8,7 @@
 //! and recording it, its successor would start the task again elsewhere and the task would run in
 //! two places.
 //!
-//! The next attempt of a task pending until the previous one has ended, was stopped with
+//! The next attempt of a task waits until the previous one has ended, was stopped with
 //! confirmation, was shown by a report not to run, or its lease has expired. A report that omits an
 //! attempt proves nothing about a start that may still have been in transit when the report was
 //! taken; see [`FLIGHT`].
@@ -39,7 +39,7 @@
 /// of a bad clock (0.1 %).
 pub const DRIFT: Duration = Duration::from_millis(250);
 
-/// How long an intent pending for its commit. Equals the lifetime of a reservation at the rack's
+/// How long an intent waits for its commit. Equals the lifetime of a reservation at the rack's
 /// owner.
 pub const COMMIT_WAIT: Duration = Duration::from_secs(5);
 
@@ -147,7 +147,8 @@
         Ok(attempt)
     }
 
-    /// Sends the starts whose intents are committed. `lease_end` is the end of this owner's lease on the
+    /// Sends the starts whose intents are committed. `lease_end` is the end of this owner's lease
+    /// on the
     /// bucket, computed so that no other owner can have read the record before it.
     pub fn committed(
         &mut self,
--- a/src/core.rs
+++ b/src/core.rs
@@ -38,7 +38,7 @@
 
 /// Interval between the beats that a peer gets from this member.
 const BEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// Maximum age of a peer's last beat for the peer to count as in contact.
+/// Maximum time since a peer was last heard for the peer to count as in contact.
 const CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
 /// If the key-value service has answered a peer this much later than it last answered here, this
 /// member is cut off. All members renew each second, so in an outage of the service their last
@@ -58,7 +58,7 @@
 
 /// What this member knows of a peer.
 struct Peer {
-    last_beat: Time,
+    last_heard: Time,
     beat: Option<Beat>,
     /// When the key-value service last answered the peer.
     kv_contact: Time,
@@ -95,7 +95,7 @@
     fetching: bool,
     fetched_at: Time,
     urgent: Vec<Urgent>,
-    roll: Roll,
+    vm_cache: Roll,
     unreached: Vec<(Incarnation, Call)>,
     /// Whether the log already says that requests are refused because the configuration may be old.
     stale_logged: bool,
@@ -132,7 +132,7 @@
             fetching: false,
             fetched_at: Time::ZERO,
             urgent: vec![],
-            roll: Roll::default(),
+            vm_cache: Roll::default(),
             unreached: vec![],
             stale_logged: false,
         }
@@ -234,7 +234,7 @@
 
 impl Peer {
     fn new(now: Time) -> Self {
-        Peer { last_beat: now, beat: None, kv_contact: Time::ZERO, due: now, in_flight: false }
+        Peer { last_heard: now, beat: None, kv_contact: Time::ZERO, due: now, in_flight: false }
     }
 }
 
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -83,7 +83,7 @@
         if let Some(peer) = self.peers.get_mut(&to)
             && back.is_ok()
         {
-            peer.last_beat = now;
+            peer.last_heard = now;
         }
         match (call, back) {
             (Call::Beat(_), Ok(Back::Beat(reply))) => {
--- a/src/core/claims.rs
+++ b/src/core/claims.rs
@@ -14,8 +14,8 @@
     std::time::Duration,
 };
 
-/// The pause before a claim is requested again.
-pub(super) const CLAIM_RETRY: Duration = Duration::from_millis(100);
+/// The pause before a request is claimed or routed again.
+pub(super) const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Core {
     /// Requests the claim from the owner of a request's key.
@@ -118,7 +118,7 @@
         let me = u128::from(self.me().0) << 64;
         let Some(p) = self.requests.table.get_mut(&request) else { return };
         let Some(claim) = &mut p.claim else { return };
-        self.requests.again.insert((now + CLAIM_RETRY, request));
+        self.requests.again.insert((now + RETRY_DELAY, request));
         if !doubt {
             return;
         }
--- a/src/core/owners.rs
+++ b/src/core/owners.rs
@@ -21,7 +21,7 @@
     /// Applies the platform's list of VMs.
     pub(super) fn listed(&mut self, list: VmList, now: Time) {
         let mut zones: BTreeMap<Zone, BTreeSet<RowId>> = BTreeMap::new();
-        let vms = self.roll.take(list, now);
+        let vms = self.vm_cache.take(list, now);
         for vm in vms.values() {
             zones.entry(vm.zone.clone()).or_default().insert(rack_row(&vm.rack));
         }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -1,7 +1,7 @@
 //! The course of a request through this member: admission, claim, queue, dispatch and reply.
 
 use {
-    super::{Core, claims::CLAIM_RETRY},
+    super::{Core, claims::RETRY_DELAY},
     crate::{
         decide::{
             admit::Gate,
@@ -104,7 +104,8 @@
         self.settle(request, outcome, now);
     }
 
-    /// Fails the requests that can't run in time any more, and resends notices of claims' ends.
+    /// Fails the requests that can no longer run in time, retries those that are due, and resends
+    /// notices of the ends of claims.
     pub(crate) fn expire(&mut self, now: Time) {
         let mut late = vec![];
         for line in self.requests.lines.values_mut() {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Forwards requests that wait for a service whose racks have passed to another member.
+    /// Routes the waiting requests of a service again, as its racks have passed to another member.
     fn move_on(&mut self, service: &ServiceId, now: Time) {
         let Some(line) = self.requests.lines.get_mut(service).filter(|l| !l.queue.is_empty())
         else {
@@ -224,7 +225,7 @@
         let patient = self.requests.table.get_mut(&id).is_some_and(|p| p.patient(now));
         if error.kind() == Kind::NoEndpoint && hops == 0 && lively && patient {
             // The service's racks are changing owner; the new owner is known within milliseconds.
-            self.requests.again.insert((now + CLAIM_RETRY, id));
+            self.requests.again.insert((now + RETRY_DELAY, id));
             return;
         }
         self.finish(id, Err(error), now);
--- a/src/core/touch.rs
+++ b/src/core/touch.rs
@@ -38,7 +38,8 @@
     /// Whether the configuration held here may still be the one in force.
     ///
     /// Without this, a member that is cut off would serve by a replaced configuration for as long
-    /// as the cut lasts. The member is in contact if, within `CONTACT_TIMEOUT`, the key-value service has
+    /// as the cut lasts. The member is in contact if, within `CONTACT_TIMEOUT`, the key-value
+    /// service has
     /// answered it, or has answered a peer that this member hears. During an outage of the service
     /// it is enough to hear half of the other members, as no configuration can have been accepted
     /// then.
@@ -46,7 +47,7 @@
         if self.ownership.silence(now) < CONTACT_TIMEOUT {
             return true;
         }
-        let heard = self.peers.values().filter(|p| now - p.last_beat < CONTACT_TIMEOUT);
+        let heard = self.peers.values().filter(|p| now - p.last_heard < CONTACT_TIMEOUT);
         let by_peer = |p: &Peer| {
             let age = p.beat.as_ref().map_or(Duration::MAX, |b| Duration::from_millis(b.kv));
             age < CONTACT_TIMEOUT
@@ -69,7 +70,7 @@
         }
         let (member, version) = (self.me(), self.config.version());
         let silent_ms = millis(self.ownership.silence(now));
-        let heard_ms: Vec<u64> = self.peers.values().map(|p| millis(now - p.last_beat)).collect();
+        let heard_ms: Vec<u64> = self.peers.values().map(|p| millis(now - p.last_heard)).collect();
         log::warn!(target: "requests", member:% = member, version:% = version, silent_ms, heard_ms:? = heard_ms; "Requests are refused: the configuration may have been replaced.");
     }
 
@@ -87,7 +88,7 @@
         let others = self.ownership.members().keys().filter(|m| **m != self.me());
         let mut silent = 0;
         for member in others {
-            match self.peers.get(member).filter(|p| now - p.last_beat < CONTACT_TIMEOUT) {
+            match self.peers.get(member).filter(|p| now - p.last_heard < CONTACT_TIMEOUT) {
                 Some(peer) if peer.kv_contact > mine + CUT_OFF_LAG => return false,
                 Some(_) => {}
                 None => silent += 1,
@@ -143,7 +144,7 @@
             self.requests.report(record, &self.me, &beat.services, now);
         }
         let peer = self.peers.entry(from).or_insert_with(|| Peer::new(now));
-        peer.last_beat = now;
+        peer.last_heard = now;
         peer.kv_contact = peer.kv_contact.max(now - Duration::from_millis(beat.kv));
         peer.beat = Some(beat);
         BeatReply { version: self.config.version(), kv: millis(self.ownership.silence(now)) }
--- a/src/core/work.rs
+++ b/src/core/work.rs
@@ -70,7 +70,7 @@
         let (size, spread, urgent) = (first.size, first.spread, first.urgent);
         let mine = self.racks.loads();
         let mut best: Option<(bool, u64, Incarnation)> = None;
-        let peers = self.peers.iter().filter(|(_, p)| now - p.last_beat < CONTACT_TIMEOUT);
+        let peers = self.peers.iter().filter(|(_, p)| now - p.last_heard < CONTACT_TIMEOUT);
         let theirs = peers.filter_map(|(id, p)| Some((*id, &p.beat.as_ref()?.racks)));
         for (id, racks) in theirs.chain([(self.me(), &mine)]) {
             if ask.tried.contains(&id) {
@@ -169,7 +169,7 @@
 
     /// The free resources of all racks, as far as this member knows them.
     pub(super) fn all_racks(&self, now: Time) -> Vec<RackLoad> {
-        let peers = self.peers.values().filter(|p| now - p.last_beat < CONTACT_TIMEOUT);
+        let peers = self.peers.values().filter(|p| now - p.last_heard < CONTACT_TIMEOUT);
         let theirs = peers.filter_map(|p| p.beat.as_ref()).flat_map(|b| b.racks.iter().cloned());
         theirs.chain(self.racks.loads()).collect()
     }
--- a/src/member.rs
+++ b/src/member.rs
@@ -132,7 +132,7 @@
         }
     };
     let mut threads: Vec<JoinHandle<()>> = vec![];
-    let (box_inbox, box_metrics, me) = (inbox.clone(), metrics.clone(), record.incarnation);
+    let (callers_inbox, callers_metrics, me) = (inbox.clone(), metrics.clone(), record.incarnation);
     let (callers_gate, callers_stop) = (gate.clone(), wait.clone());
     threads.push(spawn_thread("callers", move || async move {
         let callers = Callers {
@@ -141,10 +141,10 @@
             bodies: tokio::net::TcpListener::from_std(listeners.bodies)?,
             limits,
             secret: callers_gate,
-            inbox: box_inbox,
+            inbox: callers_inbox,
             replies: reply,
             clock,
-            metrics: box_metrics,
+            metrics: callers_metrics,
         };
         callers.run(callers_stop).await;
         Ok(())
@@ -169,7 +169,7 @@
         answers: operator,
     };
     threads.push(spawn_thread("operators", move || operators.run())?);
-    let duty_of_session = Session {
+    let kv_session = Session {
         kv: Kv::new(settings.platform.kv),
         vms: settings.platform.vms,
         record: record.clone(),
@@ -179,7 +179,7 @@
         metrics: metrics.clone(),
     };
     threads.push(spawn_thread("session", move || async move {
-        duty_of_session.run().await;
+        kv_session.run().await;
         Ok(())
     })?);
     let (pages, page_metrics, page_stop) = (listeners.metrics, metrics.clone(), wait());
