--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -35,7 +35,7 @@
 /// How long a worker runs a task without a renewal of its lease.
 pub const LEASE: Duration = Duration::from_secs(20);
 
-/// Allowance for the drift between two clocks during a lease: 1 % of the lease, ten times the drift
+/// Allowance for the drift between two clocks during a lease: about 1 % of the lease, ten times the drift
 /// of a bad clock (0.1 %).
 pub const DRIFT: Duration = Duration::from_millis(250);
 
@@ -148,8 +148,7 @@
     }
 
     /// Sends the starts whose intents are committed. `lease_end` is the end of this owner's lease
-    /// on the
-    /// bucket, computed so that no other owner can have read the record before it.
+    /// on the bucket, computed so that no other owner can have read the record before it.
     pub fn committed(
         &mut self,
         now: Time,
--- a/src/core.rs
+++ b/src/core.rs
@@ -40,8 +40,8 @@
 const BEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum time since a peer was last heard for the peer to count as in contact.
 const CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
-/// If the key-value service has answered a peer this much later than it last answered here, this
-/// member is cut off. All members renew each second, so in an outage of the service their last
+/// If the key-value store has answered a peer this much later than it last answered here, this
+/// member is cut off. All members renew each second, so in an outage of the store their last
 /// replies are less than 2 s apart; a lease has run for 3.4 s without a reply when this is checked.
 const CUT_OFF_LAG: Duration = Duration::from_secs(2);
 /// Interval between checks of ownership.
@@ -60,7 +60,7 @@
 struct Peer {
     last_heard: Time,
     beat: Option<Beat>,
-    /// When the key-value service last answered the peer.
+    /// When the key-value store last answered the peer.
     kv_contact: Time,
     due: Time,
     in_flight: bool,
--- a/src/core/owners.rs
+++ b/src/core/owners.rs
@@ -38,7 +38,7 @@
         self.racks.listed(vms, now);
     }
 
-    /// Applies changes of the watched records in the key-value service.
+    /// Applies changes of the watched records in the key-value store.
     pub(super) fn watched(&mut self, list: KvList, now: Time) {
         self.ownership.answered(now);
         let all = (0..BUCKETS).map(|b| bucket_row(Bucket(b))).collect();
--- a/src/core/touch.rs
+++ b/src/core/touch.rs
@@ -38,11 +38,10 @@
     /// Whether the configuration held here may still be the one in force.
     ///
     /// Without this, a member that is cut off would serve by a replaced configuration for as long
-    /// as the cut lasts. The member is in contact if, within `CONTACT_TIMEOUT`, the key-value
-    /// service has
-    /// answered it, or has answered a peer that this member hears. During an outage of the service
-    /// it is enough to hear half of the other members, as no configuration can have been accepted
-    /// then.
+    /// as the cut lasts. The member is in contact if, within `CONTACT_TIMEOUT`, the key-value store
+    /// has answered it, or has answered a peer that this member hears. During an outage of the
+    /// store it is enough to hear half of the other members, as no configuration can have been
+    /// accepted then.
     pub(crate) fn current(&self, now: Time) -> bool {
         if self.ownership.silence(now) < CONTACT_TIMEOUT {
             return true;
@@ -76,10 +75,10 @@
 
     /// Whether this member may dispatch to its workers.
     ///
-    /// It may if its lease runs, or if the key-value service answers no member, as then no member
-    /// can take over either. A peer that the service has answered well after it last answered here
-    /// shows that only this member is cut off. In addition, a worker refuses a dispatch whose epoch
-    /// is older than the highest that it has seen.
+    /// It may if its lease runs, or if the key-value store answers no member, as then no member can
+    /// take over either. A peer that the store has answered well after it last answered here shows
+    /// that only this member is cut off. In addition, a worker refuses a dispatch whose epoch is
+    /// older than the highest that it has seen.
     pub(crate) fn may_dispatch(&self, now: Time) -> bool {
         if self.ownership.leased(now) {
             return true;
--- a/src/event.rs
+++ b/src/event.rs
@@ -256,7 +256,7 @@
     Operator(Ticket, Operate),
     /// The platform's list of VMs.
     Vms(VmList),
-    /// The changes of the watched records in the key-value service.
+    /// The changes of the watched records in the key-value store.
     Watched(KvList),
     /// A lease renewal, sent at this time, succeeded.
     Renewed(Time),
--- a/src/tasks/show.rs
+++ b/src/tasks/show.rs
@@ -55,7 +55,7 @@
     pub(super) fn ready(&self, job: &Job) -> bool {
         job.after.iter().all(|name| {
             let id = JobId(name.clone());
-            // A dependency on replicas, which run all the time, counts as met.
+            // A dependency on a service or on replicas, which run all the time, counts as met.
             let Some(first) = self.plan.jobs.get(&id) else { return true };
             let here = || self.finished(&id);
             first.kind == JobKind::Replicas || here() || self.remote_ended.contains(&id)
