--- a/src/event.rs
+++ b/src/event.rs
@@ -112,7 +112,7 @@
     End(EndTell),
     /// A query for the states of attempts.
     Probe(ProbeAsk),
-    /// The requests and reservations in flight on a rack that changes its owner.
+    /// The requests in flight and the attempts on a rack that changes its owner.
     Handover(Handover),
     /// A query for the configuration in force.
     Config(),
