--- a/src/core.rs
+++ b/src/core.rs
@@ -1,8 +1,8 @@
-//! The decisions' duty: events in, orders out, in one thread and without I/O.
+//! The decision thread: takes events and returns orders, in one thread and without I/O.
 //!
-//! Everything that has to be repeated until it has taken effect (fences, beats, reports, words of
-//! ended attempts) hangs on [`Event::Tick`] and on state, not on single messages: a message that a
-//! full ring dropped is made again.
+//! Everything that must be repeated until it takes effect (fences, beats, reports, notices of ended
+//! attempts) is driven by [`Event::Tick`] and by state, not by single messages. A message that was
+//! dropped because a ring was full is therefore sent again.
 
 mod calls;
 mod claims;
@@ -32,43 +32,44 @@
 
 /// The prefix of the records that every member watches.
 pub const SHARED: &str = "shared/";
-const MEMBERS: &str = "shared/members/";
-const OWNERS: &str = "shared/owners/";
-const ALL_BUCKETS: &str = "buckets";
+const MEMBERS_PREFIX: &str = "shared/members/";
+const OWNERS_PREFIX: &str = "shared/owners/";
+const BUCKETS_TABLE: &str = "buckets";
 
-/// How often a peer is told this member's state.
-const BEAT: Duration = Duration::from_millis(250);
-/// How old a peer's beat may be to count as in touch.
-const TOUCH: Duration = Duration::from_secs(3);
-/// How much later than here the service must have answered a peer to show that this member is cut
-/// off. All renew each second, so in an outage the last answers are less than two seconds apart;
-/// a lease has run for 3.4 s without an answer when this is asked.
-const BEHIND: Duration = Duration::from_secs(2);
-/// How often ownership is looked over.
-const OWN: Duration = Duration::from_millis(100);
-/// How long a stopping member goes on after its last work, so that a balancer has seen it leave.
-const QUIET: Duration = Duration::from_secs(1);
-/// How long a member that has a text waits at most for endpoints of every service: a takeover with
-/// its fences and lagging reports, after which a service still without any has none anywhere.
-const WARM: Duration = Duration::from_secs(10);
+/// Interval between the beats that a peer gets from this member.
+const BEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum time since a peer was last heard for the peer to count as in contact.
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(3);
+/// If the key-value store has answered a peer this much later than it last answered here, this
+/// member is cut off. All members renew each second, so in an outage of the store their last
+/// replies are less than 2 s apart; a lease has run for 3.4 s without a reply when this is checked.
+const CUT_OFF_LAG: Duration = Duration::from_secs(2);
+/// Interval between checks of ownership.
+const OWNERSHIP_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a stopping member continues after its last work, so that a load balancer sees it leave.
+const STOP_DELAY: Duration = Duration::from_secs(1);
+/// The longest time that a member with a configuration waits for endpoints of every service before
+/// it is ready. It covers a takeover with its fences and delayed reports; a service without
+/// endpoints after that has none anywhere.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a wish for urgent work waits until room has been made; a caller's call lasts longer.
-const PREEMPT: Duration = Duration::from_millis(900);
+/// How long a reservation for urgent work waits for room to be made. A caller's call lasts longer.
+const PREEMPT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A peer as this member knows it.
+/// What this member knows of a peer.
 struct Peer {
-    heard: Time,
+    last_heard: Time,
     beat: Option<Beat>,
-    /// When the key-value service last answered it.
-    contact: Time,
+    /// When the key-value store last answered the peer.
+    kv_contact: Time,
     due: Time,
-    flying: bool,
+    in_flight: bool,
 }
 
-/// A handover that its receiver has not taken in yet.
-struct Passing {
+/// A handover that its receiver has not accepted yet.
+struct PendingHandover {
     to: Incarnation,
-    over: Handover,
+    handover: Handover,
     since: Time,
     due: Time,
 }
@@ -85,22 +86,22 @@
     pub(crate) metrics: Arc<Metrics>,
     peers: BTreeMap<Incarnation, Peer>,
     claims: FxHashMap<RequestId, Ticket>,
-    handovers: Vec<Passing>,
-    early: Vec<(Handover, Time)>,
-    own: Time,
-    warm: Option<Time>,
-    drain: Option<Time>,
-    idle: Option<Time>,
+    handovers: Vec<PendingHandover>,
+    early_handovers: Vec<(Handover, Time)>,
+    next_check: Time,
+    ready_at: Option<Time>,
+    drain_since: Option<Time>,
+    idle_since: Option<Time>,
     fetching: bool,
-    fetch: Time,
+    fetched_at: Time,
     urgent: Vec<Urgent>,
-    roll: Roll,
+    vm_cache: Roll,
     unreached: Vec<(Incarnation, Call)>,
-    /// Whether it was told that requests are refused as the configuration may be old.
-    stale: bool,
+    /// Whether the log already says that requests are refused because the configuration may be old.
+    stale_logged: bool,
 }
 
-/// A wish for urgent work, which waits until room has been made.
+/// A reservation for urgent work that waits for room to be made.
 struct Urgent {
     ticket: Option<Ticket>,
     ask: ReserveAsk,
@@ -108,7 +109,7 @@
 }
 
 impl Core {
-    /// A member that knows nothing yet; `unix` is the Unix clock at [`Time::ZERO`], in seconds.
+    /// Creates a member without any state; `unix` is the Unix time at [`Time::ZERO`], in seconds.
     pub fn new(me: MemberRecord, unix: u64, metrics: Arc<Metrics>) -> Self {
         let id = me.incarnation;
         Core {
@@ -123,21 +124,21 @@
             peers: BTreeMap::new(),
             claims: FxHashMap::default(),
             handovers: vec![],
-            early: vec![],
-            own: Time::ZERO,
-            warm: None,
-            drain: None,
-            idle: None,
+            early_handovers: vec![],
+            next_check: Time::ZERO,
+            ready_at: None,
+            drain_since: None,
+            idle_since: None,
             fetching: false,
-            fetch: Time::ZERO,
+            fetched_at: Time::ZERO,
             urgent: vec![],
-            roll: Roll::default(),
+            vm_cache: Roll::default(),
             unreached: vec![],
-            stale: false,
+            stale_logged: false,
         }
     }
 
-    /// Takes in one event and returns the orders that follow.
+    /// Handles one event and returns the resulting orders.
     pub fn on(&mut self, event: Event, now: Time) -> Vec<Order> {
         match event {
             Event::Ask(ask) => self.ask(*ask, now),
@@ -173,7 +174,7 @@
         mem::take(&mut self.out)
     }
 
-    /// This member's run.
+    /// The incarnation of this member.
     pub(crate) fn me(&self) -> Incarnation {
         self.me.incarnation
     }
@@ -184,7 +185,7 @@
 
     /// Whether this member is stopping.
     pub fn draining(&self) -> bool {
-        self.drain.is_some()
+        self.drain_since.is_some()
     }
 
     /// The owner of a bucket.
@@ -198,15 +199,15 @@
         }
         self.expire(now);
         self.answer_urgent(now);
-        if self.own <= now {
-            self.own = now + OWN;
+        if self.next_check <= now {
+            self.next_check = now + OWNERSHIP_INTERVAL;
             for swap in self.ownership.step(now, |_| false) {
                 self.swap(swap);
             }
             for table in self.ownership.unsure(now) {
                 let record = OwnersRecord { rows: Default::default() };
                 let swap = Swap { table, expect: Default::default(), record };
-                let key = format!("{OWNERS}{}", swap.table).into();
+                let key = format!("{OWNERS_PREFIX}{}", swap.table).into();
                 self.out.push(Order::Get(Purpose::Owners(swap), key));
             }
         }
@@ -219,7 +220,7 @@
         }
         self.retry_handovers(now);
         self.stop_when_idle(now);
-        self.stale &= !self.current(now);
+        self.stale_logged &= !self.current(now);
         self.warm_up(now);
         self.metrics.state(
             self.racks.count(),
@@ -233,7 +234,7 @@
 
 impl Peer {
     fn new(now: Time) -> Self {
-        Peer { heard: now, beat: None, contact: Time::ZERO, due: now, flying: false }
+        Peer { last_heard: now, beat: None, kv_contact: Time::ZERO, due: now, in_flight: false }
     }
 }
 
@@ -255,5 +256,5 @@
 
 /// The key of a member's record.
 pub fn member_key(id: Incarnation) -> Box<str> {
-    format!("{MEMBERS}{id}").into()
+    format!("{MEMBERS_PREFIX}{id}").into()
 }
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between members: those that came in, and the answers to those that went out.
+//! Calls between members: incoming calls, and replies to outgoing calls.
 
 use {
     super::Core,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Answers a peer's call, at once or when its claim is decided.
+    /// Replies to a peer's call, at once or when its claim is decided.
     pub(super) fn asked(&mut self, ticket: Ticket, call: Call, now: Time) {
         if let Call::Claim(ask) = call {
             if !self.jobs.owns(bucket_of(ask.key.as_str())) {
@@ -47,7 +47,7 @@
         self.out.push(Order::Back(ticket, back));
     }
 
-    /// Serves a call; none where this member does not own what it is about.
+    /// Serves a call. Returns `None` if this member does not own the call's subject.
     pub(super) fn serve(&mut self, call: Call, now: Time) -> Option<Back> {
         match call {
             Call::Beat(beat) => Some(Back::Beat(self.heard(beat, now))),
@@ -62,7 +62,7 @@
             Call::Probe(ask) => self.racks.probe(&ask, now).map(Back::Probe),
             Call::Handover(over) => {
                 if !self.racks.handover(&over, now) {
-                    self.early.push((over, now));
+                    self.early_handovers.push((over, now));
                 }
                 Some(Back::Done)
             }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Takes a peer's answer.
+    /// Handles a peer's reply.
     pub(super) fn called(
         &mut self,
         to: Incarnation,
@@ -83,13 +83,13 @@
         if let Some(peer) = self.peers.get_mut(&to)
             && back.is_ok()
         {
-            peer.heard = now;
+            peer.last_heard = now;
         }
         match (call, back) {
             (Call::Beat(_), Ok(Back::Beat(reply))) => {
                 if let Some(peer) = self.peers.get_mut(&to) {
-                    peer.flying = false;
-                    peer.contact = peer.contact.max(now - Duration::from_millis(reply.kv));
+                    peer.in_flight = false;
+                    peer.kv_contact = peer.kv_contact.max(now - Duration::from_millis(reply.kv));
                 }
                 self.newer(to, reply.version, now);
             }
@@ -106,7 +106,8 @@
             (Call::End(word), Ok(Back::Done)) => self.racks.told(&word.items),
             (Call::Probe(ask), Ok(Back::Probe(reply))) => self.jobs.probed(&ask, reply, now),
             (Call::Handover(over), Ok(_)) => {
-                self.handovers.retain(|p| p.over.rack != over.rack || p.over.epoch != over.epoch);
+                self.handovers
+                    .retain(|p| p.handover.rack != over.rack || p.handover.epoch != over.epoch);
             }
             (Call::Config(), back) => {
                 self.fetching = false;
@@ -118,12 +119,12 @@
         }
     }
 
-    /// What follows from a call that was not answered.
+    /// Handles a call that got no reply.
     pub(super) fn lost_call(&mut self, to: Incarnation, call: Call, now: Time) {
         match call {
             Call::Beat(_) => {
                 if let Some(peer) = self.peers.get_mut(&to) {
-                    peer.flying = false;
+                    peer.in_flight = false;
                 }
             }
             Call::Claim(ask) => self.claimed(ask.request, None, now),
--- a/src/core/touch.rs
+++ b/src/core/touch.rs
@@ -1,7 +1,7 @@
-//! Who is in touch: the beats between members, and what follows from them for serving.
+//! Contact between members: the beats, and whether this member may serve and dispatch.
 
 use {
-    super::{BEAT, BEHIND, Core, Peer, TOUCH, WARM},
+    super::{BEAT_INTERVAL, CONTACT_TIMEOUT, CUT_OFF_LAG, Core, Peer, READY_TIMEOUT},
     crate::{
         event::Call,
         ids::Incarnation,
@@ -14,40 +14,43 @@
 impl Core {
     /// Whether this member may serve callers.
     pub fn ready(&self, now: Time) -> bool {
-        !self.draining() && self.warm.is_some_and(|at| at <= now) && self.current(now)
+        !self.draining() && self.ready_at.is_some_and(|at| at <= now) && self.current(now)
     }
 
-    /// Notes when this member first knows where to send requests of every service.
+    /// Marks this member as ready once it knows endpoints of every service.
     ///
-    /// Guards against a new member that says ready as soon as it has the text: it knows neither
-    /// workers nor what its peers have for a second or so, and its callers would be refused with
-    /// `no_endpoint` in every rolling replacement. Later losses don't count: they are the same for
-    /// all members, and a balancer with no member left could not even pass the refusals on.
+    /// Without this, a new member would report ready as soon as it has the configuration. For about
+    /// a second it knows neither workers nor its peers' endpoints, so every rolling replacement
+    /// would refuse callers with `no_endpoint`. Later losses of endpoints don't count: they are the
+    /// same for all members, and a load balancer without any ready member could not even pass the
+    /// refusals on.
     pub(super) fn warm_up(&mut self, now: Time) {
         if self.config.version().0 == 0 {
             return;
         }
-        let latest = *self.warm.get_or_insert(now + WARM);
+        let latest = *self.ready_at.get_or_insert(now + READY_TIMEOUT);
         let known = |id, pool| self.racks.slots(pool, now).0 > 0 || self.requests.served(id);
         if latest > now && self.config.plan().services.iter().all(|(id, s)| known(id, &s.pool)) {
-            self.warm = Some(now);
+            self.ready_at = Some(now);
         }
     }
 
-    /// Whether the configuration held here can still be the one in force.
+    /// Whether the configuration held here may still be the one in force.
     ///
-    /// Guards against serving by a text that was replaced: a member that is cut off would do so for
-    /// as long as the cut lasts. It is in touch if the key-value service has answered it, or a peer
-    /// that the service has answered, within seconds; or, in an outage of the service, when half of
-    /// the other members are heard, as then no text can have been accepted.
+    /// Without this, a member that is cut off would serve by a replaced configuration for as long
+    /// as the cut lasts. The member is in contact if, within `CONTACT_TIMEOUT`, the key-value store
+    /// has answered it, or has answered a peer that this member hears. During an outage of the
+    /// store it is enough to hear half of the other members, as no configuration can have been
+    /// accepted then.
     pub(crate) fn current(&self, now: Time) -> bool {
-        if self.ownership.silence(now) < TOUCH {
+        if self.ownership.silence(now) < CONTACT_TIMEOUT {
             return true;
         }
-        let heard = self.peers.values().filter(|p| now - p.heard < TOUCH);
+        let heard = self.peers.values().filter(|p| now - p.last_heard < CONTACT_TIMEOUT);
         let by_peer = |p: &Peer| {
             let age = p.beat.as_ref().map_or(Duration::MAX, |b| Duration::from_millis(b.kv));
-            age < TOUCH && p.beat.as_ref().is_some_and(|b| b.version <= self.config.version())
+            age < CONTACT_TIMEOUT
+                && p.beat.as_ref().is_some_and(|b| b.version <= self.config.version())
         };
         let (mut count, mut linked) = (0, false);
         for peer in heard {
@@ -58,22 +61,24 @@
         linked || (others > 0 && 2 * count >= others)
     }
 
-    /// Tells, once until it is current again, that requests are refused as the configuration may be old.
+    /// Logs, once until the configuration is current again, that requests are refused because the
+    /// configuration may be old.
     pub(super) fn tell_stale(&mut self, now: Time) {
-        if mem::replace(&mut self.stale, true) {
+        if mem::replace(&mut self.stale_logged, true) {
             return;
         }
         let (member, version) = (self.me(), self.config.version());
         let silent_ms = millis(self.ownership.silence(now));
-        let heard_ms: Vec<u64> = self.peers.values().map(|p| millis(now - p.heard)).collect();
+        let heard_ms: Vec<u64> = self.peers.values().map(|p| millis(now - p.last_heard)).collect();
         log::warn!(target: "requests", member:% = member, version:% = version, silent_ms, heard_ms:? = heard_ms; "Requests are refused: the configuration may have been replaced.");
     }
 
     /// Whether this member may dispatch to its workers.
     ///
-    /// Its lease runs, or the key-value service answers nobody: then nobody can take over either.
-    /// A peer that the service has answered well after it last answered here is the sign that this
-    /// member alone is cut off. Beyond that, a worker refuses a dispatch whose epoch has been passed.
+    /// It may if its lease runs, or if the key-value store answers no member, as then no member can
+    /// take over either. A peer that the store has answered well after it last answered here shows
+    /// that only this member is cut off. In addition, a worker refuses a dispatch whose epoch is
+    /// older than the highest that it has seen.
     pub(crate) fn may_dispatch(&self, now: Time) -> bool {
         if self.ownership.leased(now) {
             return true;
@@ -82,8 +87,8 @@
         let others = self.ownership.members().keys().filter(|m| **m != self.me());
         let mut silent = 0;
         for member in others {
-            match self.peers.get(member).filter(|p| now - p.heard < TOUCH) {
-                Some(peer) if peer.contact > mine + BEHIND => return false,
+            match self.peers.get(member).filter(|p| now - p.last_heard < CONTACT_TIMEOUT) {
+                Some(peer) if peer.kv_contact > mine + CUT_OFF_LAG => return false,
                 Some(_) => {}
                 None => silent += 1,
             }
@@ -97,11 +102,11 @@
         let mut beat = None;
         for id in others {
             let peer = self.peers.entry(id).or_insert_with(|| Peer::new(now));
-            if peer.flying || peer.due > now {
+            if peer.in_flight || peer.due > now {
                 continue;
             }
-            peer.flying = true;
-            peer.due = now + BEAT;
+            peer.in_flight = true;
+            peer.due = now + BEAT_INTERVAL;
             let beat = beat.get_or_insert_with(|| self.beat(now)).clone();
             self.call(id, Call::Beat(beat));
         }
@@ -138,17 +143,19 @@
             self.requests.report(record, &self.me, &beat.services, now);
         }
         let peer = self.peers.entry(from).or_insert_with(|| Peer::new(now));
-        peer.heard = now;
-        peer.contact = peer.contact.max(now - Duration::from_millis(beat.kv));
+        peer.last_heard = now;
+        peer.kv_contact = peer.kv_contact.max(now - Duration::from_millis(beat.kv));
         peer.beat = Some(beat);
         BeatReply { version: self.config.version(), kv: millis(self.ownership.silence(now)) }
     }
 
-    /// Fetches the configuration from a peer that holds a newer one.
+    /// Fetches the configuration from a peer that holds a newer version.
     pub(super) fn newer(&mut self, from: Incarnation, version: crate::ids::Version, now: Time) {
-        if version > self.config.version() && (!self.fetching || self.fetch + TOUCH < now) {
+        if version > self.config.version()
+            && (!self.fetching || self.fetched_at + CONTACT_TIMEOUT < now)
+        {
             self.fetching = true;
-            self.fetch = now;
+            self.fetched_at = now;
             self.call(from, Call::Config());
         }
     }
--- a/src/core/work.rs
+++ b/src/core/work.rs
@@ -1,7 +1,8 @@
-//! What a member's buckets call for: room, starts, probes, and the words of attempts' ends.
+//! Carries out what a member's buckets request: reservations, starts, probes, and notices of
+//! attempts that ended.
 
 use {
-    super::{Core, PREEMPT, TOUCH, Urgent, rack_row},
+    super::{CONTACT_TIMEOUT, Core, PREEMPT_TIMEOUT, Urgent, rack_row},
     crate::{
         event::{Back, Call, Order, Ticket},
         ids::{Incarnation, RackId, TaskId},
@@ -14,17 +15,17 @@
 };
 
 impl Core {
-    /// Carries out what the buckets call for.
+    /// Runs the jobs' periodic work and carries out what the buckets request.
     pub(super) fn work(&mut self, now: Time) {
-        let sure = self.sure(now);
+        let lease_end = self.lease_end(now);
         let racks = if self.jobs.due(now) { self.all_racks(now) } else { vec![] };
-        let wants = self.jobs.tick(now, sure, &racks, &mut self.out);
-        self.carry_out(wants, now);
+        let requests = self.jobs.tick(now, lease_end, &racks, &mut self.out);
+        self.carry_out(requests, now);
     }
 
-    pub(super) fn carry_out(&mut self, wants: Vec<Want>, now: Time) {
-        for want in wants {
-            match want {
+    pub(super) fn carry_out(&mut self, requests: Vec<Want>, now: Time) {
+        for request in requests {
+            match request {
                 Want::Claimed(request, reply) => match self.claims.remove(&request) {
                     Some(ticket) => self.out.push(Order::Back(ticket, Back::Claim(reply))),
                     None => self.claimed(request, Some(reply), now),
@@ -32,22 +33,22 @@
                 Want::Kept(ticket) if ticket & OWN_END != 0 => self.kept(ticket),
                 Want::Kept(ticket) => self.out.push(Order::Back(ticket, Back::Done)),
                 Want::Reserve(ask) => self.reserve(ask, now),
-                Want::Release(ref rack, _) => self.at_rack(rack.clone(), want, now),
-                Want::Start(ref ask) => self.at_rack(ask.rack.clone(), want, now),
-                Want::Probe(ref ask) => self.at_rack(ask.rack.clone(), want, now),
+                Want::Release(ref rack, _) => self.at_rack(rack.clone(), request, now),
+                Want::Start(ref ask) => self.at_rack(ask.rack.clone(), request, now),
+                Want::Probe(ref ask) => self.at_rack(ask.rack.clone(), request, now),
             }
         }
     }
 
-    /// Until when nobody can take over from this member.
-    pub(super) fn sure(&self, now: Time) -> Option<Time> {
+    /// The time until which no other member can take over from this one; `None` without a lease.
+    pub(super) fn lease_end(&self, now: Time) -> Option<Time> {
         self.ownership.until().filter(|_| self.ownership.leased(now))
     }
 
-    /// Sends a want to the owner of a rack, which may be this member.
-    pub(super) fn at_rack(&mut self, rack: RackId, want: Want, now: Time) {
+    /// Sends a request of the buckets to the owner of a rack, which may be this member.
+    pub(super) fn at_rack(&mut self, rack: RackId, request: Want, now: Time) {
         let Some((owner, _)) = self.ownership.owner(&rack_row(&rack)) else { return };
-        let Some(call) = call(want) else { return };
+        let Some(call) = call(request) else { return };
         if owner != self.me() {
             return self.call(owner, call);
         }
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Sends a wish for room to the member that is likeliest to have it.
+    /// Sends a reservation request to the member most likely to have room.
     pub(super) fn reserve(&mut self, ask: ReserveAsk, now: Time) {
         if let Some(rack) = &ask.rack {
             return match self.ownership.owner(&rack_row(rack)) {
@@ -69,7 +70,7 @@
         let (size, spread, urgent) = (first.size, first.spread, first.urgent);
         let mine = self.racks.loads();
         let mut best: Option<(bool, u64, Incarnation)> = None;
-        let peers = self.peers.iter().filter(|(_, p)| now - p.heard < TOUCH);
+        let peers = self.peers.iter().filter(|(_, p)| now - p.last_heard < CONTACT_TIMEOUT);
         let theirs = peers.filter_map(|(id, p)| Some((*id, &p.beat.as_ref()?.racks)));
         for (id, racks) in theirs.chain([(self.me(), &mine)]) {
             if ask.tried.contains(&id) {
@@ -77,7 +78,7 @@
             }
             for rack in racks.iter().filter(|r| r.pool == ask.pool) {
                 let full = !size.fits(&rack.widest);
-                // Where nobody has room, an owner can make some for urgent work.
+                // If no rack has room, an owner can make some for urgent work.
                 if full && !(urgent && rack.workers > 0) {
                     continue;
                 }
@@ -95,14 +96,14 @@
         }
     }
 
-    /// Finds room on this member's racks; for urgent work, answers once room has been made.
+    /// Reserves room on this member's racks. For urgent work, replies once room has been made.
     pub(super) fn reserve_here(&mut self, ticket: Option<Ticket>, ask: ReserveAsk, now: Time) {
         let reply = match self.may_dispatch(now) {
             true => self.racks.reserve(&ask, now),
             false => ReserveReply { rows: vec![] },
         };
         if reply.rows.is_empty() && self.racks.preempt(&ask, now) {
-            self.urgent.push(Urgent { ticket, ask, until: now + PREEMPT });
+            self.urgent.push(Urgent { ticket, ask, until: now + PREEMPT_TIMEOUT });
             return;
         }
         self.reserve_answer(ticket, ask, reply, now);
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Answers the urgent wishes whose room has been made, or whose time is over.
+    /// Replies to the urgent reservations whose room has been made or whose wait is over.
     pub(super) fn answer_urgent(&mut self, now: Time) {
         for u in mem::take(&mut self.urgent) {
             let reply = self.racks.reserve(&u.ask, now);
@@ -133,10 +134,11 @@
         }
     }
 
-    /// Takes the answer of one owner; what it had no room for is asked of the next.
+    /// Handles the reply of one owner; items that it had no room for are requested from the next
+    /// one.
     ///
-    /// Guards against an owner that has room by its beat, and yet none on a worker that the attempt
-    /// may have: asked first each time, it would keep the attempt waiting for ever.
+    /// An owner may have room according to its beat, but none on a worker that the attempt may use.
+    /// If that owner were asked first each time, the attempt would wait forever.
     pub(super) fn asked_of(
         &mut self,
         by: Incarnation,
@@ -161,18 +163,18 @@
     }
 
     pub(super) fn reserved(&mut self, ask: ReserveAsk, reply: Option<ReserveReply>, now: Time) {
-        let wants = self.jobs.reserved(&ask, reply, now);
-        self.carry_out(wants, now);
+        let requests = self.jobs.reserved(&ask, reply, now);
+        self.carry_out(requests, now);
     }
 
-    /// What is free on all racks, as far as is known here.
+    /// The free resources of all racks, as far as this member knows them.
     pub(super) fn all_racks(&self, now: Time) -> Vec<RackLoad> {
-        let peers = self.peers.values().filter(|p| now - p.heard < TOUCH);
+        let peers = self.peers.values().filter(|p| now - p.last_heard < CONTACT_TIMEOUT);
         let theirs = peers.filter_map(|p| p.beat.as_ref()).flat_map(|b| b.racks.iter().cloned());
         theirs.chain(self.racks.loads()).collect()
     }
 
-    /// Tells the buckets' owners what became of their attempts.
+    /// Reports the states of attempts to the owners of their buckets.
     pub(super) fn tell(&mut self, now: Time) {
         for (bucket, items) in self.racks.tell() {
             match self.bucket_owner(bucket) {
--- a/src/jobs/load.rs
+++ b/src/jobs/load.rs
@@ -1,4 +1,4 @@
-//! The jobs that are taken in from records and texts, and the attempts that are over.
+//! Takes in jobs from records and plans, and handles the ends of attempts.
 
 use {
     super::{Jobs, Owned, Want, release},
@@ -13,12 +13,12 @@
 };
 
 impl Jobs {
-    /// Takes in the jobs of buckets that have been read, and of a new plan.
+    /// Takes in the jobs of buckets that were read, and of a new plan.
     ///
-    /// Waits for a first plan: a member that takes over before it has the text would hold all that
-    /// runs for unlisted, and stop it.
-    pub(super) fn load(&mut self, now: Time, wants: &mut Vec<Want>) {
-        if !self.known {
+    /// Waits for the first plan. Without this, a member that takes over a bucket before it has the
+    /// configuration would regard all running tasks as unlisted and stop them.
+    pub(super) fn load(&mut self, now: Time, requests: &mut Vec<Want>) {
+        if !self.has_plan {
             return;
         }
         let fresh: Vec<Bucket> = self
@@ -30,15 +30,15 @@
         for id in &fresh {
             self.adopt(*id, now);
         }
-        if !fresh.is_empty() || self.stale {
-            self.stale = false;
+        if !fresh.is_empty() || self.needs_load {
+            self.needs_load = false;
             self.forget_unlisted();
-            self.drop_gangs(now, wants);
+            self.drop_gangs(now, requests);
             let jobs = self.plan.jobs.iter().filter(|(name, _)| !self.tasks.lists(name));
             let here = jobs.filter(|(_, j)| self.buckets.contains_key(&team_bucket(&j.team)));
-            self.todo = here.map(|(name, _)| name.clone()).collect();
+            self.unloaded = here.map(|(name, _)| name.clone()).collect();
         }
-        if !self.todo.is_empty() {
+        if !self.unloaded.is_empty() {
             self.list(now);
         }
     }
@@ -57,7 +57,7 @@
     fn list(&mut self, now: Time) {
         let mut rows: BTreeMap<Bucket, BTreeMap<JobId, Vec<TaskRow>>> = BTreeMap::new();
         let unix = self.unix + now.since(Time::ZERO).as_secs();
-        for name in std::mem::take(&mut self.todo) {
+        for name in std::mem::take(&mut self.unloaded) {
             let Some(job) = self.plan.jobs.get(&name) else { continue };
             let id = team_bucket(&job.team);
             let Some(owned) = self.buckets.get_mut(&id).filter(|o| o.loaded) else { continue };
@@ -81,14 +81,14 @@
                 .map(|r| r.task.clone())
                 .collect();
             if !self.tasks.list(&name, past, now) {
-                self.todo.insert(name);
+                self.unloaded.insert(name);
                 continue;
             }
             ended.iter().for_each(|task| self.finish(id, task));
         }
     }
 
-    /// Keeps a task, or a whole gang, that has ended by its number alone.
+    /// Records a task or a whole gang that has ended by index only, without a row.
     fn finish(&mut self, id: Bucket, task: &TaskId) {
         let Some(owned) = self.buckets.get_mut(&id) else { return };
         let Some(job) = self.plan.jobs.get(&task.job) else { return };
@@ -105,8 +105,8 @@
         owned.touched = true;
     }
 
-    /// Forgets what the plan does not list here and does not run: a job of the same name that is
-    /// listed later is another one.
+    /// Removes records that the plan does not list here and that are not running. A job of the same
+    /// name that is listed later is a new job.
     fn forget_unlisted(&mut self) {
         for (id, owned) in self.buckets.iter_mut().filter(|(_, o)| o.loaded) {
             let rows = owned.state.attempts().rows().filter(|r| !live(r.state));
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Gives up the gangs that are being placed for a job or a bucket that is gone.
-    fn drop_gangs(&mut self, now: Time, wants: &mut Vec<Want>) {
+    /// Gives up the gangs being placed whose job or bucket is gone.
+    fn drop_gangs(&mut self, now: Time, requests: &mut Vec<Want>) {
         let gone: Vec<JobId> =
             self.gangs.jobs().filter(|j| !self.tasks.lists(j)).cloned().collect();
         for job in gone {
@@ -132,11 +132,11 @@
             for task in tasks.iter().filter(|t| self.tasks.asked(t)).cloned().collect::<Vec<_>>() {
                 self.tasks.unplaced(&task, now);
             }
-            wants.extend(release(rows));
+            requests.extend(release(rows));
         }
     }
 
-    /// Notices the attempts that are over in the buckets that have changed, or in all.
+    /// Handles ended attempts in the changed buckets, or in all of them.
     pub(super) fn settle_changed(&mut self, all: bool, now: Time) {
         let mut over = vec![];
         for (id, owned) in self.buckets.iter_mut().filter(|(_, o)| all || o.changed) {
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Notices that an attempt is over, however that became known.
+    /// Handles the end of an attempt if its row shows that it has ended, whichever source reported
+    /// it.
     pub(super) fn settle(&mut self, id: Bucket, task: &TaskId, now: Time) {
         let Some(owned) = self.buckets.get_mut(&id) else { return };
         let Some(attempt) = owned.running.get(task).copied() else { return };
--- a/src/member.rs
+++ b/src/member.rs
@@ -1,4 +1,4 @@
-//! One member process: a thread for each duty, joined by bounded rings.
+//! One member process: a thread for each function, connected by bounded rings.
 
 use {
     crate::{
@@ -37,12 +37,12 @@
     },
 };
 
-/// How many events may wait for the decisions; a burst of a second at the peak.
-const INBOX: usize = 16 * 1024;
-/// How many orders may wait for a duty.
-const RING: usize = 8 * 1024;
-/// How often time is let pass for the decisions.
-const TICK: Duration = Duration::from_millis(20);
+/// Capacity of the ring of events for the decision thread: one second of the peak load.
+const EVENT_RING_LEN: usize = 16 * 1024;
+/// Capacity of the ring of orders for each of the other threads.
+const ORDER_RING_LEN: usize = 8 * 1024;
+/// Interval of the ticks for the decision thread.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The addresses that a running member listens on.
 struct Listeners {
@@ -53,9 +53,9 @@
     metrics: TcpListener,
 }
 
-/// Runs a member until it is told to stop and has handed over all that it owns.
+/// Runs a member until it is told to stop and has handed over everything that it owns.
 ///
-/// Errs with [`Kind::BadSettings`] where an address can't be listened on, before anything starts.
+/// Errs with [`Kind::BadSettings`] before any thread starts if an address can't be listened on.
 pub fn run(settings: &Settings) -> Result<(), Error> {
     let listeners = Listeners::bind(settings)?;
     let local =
@@ -98,7 +98,7 @@
     }
 }
 
-/// The decisions' ends of the rings to the other duties.
+/// The decision thread's ends of the rings to the other threads.
 struct Rings {
     replies: Sender<(Ticket, Verdict)>,
     endpoints: Sender<Order>,
@@ -111,12 +111,12 @@
     let metrics = Arc::new(Metrics::new());
     let clock = Clock::start();
     let gate = Gate::new(&settings.member.secret, metrics.clone());
-    let (inbox, events) = bounded(INBOX);
-    let (replies, reply) = bounded(RING);
-    let (to_endpoints, endpoint) = bounded(RING);
-    let (to_peers, peer) = bounded(RING);
-    let (to_operators, operator) = bounded(RING);
-    let (to_session, session) = bounded(RING);
+    let (inbox, events) = bounded(EVENT_RING_LEN);
+    let (replies, reply) = bounded(ORDER_RING_LEN);
+    let (to_endpoints, endpoint) = bounded(ORDER_RING_LEN);
+    let (to_peers, peer) = bounded(ORDER_RING_LEN);
+    let (to_operators, operator) = bounded(ORDER_RING_LEN);
+    let (to_session, session) = bounded(ORDER_RING_LEN);
     let (stop, stopped) = watch::channel(false);
     let limits = settings.limits.clone();
     let limits = Limits {
@@ -127,30 +127,30 @@
     let wait = move || {
         let mut stopped = stopped.clone();
         async move {
-            // An end of the sender means the same.
+            // A disconnected sender is handled like a stop.
             while !*stopped.borrow_and_update() && stopped.changed().await.is_ok() {}
         }
     };
     let mut threads: Vec<JoinHandle<()>> = vec![];
-    let (box_inbox, box_metrics, me) = (inbox.clone(), metrics.clone(), record.incarnation);
+    let (callers_inbox, callers_metrics, me) = (inbox.clone(), metrics.clone(), record.incarnation);
     let (callers_gate, callers_stop) = (gate.clone(), wait.clone());
-    threads.push(duty("callers", move || async move {
+    threads.push(spawn_thread("callers", move || async move {
         let callers = Callers {
             me,
             callers: tokio::net::TcpListener::from_std(listeners.callers)?,
             bodies: tokio::net::TcpListener::from_std(listeners.bodies)?,
             limits,
             secret: callers_gate,
-            inbox: box_inbox,
+            inbox: callers_inbox,
             replies: reply,
             clock,
-            metrics: box_metrics,
+            metrics: callers_metrics,
         };
         callers.run(callers_stop).await;
         Ok(())
     })?);
     let (endpoint_inbox, endpoint_metrics) = (inbox.clone(), metrics.clone());
-    threads.push(duty("endpoints", move || async move {
+    threads.push(spawn_thread("endpoints", move || async move {
         endpoints::run(endpoint, endpoint_inbox, clock, endpoint_metrics).await;
         Ok(())
     })?);
@@ -161,15 +161,15 @@
         orders: peer,
         metrics: metrics.clone(),
     };
-    threads.push(duty("peers", move || peers.run())?);
+    threads.push(spawn_thread("peers", move || peers.run())?);
     let operators = Operators {
         listener: listeners.operators,
         secret: gate,
         inbox: inbox.clone(),
         answers: operator,
     };
-    threads.push(duty("operators", move || operators.run())?);
-    let duty_of_session = Session {
+    threads.push(spawn_thread("operators", move || operators.run())?);
+    let kv_session = Session {
         kv: Kv::new(settings.platform.kv),
         vms: settings.platform.vms,
         record: record.clone(),
@@ -178,12 +178,12 @@
         clock,
         metrics: metrics.clone(),
     };
-    threads.push(duty("session", move || async move {
-        duty_of_session.run().await;
+    threads.push(spawn_thread("session", move || async move {
+        kv_session.run().await;
         Ok(())
     })?);
     let (pages, page_metrics, page_stop) = (listeners.metrics, metrics.clone(), wait());
-    threads.push(duty("metrics", move || async move {
+    threads.push(spawn_thread("metrics", move || async move {
         let listener = tokio::net::TcpListener::from_std(pages)?;
         let limits = Limits { body: 0, connections: 64, patience: Duration::from_secs(5) };
         serve(listener, limits, page_stop, move |head, _| {
@@ -193,7 +193,7 @@
         .await;
         Ok(())
     })?);
-    threads.push(duty("signals", move || signals(inbox))?);
+    threads.push(spawn_thread("signals", move || signals(inbox))?);
     let unix = clock::unix().as_secs();
     let rings = Rings {
         replies,
@@ -205,7 +205,8 @@
     let core = Core::new(record, unix, metrics.clone());
     runtime()?.block_on(decide(core, events, rings, clock, &metrics));
     stop.send_replace(true);
-    // The signals' thread never ends; the others end with their rings and their last answers.
+    // The signal thread never ends; the others end when their rings close and their last replies
+    // are sent.
     for thread in threads.into_iter().filter(|t| t.thread().name() != Some("signals")) {
         let _ = thread.join();
     }
@@ -213,7 +214,7 @@
     Ok(())
 }
 
-/// The decisions' duty: takes in events, lets time pass, and spreads the orders.
+/// The decision thread: receives events, sends ticks, and distributes the orders.
 async fn decide(
     mut core: Core,
     events: Receiver<Event>,
@@ -221,7 +222,7 @@
     clock: Clock,
     metrics: &Metrics,
 ) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         let mut event = tokio::select! {
@@ -255,10 +256,10 @@
 }
 
 impl Rings {
-    /// Passes an order on; returns what follows where the ring is full.
+    /// Passes an order on. Returns the resulting event if the ring is full.
     ///
-    /// A final answer is never dropped: its duty takes answers without waiting for anything, so the
-    /// wait is short and can't be circular.
+    /// A final reply is never dropped. The receiving thread takes replies without waiting for
+    /// anything, so the wait here is short and can't become circular.
     fn send(&self, order: Order, metrics: &Metrics) -> Option<Event> {
         let (ring, name) = match order {
             Order::Reply(ticket, verdict) => {
@@ -284,14 +285,14 @@
             Ok(()) => None,
             Err(TrySendError::Full(order) | TrySendError::Closed(order)) => {
                 metrics.full.with_label_values(&[name]).inc();
-                bounced(order)
+                undelivered(order)
             }
         }
     }
 }
 
-/// What follows from an order that its duty never got.
-fn bounced(order: Order) -> Option<Event> {
+/// The event that reports an order that its thread never received.
+fn undelivered(order: Order) -> Option<Event> {
     let full = || Outcome::Refused(Kind::RingFull.into());
     match order {
         Order::Run(r) => Some(Event::Ran { request: r.request, worker: r.worker, outcome: full() }),
@@ -309,7 +310,7 @@
     }
 }
 
-/// Stops the member in order at the first signal, and at once at the second.
+/// Stops the member in order at the first signal, and immediately at the second.
 async fn signals(inbox: Inbox) -> io::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
@@ -328,7 +329,10 @@
     }
 }
 
-fn duty<F>(name: &str, run: impl FnOnce() -> F + Send + 'static) -> io::Result<JoinHandle<()>>
+fn spawn_thread<F>(
+    name: &str,
+    run: impl FnOnce() -> F + Send + 'static,
+) -> io::Result<JoinHandle<()>>
 where
     F: Future<Output = io::Result<()>>,
 {
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of tasks under random orders of events; the invariant has the name of the model.
+//! Attempts of tasks under random orders of events. The invariant is named as in the model.
 
 mod bucket;
 
@@ -24,9 +24,10 @@
     lease: Time,
 }
 
-/// What is on its way to the rack's owner or back, or lost; it comes in any order, some twice.
+/// Messages in transit to or from the rack's owner, or lost. They arrive in any order, some of them
+/// twice.
 #[derive(Clone)]
-enum Mail {
+enum Message {
     Start(TaskRow, Time),
     Stop(TaskRow),
     End(EndItem),
@@ -39,11 +40,11 @@
     kv: Kv,
     members: Vec<Member>,
     /// The end of the newest member's lease on the bucket.
-    sure: Time,
+    lease_end: Time,
     epoch: u64,
-    mail: Vec<Mail>,
+    messages: Vec<Message>,
     running: Vec<Run>,
-    /// Attempts that the rack's owner won't start, or renew, any more.
+    /// Attempts that the rack's owner will no longer start or renew.
     refused: Vec<(TaskId, Attempt)>,
     cut: Vec<(TaskId, Attempt)>,
     starts: u32,
@@ -59,9 +60,15 @@
     Place { task: task(i), worker, rack: "r".into(), epoch: Epoch(1), size: Size::new(1, 1, 0) }
 }
 
-fn told(row: &TaskRow, state: TaskState) -> Mail {
+fn end_notice(row: &TaskRow, state: TaskState) -> Message {
     let worker = row.worker.clone().expect("it was placed");
-    Mail::End(EndItem { attempt: row.attempt, state, task: row.task.clone(), used: None, worker })
+    Message::End(EndItem {
+        attempt: row.attempt,
+        state,
+        task: row.task.clone(),
+        used: None,
+        worker,
+    })
 }
 
 impl World {
@@ -71,8 +78,8 @@
 
     fn carry(&mut self, order: Order) {
         match order {
-            Order::Start { row, until } => self.mail.push(Mail::Start(row, until)),
-            Order::Stop { row } => self.mail.push(Mail::Stop(row)),
+            Order::Start { row, until } => self.messages.push(Message::Start(row, until)),
+            Order::Stop { row } => self.messages.push(Message::Stop(row)),
             _ => {}
         }
     }
@@ -87,7 +94,7 @@
 
     fn pass(&mut self, time: Duration) {
         self.now = self.now + time;
-        // The worker's clock is as slow as it may be.
+        // The worker's clock is as slow as the allowance permits.
         self.running.retain(|run| self.now < run.lease + DRIFT);
     }
 
@@ -95,34 +102,34 @@
         if self.now > until || self.refused.contains(&(row.task.clone(), row.attempt)) {
             return;
         }
-        let twin = self.running.iter().find(|run| run.row.task == row.task);
-        assert!(twin.is_none(), "OneAttempt: {row:?} beside {:?}", twin.map(|t| &t.row));
+        let other = self.running.iter().find(|run| run.row.task == row.task);
+        assert!(other.is_none(), "OneAttempt: {row:?} beside {:?}", other.map(|t| &t.row));
         self.starts += 1;
         self.repeats += u32::from(row.attempt > Attempt(1));
-        self.mail.push(told(&row, TaskState::Running));
+        self.messages.push(end_notice(&row, TaskState::Running));
         self.running.push(Run { row, lease: self.now + LEASE });
     }
 
     fn stop(&mut self, row: &TaskRow) {
         self.refused.push((row.task.clone(), row.attempt));
         self.running.retain(|run| run.row.task != row.task || run.row.attempt != row.attempt);
-        self.mail.push(told(row, TaskState::Checkpointed));
+        self.messages.push(end_notice(row, TaskState::Checkpointed));
     }
 
-    fn deliver(&mut self, mail: Mail, m: usize) {
+    fn deliver(&mut self, mail: Message, m: usize) {
         let bucket = &mut self.members[m].bucket;
         match mail {
-            Mail::Start(row, until) => self.start(row, until),
-            Mail::Stop(row) => self.stop(&row),
-            Mail::End(item) => bucket.heard(&item),
-            Mail::Report(worker, taken, tasks) => bucket.report(&worker, taken, &tasks),
+            Message::Start(row, until) => self.start(row, until),
+            Message::Stop(row) => self.stop(&row),
+            Message::End(item) => bucket.heard(&item),
+            Message::Report(worker, taken, tasks) => bucket.report(&worker, taken, &tasks),
         }
     }
 
     fn report(&mut self, worker: usize) {
         let worker = WorkerId::from(WORKERS[worker]);
-        let here = self.running.iter().filter(|run| run.row.worker.as_ref() == Some(&worker));
-        let tasks = here
+        let at_worker = self.running.iter().filter(|run| run.row.worker.as_ref() == Some(&worker));
+        let tasks = at_worker
             .map(|run| TaskReport {
                 attempt: run.row.attempt,
                 state: TaskState::Running,
@@ -130,10 +137,11 @@
                 used: run.row.size,
             })
             .collect();
-        self.mail.push(Mail::Report(worker, self.now, tasks));
+        self.messages.push(Message::Report(worker, self.now, tasks));
     }
 
-    /// The rack's owner gives an attempt up: it renews it no more and says how long it may last.
+    /// The rack's owner gives up an attempt: it stops renewing it and reports how long it may still
+    /// run.
     fn give_up(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let i = u.int_in_range(0..=TASKS - 1)?;
         let now = self.now;
@@ -147,12 +155,12 @@
         Ok(())
     }
 
-    /// The bucket moves: by release, after which the old owner does nothing, or by takeover, after
-    /// its lease, while it works on.
+    /// The bucket changes owner, either by a release, after which the old owner does nothing, or by
+    /// a takeover after its lease, while it continues to work.
     fn move_owner(&mut self, release: bool) {
         if release {
             self.members.pop();
-        } else if self.now < self.sure + DRIFT {
+        } else if self.now < self.lease_end + DRIFT {
             return;
         }
         self.epoch += 1;
@@ -161,9 +169,9 @@
     }
 
     fn renew(&mut self) {
-        let sure = self.now + Duration::from_secs(6);
-        self.sure = sure;
-        self.newest().bucket.renew(sure);
+        let lease_end = self.now + Duration::from_secs(6);
+        self.lease_end = lease_end;
+        self.newest().bucket.renew(lease_end);
     }
 
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
@@ -174,20 +182,20 @@
                 let now = self.now;
                 let _ = self.members[m].bucket.place(place(i, worker), now);
             }
-            3..=7 if !self.mail.is_empty() => {
-                let i = u.choose_index(self.mail.len())?;
-                let start = matches!(self.mail[i], Mail::Start(..));
+            3..=7 if !self.messages.is_empty() => {
+                let i = u.choose_index(self.messages.len())?;
+                let start = matches!(self.messages[i], Message::Start(..));
                 let again = !start && u.ratio(1, 4)?;
-                let mail = if again { self.mail[i].clone() } else { self.mail.remove(i) };
+                let mail = if again { self.messages[i].clone() } else { self.messages.remove(i) };
                 self.deliver(mail, m);
             }
-            8 if !self.mail.is_empty() => {
-                let _lost = self.mail.remove(u.choose_index(self.mail.len())?);
+            8 if !self.messages.is_empty() => {
+                let _lost = self.messages.remove(u.choose_index(self.messages.len())?);
             }
             9 if !self.running.is_empty() => {
                 let run = self.running.remove(u.choose_index(self.running.len())?);
                 let state = *u.choose(&[TaskState::Ended, TaskState::Failed])?;
-                self.mail.push(told(&run.row, state));
+                self.messages.push(end_notice(&run.row, state));
             }
             10 => self.report(u.choose_index(2)?),
             11 => self.members[m].bucket.stop(&task(u.int_in_range(0..=TASKS - 1)?)),
@@ -210,10 +218,11 @@
         Ok(())
     }
 
-    /// With all failures over and two reports of each worker, every task can be placed again.
+    /// After all failures are over and each worker has reported twice, every task can be placed
+    /// again.
     fn finish(&mut self) {
         self.kv.down = false;
-        self.mail.clear();
+        self.messages.clear();
         self.running.clear();
         for _ in 0..2 {
             let (kv, now) = (&mut self.kv, &mut self.now);
@@ -222,7 +231,7 @@
             for worker in 0..WORKERS.len() {
                 self.report(worker);
             }
-            for mail in std::mem::take(&mut self.mail) {
+            for mail in std::mem::take(&mut self.messages) {
                 self.deliver(mail, self.members.len() - 1);
             }
         }
@@ -234,9 +243,9 @@
     }
 }
 
-// A grant task is placed; its bucket's owner dies, pauses past its lease or hands over; the KV loses
-// answers; the worker's reports lag and word of the end is late. Whoever owns the bucket next must
-// not start the task while an attempt may be running: the grant would be paid twice.
+// A task that pays a grant is placed. Its bucket's owner dies, pauses beyond its lease or hands
+// over; the key-value store loses replies; reports lag and notices of ends are late. The next owner
+// must not start the task while an attempt may be running, or the grant would be paid twice.
 #[test]
 fn one_attempt() {
     let seen = [const { Cell::new(0) }; 3];
@@ -259,9 +268,9 @@
     }
 }
 
-// An owner commits an intent and dies before, or after, it sends the start: the next one can't tell
-// which. It must hold the task back while the start may be on its way, and must let it go once a
-// report that is younger than that shows no such task.
+// An owner commits an intent and dies before or after it sends the start; the next owner can't tell
+// which. It must not start the task while the start may be in transit, and may start it after a
+// newer report shows that the task does not run.
 #[test]
 fn intent_of_a_dead_owner_may_be_running() {
     for sent in [true, false] {
@@ -287,19 +296,20 @@
     }
 }
 
-// An owner's write of an intent takes effect, and the process is paused before it reads the answer.
-// Its lease ends, another member takes over, sees that the worker runs nothing, and starts the task
-// elsewhere. The first owner resumes with a good answer in its hands: it must not send the start.
+// An owner's write of an intent takes effect, and the process is paused before it reads the reply.
+// Its lease ends; another member takes over, sees that the worker runs nothing, and starts the task
+// elsewhere. When the first owner resumes and reads the successful reply, it must not send the
+// start.
 #[test]
 fn paused_owner_sends_no_start() {
     let (mut kv, mut now, mut old) = (Kv::default(), Time::ZERO, Member::new(1));
     old.settle(&mut kv, &mut now);
-    let sure = now + FLIGHT * 2;
-    old.bucket.renew(sure);
+    let lease_end = now + FLIGHT * 2;
+    old.bucket.renew(lease_end);
     assert_eq!(old.bucket.place(place(0, 0), now), Ok(Attempt(1)));
     assert_eq!(old.orders(now), []);
     old.effect(&mut kv);
-    now = sure + DRIFT;
+    now = lease_end + DRIFT;
     old.deliver(now);
     assert_eq!(old.orders(now), [], "a start went out without a lease");
 }
