--- a/src/claims.rs
+++ b/src/claims.rs
@@ -1,15 +1,16 @@
-//! The claims on keys of non-idempotent requests, as the owner of one bucket keeps them.
+//! The claims on idempotency keys of non-idempotent requests, as the owner of one bucket keeps them.
 //!
-//! Calls [`commit`](crate::commit) and leaves what follows as an [`Order`]; [`bucket`](crate::bucket)
+//! Calls [`commit`](crate::commit) and emits its effects as [`Order`]s; [`bucket`](crate::bucket)
 //! calls it.
 //!
-//! A claim is committed to the bucket's record before its request may run, so that a repeat, at
-//! whatever member and after whatever death, finds it. Without claims, a caller that repeats after a
-//! lost answer would bind cover or pay a grant twice.
+//! A claim is committed to the bucket's record before its request may run, so that a repeated
+//! request finds it at any member and after the crash of any member. Without claims, a caller that
+//! repeats a request after a lost answer would bind cover or pay a grant twice.
 //!
-//! What an asker owes: each ask has a request id of its own and is not repeated; a verdict that
-//! comes after the asker has given up is ignored; an asker that was not granted, or gave up, sends
-//! the end `not_run` until it is taken, so that a caller's repeat can run.
+//! The member that asks for a claim has these obligations: each ask has a request id of its own and
+//! is not repeated; a verdict that arrives after the member has given up is ignored; a member whose
+//! claim was not granted, or that gave up, sends the end `not_run` until it is acknowledged, so that
+//! a caller's repeat can run.
 
 use {
     crate::{
@@ -25,91 +26,93 @@
     },
 };
 
-/// How long an ask waits for its commit: a tenth of the default deadline, so that the caller hears
+/// How long an ask waits for its commit: a tenth of the default deadline, so that the caller learns
 /// of a KV outage while it can still act on it.
 pub const KV_WAIT: Duration = Duration::from_secs(1);
 
-/// How long a claim stays running without word of its end: more than the longest deadline of a
-/// service, the flight and the clocks' drift. Later it is unknown, which is safe at any time, since
-/// an unknown claim is never granted again; the bound only decides what a repeat is told.
+/// How long a claim stays running if its end is not reported: more than the longest deadline of a
+/// service plus the message delay and the clock drift. After that it is unknown. This is safe at any
+/// time, since an unknown claim is never granted again; the bound only decides which verdict a
+/// repeat gets.
 pub const LEASE: Duration = Duration::from_secs(300);
 
-/// How long a claim that is not running is kept, in seconds: a caller may repeat for a day.
+/// How long a claim that is not running is kept, in seconds: a caller may repeat a request for a day.
 pub const RETENTION: u64 = 24 * 60 * 60;
 
-/// The longest answer that is kept, in bytes: a confirmation fits, a document doesn't.
+/// The longest answer that is stored, in bytes: a confirmation fits, a document does not.
 pub const ANSWER_MAX: usize = 2 * 1024;
 
-/// The room of all claims in the record, in bytes: half of the KV's megabyte, the rest is for tasks.
+/// The maximum size of all claims in the record, in bytes: half of the KV's megabyte; the rest is
+/// for tasks.
 pub const ROOM: usize = 500_000;
 
-/// What a row may grow by when its state changes, in bytes; an answer is counted by itself.
-const GROWTH: usize = 64;
+/// How much a row may grow when its state changes, in bytes; a stored answer is counted separately.
+const ROW_GROWTH: usize = 64;
 
-/// How long, and how many, requests are remembered that were told off: a copy of an ask that was
-/// delayed on its way is older than a minute only if its connection is long closed.
-const OFF_KEPT: Duration = Duration::from_secs(60);
-const OFF_MAX: usize = 4096;
+/// How long, and how many, refused asks are remembered, so that a delayed copy of one is not granted.
+/// A copy that was delayed in transit is older than a minute only if its connection is long closed.
+const REFUSED_RETENTION: Duration = Duration::from_secs(60);
+const REFUSED_MAX: usize = 4096;
 
-/// The most asks that wait for a new owner's first commit.
-const HELD_MAX: usize = 1024;
+/// The maximum number of asks that wait for a new owner's first commit.
+const DEFERRED_MAX: usize = 1024;
 
 /// The claims of one bucket.
 pub struct Claims {
     rows: BTreeMap<Key, Entry>,
-    held: VecDeque<(Time, ClaimAsk)>,
+    deferred: VecDeque<(Time, ClaimAsk)>,
     waits: VecDeque<(Time, Key, RequestId)>,
     ends: VecDeque<(Ticket, u64)>,
     leases: VecDeque<(Time, Key, RequestId)>,
-    births: VecDeque<(u64, Key, RequestId)>,
-    off: VecDeque<(Time, RequestId)>,
+    by_age: VecDeque<(u64, Key, RequestId)>,
+    refused: VecDeque<(Time, RequestId)>,
     bytes: usize,
     unix: u64,
 }
 
 struct Entry {
     row: ClaimRow,
-    /// The write that has to be done before the claim is granted; none once the verdict is out.
+    /// The write that must complete before the claim is granted; `None` once the verdict is sent.
     ticket: Option<Ticket>,
 }
 
 impl Claims {
-    /// No claims; `unix` is the Unix clock at [`Time::ZERO`], in seconds.
+    /// Creates an empty set of claims; `unix` is the Unix clock at [`Time::ZERO`], in seconds.
     pub fn new(unix: u64) -> Self {
         Claims {
             rows: BTreeMap::new(),
-            held: VecDeque::new(),
+            deferred: VecDeque::new(),
             waits: VecDeque::new(),
             ends: VecDeque::new(),
             leases: VecDeque::new(),
-            births: VecDeque::new(),
-            off: VecDeque::new(),
+            by_age: VecDeque::new(),
+            refused: VecDeque::new(),
             bytes: 0,
             unix,
         }
     }
 
-    /// The rows, for the record.
+    /// The rows to store in the bucket's record.
     pub fn rows(&self) -> impl Iterator<Item = &ClaimRow> {
         self.rows.values().map(|e| &e.row)
     }
 
-    /// Decides on an ask; the verdict `granted` follows its commit.
+    /// Decides on an ask; the verdict `granted` is sent once the claim is committed.
     pub fn ask(&mut self, ask: ClaimAsk, now: Time, commit: &mut Commit, out: &mut Vec<Order>) {
         if commit.lost() {
             return out.push(verdict(ask.request, ClaimVerdict::Unowned));
         }
-        if self.off.iter().any(|(_, request)| *request == ask.request) {
+        if self.refused.iter().any(|(_, request)| *request == ask.request) {
             return out.push(verdict(ask.request, ClaimVerdict::KvDown));
         }
         if !commit.ready() {
-            if self.held.len() == HELD_MAX {
+            if self.deferred.len() == DEFERRED_MAX {
                 return out.push(verdict(ask.request, ClaimVerdict::Full));
             }
-            return self.held.push_back((now, ask));
+            return self.deferred.push_back((now, ask));
         }
         match self.rows.get(&ask.key) {
-            Some(entry) => out.push(known(&entry.row, &ask)),
+            Some(entry) => out.push(claimed(&entry.row, &ask)),
             None => self.claim(ask, now, commit, out),
         }
     }
@@ -131,11 +134,11 @@
         self.insert(row, Some(commit.touch()), now);
     }
 
-    /// Takes word of how a request ended; [`Order::Kept`] follows its commit.
+    /// Records how a request ended; [`Order::Kept`] follows once that is committed.
     ///
-    /// The sender repeats it, to whoever owns the bucket, until it is kept. Were it taken before its
-    /// commit, the next owner would find the claim running, and the repeat of a request that did not
-    /// run would be refused for a day.
+    /// The sender repeats the end, to the bucket's current owner, until it is acknowledged. If it
+    /// were acknowledged before its commit, the next owner would find the claim running, and the
+    /// repeat of a request that did not run would be refused for a day.
     pub fn end(&mut self, end: ClaimEnd, call: u64, commit: &mut Commit, out: &mut Vec<Order>) {
         if !commit.ready() || commit.lost() {
             return;
@@ -165,13 +168,14 @@
         self.bytes += cost(&entry.row);
     }
 
-    /// Replaces all by what the owner before left.
+    /// Replaces all claims with those in the previous owner's record.
     ///
-    /// A claim that was running may be running still, or its entry member may be dead: it stays
+    /// A running claim's request may still run, or its entry member may be dead: the claim stays
     /// running for [`LEASE`] and is unknown after that.
     pub fn adopt(&mut self, rows: Vec<ClaimRow>, now: Time) {
-        let (held, off) = (std::mem::take(&mut self.held), std::mem::take(&mut self.off));
-        *self = Claims { held, off, ..Claims::new(self.unix) };
+        let (deferred, refused) =
+            (std::mem::take(&mut self.deferred), std::mem::take(&mut self.refused));
+        *self = Claims { deferred, refused, ..Claims::new(self.unix) };
         let mut rows = rows;
         rows.sort_by_key(|row| row.born);
         for row in rows {
@@ -179,7 +183,7 @@
         }
     }
 
-    /// Gives the verdicts that a commit has decided, and tells which ends are kept.
+    /// Sends the verdicts that a commit has decided, and acknowledges the ends that it has stored.
     pub fn committed(&mut self, commit: &mut Commit, out: &mut Vec<Order>) {
         while let Some((_, key, request)) = self.waits.front() {
             let ticket = self.waiting(key, *request);
@@ -196,14 +200,14 @@
             out.push(Order::Kept { call });
         }
         while commit.ready() {
-            let Some((since, ask)) = self.held.pop_front() else { break };
+            let Some((since, ask)) = self.deferred.pop_front() else { break };
             self.ask(ask, since, commit, out);
         }
     }
 
-    /// Tells all askers that another owner has the bucket; none of them was granted.
+    /// Answers all pending asks that another member owns the bucket; none of them was granted.
     pub fn lost(&mut self, out: &mut Vec<Order>) {
-        for (_, ask) in self.held.drain(..) {
+        for (_, ask) in self.deferred.drain(..) {
             out.push(verdict(ask.request, ClaimVerdict::Unowned));
         }
         while let Some((_, key, request)) = self.waits.pop_front() {
@@ -214,18 +218,20 @@
         }
     }
 
-    /// Does what is due: refuses asks that waited too long, ends leases, forgets old claims.
+    /// Runs the timers: refuses asks that waited too long, ends leases, removes old claims.
     pub fn tick(&mut self, now: Time, commit: &mut Commit, out: &mut Vec<Order>) {
-        while let Some((_, ask)) = self.held.pop_front_if(|(since, _)| now >= *since + KV_WAIT) {
-            self.tell_off(ask.request, now, out);
+        while let Some((_, ask)) = self.deferred.pop_front_if(|(since, _)| now >= *since + KV_WAIT)
+        {
+            self.refuse(ask.request, now, out);
         }
         while let Some((_, key, request)) = self.waits.pop_front_if(|(until, ..)| now >= *until) {
             if self.waiting(&key, request).is_some() {
-                // The write that carries the claim may yet take effect. The asker is told that the
-                // request was not run, so the claim goes now, and the next write removes it.
+                // The write that carries the claim may still take effect. The verdict says that the
+                // request was not run, so the claim is removed here, and by the next write from the
+                // record.
                 self.remove(&key);
                 commit.touch();
-                self.tell_off(request, now, out);
+                self.refuse(request, now, out);
             }
         }
         while let Some((_, key, request)) = self.leases.pop_front_if(|(until, ..)| now >= *until) {
@@ -236,24 +242,24 @@
                 entry.row.state = ClaimState::Unknown;
             }
         }
-        while self.off.pop_front_if(|(until, _)| now >= *until).is_some() {}
+        while self.refused.pop_front_if(|(until, _)| now >= *until).is_some() {}
         self.forget(self.unix + now.since(Time::ZERO).as_secs());
     }
 
-    fn tell_off(&mut self, request: RequestId, now: Time, out: &mut Vec<Order>) {
-        if self.off.len() == OFF_MAX {
-            self.off.pop_front();
+    fn refuse(&mut self, request: RequestId, now: Time, out: &mut Vec<Order>) {
+        if self.refused.len() == REFUSED_MAX {
+            self.refused.pop_front();
         }
-        self.off.push_back((now + OFF_KEPT, request));
+        self.refused.push_back((now + REFUSED_RETENTION, request));
         out.push(verdict(request, ClaimVerdict::KvDown));
     }
 
     fn forget(&mut self, unix: u64) {
-        while let Some((born, key, request)) = self.births.pop_front() {
+        while let Some((born, key, request)) = self.by_age.pop_front() {
             let current = self.rows.get(&key).filter(|e| e.row.request == request);
             let running = current.is_some_and(|e| e.row.state == ClaimState::Running);
             if running || unix < born + RETENTION {
-                return self.births.push_front((born, key, request));
+                return self.by_age.push_front((born, key, request));
             }
             if current.is_some() {
                 self.remove(&key);
@@ -261,9 +267,9 @@
         }
     }
 
-    /// Whether an ask waits for its verdict.
+    /// Whether any ask waits for its verdict.
     pub fn pending(&self) -> bool {
-        !self.held.is_empty() || !self.waits.is_empty()
+        !self.deferred.is_empty() || !self.waits.is_empty()
     }
 
     fn waiting(&self, key: &Key, request: RequestId) -> Option<Ticket> {
@@ -280,7 +286,7 @@
     fn insert(&mut self, row: ClaimRow, ticket: Option<Ticket>, now: Time) {
         let (key, request) = (row.key.clone(), row.request);
         self.bytes += cost(&row);
-        self.births.push_back((row.born, key.clone(), request));
+        self.by_age.push_back((row.born, key.clone(), request));
         self.leases.push_back((now + LEASE, key.clone(), request));
         self.rows.insert(key, Entry { row, ticket });
     }
@@ -292,11 +298,11 @@
     }
 }
 
-/// The verdict on an ask whose key is known.
+/// The verdict on an ask whose key is already claimed.
 ///
-/// The same request that asks again hears `running`, too: a grant is given once, so that a copy of
-/// the ask that was delayed on its way can't make a request run that was told off meanwhile.
-fn known(row: &ClaimRow, ask: &ClaimAsk) -> Order {
+/// A repeated ask of the same request also gets `running`: a claim is granted once, so that a copy of
+/// the ask that was delayed in transit can't make a request run that was refused meanwhile.
+fn claimed(row: &ClaimRow, ask: &ClaimAsk) -> Order {
     let verdict = match row.state {
         _ if row.digest != ask.digest => ClaimVerdict::Mismatch,
         ClaimState::Running => ClaimVerdict::Running,
@@ -316,9 +322,9 @@
     Order::Reply { request, reply: ClaimReply { answer: None, status: None, verdict } }
 }
 
-/// The bytes that a row takes in the record, at most, without an answer that is yet to come.
+/// The maximum size of a row in the record, in bytes, without an answer that may be added later.
 fn cost(row: &ClaimRow) -> usize {
-    serde_json::to_string(row).map_or(ROOM, |text| text.len()) + GROWTH
+    serde_json::to_string(row).map_or(ROOM, |text| text.len()) + ROW_GROWTH
 }
 
 fn length(answer: &str) -> usize {
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -1,13 +1,13 @@
-//! What is in use on each worker that this member owns.
+//! Accounts for the resources and request slots in use on each worker that this member owns.
 //!
 //! Calls no other module; [`racks`](crate::racks) calls it.
 //!
-//! The owner of a rack is the only one that sends work to its workers, so their room and request
-//! slots are counted here, in memory, and this count has the last word: whoever chose a worker
-//! (`decide::place`, `decide::gang`, `decide::choose`) still has to get the room from the ledger.
-//! Nothing is let in that does not fit. Only [`Ledger::adopt`] can find a worker with more than it
-//! holds; such a worker is given nothing until it fits again. Connections aren't counted: a worker
-//! with 8 slots gets at most twice the nine that a member keeps (`endpoints`), across a handover.
+//! Only the owner of a rack sends work to its workers, so their room and request slots are counted
+//! here, in memory, and this count is authoritative: code that chooses a worker (`decide::place`,
+//! `decide::gang`, `decide::choose`) must still reserve the room in the ledger. The ledger rejects
+//! whatever does not fit. Only [`Ledger::adopt`] can record more on a worker than the worker has;
+//! such a worker gets no new work until its load fits again. Connections are not counted: a worker
+//! with 8 slots gets at most twice the nine that a member keeps (`endpoints`), during a handover.
 
 mod account;
 mod adopt;
@@ -27,14 +27,15 @@
     },
 };
 
-/// One thing that occupies a worker.
+/// A task attempt or request that occupies a worker.
 #[derive(Clone, Debug)]
 struct Hold {
     worker: WorkerId,
     load: Load,
-    /// When it lapses by itself.
+    /// When it expires unless it is extended.
     ends: Time,
-    /// When it may have begun at the latest known; `None` where a report's silence proves nothing.
+    /// The time by which it was counted as started; `None` if its absence from a report does not
+    /// show that it has ended.
     since: Option<Time>,
 }
 
@@ -46,7 +47,7 @@
     free: u32,
 }
 
-/// The accounts of all workers owned.
+/// The accounts of all workers that this member owns.
 #[derive(Clone, Debug)]
 pub struct Ledger {
     lag: Duration,
@@ -54,15 +55,15 @@
     holds: FxHashMap<Held, Hold>,
     deadlines: BTreeSet<(Time, Held)>,
     pools: FxHashMap<PoolId, Pool>,
-    gone: FxHashMap<Held, Time>,
-    graves: VecDeque<(Time, Held)>,
+    ended: FxHashMap<Held, Time>,
+    ended_order: VecDeque<(Time, Held)>,
 }
 
 impl Ledger {
-    /// An empty ledger, for reports that trail the truth by at most `lag`.
+    /// Creates an empty ledger for reports that are at most `lag` out of date.
     ///
-    /// `lag` covers the age of the oldest report that may still come in and a start order's longest
-    /// flight: an attempt whose start was sent may show in reports only after both.
+    /// `lag` covers the age of the oldest report that may still arrive plus the longest delivery of a
+    /// start order: an attempt whose start was sent may appear in reports only after both.
     pub fn new(lag: Duration) -> Self {
         Ledger {
             lag,
@@ -70,15 +71,16 @@
             holds: FxHashMap::default(),
             deadlines: BTreeSet::new(),
             pools: FxHashMap::default(),
-            gone: FxHashMap::default(),
-            graves: VecDeque::new(),
+            ended: FxHashMap::default(),
+            ended_order: VecDeque::new(),
         }
     }
 
-    /// Enters a worker, or changes what a known one has; what occupies it stays.
+    /// Adds a worker, or changes the limits of a known one; its current load stays.
     ///
-    /// After a takeover keep it cordoned until [`Ledger::adopt`] saw a report that was true after
-    /// the former owner's last dispatch: requests leave no intents, only reports show them.
+    /// After a takeover, keep the worker cordoned until [`Ledger::adopt`] has processed a report
+    /// taken after the former owner's last dispatch: requests leave no intents, so only reports show
+    /// them.
     pub fn add(&mut self, worker: &WorkerId, pool: &PoolId, rack: &RackId, size: Size, slots: u32) {
         self.unlist(worker);
         let limit = Load { size, slots };
@@ -94,7 +96,7 @@
         self.list(worker);
     }
 
-    /// Takes a worker out and returns what occupied it; that may still be running there.
+    /// Removes a worker and returns what occupied it; that may still be running there.
     pub fn remove(&mut self, worker: &WorkerId) -> Vec<Held> {
         self.unlist(worker);
         let Some(entry) = self.workers.remove(worker) else { return Vec::new() };
@@ -106,17 +108,17 @@
         entry.held.into_iter().collect()
     }
 
-    /// Lets a worker take new work, or not; what runs there goes on.
+    /// Sets whether a worker is closed to new work; what runs there continues.
     pub fn cordon(&mut self, worker: &WorkerId, on: bool) {
         self.change(worker, |w| w.cordoned = on);
     }
 
-    /// Reserves room for an attempt until `expires`, or changes the size of one held there.
+    /// Reserves room for an attempt until `expires`, or changes the size of its reservation there.
     ///
-    /// What is held there is never held for less long: a repeat that was delayed would otherwise
-    /// shorten a reservation that another has prolonged since. A started attempt stays started.
+    /// The expiry of an existing reservation is never moved forward: a delayed repeat would otherwise
+    /// shorten a reservation that was extended since. A started attempt stays started.
     ///
-    /// Errs, and changes nothing, where the room is lacking, the worker takes no new work, or the
+    /// Errs, and changes nothing, if the room is insufficient, the worker takes no new work, or the
     /// attempt is held on another worker.
     pub fn reserve(
         &mut self,
@@ -152,9 +154,9 @@
 
     /// Marks a reserved attempt as started, so that only its end frees the room.
     ///
-    /// Call it when the intent is committed, before the start is sent. Returns false where the
-    /// reservation has lapsed; then nothing may be sent. Without this a start that is on its way
-    /// while its reservation lapses would run in room that was given to another.
+    /// Call this when the intent is committed, before the start is sent. Returns false if the
+    /// reservation has expired; the start must not be sent then. Without this call, a start in
+    /// transit while its reservation expires would run in room that was given to another attempt.
     pub fn confirm(&mut self, task: &TaskId, attempt: Attempt, now: Time) -> bool {
         let held = Held::Task(task.clone(), attempt);
         let Some(hold) = self.holds.get(&held) else { return false };
@@ -164,29 +166,29 @@
         true
     }
 
-    /// Frees the room of an attempt that has ended or never started; again, it does nothing.
+    /// Frees the room of an attempt that has ended or never started; idempotent.
     ///
-    /// Returns whether it was held.
+    /// Returns whether the attempt was held.
     pub fn release(&mut self, task: &TaskId, attempt: Attempt, now: Time) -> bool {
         self.end(&Held::Task(task.clone(), attempt), now)
     }
 
-    /// Frees the reservations and slots that have lapsed by `now`, and returns them, oldest first.
+    /// Frees the reservations and slots that have expired by `now`, and returns them, oldest first.
     pub fn expire(&mut self, now: Time) -> Vec<Held> {
-        while let Some((at, held)) = self.graves.front()
+        while let Some((at, held)) = self.ended_order.front()
             && *at + self.lag < now
         {
-            if self.gone.get(held) == Some(at) {
-                self.gone.remove(held);
+            if self.ended.get(held) == Some(at) {
+                self.ended.remove(held);
             }
-            self.graves.pop_front();
+            self.ended_order.pop_front();
         }
         let mut out = Vec::new();
         while let Some((at, held)) = self.deadlines.first().cloned()
             && at <= now
         {
             match held {
-                // No end is noted: if the attempt runs after all, the next report must count it.
+                // No end is recorded: if the attempt runs after all, the next report must count it.
                 Held::Task(..) => self.take(&held),
                 Held::Request(_) => self.end(&held, now),
             };
@@ -195,9 +197,9 @@
         out
     }
 
-    /// Takes a request slot until the request's lease ends; for a request held there, renews it.
+    /// Takes a request slot until the request's lease ends; renews the slot of a request held there.
     ///
-    /// Errs where no slot is free, the worker takes no new work, or the request is held on another
+    /// Errs if no slot is free, the worker takes no new work, or the request is held on another
     /// worker.
     pub fn take_slot(
         &mut self,
@@ -218,7 +220,7 @@
         Ok(())
     }
 
-    /// Frees a request's slot; again, it does nothing. Returns whether it was held.
+    /// Frees a request's slot; idempotent. Returns whether the request was held.
     pub fn free_slot(&mut self, request: RequestId, now: Time) -> bool {
         self.end(&Held::Request(request), now)
     }
@@ -228,17 +230,17 @@
         self.workers.get(worker)
     }
 
-    /// All accounts, by the workers' names.
+    /// All accounts, ordered by worker id.
     pub fn workers(&self) -> impl Iterator<Item = (&WorkerId, &Worker)> {
         self.workers.iter()
     }
 
-    /// Where an attempt or a request is held.
+    /// The worker on which an attempt or a request is held.
     pub fn place(&self, held: &Held) -> Option<&WorkerId> {
         self.holds.get(held).map(|h| &h.worker)
     }
 
-    /// What is counted for an attempt or a request.
+    /// The load that is counted for an attempt or a request.
     pub fn load(&self, held: &Held) -> Option<&Load> {
         self.holds.get(held).map(|h| &h.load)
     }
@@ -249,12 +251,12 @@
         (*free > 0).then_some(worker)
     }
 
-    /// All slots of a pool's workers, and how many of them are free.
+    /// The total number of slots of a pool's workers, and how many of them are free.
     pub fn slots(&self, pool: &PoolId) -> (u32, u32) {
         self.pools.get(pool).map_or((0, 0), |p| (p.slots, p.free))
     }
 
-    /// Enters a hold in place of the one there was.
+    /// Inserts a hold, replacing the previous one for the same attempt or request.
     fn put(&mut self, held: Held, hold: Hold) {
         self.take(&held);
         if hold.ends != Time::NEVER {
@@ -264,16 +266,16 @@
             w.used.add(&hold.load);
             w.held.insert(held.clone());
         });
-        self.gone.remove(&held);
+        self.ended.remove(&held);
         self.holds.insert(held, hold);
     }
 
-    /// Frees a hold and notes its end, for reports that are older than it.
+    /// Frees a hold and records its end, so that reports older than the end can't restore it.
     fn end(&mut self, held: &Held, now: Time) -> bool {
         let was = self.take(held);
         if was {
-            self.gone.insert(held.clone(), now);
-            self.graves.push_back((now, held.clone()));
+            self.ended.insert(held.clone(), now);
+            self.ended_order.push_back((now, held.clone()));
         }
         was
     }
@@ -288,7 +290,7 @@
         true
     }
 
-    /// Changes a worker's account and keeps its pool's free slots in step.
+    /// Changes a worker's account and updates its pool's free slots.
     fn change(&mut self, worker: &WorkerId, f: impl FnOnce(&mut Worker)) {
         self.unlist(worker);
         if let Some(w) = self.workers.get_mut(worker) {
--- a/src/ledger/adopt.rs
+++ b/src/ledger/adopt.rs
@@ -1,4 +1,4 @@
-//! What a worker's lagging report and the recorded intents say of it.
+//! Reconciles a worker's account with its delayed reports and the recorded intents.
 
 use {
     super::{Held, Hold, Ledger, Load},
@@ -12,19 +12,19 @@
 };
 
 impl Ledger {
-    /// Takes in a worker's report, and the intents recorded for it where it was just taken over.
+    /// Applies a worker's report and, after a takeover, the intents recorded for the worker.
     ///
-    /// What occupies the worker becomes the union of what is held, what the report says runs, and
-    /// the intents not shown to have ended. Returns the attempts shown to have ended, which are
-    /// freed.
+    /// The worker's load becomes the union of the current holds, of what the report lists as running,
+    /// and of the intents not shown to have ended. Returns the attempts shown to have ended, which
+    /// are freed.
     ///
-    /// Reports lag. One that was true at a time `t` shows an attempt or request to have ended if it
-    /// says so, or if it doesn't list it and `t` is at least the lag bound after this ledger first
-    /// counted it as started: the start of anything younger may not have reached the worker at `t`.
-    /// A report older than an end noted here can't bring the attempt back. Without these rules a
-    /// takeover would give room to a second task that a first still uses.
+    /// Reports are delayed. A report taken at a time `t` shows that an attempt or request has ended
+    /// if it says so, or if it doesn't list it and `t` is at least the lag bound after this ledger
+    /// first counted it as started: the start of anything younger may not have reached the worker at
+    /// `t`. A report older than a recorded end can't restore the attempt. Without these rules a
+    /// takeover would give room that one task still uses to a second task.
     ///
-    /// The union may be more than the worker has: then it is given nothing until it fits.
+    /// The union may exceed what the worker has; the worker then gets no new work until it fits.
     pub fn adopt(
         &mut self,
         worker: &WorkerId,
@@ -38,7 +38,7 @@
         let at = now - Duration::from_millis(report.age);
         for row in intents.iter().filter(|r| r.worker.as_ref() == Some(worker) && live(r.state)) {
             let held = Held::Task(row.task.clone(), row.attempt);
-            if !self.gone.contains_key(&held) {
+            if !self.ended.contains_key(&held) {
                 self.count(worker, held, Load { size: row.size, ..Load::default() }, now);
             }
         }
@@ -47,7 +47,7 @@
             let held = Held::Task(item.task.clone(), item.attempt);
             if !live(item.state) {
                 ended.insert(held);
-            } else if self.gone.get(&held).is_none_or(|gone| *gone < at) {
+            } else if self.ended.get(&held).is_none_or(|end| *end < at) {
                 let size = self.holds.get(&held).map_or(item.used, |h| h.load.size);
                 self.count(worker, held.clone(), Load { size, ..Load::default() }, now);
                 listed.insert(held);
@@ -55,17 +55,17 @@
         }
         for request in &report.requests {
             let held = Held::Request(*request);
-            if !self.holds.contains_key(&held) && self.gone.get(&held).is_none_or(|g| *g < at) {
+            if !self.holds.contains_key(&held) && self.ended.get(&held).is_none_or(|e| *e < at) {
                 let load = Load { slots: 1, ..Load::default() };
                 self.count(worker, held.clone(), load, now);
             }
             listed.insert(held);
         }
-        self.sweep(worker, &listed, ended, at, now)
+        self.free_ended(worker, &listed, ended, at, now)
     }
 
-    /// Frees what a report true at `at` shows to have ended.
-    fn sweep(
+    /// Frees what a report taken at `at` shows to have ended.
+    fn free_ended(
         &mut self,
         worker: &WorkerId,
         listed: &FxHashSet<Held>,
@@ -90,9 +90,10 @@
         out
     }
 
-    /// Counts something as running on a worker, whether or not it fits.
+    /// Counts an attempt or request as running on a worker, whether or not it fits.
     ///
-    /// What is held elsewhere as started stays counted there alone; a mere reservation moves.
+    /// If it is held on another worker as started, it stays counted only there; a reservation that
+    /// was not started moves to this worker.
     fn count(&mut self, worker: &WorkerId, held: Held, mut load: Load, now: Time) {
         let mut since = Some(now);
         if let Some(old) = self.holds.get(&held) {
