--- a/src/ledger/account.rs
+++ b/src/ledger/account.rs
@@ -9,7 +9,7 @@
     std::collections::BTreeSet,
 };
 
-/// Why the ledger lets something not in.
+/// Why the ledger rejects a reservation or a slot.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Refusal {
     /// the worker is not owned here
@@ -26,7 +26,7 @@
 
 impl std::error::Error for Refusal {}
 
-/// What occupies a worker.
+/// An attempt or a request that occupies a worker.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Held {
     /// An attempt of a task.
@@ -35,7 +35,7 @@
     Request(RequestId),
 }
 
-/// Room and request slots: what a worker has, or what is in use of it.
+/// Resources and request slots: those that a worker has, or those in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Processors, memory and accelerators.
@@ -70,37 +70,38 @@
 }
 
 impl Worker {
-    /// What it has.
+    /// The worker's total resources and slots.
     pub fn limit(&self) -> &Load {
         &self.limit
     }
 
-    /// What is in use of it; above the limit only after [`Ledger::adopt`](super::Ledger::adopt) or a smaller limit.
+    /// The resources and slots in use; above the limit only after
+    /// [`Ledger::adopt`](super::Ledger::adopt) or a reduced limit.
     pub fn used(&self) -> &Load {
         &self.used
     }
 
-    /// Whether more is in use than it has, in any respect.
+    /// Whether the resources or slots in use exceed the limit in any dimension.
     pub fn over(&self) -> bool {
         !self.used.size.fits(&self.limit.size) || self.used.slots > self.limit.slots
     }
 
-    /// The room for tasks; zero while it is over-full.
+    /// The free resources for tasks; zero while the worker is over its limit.
     pub fn room(&self) -> Size {
         if self.over() { Size::default() } else { self.limit.size.saturating_sub(&self.used.size) }
     }
 
-    /// The request slots free; none while it is over-full or cordoned.
+    /// The number of free request slots; zero while the worker is over its limit or cordoned.
     pub fn free(&self) -> u32 {
         if self.over() || self.cordoned { 0 } else { self.limit.slots - self.used.slots }
     }
 
-    /// Whether it takes no new work.
+    /// Whether the worker takes no new work.
     pub fn cordoned(&self) -> bool {
         self.cordoned
     }
 
-    /// What occupies it, in order.
+    /// The attempts and requests that occupy the worker, in order.
     pub fn held(&self) -> impl Iterator<Item = &Held> {
         self.held.iter()
     }
--- a/src/racks.rs
+++ b/src/racks.rs
@@ -1,13 +1,13 @@
 //! The racks that a member owns: their workers' accounts, leases, reports and orders.
 //!
-//! Owns the racks' workers. Calls [`ledger`](crate::ledger) for what is in use and
-//! [`decide`](crate::decide) for who is chosen; [`core`](crate::core) calls it. Knows no bucket and no
-//! job but by the messages of their owners.
+//! Owns the racks' workers. Calls [`ledger`](crate::ledger) for the load of workers and
+//! [`decide`](crate::decide) for the choice of workers; [`core`](crate::core) calls it. Learns of
+//! buckets and jobs only from the messages of their owners.
 //!
-//! A worker of a rack that was taken over gets nothing until it has taken the new epoch and has
-//! sent a report that was true after that. From then on nothing of a former owner can start there,
-//! and what had started is in the report. Where the former owner hands over what is in flight, the
-//! report need not be waited for.
+//! A worker of a rack that was taken over gets no work until it has accepted the new epoch and has
+//! sent a report taken after that. From then on nothing that a former owner sent can start there, and
+//! everything started before is in the report. If the former owner hands over what is in flight, the
+//! new owner need not wait for the report.
 
 mod link;
 mod order;
@@ -21,7 +21,7 @@
 pub use self::serve::Spot;
 
 use {
-    self::{link::Link, serve::Choice, tell::Facts},
+    self::{link::Link, serve::Endpoints, tell::AttemptInfo},
     crate::{
         Time,
         attempts::{DRIFT, FLIGHT, LEASE},
@@ -37,14 +37,14 @@
     },
 };
 
-/// How long a reservation lasts; the intent's commit takes a few milliseconds when all is well.
-const RESERVE: Duration = Duration::from_secs(5);
+/// How long a reservation lasts; the intent's commit normally takes a few milliseconds.
+const RESERVATION_TTL: Duration = Duration::from_secs(5);
 
-/// How far a worker's reports may lag, and a start's longest flight on top.
-pub const LAG: Duration = Duration::from_secs(4);
+/// The maximum delay of a worker's reports plus the longest delivery of a start.
+pub const REPORT_LAG: Duration = Duration::from_secs(4);
 
-/// The longest that a lease can run after its renewal was sent.
-const LAPSE: Duration = LEASE.saturating_add(FLIGHT).saturating_add(DRIFT);
+/// The longest time that a lease can be valid after its renewal was sent.
+const LEASE_MAX: Duration = LEASE.saturating_add(FLIGHT).saturating_add(DRIFT);
 
 /// The racks that a member owns.
 pub struct Racks {
@@ -52,20 +52,20 @@
     vms: BTreeMap<WorkerId, Vm>,
     racks: BTreeMap<RackId, Rack>,
     links: BTreeMap<WorkerId, Link>,
-    /// When each worker is to be looked at next.
+    /// When each worker is to be processed next.
     agenda: BTreeSet<(Time, WorkerId)>,
-    /// The last tick that could send something.
+    /// The last tick at which this member held its lease.
     ticked: Time,
-    tell: BTreeMap<(TaskId, Attempt), EndItem>,
-    facts: BTreeMap<(TaskId, Attempt), Facts>,
-    marks: BTreeMap<WorkerId, (TaskId, Time)>,
+    pending_ends: BTreeMap<(TaskId, Attempt), EndItem>,
+    attempts: BTreeMap<(TaskId, Attempt), AttemptInfo>,
+    preempting: BTreeMap<WorkerId, (TaskId, Time)>,
     indexes: BTreeMap<PoolId, Index>,
     estimates: Estimates,
-    choices: BTreeMap<PoolId, Choice>,
+    endpoints: BTreeMap<PoolId, Endpoints>,
     seed: u64,
 }
 
-/// A rack of this member's.
+/// A rack that this member owns.
 struct Rack {
     epoch: Epoch,
     gained: Time,
@@ -73,48 +73,48 @@
 }
 
 impl Racks {
-    /// No racks yet; `seed` draws the choices of endpoints.
+    /// Creates an empty set of racks; `seed` seeds the random choice of endpoints.
     pub fn new(seed: u64) -> Self {
         Racks {
-            choices: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             seed,
-            ledger: Ledger::new(LAG),
+            ledger: Ledger::new(REPORT_LAG),
             vms: BTreeMap::new(),
             racks: BTreeMap::new(),
             links: BTreeMap::new(),
             agenda: BTreeSet::new(),
             ticked: Time::ZERO,
-            tell: BTreeMap::new(),
-            facts: BTreeMap::new(),
-            marks: BTreeMap::new(),
+            pending_ends: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            preempting: BTreeMap::new(),
             indexes: BTreeMap::new(),
             estimates: Estimates::default(),
         }
     }
 
-    /// Takes in the platform's list; a leaving worker gets nothing new from now on.
+    /// Applies the platform's list of VMs; a leaving worker gets no new work from now on.
     pub fn listed(&mut self, vms: BTreeMap<WorkerId, Vm>, now: Time) {
         self.vms = vms;
         let owned = self.vms.values().filter(|v| self.racks.contains_key(&v.rack));
         let owned: Vec<Vm> = owned.cloned().collect();
         for vm in &owned {
-            self.enter(vm, now);
+            self.add_worker(vm, now);
         }
         for (worker, link) in &mut self.links {
             link.list(self.vms.contains_key(worker), now);
         }
-        self.gate_all(now);
+        self.update_cordons(now);
         self.prune(now);
     }
 
-    /// A rack is this member's now.
+    /// Adds a rack that this member now owns.
     pub fn gained(&mut self, rack: &RackId, epoch: Epoch, now: Time) {
         let new = Rack { epoch, gained: now, workers: BTreeSet::new() };
         self.racks.insert(rack.clone(), new);
         let vms: Vec<Vm> = self.vms.values().filter(|v| v.rack == *rack).cloned().collect();
         for vm in &vms {
-            self.enter(vm, now);
-            self.gate(&vm.worker, now);
+            self.add_worker(vm, now);
+            self.update_cordon(&vm.worker, now);
         }
         self.resize();
     }
@@ -124,8 +124,8 @@
         self.racks.len()
     }
 
-    /// Enters a worker of an owned rack, or what the list says of it now.
-    fn enter(&mut self, vm: &Vm, now: Time) {
+    /// Adds a worker of an owned rack, or updates it from the platform's list.
+    fn add_worker(&mut self, vm: &Vm, now: Time) {
         let Some(rack) = self.racks.get_mut(&vm.rack) else { return };
         let epoch = rack.epoch;
         rack.workers.insert(vm.worker.clone());
@@ -140,10 +140,10 @@
         }
     }
 
-    /// Forgets a worker, and what it holds.
+    /// Removes a worker and its load.
     fn remove(&mut self, worker: &WorkerId) {
         if let Some(link) = self.links.remove(worker) {
-            self.agenda.remove(&(link.wake, worker.clone()));
+            self.agenda.remove(&(link.wake_at, worker.clone()));
         }
         if let Some(account) = self.ledger.worker(worker)
             && let Some(rack) = self.racks.get_mut(&account.rack)
@@ -152,33 +152,33 @@
         }
         self.ledger.remove(worker);
         self.indexes.values_mut().for_each(|i| i.remove(worker));
-        for choice in self.choices.values_mut() {
+        for choice in self.endpoints.values_mut() {
             choice.scores.remove(worker);
             choice.ejector.forget(worker);
         }
     }
 
-    /// Lets all workers take new work, or not.
-    fn gate_all(&mut self, now: Time) {
+    /// Updates for all workers whether they take new work.
+    fn update_cordons(&mut self, now: Time) {
         let all: Vec<WorkerId> = self.links.keys().cloned().collect();
         for worker in &all {
-            self.gate(worker, now);
+            self.update_cordon(worker, now);
         }
         self.resize();
     }
 
-    /// Lets a worker take new work, or not.
-    fn gate(&mut self, worker: &WorkerId, now: Time) {
+    /// Updates whether a worker takes new work.
+    fn update_cordon(&mut self, worker: &WorkerId, now: Time) {
         let Some(link) = self.links.get_mut(worker) else { return };
         let live = self.vms.get(worker).is_some_and(|v| v.state == VmState::Live);
-        let open = live && link.ready && !link.cut;
+        let open = live && link.ready && !link.lapsing;
         if !open {
             link.withdraw();
         }
         self.ledger.cordon(worker, !open);
         let Some(account) = self.ledger.worker(worker) else { return };
         let seed = self.seed;
-        let choice = self.choices.entry(account.pool.clone()).or_insert_with(|| Choice {
+        let choice = self.endpoints.entry(account.pool.clone()).or_insert_with(|| Endpoints {
             scores: Scores::new(Rng::with_seed(seed)),
             ejector: Ejector::default(),
         });
@@ -191,41 +191,41 @@
         self.wake(worker);
     }
 
-    /// Tells each pool's ejector how many endpoints there are.
+    /// Updates the number of endpoints in each pool's ejector.
     fn resize(&mut self) {
         let mut sizes: BTreeMap<&PoolId, usize> = BTreeMap::new();
         for (_, account) in self.ledger.workers() {
             *sizes.entry(&account.pool).or_default() += 1;
         }
-        for (pool, choice) in &mut self.choices {
+        for (pool, choice) in &mut self.endpoints {
             choice.ejector.resize(sizes.get(pool).copied().unwrap_or(0));
         }
     }
 
-    /// Forgets what no bucket's owner can mean any more.
+    /// Removes records of attempts that no bucket's owner can still refer to.
     fn prune(&mut self, now: Time) {
-        let (ledger, tell) = (&self.ledger, &self.tell);
-        self.facts.retain(|key, facts| {
+        let (ledger, pending) = (&self.ledger, &self.pending_ends);
+        self.attempts.retain(|key, facts| {
             let held = Held::Task(key.0.clone(), key.1);
-            facts.fresh(now) || tell.contains_key(key) || ledger.place(&held).is_some()
+            facts.fresh(now) || pending.contains_key(key) || ledger.place(&held).is_some()
         });
     }
 
-    /// Keeps the index of a worker's pool in step with the ledger.
+    /// Updates a worker in its pool's index from the ledger.
     fn reindex(&mut self, worker: &WorkerId) {
         let Some(account) = self.ledger.worker(worker) else { return };
         let Some(index) = self.indexes.get_mut(&account.pool) else { return };
         index.set(worker, account.room(), !account.cordoned());
     }
 
-    /// Keeps the agenda in step with what is due for a worker.
+    /// Updates the agenda with the time at which a worker is due next.
     fn wake(&mut self, worker: &WorkerId) {
         let Some(link) = self.links.get_mut(worker) else { return };
-        let next = link.next();
-        if next != link.wake {
-            self.agenda.remove(&(link.wake, worker.clone()));
+        let next = link.next_due();
+        if next != link.wake_at {
+            self.agenda.remove(&(link.wake_at, worker.clone()));
             self.agenda.insert((next, worker.clone()));
-            link.wake = next;
+            link.wake_at = next;
         }
     }
 }
--- a/src/racks/link.rs
+++ b/src/racks/link.rs
@@ -1,7 +1,7 @@
-//! One worker's link: its fence, its reports, its leases, and the orders that wait for it.
+//! The state of the exchange with one worker: fence, reports, leases, and pending orders.
 
 use {
-    super::LAPSE,
+    super::LEASE_MAX,
     crate::{
         Time,
         attempts::{DRIFT, FLIGHT},
@@ -13,49 +13,49 @@
     std::time::Duration,
 };
 
-/// How often a worker is asked for its report. Half of the time that urgent work may wait.
-pub(super) const POLL: Duration = Duration::from_millis(500);
-/// The pause before an unanswered fence is repeated.
-pub(super) const REFENCE: Duration = Duration::from_millis(200);
-/// How long a worker may be silent before its leases are renewed no more.
+/// How often a worker is polled for its report: half of the time that urgent work may wait.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// The pause before an unanswered fence or order is repeated.
+pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// How long a worker may be unresponsive before its leases are no longer renewed.
 ///
-/// Long enough for a restarted switch to come back, short beside the lease that then still runs.
-pub(super) const SILENT: Duration = Duration::from_secs(10);
+/// Long enough for a switch to restart, and short compared with the lease that then still runs.
+pub(super) const SILENCE_MAX: Duration = Duration::from_secs(10);
 
-/// What is known of one worker since its rack was gained.
+/// The state of one worker since this member took over its rack.
 pub(super) struct Link {
     pub(super) epoch: Epoch,
     pub(super) fenced: Option<Time>,
-    pub(super) fence: Time,
+    pub(super) next_fence: Time,
     pub(super) ready: bool,
-    pub(super) heard: Time,
+    pub(super) last_heard: Time,
     pub(super) report: Option<(Time, Vec<TaskReport>)>,
-    pub(super) poll: Time,
-    pub(super) asked: Option<Time>,
-    /// Whether orders are on their way.
-    pub(super) ordering: bool,
+    pub(super) next_poll: Time,
+    pub(super) polled_at: Option<Time>,
+    /// Whether a call with orders is in flight.
+    pub(super) in_flight: bool,
     pub(super) starts: Vec<Start>,
     pub(super) stops: Vec<TaskOrder>,
-    /// When a lease there can have been renewed at the latest.
-    pub(super) renewed: Time,
-    pub(super) due: Time,
-    /// Whether its leases are left to run out.
-    pub(super) cut: bool,
-    pub(super) handed: bool,
-    pub(super) since: Time,
+    /// The latest time at which a lease there can have been renewed.
+    pub(super) last_renewal: Time,
+    pub(super) next_order: Time,
+    /// Whether its leases are no longer renewed.
+    pub(super) lapsing: bool,
+    pub(super) handed_over: bool,
+    pub(super) created_at: Time,
     pub(super) listed: bool,
-    pub(super) wake: Time,
+    pub(super) wake_at: Time,
 }
 
 /// A start that the worker has not confirmed.
 pub(super) struct Start {
     pub(super) order: TaskOrder,
     pub(super) until: Time,
-    /// When it was sent last.
+    /// When it was last sent.
     pub(super) sent: Option<Time>,
     pub(super) tries: u32,
     /// Whether it must not be sent again.
-    pub(super) off: bool,
+    pub(super) withdrawn: bool,
 }
 
 impl Link {
@@ -63,81 +63,82 @@
         Link {
             epoch,
             fenced: None,
-            fence: now,
+            next_fence: now,
             ready: false,
-            heard: now,
+            last_heard: now,
             report: None,
-            poll: now,
-            asked: None,
-            ordering: false,
+            next_poll: now,
+            polled_at: None,
+            in_flight: false,
             starts: vec![],
             stops: vec![],
-            // The former owner may have renewed just before.
-            renewed: now,
-            due: now,
-            cut: false,
-            handed: false,
-            since: now,
+            // The former owner may have renewed leases just before.
+            last_renewal: now,
+            next_order: now,
+            lapsing: false,
+            handed_over: false,
+            created_at: now,
             listed: true,
-            wake: Time::NEVER,
+            wake_at: Time::NEVER,
         }
     }
 
-    /// From when on no lease can run that was renewed before the cut.
+    /// The time from which no lease is valid that was renewed before renewals ended.
     pub(super) fn lapse(&self) -> Time {
-        self.renewed + LAPSE
+        self.last_renewal + LEASE_MAX
     }
 
-    /// Renews no lease from now on, until all have lapsed.
-    pub(super) fn cut_off(&mut self, now: Time) {
-        if self.cut {
+    /// Stops renewing leases until all have lapsed.
+    pub(super) fn stop_renewals(&mut self, now: Time) {
+        if self.lapsing {
             return;
         }
-        self.cut = true;
-        // A former owner that has not heard of its loss renews until the worker is fenced.
+        self.lapsing = true;
+        // A former owner that does not know of the takeover renews until the worker is fenced.
         if self.fenced.is_none() {
-            self.renewed = now;
+            self.last_renewal = now;
         }
     }
 
-    /// Notes whether the platform lists the worker; a VM that is gone took with it what ran there.
+    /// Records whether the platform lists the worker; if its VM is gone, so is what ran on it.
     pub(super) fn list(&mut self, listed: bool, now: Time) {
         self.listed = listed;
         if !listed {
-            self.cut_off(now);
+            self.stop_renewals(now);
         }
     }
 
-    /// Sends no start any more.
+    /// Withdraws all pending starts; none is sent again.
     pub(super) fn withdraw(&mut self) {
-        self.starts.iter_mut().for_each(|s| s.off = true);
+        self.starts.iter_mut().for_each(|s| s.withdrawn = true);
     }
 
-    /// Orders a stop, once.
+    /// Adds a stop order unless one is pending, and withdraws the attempt's start.
     pub(super) fn stop(&mut self, task: TaskId, attempt: Attempt, now: Time) {
-        for start in self.starts.iter_mut().filter(|s| same(&s.order, &task, attempt)) {
-            start.off = true;
+        for start in self.starts.iter_mut().filter(|s| is_for(&s.order, &task, attempt)) {
+            start.withdrawn = true;
         }
-        if !self.stops.iter().any(|s| same(s, &task, attempt)) {
-            self.stops.push(bare(task, attempt));
-            self.due = now;
+        if !self.stops.iter().any(|s| is_for(s, &task, attempt)) {
+            self.stops.push(attempt_order(task, attempt));
+            self.next_order = now;
         }
     }
 
     /// The stops to send now.
     ///
     /// Guards against a stop that overtakes its start: the worker would confirm that nothing runs,
-    /// and then the start would come. So a stop waits until the start is answered or too late.
+    /// and then the start would arrive. So a stop waits until the start is answered or too late.
     pub(super) fn stoppable(&self) -> Vec<TaskOrder> {
-        let open = |o: &&TaskOrder| !self.starts.iter().any(|s| same(&s.order, &o.task, o.attempt));
+        let open =
+            |o: &&TaskOrder| !self.starts.iter().any(|s| is_for(&s.order, &o.task, o.attempt));
         self.stops.iter().filter(open).cloned().collect()
     }
 
-    /// Notes that orders went without an answer.
+    /// Records that a call with orders got no usable answer.
     pub(super) fn unanswered(&mut self, ask: &WorkerAsk, sent: Time, failure: Option<Failure>) {
         for order in &ask.start {
             let mut starts = self.starts.iter_mut();
-            let Some(start) = starts.find(|s| same(&s.order, &order.task, order.attempt)) else {
+            let Some(start) = starts.find(|s| is_for(&s.order, &order.task, order.attempt)) else {
                 continue;
             };
             if failure != Some(Failure::Unsent) {
@@ -151,56 +152,56 @@
         }
     }
 
-    /// When something is due.
-    pub(super) fn next(&self) -> Time {
-        let starts = self.starts.iter().map(Start::end).min().filter(|_| !self.ordering);
+    /// The next time at which something is due for the worker.
+    pub(super) fn next_due(&self) -> Time {
+        let starts = self.starts.iter().map(Start::end).min().filter(|_| !self.in_flight);
         self.ask_due().min(self.order_due()).min(starts.unwrap_or(Time::NEVER))
     }
 
     fn ask_due(&self) -> Time {
         match (self.listed, self.fenced) {
             (false, _) => Time::NEVER,
-            (true, None) => self.fence,
-            (true, Some(_)) if self.asked.is_some() => Time::NEVER,
-            (true, Some(_)) => self.poll,
+            (true, None) => self.next_fence,
+            (true, Some(_)) if self.polled_at.is_some() => Time::NEVER,
+            (true, Some(_)) => self.next_poll,
         }
     }
 
     fn order_due(&self) -> Time {
-        if self.cut {
-            return if self.ordering { Time::NEVER } else { self.due.max(self.lapse()) };
+        if self.lapsing {
+            return if self.in_flight { Time::NEVER } else { self.next_order.max(self.lapse()) };
         }
-        let silent = self.heard + SILENT + Duration::from_micros(1);
-        match self.ordering || self.fenced.is_none() || !self.ready {
+        let silent = self.last_heard + SILENCE_MAX + Duration::from_micros(1);
+        match self.in_flight || self.fenced.is_none() || !self.ready {
             true => silent,
-            false => self.due.min(silent),
+            false => self.next_order.min(silent),
         }
     }
 }
 
 impl Start {
-    /// Whether it may be sent: past its not-after time another attempt may have been made.
+    /// Whether it may be sent: after its not-after time another attempt may have been made.
     pub(super) fn fresh(&self, now: Time) -> bool {
-        !self.off && now + FLIGHT / 4 < self.until
+        !self.withdrawn && now + FLIGHT / 4 < self.until
     }
 
-    /// Whether it may yet take effect although it is not sent again.
+    /// Whether it may still take effect although it is not sent again.
     pub(super) fn flying(&self, now: Time) -> bool {
         self.sent.is_some_and(|sent| now < sent + FLIGHT + DRIFT)
     }
 
     fn end(&self) -> Time {
-        let fresh = if self.off { Time::ZERO } else { self.until - FLIGHT / 4 };
+        let fresh = if self.withdrawn { Time::ZERO } else { self.until - FLIGHT / 4 };
         fresh.max(self.sent.map_or(Time::ZERO, |sent| sent + FLIGHT + DRIFT))
     }
 }
 
 /// Whether an order is for this attempt.
-pub(super) fn same(order: &TaskOrder, task: &TaskId, attempt: Attempt) -> bool {
+pub(super) fn is_for(order: &TaskOrder, task: &TaskId, attempt: Attempt) -> bool {
     order.task == *task && order.attempt == attempt
 }
 
-/// An order that only names its attempt.
-pub(super) fn bare(task: TaskId, attempt: Attempt) -> TaskOrder {
+/// An order that identifies its attempt and carries nothing else.
+pub(super) fn attempt_order(task: TaskId, attempt: Attempt) -> TaskOrder {
     TaskOrder { task, attempt, size: Size::default(), run: 0 }
 }
--- a/src/racks/place.rs
+++ b/src/racks/place.rs
@@ -1,7 +1,7 @@
-//! Room for tasks: reservations, room made for urgent work, starts and stops.
+//! Room for tasks: reservations, preemption for urgent work, starts and stops.
 
 use {
-    super::{RESERVE, Racks, link::Start, tell::Facts},
+    super::{RESERVATION_TTL, Racks, link::Start, tell::AttemptInfo},
     crate::{
         Time,
         attempts::{DRIFT, FLIGHT},
@@ -17,20 +17,21 @@
     std::time::Duration,
 };
 
-/// How long a checkpoint takes; until workers report it, the time that urgent work can wait.
-const CHECKPOINT: Duration = Duration::from_millis(500);
+/// The assumed duration of a checkpoint, since workers don't report it: the time that urgent work can
+/// wait.
+const CHECKPOINT_DURATION: Duration = Duration::from_millis(500);
 
 impl Racks {
-    /// Finds room for attempts; all or none where `whole` is asked for.
+    /// Reserves room for attempts; for all or none of them if the ask's `whole` is set.
     pub fn reserve(&mut self, ask: &ReserveAsk, now: Time) -> ReserveReply {
-        self.marks.retain(|_, (_, until)| *until > now);
+        self.preempting.retain(|_, (_, until)| *until > now);
         let needs: Vec<Size> = ask.items.iter().map(|i| i.size).collect();
         let order = self.indexes.get(&ask.pool).map_or(vec![], |index| index.order(&needs));
         let mut rows = vec![];
         for item in order.into_iter().filter_map(|i| ask.items.get(i)) {
-            let found = self.room(ask, item);
+            let found = self.choose_worker(ask, item);
             let row = found.and_then(|(worker, rack, epoch)| {
-                let ends = now + RESERVE;
+                let ends = now + RESERVATION_TTL;
                 self.ledger.reserve(&item.task, item.attempt, &worker, item.size, ends).ok()?;
                 self.reindex(&worker);
                 let (task, attempt) = (item.task.clone(), item.attempt);
@@ -48,38 +49,38 @@
         ReserveReply { rows }
     }
 
-    /// Frees room that was reserved and is not needed after all.
+    /// Frees reservations that are not needed, unless their attempts were started.
     pub fn release(&mut self, rows: &[ReserveRow], now: Time) {
         for row in rows {
-            if !self.facts.contains_key(&(row.task.clone(), row.attempt)) {
+            if !self.attempts.contains_key(&(row.task.clone(), row.attempt)) {
                 self.ledger.release(&row.task, row.attempt, now);
                 self.reindex(&row.worker);
             }
         }
     }
 
-    /// Makes room for urgent work: stops the cheapest tasks that can be checkpointed on one worker,
-    /// whose room then is the urgent task's. Returns whether room is on its way.
+    /// Makes room for urgent work: stops the cheapest set of tasks on one worker and keeps that
+    /// worker's room for the urgent task. Returns whether room is being made.
     pub fn preempt(&mut self, ask: &ReserveAsk, now: Time) -> bool {
-        let mut made = false;
+        let mut preempting = false;
         for item in ask.items.iter().filter(|i| i.urgent) {
-            if self.marks.values().any(|(task, _)| *task == item.task) {
-                made = true;
+            if self.preempting.values().any(|(task, _)| *task == item.task) {
+                preempting = true;
                 continue;
             }
             let places: Vec<urgent::Place> = self
                 .links
                 .keys()
-                .filter(|w| !item.avoid.contains(w) && !self.marks.contains_key(*w))
-                .filter(|w| self.asked(ask, w))
-                .filter_map(|w| self.scene(w, &ask.pool, now))
+                .filter(|w| !item.avoid.contains(w) && !self.preempting.contains_key(*w))
+                .filter(|w| self.on_requested_rack(ask, w))
+                .filter_map(|w| self.preemption_place(w, &ask.pool, now))
                 .collect();
             let Some(plan) = urgent::plan(now, item.size, &places) else { continue };
-            made = true;
-            self.marks.insert(plan.worker.clone(), (item.task.clone(), now + RESERVE));
-            self.push_aside(&plan.worker, &plan.victims, now);
+            preempting = true;
+            self.preempting.insert(plan.worker.clone(), (item.task.clone(), now + RESERVATION_TTL));
+            self.stop_victims(&plan.worker, &plan.victims, now);
         }
-        made
+        preempting
     }
 
     /// Starts reserved attempts whose intents are committed, and stops others.
@@ -91,7 +92,7 @@
         let until = now + Duration::from_millis(ask.left);
         let mut refused = vec![];
         for item in ask.start {
-            if self.begin(&item, until, now) {
+            if self.queue_start(&item, until, now) {
                 continue;
             }
             let StartItem { task, attempt, worker, .. } = item;
@@ -107,39 +108,49 @@
         Some(StartReply { refused })
     }
 
-    /// Enters a start; returns false where the attempt will never run.
-    fn begin(&mut self, item: &StartItem, until: Time, now: Time) -> bool {
+    /// Queues a start; returns false if the attempt will never run.
+    fn queue_start(&mut self, item: &StartItem, until: Time, now: Time) -> bool {
         let key = (item.task.clone(), item.attempt);
         if !self.holds(&item.worker, &item.task, item.attempt) {
             return false;
         }
-        // A repeat of this call must not send the start again after the attempt was stopped.
-        if self.facts.get(&key).is_some_and(|f| f.hold.is_some()) {
+        // A repeated call must not send the start again after the attempt was stopped.
+        if self.attempts.get(&key).is_some_and(|f| f.hold.is_some()) {
             return true;
         }
-        // Since the reservation the worker may have begun to leave.
+        // The worker may have started to leave since the reservation.
         let open = self.ledger.worker(&item.worker).is_some_and(|a| !a.cordoned());
-        if !open || !self.widen(item, now) || !self.ledger.confirm(&item.task, item.attempt, now) {
+        if !open
+            || !self.enlarge_reservation(item, now)
+            || !self.ledger.confirm(&item.task, item.attempt, now)
+        {
             self.ledger.release(&item.task, item.attempt, now);
             self.reindex(&item.worker);
             return false;
         }
-        self.marks.retain(|_, (task, _)| *task != item.task);
+        self.preempting.retain(|_, (task, _)| *task != item.task);
         let hold = Some((item.hold, item.borrowed));
-        self.facts.insert(key, Facts { bucket: item.bucket, vouched: now, since: now, hold });
+        self.attempts
+            .insert(key, AttemptInfo { bucket: item.bucket, vouched_at: now, since: now, hold });
         if let Some(link) = self.links.get_mut(&item.worker) {
-            link.starts.push(Start { order: order(item), until, sent: None, tries: 0, off: false });
-            link.due = now;
+            link.starts.push(Start {
+                order: task_order(item),
+                until,
+                sent: None,
+                tries: 0,
+                withdrawn: false,
+            });
+            link.next_order = now;
         }
         self.wake(&item.worker);
         true
     }
 
-    /// Makes a reservation as large as what is to start in it; returns false where there is no room.
+    /// Enlarges a reservation to the size of the attempt to start; returns false if there is no room.
     ///
-    /// Guards against a worker over its size: an attempt is made for what its task is expected to use by
-    /// then, which may have grown since the room was asked for.
-    fn widen(&mut self, item: &StartItem, now: Time) -> bool {
+    /// Guards against overcommitting a worker: an attempt's size is what its task is expected to use
+    /// at that time, which may have grown since the room was reserved.
+    fn enlarge_reservation(&mut self, item: &StartItem, now: Time) -> bool {
         let held = Held::Task(item.task.clone(), item.attempt);
         let Some(reserved) = self.ledger.load(&held).map(|l| l.size) else { return false };
         if item.size.fits(&reserved) {
@@ -152,8 +163,8 @@
         wider.is_ok()
     }
 
-    /// Stops what is pushed aside on a worker.
-    fn push_aside(&mut self, worker: &WorkerId, victims: &[TaskId], now: Time) {
+    /// Stops the preempted tasks on a worker.
+    fn stop_victims(&mut self, worker: &WorkerId, victims: &[TaskId], now: Time) {
         let held = self.ledger.worker(worker).into_iter().flat_map(|a| a.held());
         let Some(link) = self.links.get_mut(worker) else { return };
         for held in held {
@@ -166,20 +177,24 @@
         self.wake(worker);
     }
 
-    /// Whether a worker stands on the rack that is asked for, where one is.
-    fn asked(&self, ask: &ReserveAsk, worker: &WorkerId) -> bool {
+    /// Whether a worker is on the rack that the ask requires, if it requires one.
+    fn on_requested_rack(&self, ask: &ReserveAsk, worker: &WorkerId) -> bool {
         let rack = self.ledger.worker(worker).map(|a| &a.rack);
         ask.rack.is_none() || rack == ask.rack.as_ref()
     }
 
-    /// The worker for an attempt: packed on the fullest, or spread over racks.
-    fn room(&self, ask: &ReserveAsk, item: &ReserveItem) -> Option<(WorkerId, RackId, Epoch)> {
+    /// Chooses the worker for an attempt: the fullest that fits, or one that spreads over racks.
+    fn choose_worker(
+        &self,
+        ask: &ReserveAsk,
+        item: &ReserveItem,
+    ) -> Option<(WorkerId, RackId, Epoch)> {
         let mut avoid = item.avoid.clone();
-        // Room that is being made for urgent work is not for others.
-        let marked = self.marks.iter().filter(|(_, (task, _))| *task != item.task);
+        // Room that is being made for an urgent task is not available to other tasks.
+        let marked = self.preempting.iter().filter(|(_, (task, _))| *task != item.task);
         avoid.extend(marked.map(|(w, _)| w.clone()));
         if ask.rack.is_some() {
-            avoid.extend(self.links.keys().filter(|w| !self.asked(ask, w)).cloned());
+            avoid.extend(self.links.keys().filter(|w| !self.on_requested_rack(ask, w)).cloned());
         }
         let index = self.indexes.get(&ask.pool)?;
         let id = if item.spread {
@@ -192,22 +207,27 @@
         Some((id.clone(), rack, epoch))
     }
 
-    /// The workers that hold tasks of the same job, once for each.
+    /// The workers that hold tasks of the same job, one entry for each task.
     fn replicas(&self, task: &TaskId) -> Vec<WorkerId> {
         let here = self.ledger.workers().flat_map(|(id, a)| a.held().map(move |h| (id, h)));
         let same = here.filter(|(_, h)| matches!(h, Held::Task(t, _) if t.job == task.job));
         same.map(|(id, _)| id.clone()).collect()
     }
 
-    /// What runs on a worker, as the choice of victims sees it.
-    fn scene(&self, worker: &WorkerId, pool: &PoolId, now: Time) -> Option<urgent::Place> {
+    /// A worker's free room and running tasks, as input for the choice of victims.
+    fn preemption_place(
+        &self,
+        worker: &WorkerId,
+        pool: &PoolId,
+        now: Time,
+    ) -> Option<urgent::Place> {
         let account = self.ledger.worker(worker).filter(|a| a.pool == *pool && !a.cordoned())?;
         let tasks = account.held().filter_map(|held| {
             let Held::Task(task, attempt) = held else { return None };
-            let facts = self.facts.get(&(task.clone(), *attempt));
+            let facts = self.attempts.get(&(task.clone(), *attempt));
             let young = facts.is_some_and(|f| now - f.since < FLIGHT + DRIFT);
             let kind = match facts.and_then(|f| f.hold) {
-                // Its stop would have to wait until its start can't arrive any more.
+                // Its stop would have to wait until its start can no longer arrive.
                 Some(_) if young => urgent::Kind::Plain,
                 Some((Hold::Checkpoint, _)) => urgent::Kind::Checkpoint,
                 Some((Hold::Brief, _)) => urgent::Kind::Plain,
@@ -219,7 +239,7 @@
                 kind,
                 borrowed: facts.and_then(|f| f.hold).is_some_and(|(_, borrowed)| borrowed),
                 saved: facts.map_or(Time::ZERO, |f| f.since),
-                save: CHECKPOINT,
+                save: CHECKPOINT_DURATION,
             })
         });
         Some(urgent::Place {
@@ -230,6 +250,6 @@
     }
 }
 
-fn order(item: &StartItem) -> TaskOrder {
+fn task_order(item: &StartItem) -> TaskOrder {
     TaskOrder { task: item.task.clone(), attempt: item.attempt, size: item.size, run: item.run }
 }
--- a/src/racks/report.rs
+++ b/src/racks/report.rs
@@ -1,9 +1,9 @@
-//! What a worker answers when it is fenced, and what its reports say.
+//! Processes workers' answers to fences and their reports.
 
 use {
     super::{
         Racks,
-        link::{POLL, same},
+        link::{POLL_INTERVAL, is_for},
     },
     crate::{
         Time,
@@ -19,7 +19,7 @@
 };
 
 impl Racks {
-    /// Takes a worker's answer to a fence.
+    /// Processes a worker's answer to a fence.
     pub fn fenced(
         &mut self,
         worker: &WorkerId,
@@ -30,59 +30,60 @@
         let Some(link) = self.links.get_mut(worker).filter(|l| l.epoch == epoch) else { return };
         if reply == Ok(epoch) {
             link.fenced.get_or_insert(now);
-            link.heard = now;
-            link.ready |= link.handed;
-            link.poll = now;
-            // Until now a former owner may have renewed.
-            if !link.cut {
-                link.renewed = link.renewed.max(now);
+            link.last_heard = now;
+            link.ready |= link.handed_over;
+            link.next_poll = now;
+            // A former owner may have renewed leases until now.
+            if !link.lapsing {
+                link.last_renewal = link.last_renewal.max(now);
             }
         }
-        self.gate(worker, now);
+        self.update_cordon(worker, now);
     }
 
-    /// Takes a worker's report.
+    /// Processes a worker's report, or the failure of the call for it.
     pub fn reported(&mut self, worker: &WorkerId, report: Result<Report, Failure>, now: Time) {
         let Some(link) = self.links.get_mut(worker) else { return };
-        let Some(sent) = link.asked.take() else { return };
-        link.poll = now + POLL;
+        let Some(sent) = link.polled_at.take() else { return };
+        link.next_poll = now + POLL_INTERVAL;
         if let Ok(report) = report {
-            link.heard = now;
-            // What the report says was true at the latest when it was asked for, less its age: the
-            // way back must not make it look younger.
-            self.taken(worker, report, sent, now);
+            link.last_heard = now;
+            // The report is taken to be as old as its age before the time when it was asked for, so
+            // that the delay of the answer does not make it look more recent.
+            self.apply_report(worker, report, sent, now);
         }
-        self.gate(worker, now);
+        self.update_cordon(worker, now);
     }
 
-    fn taken(&mut self, worker: &WorkerId, mut report: Report, sent: Time, now: Time) {
+    fn apply_report(&mut self, worker: &WorkerId, mut report: Report, sent: Time, now: Time) {
         let Some(link) = self.links.get_mut(worker) else { return };
         let Some(fenced) = link.fenced else { return };
-        let taken = sent - Duration::from_millis(report.age);
-        report.age = millis(now - taken) + 1;
-        if taken <= fenced {
-            link.poll = now + POLL / 5;
+        let taken_at = sent - Duration::from_millis(report.age);
+        report.age = millis(now - taken_at) + 1;
+        if taken_at <= fenced {
+            link.next_poll = now + POLL_INTERVAL / 5;
             return;
         }
-        // Guards against a worker that was restarted and knows no epoch: it would take a former
-        // owner's orders. It shows by an epoch below the one that it took, and is fenced again.
+        // Guards against a worker that was restarted and knows no epoch: it would accept a former
+        // owner's orders. Its report carries an epoch below the one it had accepted, so it is fenced
+        // again.
         if report.epoch < link.epoch {
-            (link.fenced, link.fence) = (None, now);
+            (link.fenced, link.next_fence) = (None, now);
             return;
         }
         link.ready = true;
-        link.report = Some((taken, report.tasks.clone()));
+        link.report = Some((taken_at, report.tasks.clone()));
         link.starts.retain(|s| !lists(&report.tasks, &s.order));
-        self.outgrown(worker, &report.tasks, now);
+        self.check_usage(worker, &report.tasks, now);
         for (task, attempt) in self.ledger.adopt(worker, &report, &[], now) {
-            let said = report.tasks.iter().find(|t| t.task == task && t.attempt == attempt);
-            self.say(task, attempt, said.map_or(TaskState::Lost, |t| t.state), worker);
+            let reported = report.tasks.iter().find(|t| t.task == task && t.attempt == attempt);
+            self.record_end(task, attempt, reported.map_or(TaskState::Lost, |t| t.state), worker);
         }
-        self.forgo(worker, &report.tasks, now);
+        self.drop_unknown_stops(worker, &report.tasks, now);
     }
 
-    /// Drops the stops of attempts that neither the report nor the account knows.
-    fn forgo(&mut self, worker: &WorkerId, tasks: &[TaskReport], now: Time) {
+    /// Drops the stops of attempts that neither the report nor the ledger lists.
+    fn drop_unknown_stops(&mut self, worker: &WorkerId, tasks: &[TaskReport], now: Time) {
         let Some(link) = self.links.get_mut(worker) else { return };
         let ledger = &self.ledger;
         link.stops.retain(|s| {
@@ -90,16 +91,16 @@
             held || lists(tasks, s)
         });
         if !link.stops.is_empty() {
-            link.due = now;
+            link.next_order = now;
         }
     }
 
-    /// Acts on tasks that use more than is reserved for them.
+    /// Handles tasks that use more than is reserved for them.
     ///
-    /// A worker's memory can't be shared out twice: a task that outgrows its reservation gets more
-    /// where its worker has room, and is checkpointed and stopped where not, before the worker is
-    /// full and its kernel kills a neighbour.
-    fn outgrown(&mut self, worker: &WorkerId, tasks: &[TaskReport], now: Time) {
+    /// A worker's memory can't be allotted twice: a task that outgrows its reservation gets a larger
+    /// one if its worker has room; otherwise it is checkpointed and stopped, before the worker runs
+    /// out of memory and its kernel kills another task.
+    fn check_usage(&mut self, worker: &WorkerId, tasks: &[TaskReport], now: Time) {
         for t in tasks.iter().filter(|t| t.state == TaskState::Running) {
             if !self.holds(worker, &t.task, t.attempt) {
                 continue;
@@ -122,7 +123,7 @@
     }
 }
 
-/// Whether a report lists the attempt of an order, in whatever state.
+/// Whether a report lists the attempt of an order, in any state.
 fn lists(tasks: &[TaskReport], order: &TaskOrder) -> bool {
-    tasks.iter().any(|t| same(order, &t.task, t.attempt))
+    tasks.iter().any(|t| is_for(order, &t.task, t.attempt))
 }
--- a/src/racks/serve.rs
+++ b/src/racks/serve.rs
@@ -1,4 +1,4 @@
-//! Endpoints for requests: which one is chosen, its slot, and how its answer is judged.
+//! Endpoints for requests: the choice of an endpoint, its slot, and the rating of its answers.
 
 use {
     super::Racks,
@@ -12,16 +12,16 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// How many endpoints are drawn before the one with the most free slots is taken.
-const PICKS: usize = 4;
+/// How many endpoints are drawn at random before falling back to the one with the most free slots.
+const DRAWS: usize = 4;
 
-/// How the endpoints of one pool do.
-pub(super) struct Choice {
+/// The scores and ejections of one pool's endpoints.
+pub(super) struct Endpoints {
     pub(super) scores: Scores,
     pub(super) ejector: Ejector,
 }
 
-/// Where a request goes.
+/// The endpoint that a request is sent to.
 #[derive(Clone, Debug)]
 pub struct Spot {
     /// The endpoint.
@@ -35,10 +35,10 @@
 impl Racks {
     /// Chooses an endpoint of a pool that has a slot free; [`Racks::take`] or [`Racks::pass`] follows.
     pub fn choose(&mut self, pool: &PoolId, now: Time) -> Option<WorkerId> {
-        let choice = self.choices.get_mut(pool)?;
-        for _ in 0..PICKS {
+        let choice = self.endpoints.get_mut(pool)?;
+        for _ in 0..DRAWS {
             let worker = choice.scores.pick(&choice.ejector, now)?;
-            // A request that was given up on may still hold a slot there.
+            // An abandoned request may still hold a slot there.
             if self.ledger.worker(&worker).is_some_and(|a| a.free() > 0) {
                 return Some(worker);
             }
@@ -49,7 +49,7 @@
         Some(worker.clone())
     }
 
-    /// Takes a slot of a chosen endpoint for a request until `ends`.
+    /// Takes a slot of a chosen endpoint for a request until `ends`; `None` if it has no free slot.
     pub fn take(&mut self, worker: WorkerId, request: RequestId, ends: Time) -> Option<Spot> {
         self.ledger.take_slot(request, &worker, ends).ok()?;
         let epoch = self.links.get(&worker)?.epoch;
@@ -57,15 +57,15 @@
         Some(Spot { worker, addr, epoch })
     }
 
-    /// Lets a chosen endpoint go unused.
+    /// Reverts the choice of an endpoint that is not used.
     pub fn pass(&mut self, worker: &WorkerId) {
-        for choice in self.choices.values_mut() {
+        for choice in self.endpoints.values_mut() {
             choice.scores.release(worker);
         }
     }
 
-    /// A dispatch is over after `ran`, where `run` was expected; frees the slot unless the request
-    /// may still run there.
+    /// Records the end of a dispatch that took `ran`, with `run` expected; frees the slot unless the
+    /// request may still run there.
     pub fn ran(
         &mut self,
         request: RequestId,
@@ -74,12 +74,12 @@
         (run, ran): (Duration, Duration),
         now: Time,
     ) {
-        // It may run on: its slot is free when its lease ends or a report shows it gone.
+        // The request may still run: its slot is freed when its lease ends or a report shows its end.
         if !matches!(outcome, Outcome::Failed(Failure::Broken | Failure::Timeout)) {
             self.ledger.free_slot(request, now);
         }
         let Some(pool) = self.vms.get(worker).map(|v| &v.pool) else { return };
-        let Some(choice) = self.choices.get_mut(pool) else { return };
+        let Some(choice) = self.endpoints.get_mut(pool) else { return };
         match outcome {
             Outcome::Answered(a) if a.status < 500 => {
                 let slowness = choice.scores.answered(worker, run, ran, now);
@@ -98,10 +98,10 @@
         }
     }
 
-    /// All slots of a pool here, and the free ones.
+    /// The number of usable slots of a pool at this member, and how many of them are free.
     pub fn slots(&self, pool: &PoolId, now: Time) -> (u32, u32) {
         let (slots, free) = self.ledger.slots(pool);
-        let choice = self.choices.get(pool);
+        let choice = self.endpoints.get(pool);
         let (usable, open) = choice.map_or((0, 0), |c| c.scores.slots(&c.ejector, now));
         (slots.min(usable), free.min(open))
     }
--- a/src/racks/show.rs
+++ b/src/racks/show.rs
@@ -1,4 +1,4 @@
-//! What the racks have free, and their workers as operators see them.
+//! The free resources of racks, and the list of workers for operators.
 
 use {
     super::Racks,
@@ -9,7 +9,7 @@
 };
 
 impl Racks {
-    /// What is free on each rack.
+    /// The free resources of each rack, without workers that take no new work.
     pub fn loads(&self) -> Vec<RackLoad> {
         let racks = self.racks.iter().filter_map(|(id, rack)| {
             let mut load = RackLoad {
@@ -33,11 +33,11 @@
         racks.collect()
     }
 
-    /// The workers, for operators.
+    /// The state of all workers, for operators.
     pub fn show(&self) -> Vec<WorkerShow> {
         let rows = self.links.iter().filter_map(|(id, link)| {
             let account = self.ledger.worker(id)?;
-            let state = match (link.ready, link.cut, self.vms.get(id).map(|v| v.state)) {
+            let state = match (link.ready, link.lapsing, self.vms.get(id).map(|v| v.state)) {
                 (_, true, _) => "silent",
                 (_, _, None | Some(VmState::Leaving)) => "leaving",
                 (false, _, _) => "taking over",
--- a/src/racks/tell.rs
+++ b/src/racks/tell.rs
@@ -1,7 +1,7 @@
-//! What the buckets' owners are told of their attempts, and what they say of them.
+//! The exchange with the buckets' owners: ends of attempts to report, and probes to answer.
 
 use {
-    super::{LAPSE, Racks, link::SILENT, order::VOUCH},
+    super::{LEASE_MAX, Racks, link::SILENCE_MAX, order::VOUCH_TTL},
     crate::{
         Time,
         ids::{Attempt, Bucket, TaskId, WorkerId},
@@ -11,24 +11,25 @@
     std::collections::BTreeMap,
 };
 
-/// What an attempt's bucket said of it.
-pub(super) struct Facts {
+/// What the owner of an attempt's bucket has said about the attempt.
+pub(super) struct AttemptInfo {
     pub(super) bucket: Bucket,
-    pub(super) vouched: Time,
+    pub(super) vouched_at: Time,
     pub(super) since: Time,
-    /// How its room can be had back, where it was started by this member.
+    /// How its room can be reclaimed, and whether it is borrowed; `None` unless this member started
+    /// the attempt.
     pub(super) hold: Option<(Hold, bool)>,
 }
 
-impl Facts {
-    /// Whether a bucket's owner may still speak for the attempt.
+impl AttemptInfo {
+    /// Whether a bucket's owner has vouched for the attempt within [`VOUCH_TTL`].
     pub(super) fn fresh(&self, now: Time) -> bool {
-        now - self.vouched < VOUCH
+        now - self.vouched_at < VOUCH_TTL
     }
 }
 
 impl Racks {
-    /// Says what became of attempts.
+    /// Answers a probe for the states of attempts; `None` if this member does not own the rack.
     pub fn probe(&mut self, ask: &ProbeAsk, now: Time) -> Option<ProbeReply> {
         let gained = self.racks.get(&ask.rack)?.gained;
         let mut asked: BTreeMap<&WorkerId, Vec<&ProbeItem>> = BTreeMap::new();
@@ -47,10 +48,11 @@
         let shown = report.map_or(&[][..], |(_, tasks)| tasks);
         let find =
             |i: &ProbeItem| shown.iter().find(|t| t.task == i.task && t.attempt == i.attempt);
-        // Of what is counted there and not listed, a report proves nothing yet: its start may be on
-        // its way, or come from a reservation that stands.
-        let open = |i: &&&ProbeItem| find(i).is_none() && self.holds(worker, &i.task, i.attempt);
-        let report = report.filter(|_| !items.iter().any(|i| open(&i)));
+        // If an attempt is held there and not listed, the report proves nothing about it: its start
+        // may be in flight, or may yet follow from its reservation.
+        let unproven =
+            |i: &&&ProbeItem| find(i).is_none() && self.holds(worker, &i.task, i.attempt);
+        let report = report.filter(|_| !items.iter().any(|i| unproven(&i)));
         ProbeRow {
             worker: worker.clone(),
             age: report.map(|(taken, _)| millis(now - *taken) + 1),
@@ -61,43 +63,45 @@
 
     /// Whether all leases on a worker have lapsed.
     ///
-    /// It is said only then, not announced: the next owner of the rack would not know of the promise
-    /// if this one died meanwhile, and would renew what the bucket's owner is about to start anew.
+    /// This is reported only once it is true, not announced: if this owner died meanwhile, the next
+    /// owner of the rack would not know of the announcement, and would renew the lease of an attempt
+    /// that the bucket's owner is about to start again.
     fn lapsed(&self, worker: &WorkerId, gained: Time, now: Time) -> bool {
         match self.links.get(worker) {
-            // Orders on their way may renew once more.
-            Some(link) => link.cut && !link.ordering && link.lapse() <= now,
-            // Not in the list, which may lag: nobody has renewed there since the rack was gained.
-            None => !self.vms.is_empty() && gained + SILENT + LAPSE <= now,
+            // Orders in flight may renew leases once more.
+            Some(link) => link.lapsing && !link.in_flight && link.lapse() <= now,
+            // The worker is not in the list, which may be out of date: no lease was renewed there
+            // since this member took over the rack.
+            None => !self.vms.is_empty() && gained + SILENCE_MAX + LEASE_MAX <= now,
         }
     }
 
-    /// What is to be told to the buckets' owners; each stays until [`Racks::told`].
+    /// The ends and starts to report to the buckets' owners; each is kept until [`Racks::told`].
     pub fn tell(&self) -> BTreeMap<Bucket, Vec<EndItem>> {
-        let mut words: BTreeMap<Bucket, Vec<EndItem>> = BTreeMap::new();
-        for (key, item) in &self.tell {
-            // Of an attempt that no bucket's owner has spoken for yet, the next probe hears.
-            if let Some(facts) = self.facts.get(key) {
-                words.entry(facts.bucket).or_default().push(item.clone());
+        let mut reports: BTreeMap<Bucket, Vec<EndItem>> = BTreeMap::new();
+        for (key, item) in &self.pending_ends {
+            // If no bucket's owner has vouched for the attempt yet, the next probe reports it.
+            if let Some(facts) = self.attempts.get(key) {
+                reports.entry(facts.bucket).or_default().push(item.clone());
             }
         }
-        words
+        reports
     }
 
-    /// The buckets' owners have taken these in.
+    /// Removes reports that the buckets' owners have acknowledged.
     pub fn told(&mut self, items: &[EndItem]) {
         for item in items {
             let key = (item.task.clone(), item.attempt);
-            if self.tell.get(&key).is_some_and(|i| i.state == item.state) {
-                self.tell.remove(&key);
+            if self.pending_ends.get(&key).is_some_and(|i| i.state == item.state) {
+                self.pending_ends.remove(&key);
                 if item.state != TaskState::Running {
-                    self.facts.remove(&key);
+                    self.attempts.remove(&key);
                 }
             }
         }
     }
 
-    pub(super) fn say(
+    pub(super) fn record_end(
         &mut self,
         task: TaskId,
         attempt: Attempt,
@@ -105,18 +109,18 @@
         worker: &WorkerId,
     ) {
         let report = self.links.get(worker).and_then(|l| l.report.as_ref());
-        let seen = report.and_then(|(_, tasks)| {
+        let used = report.and_then(|(_, tasks)| {
             tasks.iter().find(|t| t.task == task && t.attempt == attempt).map(|t| t.used)
         });
         let worker = worker.clone();
-        let item = EndItem { task: task.clone(), attempt, state, worker, used: seen };
-        self.tell.insert((task, attempt), item);
+        let item = EndItem { task: task.clone(), attempt, state, worker, used };
+        self.pending_ends.insert((task, attempt), item);
     }
 
-    /// Notes that the owner of a bucket knows of an attempt and wants it to go on.
+    /// Records that the owner of a bucket knows the attempt and wants it to continue.
     pub(super) fn vouch(&mut self, task: TaskId, attempt: Attempt, bucket: Bucket, now: Time) {
-        let new = Facts { bucket, vouched: now, since: now, hold: None };
-        let facts = self.facts.entry((task, attempt)).or_insert(new);
-        (facts.bucket, facts.vouched) = (bucket, now);
+        let new = AttemptInfo { bucket, vouched_at: now, since: now, hold: None };
+        let facts = self.attempts.entry((task, attempt)).or_insert(new);
+        (facts.bucket, facts.vouched_at) = (bucket, now);
     }
 }
