--- a/src/commit.rs
+++ b/src/commit.rs
@@ -6,19 +6,19 @@
 //! The load is many small changes (claims, intents, ends) against a KV that takes a few hundred
 //! writes a second: written one by one, a burst of claims on one bucket would wait for as many round
 //! trips. So one write is in flight, and all changes made meanwhile go out together in the next.
-//! Against a KV that answers in a millisecond that alone bounds nothing: each change would be a write
-//! of its own. So each bucket has a budget of writes, and the fleet's is the sum over buckets, which
-//! needs no word between members.
+//! With a KV that answers in a millisecond this alone does not bound the write rate: each change would
+//! be a write of its own. So each bucket has a budget of writes, and the budget of all members is the
+//! sum over the buckets, which needs no coordination between members.
 //!
 //! Three failures are guarded against:
-//! - The answer to a write is lost, after the write took effect or before. It shows as no answer in
-//!   time. The record is read: it carries the writer and the number of the write (`serial`), so
-//!   that what took effect is known. A write that was on its way all the while can't do harm later,
+//! - The answer to a write is lost, and the write may have taken effect or not. This shows as a
+//!   time-out. The record is then read: it carries the writer and the number of the write
+//!   (`serial`), which shows what took effect. A write that is still in flight can't do harm later,
 //!   since the compare-and-swap lets only one write follow a revision.
-//! - Another owner has taken the bucket over. It shows as a refused write, and a read that gives a
-//!   record of a higher epoch. Nothing that is not committed by then ever will be.
-//! - The owner before this one has a write on its way. The first write here ([`Commit::ready`])
-//!   follows the revision that was adopted; once it is done, no older owner's write can be.
+//! - Another owner has taken over the bucket. This shows as a refused write and a record of a higher
+//!   epoch in the next read. Changes that are not committed by then never will be.
+//! - The previous owner has a write in flight. The first write here ([`Commit::ready`]) follows the
+//!   revision that was adopted; once it is done, no write of an older owner can take effect.
 
 use {
     crate::{
@@ -29,24 +29,25 @@
     std::time::Duration,
 };
 
-/// The first rest after a call without an answer; a KV that is only slow is asked again soon.
-const REST_MIN: Duration = Duration::from_millis(100);
+/// The first pause after a call without an answer; short, so that a KV that is only slow is called
+/// again soon.
+const PAUSE_MIN: Duration = Duration::from_millis(100);
 
-/// The longest rest, so that all buckets together spend few calls on a KV that is down, and yet
-/// notice its return within the time after which a refused caller comes back.
-const REST_MAX: Duration = Duration::from_secs(2);
+/// The longest pause, so that all buckets together make few calls to a KV that is down, and yet
+/// notice its recovery within the time after which a refused caller retries.
+const PAUSE_MAX: Duration = Duration::from_secs(2);
 
-/// Writes a second of one bucket. All 64 together make 300, of the several hundred that the KV takes;
-/// the rest is for leases, ownership and configuration.
+/// Writes per second of one bucket. All 64 together make 300 of the several hundred that the KV
+/// handles; the rest is for leases, ownership and configuration.
 const RATE: f64 = 300.0 / 64.0;
 
-/// Writes that a bucket may save up, so that a claim on a bucket that was quiet goes out at once, and
-/// its end as well.
+/// The maximum number of writes that a bucket may accumulate, so that a claim on an idle bucket is
+/// written at once, and so is its end.
 const BURST: f64 = 4.0;
 
-/// How long a change waits that nobody waits for, so that it goes along with one that is urgent: the
-/// end of a claim with the next claim. Short beside the time after which its word is sent again.
-const LATER: Duration = Duration::from_millis(300);
+/// How long a change that is not urgent is delayed, so that an urgent one can carry it: the end of a
+/// claim with the next claim. Short compared with the time after which the end is sent again.
+const DELAY_MAX: Duration = Duration::from_millis(300);
 
 /// The number of a write; a change is committed once the write of its ticket is done.
 pub type Ticket = u64;
@@ -60,7 +61,7 @@
     ready: bool,
     dirty: bool,
     urgent: bool,
-    /// Since when there has been a change that is not written.
+    /// Since when there has been an unwritten change.
     since: Option<Time>,
     sent: Ticket,
     done: Ticket,
@@ -80,7 +81,7 @@
     Lost,
 }
 
-/// What is to be asked of the KV; the answer comes back with the same `call`.
+/// A call to make to the KV; its answer is passed back with the same `call`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
     /// Read the record.
@@ -99,21 +100,21 @@
     },
 }
 
-/// What an answer of the KV has shown.
+/// The result of an answer of the KV.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Nothing new.
     Nothing,
     /// All changes up to [`Commit::done`] are committed.
     Done,
-    /// This record, or none, is what the owner before left; it replaces all that was adopted before.
+    /// The previous owner's record, or `None`; it replaces everything adopted before.
     Adopt(Option<Box<BucketRecord>>),
-    /// Another owner has the bucket.
+    /// Another member owns the bucket.
     Lost,
 }
 
 impl Commit {
-    /// The commits of a new owner, which begins by reading the record.
+    /// Creates the state of a new owner, which begins by reading the record.
     pub fn new(epoch: Epoch, owner: Incarnation) -> Self {
         Commit {
             epoch,
@@ -127,18 +128,18 @@
             sent: 0,
             done: 0,
             calls: 0,
-            rest: REST_MIN,
+            rest: PAUSE_MIN,
             tokens: BURST,
             filled: Time::ZERO,
         }
     }
 
-    /// Whether the record is this owner's, so that no older owner's write can take effect any more.
+    /// Whether this owner has written the record, so that no older owner's write can take effect.
     pub fn ready(&self) -> bool {
         self.ready
     }
 
-    /// Whether another owner has the bucket.
+    /// Whether another member owns the bucket.
     pub fn lost(&self) -> bool {
         self.state == State::Lost
     }
@@ -148,13 +149,13 @@
         self.done
     }
 
-    /// Notes a change that somebody waits for, and returns the write that will carry it.
+    /// Records an urgent change, and returns the write that will carry it.
     pub fn touch(&mut self) -> Ticket {
         self.urgent = true;
         self.touch_later()
     }
 
-    /// Notes a change that can wait for a while, and returns the write that will carry it.
+    /// Records a change that may be delayed, and returns the write that will carry it.
     pub fn touch_later(&mut self) -> Ticket {
         self.dirty = true;
         self.sent + 1
@@ -185,7 +186,7 @@
     /// Whether a write is worth its token now.
     fn due(&mut self, now: Time) -> bool {
         let since = *self.since.get_or_insert(now);
-        self.urgent || now.since(since) >= LATER
+        self.urgent || now.since(since) >= DELAY_MAX
     }
 
     fn token(&mut self, now: Time) -> bool {
@@ -199,14 +200,14 @@
         enough
     }
 
-    /// Takes the answer to a write, `None` where it was lost or too late.
+    /// Processes the answer to a write, `None` if it was lost or too late.
     pub fn wrote(&mut self, call: u64, reply: Option<&KvPutReply>) -> Step {
         if self.state != State::Writing(call) {
             return Step::Nothing;
         }
         match reply {
             Some(reply) if reply.done => self.landed(reply.revision, self.sent),
-            // Refused or lost: who wrote what is only known by reading.
+            // Refused or lost: only a read shows which write took effect.
             reply => {
                 self.base = self.base.max(reply.map_or(self.base, |reply| reply.revision));
                 self.state = State::Unread;
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Takes the answer to a read, `None` where it was lost, `Some(None)` where there is no record.
+    /// Processes the answer to a read, `None` if it was lost, `Some(None)` if there is no record.
     pub fn read(
         &mut self,
         call: u64,
@@ -227,7 +228,7 @@
         }
         let Some(found) = reply else { return self.pause(now) };
         let revision = found.as_ref().map_or(Revision(0), |(revision, _)| *revision);
-        // A stale read shows a revision that is known to have been passed.
+        // A stale read: its revision is older than one already seen.
         if revision < self.base {
             return self.pause(now);
         }
@@ -271,11 +272,12 @@
     fn landed(&mut self, revision: Revision, serial: Ticket) -> Step {
         self.base = revision;
         self.state = State::Idle;
-        self.rest = REST_MIN;
+        self.rest = PAUSE_MIN;
         self.ready = true;
         self.done = self.done.max(serial);
-        // The last write was not seen to take effect: its changes go into the next as well. Should
-        // it land first after all, the next is refused, and a read settles both.
+        // The last write is not known to have taken effect, so the next write carries its changes as
+        // well. If the last write takes effect first after all, the next is refused, and a read
+        // shows the state of both.
         self.dirty |= serial < self.sent;
         self.urgent |= self.dirty;
         Step::Done
@@ -284,7 +286,7 @@
     fn adopt(&mut self, revision: Revision, record: Option<Box<BucketRecord>>) -> Step {
         self.base = revision;
         self.state = State::Idle;
-        self.rest = REST_MIN;
+        self.rest = PAUSE_MIN;
         (self.dirty, self.urgent) = (true, true);
         Step::Adopt(record)
     }
@@ -296,7 +298,7 @@
 
     fn pause(&mut self, now: Time) -> Step {
         self.state = State::Resting(now + self.rest);
-        self.rest = (self.rest * 2).min(REST_MAX);
+        self.rest = (self.rest * 2).min(PAUSE_MAX);
         Step::Nothing
     }
 }
--- a/src/kv.rs
+++ b/src/kv.rs
@@ -1,8 +1,8 @@
-//! The client of the platform's key-value service; its wire form stands only here.
+//! The client of the platform's key-value service; the only module that knows its wire format.
 //!
-//! Assumed of it (no published form is known): HTTP with JSON bodies; compare-and-swap by a
-//! record's version; leases that records may end with; a watch as a long poll that returns what
-//! changed under a prefix after a version.
+//! The service has no published interface. The client assumes HTTP with JSON bodies, compare-and-swap
+//! by a record's version, leases to which records can be bound, and a watch as a long poll that
+//! returns what changed under a prefix after a version.
 
 use {
     crate::{
@@ -14,9 +14,9 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// The deadline of a call. The service answers in milliseconds when it is well.
+/// The deadline of a call. The service normally answers within milliseconds.
 pub const CALL: Duration = Duration::from_millis(800);
-/// How long a watch waits at the service before it returns with nothing new.
+/// How long a watch waits at the service before it returns without changes.
 pub const WATCH: Duration = Duration::from_secs(5);
 
 /// A client of the key-value service.
@@ -27,17 +27,17 @@
 }
 
 impl Kv {
-    /// A client of the service at `addr`.
+    /// Creates a client of the service at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
         Kv { client: Client::new(4), addr }
     }
 
-    /// Reads a record; a record that is not there has revision 0 and no text.
+    /// Reads a record; a missing record has revision 0 and no text.
     pub async fn get(&self, key: &str) -> Result<KvEntry, Failure> {
         self.call("GET", &format!("/v1/kv?key={key}"), &(), CALL).await
     }
 
-    /// Swaps a record if it still has the version expected.
+    /// Writes a record if it still has the expected version.
     ///
     /// After [`Failure::Broken`] or [`Failure::Timeout`] the write may have taken effect: read the
     /// record to find out, never repeat blindly.
@@ -45,7 +45,7 @@
         self.call("PUT", &format!("/v1/kv?key={key}"), put, CALL).await
     }
 
-    /// Makes a lease, where `id` is 0, or renews it.
+    /// Creates a lease if `id` is 0, otherwise renews it.
     pub async fn lease(&self, id: u64, ttl: Duration) -> Result<KvLease, Failure> {
         let ttl = millis(ttl);
         self.call("PUT", "/v1/lease", &KvLease { id, ttl }, CALL).await
@@ -56,7 +56,7 @@
         self.call("DELETE", "/v1/lease", &KvLease { id, ttl: 0 }, CALL).await
     }
 
-    /// What changed under `prefix` after `after`; waits for a change where there is none yet.
+    /// Returns what changed under `prefix` after `after`; waits for a change if there is none yet.
     pub async fn watch(&self, prefix: &str, after: Revision) -> Result<KvList, Failure> {
         let path = format!("/v1/watch?prefix={prefix}&after={after}&wait={}", WATCH.as_millis());
         self.call("GET", &path, &(), WATCH + CALL).await
--- a/src/ownership.rs
+++ b/src/ownership.rs
@@ -1,8 +1,8 @@
-//! Who owns a rack or a bucket: takeover, release, and when an owner may act.
+//! The ownership of racks and buckets: takeover, release, and when an owner may act.
 //!
-//! Every row (a rack's workers, or a bucket of jobs and keys) has one owner at a time. The table
-//! stands in the key-value service and changes by compare-and-swap; rendezvous hashing over the
-//! live members says who should own a row. Each change of a row's owner counts its epoch up, and a
+//! Every row (a rack's workers, or a bucket of jobs and keys) has one owner at a time. The table is
+//! stored in the key-value service and changes by compare-and-swap; rendezvous hashing over the live
+//! members determines who should own a row. Each change of a row's owner increments its epoch, and a
 //! worker refuses dispatches of a lower epoch than the highest it has seen.
 
 use {
@@ -22,26 +22,26 @@
 
 /// How long a member's lease at the key-value service lasts.
 ///
-/// A dead member's racks stand idle for as long, so it is short; a renewal goes out every quarter
-/// of it, so that two may be lost, and what is left always exceeds the flight of a task's start.
+/// It is short because a dead member's racks stay idle that long. A renewal is sent every quarter of
+/// it, so that two may be lost and the remaining time always exceeds the delivery of a task's start.
 pub const LEASE: Duration = Duration::from_secs(4);
 /// How much of the lease an owner leaves unused.
 ///
-/// Covers the drift of two clocks over one lease and a dispatch's longest flight to a worker.
+/// Covers the drift of two clocks over one lease and the longest delivery of a dispatch to a worker.
 pub const MARGIN: Duration = Duration::from_millis(600);
 /// How long a member waits, after the service answers again, before it takes over from others.
 ///
-/// During an outage nobody could renew. The first member back would otherwise see every lease
-/// lapsed and take over everything.
+/// No member can renew during an outage. The first member to reach the service again would otherwise
+/// see every lease lapsed and take over all rows.
 pub const GRACE: Duration = Duration::from_secs(3);
-/// How long the service may be silent without an outage.
+/// How long the service may leave calls unanswered before this counts as an outage.
 ///
-/// Shorter, and no lease can have lapsed for it: three renewals of a lease fall into the half that
-/// is left. Longer, and a member that renewed just before the outage still has its lease when it is
-/// over, while the others' have lapsed; without a pause it would take over all that they have.
+/// A shorter silence can't make a lease lapse, since renewals still fall into the remaining half of
+/// the lease. After a longer one, a member that renewed just before the outage may still have its
+/// lease while those of the others have lapsed; without a pause it would take over all their rows.
 const OUTAGE: Duration = Duration::from_secs(2);
-/// How long an unanswered write may take effect after its call was given up.
-const UNSURE: Duration = Duration::from_secs(1);
+/// How long after its call was given up an unanswered write may still take effect.
+const LATE_WRITE_MAX: Duration = Duration::from_secs(1);
 
 /// One record of the table: the rows of an availability zone, or all buckets.
 #[derive(Default)]
@@ -57,7 +57,7 @@
 enum Write {
     #[default]
     None,
-    Flying,
+    InFlight,
     /// The answer was lost: read before the next write, but not before this time.
     Unsure(Time),
 }
@@ -73,23 +73,23 @@
     pub record: OwnersRecord,
 }
 
-/// What became of a swap.
+/// The outcome of a swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     /// It took effect and made this version.
     Done(Revision),
-    /// Another write was first.
+    /// Another write took effect first.
     Refused,
     /// No answer: it may have taken effect.
     Unknown,
 }
 
-/// What a change of the table means for this member.
+/// A change of this member's rows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The row is this member's now, with this epoch.
+    /// This member now owns the row, with this epoch.
     Gained(RowId, Epoch),
-    /// The row was this member's with the first epoch, and has passed to this member.
+    /// This member owned the row with this epoch; the given member, if any, owns it now.
     Lost(RowId, Epoch, Option<Incarnation>),
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl Ownership {
-    /// A table in which nothing is known yet.
+    /// Creates an ownership table without members or rows.
     pub fn new(me: Incarnation) -> Self {
         Ownership {
             me,
@@ -124,14 +124,14 @@
 
     /// Whether this member's lease lets it act as an owner.
     ///
-    /// The lease is counted from before the renewal was sent: the service's own count starts later,
-    /// so it ends later, and nobody takes over before this member has stopped by itself. A member
-    /// that is paused between this check and its send is stopped by the epoch at the worker.
+    /// The lease is counted from before the renewal was sent: the service counts from a later time, so
+    /// its lease ends later, and no member takes over before this one has stopped acting. If a member
+    /// is paused between this check and its send, the worker rejects the message by its epoch.
     pub fn leased(&self, now: Time) -> bool {
         self.renewed.is_some_and(|r| now + MARGIN < r + LEASE)
     }
 
-    /// Until when nobody takes over from this member, where it has a lease.
+    /// The time until which no member takes over from this one; `None` if it never had a lease.
     pub fn until(&self) -> Option<Time> {
         self.renewed.map(|r| r + LEASE - MARGIN)
     }
@@ -141,18 +141,18 @@
         &self.members
     }
 
-    /// How many rows this member owns.
+    /// The number of rows that this member owns.
     pub fn count(&self) -> usize {
         self.rows(self.me) as usize
     }
 
-    /// How many rows a member owns.
+    /// The number of rows that a member owns.
     pub fn rows(&self, member: Incarnation) -> u32 {
         let rows = self.tables.values().flat_map(|t| t.rows.values());
         rows.filter(|r| r.owner == Some(member)).map(|_| 1).sum()
     }
 
-    /// How long ago the key-value service last answered.
+    /// The time since the key-value service last answered.
     pub fn silence(&self, now: Time) -> Duration {
         self.answered.map_or(Duration::MAX, |a| now - a)
     }
@@ -162,12 +162,12 @@
         self.answered
     }
 
-    /// A renewal that was sent at `sent` succeeded.
+    /// Records that a renewal sent at `sent` succeeded.
     pub fn renewed(&mut self, sent: Time) {
         self.renewed = self.renewed.max(Some(sent));
     }
 
-    /// The service answered a call.
+    /// Records that the service answered a call.
     pub fn answered(&mut self, now: Time) {
         if self.silence(now) > OUTAGE {
             self.resumed = now;
@@ -175,29 +175,29 @@
         self.answered = Some(now);
     }
 
-    /// A member registered or changed its record.
+    /// Records that a member registered or changed its record.
     pub fn joined(&mut self, record: MemberRecord) {
         self.members.insert(record.incarnation, record);
     }
 
-    /// A member's record is gone: its lease lapsed, or it stopped.
+    /// Removes a member whose record is gone: its lease lapsed, or it stopped.
     pub fn left(&mut self, member: Incarnation) {
         self.members.remove(&member);
     }
 
-    /// Says which rows a table should have, and in which availability zone they are.
+    /// Sets the rows that a table should have, and their availability zone.
     pub fn want(&mut self, table: &str, zone: Option<Zone>, rows: BTreeSet<RowId>) {
         let t = self.tables.entry(table.into()).or_default();
         t.wanted = rows;
         t.zone = zone;
     }
 
-    /// The tables that no longer have a VM behind them keep their rows; nothing is wanted of them.
+    /// The names of all tables. A table whose VMs are all gone keeps its rows, but none is wanted.
     pub fn tables(&self) -> impl Iterator<Item = &str> {
         self.tables.keys().map(|k| &**k)
     }
 
-    /// Takes in a table as the service has it.
+    /// Applies a table read from the service.
     ///
     /// An older version than the one held is a stale read and changes nothing.
     pub fn read(&mut self, table: &str, revision: Revision, record: OwnersRecord) -> Vec<Change> {
@@ -212,8 +212,8 @@
         let mut changes = vec![];
         let mut rows: BTreeMap<RowId, Row> =
             record.rows.into_iter().map(|(k, v)| (RowId(k.into()), v)).collect();
-        // Guards against a table that lost rows: claimed anew they would begin at epoch 1, and every
-        // worker that knows a higher one would refuse its owner for good.
+        // Guards against a table that lost rows: if claimed again, they would start at epoch 1, and
+        // every worker that knows a higher epoch would refuse the owner permanently.
         for (id, row) in &t.rows {
             rows.entry(id.clone()).or_insert(Row { owner: None, epoch: row.epoch });
         }
@@ -237,9 +237,9 @@
 
     /// The swaps to send now: rows to take over, to claim for the first time, and to hand over.
     ///
-    /// `busy` says of a row of this member's whether it can't be handed over yet.
+    /// `busy` returns whether a row of this member can't be handed over yet.
     pub fn step(&mut self, now: Time, busy: impl Fn(&RowId) -> bool) -> Vec<Swap> {
-        if !self.leased(now) || now < self.resumed + GRACE && !self.all_here() {
+        if !self.leased(now) || now < self.resumed + GRACE && !self.owners_registered() {
             return vec![];
         }
         let names: Vec<Box<str>> = self.tables.keys().cloned().collect();
@@ -252,11 +252,11 @@
         self.tables.iter().filter(|(_, t)| unsure(t)).map(|(n, _)| n.clone()).collect()
     }
 
-    /// What became of a swap of this table.
+    /// Processes the outcome of a swap.
     pub fn swapped(&mut self, swap: Swap, fate: Fate, now: Time) -> Vec<Change> {
         let Some(t) = self.tables.get_mut(&swap.table) else { return vec![] };
         t.write = match fate {
-            Fate::Unknown => Write::Unsure(now + UNSURE),
+            Fate::Unknown => Write::Unsure(now + LATE_WRITE_MAX),
             _ => Write::None,
         };
         match fate {
@@ -278,9 +278,9 @@
         ring.calc_candidates(row).next().map(|n| *n.node_id())
     }
 
-    /// Whether every owner that the tables name is registered, so that nobody is still missing
-    /// after an outage.
-    fn all_here(&self) -> bool {
+    /// Whether every owner in the tables is registered, so that no member is still missing after an
+    /// outage.
+    fn owners_registered(&self) -> bool {
         let mut owners = self.tables.values().flat_map(|t| t.rows.values()).filter_map(|r| r.owner);
         owners.all(|o| self.members.contains_key(&o))
     }
@@ -310,12 +310,12 @@
         }
         let rows = rows.into_iter().map(|(k, v)| (k.0.into(), v)).collect();
         let expect = t.revision;
-        self.tables.get_mut(name)?.write = Write::Flying;
+        self.tables.get_mut(name)?.write = Write::InFlight;
         Some(Swap { table: name.into(), expect, record: OwnersRecord { rows } })
     }
 }
 
-/// Hashes with a function whose values are the same in every build, as members must agree.
+/// Hashes with a function whose values are the same in every build, since all members must agree.
 pub(crate) struct Rendezvous;
 
 impl<N: Hash> NodeHasher<N> for Rendezvous {
--- a/src/ranges.rs
+++ b/src/ranges.rs
@@ -1,17 +1,17 @@
-//! A set of task numbers, kept as ranges: tasks of a batch end roughly in the order of their numbers.
+//! A set of task indexes, stored as ranges because tasks of a batch end roughly in index order.
 
 use {crate::ids::TaskIndex, std::collections::BTreeMap};
 
-/// A set of task numbers.
+/// A set of task indexes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ranges {
-    /// The end of each range, itself not within, by its begin.
+    /// The exclusive end of each range, by its start.
     ends: BTreeMap<u32, u32>,
     len: u32,
 }
 
 impl Ranges {
-    /// Adds a number; returns whether it is new.
+    /// Adds an index; returns whether it is new.
     pub fn insert(&mut self, index: TaskIndex) -> bool {
         if self.contains(index) {
             return false;
@@ -30,32 +30,32 @@
         true
     }
 
-    /// Whether a number is within.
+    /// Whether the set contains an index.
     pub fn contains(&self, index: TaskIndex) -> bool {
         self.ends.range(..=index.0).next_back().is_some_and(|(_, end)| index.0 < *end)
     }
 
-    /// How many numbers are within.
+    /// The number of indexes in the set.
     pub fn len(&self) -> u32 {
         self.len
     }
 
-    /// The numbers, ascending.
+    /// The indexes, ascending.
     pub fn iter(&self) -> impl Iterator<Item = TaskIndex> {
         self.ends.iter().flat_map(|(begin, end)| (*begin..*end).map(TaskIndex))
     }
 
-    /// How many bounds the ranges have.
+    /// The number of bounds that [`Ranges::bounds`] returns.
     pub fn bounds_len(&self) -> usize {
         2 * self.ends.len()
     }
 
-    /// The bounds of the ranges one after another, as a record keeps them.
+    /// The bounds of the ranges as a flat list, as stored in a record.
     pub fn bounds(&self) -> Vec<u32> {
         self.ends.iter().flat_map(|(begin, end)| [*begin, *end]).collect()
     }
 
-    /// The set of these bounds; what is not ascending is left out.
+    /// Builds a set from a flat list of bounds; skips ranges that are not ascending.
     pub fn from_bounds(bounds: &[u32]) -> Self {
         let mut set = Ranges::default();
         let mut last = 0;
--- a/src/requests.rs
+++ b/src/requests.rs
@@ -1,8 +1,8 @@
-//! The requests at one member: claimed, waiting, running at an endpoint, or passed on to a peer.
+//! The requests at one member: claiming a key, waiting, running at an endpoint, or forwarded to a peer.
 //!
-//! Holds them and their counts; how a request passes from one stage to the next is decided in
-//! [`core`](crate::core), which alone calls this. Every request gets exactly one final answer, the
-//! moment that it is decided.
+//! Stores the requests and their counts; [`core`](crate::core), the only caller, decides how a request
+//! moves from one stage to the next. Every request gets exactly one final answer, as soon as that
+//! answer is decided.
 
 mod keys;
 
@@ -30,9 +30,10 @@
     },
 };
 
-/// How long a request is tried again while what it needs changes hands: a planned handover takes a
-/// few writes of some milliseconds each; a takeover takes longer, and its callers come back.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long a request is retried while its bucket or its service's racks change owners. A planned
+/// handover takes a few writes of some milliseconds each; a takeover takes longer, and its callers
+/// have to retry.
+const RETRY_WINDOW: Duration = Duration::from_secs(2);
 
 /// The requests at one member.
 pub struct Requests {
@@ -47,7 +48,7 @@
     pub(crate) lively: BTreeMap<ServiceId, Time>,
 }
 
-/// The requests of one service that wait here, and those that run at endpoints of this member's.
+/// The requests of one service that wait here, and those that run at endpoints of this member.
 pub(crate) struct Line {
     pub(crate) gate: Gate,
     pub(crate) queue: Queue,
@@ -58,14 +59,14 @@
 pub(crate) struct Pending {
     pub(crate) ask: Ask,
     pub(crate) deadline: Time,
-    /// Until when it is tried again while its bucket, or its service's racks, change hands.
+    /// Until when it is retried while its bucket, or its service's racks, change owners.
     pub(crate) patience: Option<Time>,
     pub(crate) stage: Stage,
     pub(crate) claim: Option<Claim>,
     pub(crate) tries: u32,
 }
 
-/// Where a request stands.
+/// The stage that a request is in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     Claiming,
@@ -75,16 +76,17 @@
 }
 
 impl Pending {
-    /// Whether it may be tried again; counted from the first time that it had to be.
+    /// Whether it may be retried; the time limit starts when the first retry is needed.
     ///
-    /// Not from its arrival: a member that stood still would give up at once all that it holds.
+    /// It does not start at the request's arrival: a member that was paused would otherwise give up
+    /// all its requests at once.
     pub(crate) fn patient(&mut self, now: Time) -> bool {
-        now < *self.patience.get_or_insert(self.deadline.min(now + PATIENCE))
+        now < *self.patience.get_or_insert(self.deadline.min(now + RETRY_WINDOW))
     }
 }
 
 impl Requests {
-    /// No requests yet.
+    /// Creates an empty set of requests.
     pub fn new() -> Self {
         Requests {
             table: FxHashMap::default(),
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Takes a peer's word of how busy its services are.
+    /// Records a peer's report of the load of its services.
     pub fn report(
         &mut self,
         peer: &MemberRecord,
@@ -115,20 +117,20 @@
         }
     }
 
-    /// Forgets a peer that is stopping or gone.
+    /// Removes a peer that is stopping or gone.
     pub fn forget(&mut self, peer: Incarnation) {
         self.spreads.values_mut().for_each(|s| s.forget(peer));
     }
 
-    /// Whether some peer is known to serve a service.
+    /// Whether any peer is known to serve a service.
     pub fn served(&self, service: &ServiceId) -> bool {
         self.spreads.get(service).is_some_and(Spread::served)
     }
 
-    /// How long a request of a service's usual kind would wait here.
+    /// The expected wait of a typical request of a service at this member.
     pub fn wait(&self, id: &ServiceId, service: &Service, now: Time) -> Duration {
         let Some(line) = self.lines.get(id) else { return Duration::ZERO };
-        let usual = Item {
+        let typical = Item {
             id: RequestId(0),
             caller: CallerId("".into()),
             team: service.team.clone(),
@@ -136,20 +138,20 @@
             deadline: now + service.deadline,
             run: service.run,
         };
-        line.gate.wait(&line.queue, &usual, now)
+        line.gate.wait(&line.queue, &typical, now)
     }
 
-    /// How many requests have no answer yet.
+    /// The number of requests that have no answer yet.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether no request waits for its answer and no claim's end has to be told.
+    /// Whether no request waits for its answer and no claim's end has to be reported.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty() && self.keys.is_empty()
     }
 
-    /// How many requests of a service wait for a slot.
+    /// The number of requests of a service that wait for a slot.
     pub fn waiting(&self, service: &ServiceId) -> usize {
         self.lines.get(service).map_or(0, |l| l.queue.len())
     }
--- a/src/requests/keys.rs
+++ b/src/requests/keys.rs
@@ -1,9 +1,9 @@
-//! The claims on keys of non-idempotent requests, as the member that holds the requests keeps them.
+//! The claims on keys of non-idempotent requests, as kept by the member that holds the requests.
 //!
 //! A request is dispatched only once its claim is granted. An ask that was refused because the bucket
-//! changed hands, or whose answer was lost, may have been committed all the same: its end, "not run",
-//! is told until it is kept, and the request asks anew under another id. So an old grant can never be
-//! taken for the new one's.
+//! changed owners, or whose answer was lost, may still have been committed: its end, "not run", is
+//! sent until it is acknowledged, and the request asks again under another id. So a grant of the old
+//! ask can never be mistaken for one of the new ask.
 
 use {
     crate::{
@@ -22,57 +22,57 @@
     xxhash_rust::xxh3::Xxh3Default,
 };
 
-/// The largest answer that is kept with a key, in bytes.
+/// The largest answer that is stored with a key, in bytes.
 ///
 /// A repeat of a bound cover or a paid grant needs its confirmation, which is short; the bucket's
 /// record has to stay far below the key-value service's megabyte.
-const KEPT: usize = 2048;
-/// The pause before an unanswered word of a claim's end is sent again.
+const ANSWER_MAX: usize = 2048;
+/// The pause before an unacknowledged end of a claim is sent again.
 pub(crate) const AGAIN: Duration = Duration::from_millis(500);
-/// Marks the ids of asks that are made anew, which must differ from all ids of requests.
+/// Marks the ids of repeated asks, which must differ from all ids of requests.
 pub(crate) const ANEW: u128 = 1 << 63;
-/// Marks the ticket of a claim's end that this member tells itself.
+/// Marks the ticket of a claim's end that this member sends to itself as the bucket's owner.
 pub(crate) const OWN_END: Ticket = 1 << 63;
 
 /// A request's claim.
 pub(crate) struct Claim {
     /// The key.
     pub key: Key,
-    /// The id that the claim was last asked under.
+    /// The id under which the claim was last asked for.
     pub ask: RequestId,
 }
 
-/// What is kept of claims beside their requests.
+/// The state of claims that is kept apart from their requests.
 #[derive(Default)]
 pub(crate) struct Keys {
-    /// The ends that are not known to be kept, and when to tell them again.
+    /// The ends that are not acknowledged, and when to send them again.
     pub(crate) ends: BTreeMap<(Key, RequestId), (ClaimEnd, Time)>,
     pub(crate) told: FxHashMap<Ticket, (Key, RequestId)>,
     pub(crate) own: Ticket,
-    /// The requests by the ids of asks that were made anew.
+    /// The requests by the ids of their repeated asks.
     pub(crate) asks: FxHashMap<RequestId, RequestId>,
     pub(crate) anew: u128,
-    /// When requests whose claim was asked for have to be answered, granted or not.
+    /// The deadlines of requests whose claim was asked for, granted or not.
     pub(crate) limits: BTreeSet<(Time, RequestId)>,
 }
 
 impl Keys {
-    /// Whether no end has to be told.
+    /// Whether no end has to be sent.
     pub fn is_empty(&self) -> bool {
         self.ends.is_empty()
     }
 
-    /// Whether an earlier ask of this member's for a key may stand as its claim.
+    /// Whether an earlier ask of this member for a key may have been committed as its claim.
     pub fn doubtful(&self, key: &Key) -> bool {
         self.ends.keys().any(|(k, _)| k == key)
     }
 }
 
-/// How a claimed request ended, for the key's owner.
+/// The end of a claimed request, to be sent to the key's owner.
 pub(crate) fn end(claim: Claim, verdict: &Verdict) -> ClaimEnd {
     let (fate, status, answer) = match verdict {
         Ok(a) => {
-            let body = std::str::from_utf8(&a.body).ok().filter(|b| b.len() <= KEPT);
+            let body = std::str::from_utf8(&a.body).ok().filter(|b| b.len() <= ANSWER_MAX);
             let text = body.map(|b| format!("{}\n{b}", a.kind).into());
             (ClaimFate::Answered, Some(u32::from(a.status)), text)
         }
@@ -82,7 +82,7 @@
     ClaimEnd { key: claim.key, request: claim.ask, fate, status, answer }
 }
 
-/// The answer kept with a key.
+/// The answer stored with a key.
 pub(crate) fn kept(reply: ClaimReply) -> Verdict {
     let (Some(status), Some(text)) = (reply.status, reply.answer) else {
         return Err(Error::new(
@@ -95,7 +95,7 @@
     Ok(Answer { status, kind: kind.into(), body: body.to_owned().into() })
 }
 
-/// A digest by which another request with the same key is told apart.
+/// A digest that distinguishes different requests with the same key.
 pub(crate) fn digest(ask: &Ask) -> String {
     let mut h = Xxh3Default::new();
     for part in
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -1,4 +1,4 @@
-//! JSON-RPC as peers and operators speak it: a server that admits only who shows the secret.
+//! JSON-RPC for peers and operators: a client, and a server that admits only calls with the secret.
 
 use {
     crate::{gate::Gate, http::SECRET},
@@ -18,20 +18,20 @@
     tower::{Layer, Service},
 };
 
-/// The largest message: a text of a megabyte and its escapes.
-const LARGEST: u32 = 8 << 20;
+/// The largest message in bytes: a text of one megabyte with JSON escapes.
+const MESSAGE_MAX: u32 = 8 << 20;
 
 type Failure = Box<dyn error::Error + Send + Sync>;
 
-/// Serves a module.
+/// Starts a server for a module.
 pub async fn serve(
     listener: TcpListener,
     gate: Gate,
     module: RpcModule<impl Send + Sync + 'static>,
 ) -> Result<ServerHandle, std::io::Error> {
     let config = jsonrpsee::server::ServerConfig::builder()
-        .max_request_body_size(LARGEST)
-        .max_response_body_size(LARGEST)
+        .max_request_body_size(MESSAGE_MAX)
+        .max_response_body_size(MESSAGE_MAX)
         .max_connections(2048)
         .build();
     let builder = Server::builder()
@@ -40,15 +40,15 @@
     Ok(builder.build_from_tcp(listener)?.start(module))
 }
 
-/// A client of the server at `addr`.
+/// Creates a client of the server at `addr`.
 pub fn client(addr: SocketAddr, secret: &str, limit: Duration) -> Result<HttpClient, Failure> {
     let mut headers = HeaderMap::new();
     headers.insert(SECRET, HeaderValue::from_str(secret)?);
     let builder = HttpClientBuilder::default()
         .set_headers(headers)
         .request_timeout(limit)
-        .max_request_size(LARGEST)
-        .max_response_size(LARGEST);
+        .max_request_size(MESSAGE_MAX)
+        .max_response_size(MESSAGE_MAX);
     Ok(builder.build(format!("http://{addr}"))?)
 }
 
