--- a/src/callers.rs
+++ b/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' duty: takes requests from callers, and from members that forward them.
+//! Accepts requests from callers and from members that forward them.
 
 use {
     crate::{
@@ -30,26 +30,26 @@
     tokio::{net::TcpListener, sync::oneshot},
 };
 
-/// The longest name of a caller or key that is taken, in bytes.
-const NAME: usize = 128;
-/// The longest deadline that is taken.
-const LONGEST: Duration = Duration::from_secs(3600);
+/// The longest accepted name of a caller or key, in bytes.
+const NAME_MAX: usize = 128;
+/// The longest accepted deadline; a longer one is cut to it.
+const DEADLINE_MAX: Duration = Duration::from_secs(3600);
 
-/// What the callers' duty needs.
+/// The inputs of the server for callers.
 pub struct Callers {
-    /// This member's run, the upper half of its requests' ids.
+    /// This member's incarnation, the upper half of its requests' ids.
     pub me: Incarnation,
     /// The listener for callers.
     pub callers: TcpListener,
     /// The listener for members that forward.
     pub bodies: TcpListener,
-    /// The limits towards callers.
+    /// The limits that apply to callers.
     pub limits: Limits,
-    /// What forwarding members must show.
+    /// The secret that forwarding members must present.
     pub secret: Gate,
-    /// The way to the decisions.
+    /// The queue of events for the decision loop.
     pub inbox: Inbox,
-    /// The decisions' final answers.
+    /// The final answers of the decision loop.
     pub replies: Receiver<(Ticket, Verdict)>,
     /// The member's clock.
     pub clock: Clock,
@@ -104,7 +104,7 @@
 }
 
 impl Shared {
-    /// Takes one request to its final answer.
+    /// Handles one request up to its final answer.
     async fn request(
         self,
         head: Parts,
@@ -143,7 +143,8 @@
             response.headers_mut().insert(REQUEST, id);
         }
         if self.clock.draining() {
-            // A caller that keeps its connection would otherwise come back to a stopped member.
+            // A caller that keeps its connection would otherwise send its next request to a stopped
+            // member.
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
@@ -153,18 +154,18 @@
         let ticket = ask.ticket;
         let (to, from) = oneshot::channel();
         self.waiting.lock().expect("no holder panics").insert(ticket, to);
-        let mut left = Left { shared: self, ticket, done: false };
+        let mut guard = HangUpGuard { shared: self, ticket, done: false };
         match self.inbox.try_send(Event::Ask(Box::new(ask))) {
             Ok(()) => {}
             Err(TrySendError::Full(_) | TrySendError::Closed(_)) => {
-                left.done = true;
+                guard.done = true;
                 self.waiting.lock().expect("no holder panics").remove(&ticket);
                 self.metrics.refused(Kind::RingFull);
                 return Err(Kind::RingFull.into());
             }
         }
         let verdict = from.await;
-        left.done = true;
+        guard.done = true;
         verdict.unwrap_or_else(|_| Err(Kind::OutcomeUnknown.into()))
     }
 
@@ -196,9 +197,9 @@
             id,
             service: ServiceId::from(service),
             caller: CallerId::from(if caller.is_empty() { "anonymous" } else { caller }),
-            // The member that forwarded has made the claim.
+            // The forwarding member has already claimed the key.
             key: (!key.is_empty() && !forwarded).then(|| Key::from(key)),
-            deadline: deadline.map(|d| now + d.min(LONGEST)),
+            deadline: deadline.map(|d| now + d.min(DEADLINE_MAX)),
             run,
             hops,
             load: Load {
@@ -212,14 +213,14 @@
     }
 }
 
-/// Tells the decisions that a caller has hung up, when its call is dropped unanswered.
-struct Left<'a> {
+/// Notifies the decision loop that a caller has disconnected, if its call is dropped unanswered.
+struct HangUpGuard<'a> {
     shared: &'a Shared,
     ticket: Ticket,
     done: bool,
 }
 
-impl Drop for Left<'_> {
+impl Drop for HangUpGuard<'_> {
     fn drop(&mut self) {
         if !self.done {
             self.shared.waiting.lock().expect("no holder panics").remove(&self.ticket);
@@ -232,7 +233,7 @@
     let bad = |why| Error::new(Kind::BadRequest, format!("{name} {why}"));
     let Some(value) = headers.get(name) else { return Ok("") };
     let value = value.to_str().map_err(|_| bad("is not plain text"))?;
-    if value.len() > NAME { Err(bad("is longer than 128 bytes")) } else { Ok(value) }
+    if value.len() > NAME_MAX { Err(bad("is longer than 128 bytes")) } else { Ok(value) }
 }
 
 fn millis(headers: &HeaderMap, name: &str, error: &str) -> Result<Option<Duration>, Error> {
@@ -245,7 +246,7 @@
 }
 
 impl Gate {
-    /// Whether the headers show the secret; compared in constant time.
+    /// Whether the headers carry the secret; compared in constant time.
     pub fn admits(&self, headers: &HeaderMap) -> bool {
         headers.get(SECRET).is_some_and(|s| self.matches(s.as_bytes()))
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,8 @@
-//! The configuration in force: which version a member holds, and what becomes of a submission.
+//! The configuration in force: the version that a member holds, and the outcome of a submission.
 //!
-//! Accepted means that the compare-and-swap took effect in the key-value service. Members hear of
-//! a version by their watch and from their peers, whichever is first, and never go back.
+//! A submission is accepted if its compare-and-swap took effect in the key-value service. Members
+//! learn of a version from their watch or from a peer, whichever is first, and never return to an
+//! older one.
 
 use {
     crate::{
@@ -16,13 +17,13 @@
 
 /// The record's key.
 pub const KEY: &str = "shared/config";
-/// How long a submission may stay undecided before its outcome is called unknown.
+/// How long a submission may stay undecided before its outcome is reported as unknown.
 pub const SETTLE: Duration = Duration::from_secs(5);
-/// How long a write may stay unanswered: a call's answer, or its failure, comes in under a second,
-/// so this long only where its word was dropped on its way inside the member.
-const WRITE: Duration = Duration::from_secs(30);
-/// The pause before a record is read again after a failure.
-const AGAIN: Duration = Duration::from_millis(300);
+/// How long a write may stay unanswered. A call's answer or failure arrives in under a second, so
+/// this is exceeded only if the event was dropped inside the member.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The pause before a record is read again after a failed or undecided read.
+const READ_RETRY: Duration = Duration::from_millis(300);
 
 /// The configuration that a member holds.
 #[derive(Default)]
@@ -42,11 +43,11 @@
     fate: Fate,
 }
 
-/// What is known of a submission's write.
+/// What is known about a submission's write.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Fate {
     Open,
-    /// It was refused, and never takes effect.
+    /// It was refused and never takes effect.
     Refused,
     /// Its record was seen in force.
     Seen,
@@ -60,14 +61,14 @@
     Reading,
 }
 
-/// What a step of a submission calls for.
+/// The next action of a submission.
 #[derive(Debug)]
 pub enum Step {
     /// Write the record if it has this version.
     Write(Revision, ConfigRecord),
     /// Read the record.
     Read,
-    /// Answer the operator; none says that the outcome is unknown.
+    /// Answer the operator; `None` means that the outcome is unknown.
     Answer(Ticket, Option<SubmitReply>),
 }
 
@@ -87,10 +88,10 @@
         self.record.as_ref().map(|r| (self.revision, r))
     }
 
-    /// Takes in a record, from the service or a peer; returns whether it is newer and in force now.
+    /// Applies a record from the service or a peer; returns whether it is newer and now in force.
     ///
-    /// Guards against stale reads and slow peers: they would put an older text back in force, and
-    /// operators would see a change undone. Versions only grow, so an older record changes nothing.
+    /// Guards against stale reads and slow peers, which would put an older text back in force, so
+    /// that operators would see a change undone. Versions only grow; an older record is ignored.
     pub fn take(&mut self, revision: Revision, record: ConfigRecord) -> bool {
         if record.version <= self.version() {
             return false;
@@ -98,7 +99,7 @@
         match Plan::read(&record.text) {
             Ok(plan) => self.plan = Rc::new(plan),
             Err(faults) => {
-                // Written by a newer release with another grammar: keep the plan that is known.
+                // Written by a newer release with another grammar: keep the current plan.
                 log::error!(target: "config", "Version {} cannot be read: {} errors.", record.version, faults.len());
                 return false;
             }
@@ -112,7 +113,7 @@
         true
     }
 
-    /// Takes a submission whose text was read without errors.
+    /// Starts a submission whose text was parsed without errors.
     pub fn submit(&mut self, ticket: Ticket, ask: Submit, now: Time) -> Step {
         if self.record.as_ref().is_some_and(|r| r.submission == ask.submission) {
             return Step::Answer(ticket, Some(self.reply(true)));
@@ -132,10 +133,10 @@
         Step::Write(self.revision, copy)
     }
 
-    /// Takes the answer to the write.
+    /// Processes the answer to the write, `None` if it was lost.
     ///
-    /// A lost answer may hide a write that took effect. A blind repeat would then be refused, and
-    /// an operator told of a conflict with his own text; so the record is read instead.
+    /// A write whose answer was lost may have taken effect. A blind repeat would then be refused, and
+    /// the operator would get a conflict with their own text; so the record is read instead.
     pub fn written(&mut self, reply: Option<KvPutReply>, now: Time) -> Option<Step> {
         let p = self.pending.as_mut().filter(|p| p.stage == Stage::Writing)?;
         match reply {
@@ -150,18 +151,18 @@
                 Some(Step::Read)
             }
             None => {
-                p.stage = Stage::Unsure(now + AGAIN);
+                p.stage = Stage::Unsure(now + READ_RETRY);
                 None
             }
         }
     }
 
-    /// Takes the answer to a read.
+    /// Processes the answer to a read.
     ///
-    /// Of a write whose answer was lost, a version later than its own tells nothing: it may have
-    /// taken effect and been replaced since, by an operator who saw it. Called a conflict, it would
-    /// be submitted again and undo what came after it. So it stays open until [`SETTLE`] is over,
-    /// unless its record is seen meanwhile.
+    /// If the write's answer was lost, a version later than the write's own does not show its outcome:
+    /// the write may have taken effect and been replaced since, by an operator who saw it. If it were
+    /// reported as a conflict, it would be submitted again and undo the later changes. So the
+    /// submission stays open until [`SETTLE`] is over, unless its record is seen meanwhile.
     pub fn read(&mut self, entry: Option<KvEntry>, now: Time) -> Option<Step> {
         let entry = entry.and_then(|e| {
             let record: ConfigRecord = serde_json::from_str(&e.value).ok()?;
@@ -181,16 +182,16 @@
             let p = self.pending.take()?;
             return Some(Step::Answer(p.ticket, Some(self.reply(accepted))));
         }
-        // The write may still be on its way, or the read is a stale one.
-        p.stage = Stage::Unsure(now + AGAIN);
+        // The write may still be in flight, or the read is stale.
+        p.stage = Stage::Unsure(now + READ_RETRY);
         None
     }
 
-    /// What is due.
+    /// Returns the action that is due, if any.
     pub fn tick(&mut self, now: Time) -> Option<Step> {
-        // While the write is not answered, which it is within the deadline of a call, nothing else may
-        // be submitted: its answer would be taken for that of the next write.
-        let open = |p: &&mut Pending| p.stage != Stage::Writing || now - p.since > WRITE;
+        // The submission stays pending until its write is answered, normally within the deadline of a
+        // call: the answer of this write could otherwise be taken for that of the next submission's.
+        let open = |p: &&mut Pending| p.stage != Stage::Writing || now - p.since > WRITE_TIMEOUT;
         let p = self.pending.as_mut().filter(open)?;
         if p.fate == Fate::Seen {
             let p = self.pending.take()?;
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' duty, and the client that operators' commands use.
+//! The server for operators' calls, and the client that operators' commands use.
 
 use {
     crate::{
@@ -27,26 +27,26 @@
     tokio::sync::oneshot,
 };
 
-/// The deadline of an operator's call; longer than a submission may stay undecided.
-const CALL: Duration = Duration::from_secs(8);
-const REFUSED: i32 = -32000;
+/// The deadline of an operator's call; longer than the time that a submission may stay undecided.
+const CALL_TIMEOUT: Duration = Duration::from_secs(8);
+const ERROR_CODE: i32 = -32000;
 
 type Waiting = Arc<Mutex<FxHashMap<Ticket, oneshot::Sender<Operated>>>>;
 
-/// What the operators' duty needs.
+/// The inputs of the server for operators.
 pub(crate) struct Operators {
     /// The listener for operators.
     pub listener: TcpListener,
-    /// What operators must show.
+    /// The secret that operators must present.
     pub secret: Gate,
-    /// The way to the decisions.
+    /// The queue of events for the decision loop.
     pub inbox: Inbox,
-    /// The decisions' answers.
+    /// The answers of the decision loop.
     pub answers: Receiver<(Ticket, Operated)>,
 }
 
 impl Operators {
-    /// Serves operators until the decisions' ring is closed.
+    /// Serves operators until the decision loop's queue of answers is closed.
     pub async fn run(self) -> std::io::Result<()> {
         let waiting = Waiting::default();
         let asks =
@@ -77,14 +77,14 @@
         self.waiting.lock().expect("no holder panics").insert(ticket, to);
         if self.inbox.try_send(Event::Operator(ticket, ask)).is_err() {
             self.waiting.lock().expect("no holder panics").remove(&ticket);
-            return Err(bad(Kind::RingFull));
+            return Err(rpc_error(Kind::RingFull));
         }
-        from.await.map_err(|_| bad(Kind::OutcomeUnknown))
+        from.await.map_err(|_| rpc_error(Kind::OutcomeUnknown))
     }
 }
 
-fn bad(kind: Kind) -> ErrorObjectOwned {
-    ErrorObjectOwned::owned(REFUSED, kind.answer().label, None::<()>)
+fn rpc_error(kind: Kind) -> ErrorObjectOwned {
+    ErrorObjectOwned::owned(ERROR_CODE, kind.answer().label, None::<()>)
 }
 
 fn module(asks: Asks) -> RpcModule<Asks> {
@@ -93,14 +93,14 @@
         let ask: Submit = params.one()?;
         match asks.ask(Operate::Submit(ask)).await? {
             Operated::Submit(reply) => Ok(reply),
-            _ => Err(bad(Kind::Peer)),
+            _ => Err(rpc_error(Kind::Peer)),
         }
     });
     submit.expect("the names differ");
     let show = module.register_async_method("show", |_, asks, _| async move {
         match asks.ask(Operate::Show).await? {
             Operated::Show(show) => Ok(*show),
-            _ => Err(bad(Kind::Peer)),
+            _ => Err(rpc_error(Kind::Peer)),
         }
     });
     show.expect("the names differ");
@@ -111,17 +111,17 @@
     module
 }
 
-/// Submits a text; errs with [`Kind::OutcomeUnknown`] where no answer came.
+/// Submits a text; errs with [`Kind::OutcomeUnknown`] if no answer arrives.
 pub async fn submit(at: SocketAddr, secret: &str, ask: &Submit) -> Result<SubmitReply, Error> {
     call(at, secret, "submit", rpc_params![ask]).await
 }
 
-/// Shows a member's state.
+/// Returns a member's state.
 pub async fn show(at: SocketAddr, secret: &str) -> Result<Show, Error> {
     call(at, secret, "show", rpc_params![]).await
 }
 
-/// Tells a member to stop, with no request interrupted.
+/// Tells a member to stop without interrupting requests.
 pub async fn drain(at: SocketAddr, secret: &str) -> Result<bool, Error> {
     call(at, secret, "drain", rpc_params![]).await
 }
@@ -133,7 +133,7 @@
     params: jsonrpsee::core::params::ArrayParams,
 ) -> Result<R, Error> {
     let client =
-        rpc::client(at, secret, CALL).map_err(|e| Error::new(Kind::Peer, e.to_string()))?;
+        rpc::client(at, secret, CALL_TIMEOUT).map_err(|e| Error::new(Kind::Peer, e.to_string()))?;
     client.request(name, params).await.map_err(|e| match e {
         ClientError::Call(e) => match Kind::from_label(e.message()) {
             Some(kind) => kind.into(),
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -1,4 +1,4 @@
-//! The peers' duty: control calls between members, and requests that are forwarded.
+//! Control calls between members, and the forwarding of requests to peers.
 
 use {
     crate::{
@@ -31,31 +31,31 @@
     tokio::sync::oneshot,
 };
 
-/// The deadline of a call. A member that takes longer is not in a state to decide anything.
-const CALL: Duration = Duration::from_secs(1);
-/// How long a claim may take at its owner, which may have to settle a lost answer.
-const CLAIM: Duration = Duration::from_secs(5);
-/// What the codes of JSON-RPC leave to an application.
-const REFUSED: i32 = -32000;
+/// The deadline of a call. A member that takes longer is too slow to make decisions.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The deadline of a claim; its owner may first have to resolve a write whose answer was lost.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(5);
+/// The JSON-RPC error code of a refused call, from the range reserved for applications.
+const ERROR_CODE: i32 = -32000;
 
 type Waiting = Arc<Mutex<FxHashMap<Ticket, oneshot::Sender<Back>>>>;
 
-/// What the peers' duty needs.
+/// The inputs of the server and clients for peers.
 pub struct Peers {
     /// The listener for control calls.
     pub control: TcpListener,
-    /// What peers must show.
+    /// The secret that peers must present.
     pub secret: Gate,
-    /// The way to the decisions.
+    /// The queue of events for the decision loop.
     pub inbox: Inbox,
-    /// What the decisions order.
+    /// The orders of the decision loop.
     pub orders: Receiver<Order>,
     /// The member's metrics.
     pub metrics: Arc<Metrics>,
 }
 
 impl Peers {
-    /// Serves and calls peers until the decisions' ring is closed.
+    /// Serves and calls peers until the decision loop's queue of orders is closed.
     pub async fn run(self) -> std::io::Result<()> {
         let waiting = Waiting::default();
         let module = module(self.inbox.clone(), waiting.clone());
@@ -74,15 +74,16 @@
                 Order::Forward(forward) => {
                     let (client, secret) = (client.clone(), self.secret.clone());
                     tokio::spawn(async move {
-                        let outcome = pass(&forward, &client, &secret).await;
+                        let outcome = send_forward(&forward, &client, &secret).await;
                         let (request, to) = (forward.request, forward.to);
                         let _ = inbox.send(Event::Forwarded { request, to, outcome }).await;
                     });
                 }
                 Order::Call(to, addr, call) => {
-                    let limit = if matches!(*call, Call::Claim(_)) { CLAIM } else { CALL };
+                    let limit =
+                        if matches!(*call, Call::Claim(_)) { CLAIM_TIMEOUT } else { CALL_TIMEOUT };
                     if !clients.contains_key(&addr)
-                        && let Ok(c) = rpc::client(addr, self.secret.show(), CLAIM)
+                        && let Ok(c) = rpc::client(addr, self.secret.show(), CLAIM_TIMEOUT)
                     {
                         clients.insert(addr, c);
                     }
@@ -111,7 +112,7 @@
             let (inbox, waiting) = (inbox.clone(), waiting.clone());
             let ticket = next.fetch_add(1, Ordering::Relaxed);
             async move {
-                let bad = |why: String| ErrorObjectOwned::owned(REFUSED, why, None::<()>);
+                let bad = |why: String| ErrorObjectOwned::owned(ERROR_CODE, why, None::<()>);
                 let value: Value = params.one().map_err(|e| bad(e.to_string()))?;
                 let tagged = Value::Object(Map::from_iter([(name.into(), value)]));
                 let call: Call = serde_json::from_value(tagged).map_err(|e| bad(e.to_string()))?;
@@ -132,14 +133,14 @@
 async fn ask(client: &HttpClient, call: &Call, metrics: &Metrics) -> Result<Back, Failure> {
     let Ok(Value::Object(tagged)) = serde_json::to_value(call) else { return Err(Failure::Unsent) };
     let Some((name, value)) = tagged.into_iter().next() else { return Err(Failure::Unsent) };
-    // Made once: it is counted, and sent as it is.
+    // Serialized once: the same bytes are counted and sent.
     let value = serde_json::value::to_raw_value(&value).map_err(|_| Failure::Unsent)?;
     metrics.sent("peers", value.get().len());
     client.request(&name, [value]).await.map_err(|_| Failure::Broken)
 }
 
 /// Sends a request to a peer and reads its final answer.
-async fn pass(f: &Forward, client: &Client, secret: &Gate) -> Outcome {
+async fn send_forward(f: &Forward, client: &Client, secret: &Gate) -> Outcome {
     let mut b = Request::builder()
         .method(&*f.load.method)
         .uri(uri(f.addr, &format!("/{}{}", f.service, f.load.path)))
@@ -161,7 +162,7 @@
         return Outcome::Refused(Kind::BadRequest.into());
     };
     let (head, body) = match client.send(request, f.left).await {
-        Ok(whole) => whole,
+        Ok(response) => response,
         Err(failure) => return Outcome::Failed(failure),
     };
     let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
@@ -170,10 +171,11 @@
         if let Ok(ms) = text(BACK).parse() {
             error = error.after(Duration::from_millis(ms));
         }
-        // A refusal is taken for what it says itself.
-        let says_no = text(RAN) == "no";
+        // The peer's `x-dwr-ran` header decides: if this kind of error means that the request did not
+        // run and the header does not confirm it, the outcome counts as broken.
+        let confirmed = text(RAN) == "no";
         let no = kind.answer().ran == crate::Ran::No;
-        return Outcome::Refused(if no && !says_no { Kind::Broken.into() } else { error });
+        return Outcome::Refused(if no && !confirmed { Kind::Broken.into() } else { error });
     }
     if text(REQUEST).parse() != Ok(f.request) {
         return Outcome::Failed(Failure::Broken);
