--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on keys under random orders of events; the invariants have the names of the model.
+//! Claims on keys under random orders of events; the invariants are named as in the model.
 
 mod bucket;
 
@@ -15,7 +15,7 @@
     std::{cell::Cell, time::Duration},
 };
 
-/// Where a request is, as its entry member sees it.
+/// The state of a request as its entry member sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fate {
     Asked,
@@ -42,10 +42,10 @@
     asks: Vec<ClaimAsk>,
     ends: Vec<(u64, ClaimEnd)>,
     sent: u64,
-    /// For each key, the request that may have run.
+    /// The request that may have run, for each key.
     ran: [Option<usize>; 2],
     seen: [u32; 8],
-    /// Whether copies of asks arrive, and asks after their ends, which the entry should prevent.
+    /// Whether asks are duplicated or arrive after their ends, which the entry member should prevent.
     copies: bool,
 }
 
@@ -101,7 +101,7 @@
                 panic!("NotRunIsTrue: request {i} was granted twice")
             }
             (ClaimVerdict::Unowned | ClaimVerdict::KvDown, Fate::Asked) => self.not_run(i),
-            // Another request holds the key, and this one never went out.
+            // Another request holds the key, and this one was never sent.
             (_, Fate::Asked) => self.requests[i].fate = Fate::ToldNotRun,
             // A copy of an ask was decided after the verdict on the ask itself.
             _ => {}
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Carries out a member's order. A machine that has told a request off never grants it.
+    /// Executes a member's order. A member that has refused a request must never grant it.
     fn carry(&mut self, m: usize, order: Order, told: &mut Vec<(usize, RequestId)>) {
         if let Order::Kept { call } = order {
             self.ends.retain(|end| end.0 != call);
@@ -123,8 +123,8 @@
         match reply.verdict {
             ClaimVerdict::Unowned | ClaimVerdict::KvDown => told.push((m, request)),
             ClaimVerdict::Granted => {
-                let off = told.contains(&(m, request));
-                assert!(!off, "NotRunIsTrue: {request} granted after it was told off");
+                let refused = told.contains(&(m, request));
+                assert!(!refused, "NotRunIsTrue: {request} granted after it was refused");
             }
             _ => {}
         }
@@ -145,7 +145,7 @@
                 self.members[m].bucket.ask(ask, self.now);
             }
             4 if !self.ends.is_empty() => {
-                // An end goes to the owner, who is the newest, again and again until it is kept.
+                // An end is sent to the newest owner repeatedly until it is acknowledged.
                 let (call, end) = self.ends[u.choose_index(self.ends.len())?].clone();
                 self.members.last_mut().expect("there is a member").bucket.end(end, call);
             }
@@ -176,7 +176,7 @@
         Ok(())
     }
 
-    /// With the KV back and all said, a key is free again unless a request may have run with it.
+    /// Once the KV is up and all ends are delivered, a key is free unless its request may have run.
     fn finish(&mut self, told: &mut Vec<(usize, RequestId)>) {
         self.kv.down = false;
         let last = self.members.len() - 1;
@@ -211,14 +211,14 @@
                 self.members[m].bucket.end(end, call);
             }
         }
-        assert!(self.ends.is_empty(), "the owner takes no ends");
+        assert!(self.ends.is_empty(), "the owner does not acknowledge ends");
     }
 }
 
-// A caller binds cover, hears nothing, and sends the same key again, to another member. Meanwhile
-// the KV loses answers, goes down, and the key's owner is replaced, while the old owner still works
-// on. Were the second request granted, cover would be bound twice; were a request told off and then
-// granted, the caller's repeat would bind it twice as well.
+// A caller binds cover, gets no answer, and sends the same key again to another member. Meanwhile the
+// KV loses answers and goes down, and the key's owner is replaced while the old owner still runs. If
+// the second request were granted, cover would be bound twice; if a request were refused and then
+// granted, the caller's repeat would also bind it twice.
 #[test]
 fn at_most_once_and_not_run_is_true() {
     let seen: [Cell<u32>; 8] = Default::default();
@@ -249,9 +249,9 @@
     }
 }
 
-// The KV is down while a caller binds cover: it is told "not run" and when to come back. The write
-// with its claim had reached the KV all the same, and the entry member died before it could say so.
-// The caller's repeat, when the KV is back, has to run: nothing else ever will.
+// The KV is down while a caller binds cover: the caller gets "not run" and a time to retry. The write
+// with its claim had still reached the KV, and the entry member died before it could send the end.
+// The caller's repeat must run once the KV is up, since no other request with the key will.
 #[test]
 fn repeat_runs_after_kv_down() {
     let (mut kv, mut now, mut member) = (Kv::default(), Time::ZERO, Member::new(1));
@@ -270,9 +270,9 @@
     assert_eq!(verdicts(orders), [(RequestId(2), ClaimVerdict::Granted)]);
 }
 
-// Callers make up ever new keys. Without a bound the record would pass the KV's megabyte, no write
-// would be taken any more, and the whole bucket would stand still. Claims are refused instead, and
-// those that are done are forgotten after a day.
+// Callers keep using new keys. Without a bound the record would exceed the KV's megabyte, every write
+// would be refused, and the whole bucket would stop. Claims are refused instead, and finished ones
+// are removed after a day.
 #[test]
 fn record_stays_below_the_kvs_limit() {
     let (mut kv, mut now, mut member) = (Kv::default(), Time::ZERO, Member::new(1));
--- a/tests/commit.rs
+++ b/tests/commit.rs
@@ -8,8 +8,8 @@
     messages::{ClaimAsk, ClaimVerdict, KvPutReply},
 };
 
-/// Asks for a claim each millisecond for ten seconds, over a KV that answers at once; the writes, and
-/// the longest wait for a verdict in milliseconds.
+/// Asks for a claim every `each` milliseconds for ten seconds, with a KV that answers at once; returns
+/// the number of writes and the longest wait for a verdict in milliseconds.
 fn burst(each: u64) -> (u64, u64) {
     let mut bucket = Bucket::new(Epoch(1), Incarnation(1), 0);
     let (mut writes, mut longest) = (0, 0);
@@ -45,17 +45,18 @@
 }
 
 // Brokers bind cover a hundred times a second on keys of one bucket, and the key-value service answers
-// in no time. Each claim was then a write of its own; over 64 buckets the fleet wrote thousands of
-// times a second to a service that takes a few hundred, which slowed all and failed leases.
+// immediately. Each claim was then a write of its own; with 64 buckets the members made thousands of
+// writes a second to a service that handles a few hundred, which slowed all calls and made lease
+// renewals fail.
 #[test]
 fn writes_of_a_bucket_are_bounded() {
     let (writes, longest) = burst(10);
-    // Four saved up, 300 / 64 a second for 11 s, and the first that takes the bucket over.
+    // Four accumulated writes, 300 / 64 per second for 11 s, and the first write of the new owner.
     assert!(writes <= 4 + 52 + 1, "{writes} writes for 1,000 claims");
     assert!(longest <= 250, "a claim waited {longest} ms");
 }
 
-// One claim a second on a quiet bucket: the budget must not make it wait.
+// One claim a second on an idle bucket: the budget must not delay it.
 #[test]
 fn a_quiet_bucket_writes_at_once() {
     let (writes, longest) = burst(1000);
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What is in use on the workers owned.
+//! The ledger of resources and slots in use on the workers of a member.
 
 use {
     arbtest::{arbitrary, arbtest},
@@ -67,7 +67,7 @@
     }
 }
 
-/// A plain list of what was let in, summed anew for every question.
+/// A reference model: a plain list of accepted holds, summed up again for every query.
 #[derive(Default)]
 struct Recount {
     held: BTreeMap<Held, (u32, Load, Time)>,
@@ -79,7 +79,7 @@
         Load { size: mine().map(|l| l.size).sum(), slots: mine().map(|l| l.slots).sum() }
     }
 
-    /// What a new hold on this worker would be told.
+    /// The refusal that a new hold on this worker would get, if any.
     fn verdict(&self, held: &Held, n: u32, load: &Load) -> Result<(), Refusal> {
         let mut used = self.used(n);
         if let Some((at, old, _)) = self.held.get(held) {
@@ -178,8 +178,8 @@
     }
 }
 
-// Two tasks run in the room of one. A member dies just after it sent a start; the new owner reads
-// a report that is older than the start, doesn't see the task, and gives its room to another.
+// Guards against two tasks in the room of one: a member dies just after it sent a start, and the new
+// owner reads a report older than the start, which doesn't list the task, and reuses its room.
 #[test]
 fn an_intent_is_counted_though_a_young_report_lacks_it() {
     let mut ledger = ledger();
@@ -193,8 +193,8 @@
     assert!(ledger.reserve(&task(2), Attempt(1), &worker(0), size, secs(200)).is_ok());
 }
 
-// A worker runs more than it has. A task with a wrong declared size was placed by the former owner
-// together with an intent that was recorded but is not yet shown; the union is over the worker.
+// A worker's load exceeds its limit: the former owner placed a task with a wrong declared size
+// together with an intent that was recorded but is not yet reported; their sum is over the limit.
 #[test]
 fn an_over_full_worker_has_no_room_until_it_fits() {
     let mut ledger = ledger();
@@ -215,8 +215,8 @@
     assert!(ledger.take_slot(RequestId(8), &worker(0), secs(101)).is_ok());
 }
 
-// A worker's room shrinks for ever. Its report, a second old, still lists a task and a request
-// that have ended since; counted again, nothing would ever free them.
+// Guards against room that is never freed: a report that is a second old still lists a task and a
+// request that have ended since; if they were counted again, nothing would free them.
 #[test]
 fn an_old_report_does_not_bring_back_what_has_ended() {
     let mut ledger = ledger();
@@ -254,7 +254,7 @@
     assert_eq!(ledger.slots(&PoolId::from("quoting")), (16, 16));
 }
 
-// A worker runs more than it has. Its owner changes again and again, starts are under way for up to
+// Guards against overcommitted workers: the owner changes repeatedly, starts are in flight for up to
 // a second, and each owner sees only reports that are up to three seconds old.
 #[test]
 fn no_worker_is_over_its_size_when_owners_change_and_reports_lag() {
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership among members over a fake key-value service, in random orders of faults.
+//! Ownership among members with a fake key-value service, under random sequences of faults.
 
 #[path = "ownership/kv.rs"]
 mod kv;
@@ -14,21 +14,21 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Random runs, a seed each, and the bytes drawn for one.
+/// The number of random runs, one seed each, and the bytes of random data for a run.
 const SEEDS: u64 = 24;
-const SIZE: u64 = 4096;
+const RUN_BYTES: u64 = 4096;
 
-/// How old the view of a member that takes a row over may be: a lagging watch and a slow write.
-const FRESH: Duration = Duration::from_secs(5);
+/// The maximum age of the view of a member that takes over a row: a delayed watch plus a slow write.
+const VIEW_AGE_MAX: Duration = Duration::from_secs(5);
 
-/// What was seen so far, to compare with.
+/// The state observed so far, to check later states against.
 #[derive(Default)]
 struct Seen {
     writers: BTreeMap<(RowId, Epoch), Incarnation>,
     epochs: BTreeMap<RowId, (Option<Incarnation>, Epoch)>,
-    /// When each member had no lease, by its own clock.
+    /// The last time at which each member had no lease, by its own clock.
     lapsed: BTreeMap<Incarnation, Time>,
-    /// Rows taken over from a member that another found gone.
+    /// The number of rows taken over from a member that another member found gone.
     taken: u32,
 }
 
@@ -56,8 +56,11 @@
                 self.taken += 1;
                 let alive = cell.members.iter().any(|m| Some(m.id) == before);
                 let lapsed = before.and_then(|b| self.lapsed.get(&b));
-                let lately = lapsed.is_some_and(|at| cell.now - *at < FRESH);
-                assert!(lately || !alive, "{row} was taken from an owner that could act all along");
+                let recently = lapsed.is_some_and(|at| cell.now - *at < VIEW_AGE_MAX);
+                assert!(
+                    recently || !alive,
+                    "{row} was taken from an owner that could act all along"
+                );
             }
         }
     }
@@ -86,8 +89,8 @@
     Ok(())
 }
 
-/// Whether each row is with the member that should have it, none with one that is stopping, and all
-/// see it so.
+/// Whether each row is owned by the member that should own it, none by a draining member, and all
+/// members' views agree.
 fn settled(cell: &Cell) -> bool {
     if cell.members.iter().any(|m| m.draining && m.own.count() > 0) {
         return false;
@@ -113,16 +116,16 @@
             assert!(settled(&cell), "the rows are not with the members that should have them");
             Ok(())
         })
-        .seed(seed << 32 | SIZE)
+        .seed(seed << 32 | RUN_BYTES)
         .run();
     }
 }
 
 #[test]
 fn an_outage_moves_nothing() {
-    // The key-value service is out, for less or more than a lease, and its leases lapse meanwhile.
-    // The first member back found the others gone and took over all that they had, although they
-    // were as well as itself and came back within a second.
+    // The key-value service is out for less or more than a lease, and its leases lapse meanwhile. The
+    // first member to reconnect found the others gone and took over all their rows, although they
+    // were healthy and reconnected within a second.
     for out in (500..=12_000).step_by(500) {
         let (mut cell, mut seen) = (Cell::new(), Seen::default());
         seen.run(&mut cell, 10_000);
@@ -139,8 +142,8 @@
 
 #[test]
 fn a_record_that_lost_rows_takes_no_epoch_back() {
-    // An operator's mishap empties a table. The next owners would start at epoch 1 again, and every
-    // worker, which knows a higher one, would refuse them for good.
+    // An operator empties a table by mistake. The next owners would start at epoch 1 again, and every
+    // worker, which knows a higher epoch, would refuse them permanently.
     let mut cell = Cell::new();
     Seen::default().run(&mut cell, 10_000);
     let before: BTreeMap<RowId, Epoch> = cell.rows().map(|(row, _, epoch)| (row, epoch)).collect();
@@ -152,8 +155,8 @@
 
 #[test]
 fn a_lease_counts_from_before_its_renewal() {
-    // A renewal takes three seconds on its way. The service's lease runs from its arrival, and the
-    // owner must stop before that ends, whatever the way back took.
+    // A renewal takes three seconds to arrive. The service counts the lease from its arrival, and the
+    // owner must stop before the lease ends, however long the answer took.
     let mut own = Ownership::new(Incarnation(1));
     own.renewed(secs(10));
     own.renewed(secs(9));
--- a/tests/ownership/kv.rs
+++ b/tests/ownership/kv.rs
@@ -17,9 +17,9 @@
 /// How often a member renews its lease.
 pub const RENEW: Duration = Duration::from_secs(1);
 const STEP: Duration = Duration::from_millis(20);
-/// How often a member looks ownership over.
+/// How often a member checks the ownership of rows.
 const OWN: Duration = Duration::from_millis(100);
-/// When a call without an answer is given up.
+/// The timeout of a call.
 const CALL: Duration = Duration::from_millis(800);
 const TABLES: [&str; 3] = ["Westlands", "Embakasi", "buckets"];
 const ROWS: usize = 6;
@@ -44,7 +44,7 @@
     Some(table(row)).filter(|t| *t != "buckets").map(Zone::from)
 }
 
-/// What a watch tells, in order.
+/// The changes that a watch reports, in order.
 #[derive(Clone)]
 enum Word {
     Joined(MemberRecord),
@@ -52,7 +52,7 @@
     Table(&'static str, Revision, OwnersRecord),
 }
 
-/// The service.
+/// The fake key-value service.
 #[derive(Default)]
 pub struct Kv {
     tables: BTreeMap<&'static str, Vec<(Revision, OwnersRecord)>>,
@@ -64,7 +64,7 @@
 }
 
 impl Kv {
-    /// Answers nothing until then; its leases lapse meanwhile, or stand still.
+    /// Answers no call until then; its leases lapse meanwhile, or are frozen.
     pub fn outage(&mut self, until: Time, lapsing: bool) {
         (self.down, self.lapsing) = (until, lapsing);
     }
@@ -118,7 +118,7 @@
     }
 }
 
-/// A call on its way to the service, or its answer on the way back.
+/// A call in flight to the service, or its answer in flight back.
 enum Wire {
     Renew(Time),
     Renewed(Time),
@@ -128,15 +128,15 @@
     Got(Box<str>, Revision, OwnersRecord),
 }
 
-/// A member.
+/// A member under test.
 pub struct Member {
     pub id: Incarnation,
     pub own: Ownership,
     pub paused: Time,
-    /// Until when its answers are lost.
+    /// The time until which its answers are lost.
     pub losing: Time,
     pub slow: Duration,
-    /// How far its watch and its reads lag.
+    /// The delay of its watch and its reads.
     pub lag: Duration,
     pub renew: Time,
     pub draining: bool,
@@ -168,7 +168,7 @@
         self.wire.push((at, wire));
     }
 
-    /// What is due on its way.
+    /// Removes and returns the calls and answers that have arrived by `now`.
     fn due(&mut self, now: Time) -> Vec<Wire> {
         self.wire.extract_if(.., |(at, _)| *at <= now).map(|(_, wire)| wire).collect()
     }
@@ -206,12 +206,12 @@
     }
 }
 
-/// The members and the service.
+/// The members and the service on one virtual clock.
 pub struct Cell {
     pub now: Time,
     pub kv: Kv,
     pub members: Vec<Member>,
-    /// Who wrote each row last.
+    /// The member that last wrote each row.
     pub writers: BTreeMap<RowId, Incarnation>,
     next: u64,
 }
@@ -223,7 +223,7 @@
         Cell { now, kv: Kv::default(), members, writers: BTreeMap::new(), next }
     }
 
-    /// The rows as the service has them.
+    /// The rows as stored in the service.
     pub fn rows(&self) -> impl Iterator<Item = (RowId, Option<Incarnation>, Epoch)> {
         let records = TABLES.iter().map(|t| self.kv.read(t, 0).1);
         records.flat_map(|r| {
@@ -237,13 +237,13 @@
         }
     }
 
-    /// A member dies, and another takes its place.
+    /// Replaces a member that died by a new one.
     pub fn restart(&mut self, n: usize) {
         self.next += 1;
         self.members[n] = Member::new(self.next);
     }
 
-    /// All faults end.
+    /// Ends all faults.
     pub fn heal(&mut self) {
         self.kv.down = self.now;
         for m in &mut self.members {
@@ -313,7 +313,7 @@
         }
     }
 
-    /// Notes who changed which rows.
+    /// Records which member changed which rows.
     fn note(&mut self, n: usize, swap: &Swap, fate: Fate) {
         if !matches!(fate, Fate::Done(_)) {
             return;
--- a/tests/racks.rs
+++ b/tests/racks.rs
@@ -1,4 +1,4 @@
-//! The racks of a member against workers that lag, pause, are cut off, or lose answers.
+//! The racks of a member with workers that are delayed, paused, cut off, or lose answers.
 
 #[path = "racks/bench.rs"]
 mod bench;
@@ -32,7 +32,7 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// A bench with one worker, on which task 0 runs.
+/// A test bench with one worker on which task 0 runs.
 fn running() -> (Bench, ReserveRow) {
     let mut b = Bench::new(1);
     b.run(1000);
@@ -73,8 +73,8 @@
 
 #[test]
 fn a_worker_that_was_cut_off_comes_back() {
-    // A switch fails for 40 s. The task behind it is told as lost, which must be true by then. The
-    // worker must get work again; it would not, if a silent one were no longer asked.
+    // A switch fails for 40 s. The task behind it is reported as lost, which must be true by then.
+    // The worker must get work again afterwards, so an unresponsive worker must still be polled.
     let (mut b, _) = running();
     b.fake(0).cut = true;
     let lost = |b: &mut Bench| told(&mut b.members[0]).contains(&TaskState::Lost);
@@ -91,8 +91,9 @@
 
 #[test]
 fn a_lapse_covers_renewals_whose_answers_were_lost() {
-    // A worker's answers are lost, and its owner says when its leases have lapsed. A renewal takes up
-    // to a second to arrive, and opens the lease from then: counted from its sending, it ran on.
+    // A worker's answers are lost, and its owner reports when its leases have lapsed. A renewal takes
+    // up to a second to arrive and extends the lease from then: a lapse counted from the time of
+    // sending was reported while the task still ran.
     let (mut b, row) = running();
     b.flight = Duration::from_millis(900);
     b.run(12_000);
@@ -106,8 +107,9 @@
 
 #[test]
 fn a_lapse_is_not_announced_by_an_owner_that_may_die_before() {
-    // A rack's owner finds a worker silent, announces when its leases lapse, and dies. The worker is
-    // back, the next owner renews, and the bucket's owner starts the task elsewhere as announced.
+    // A rack's owner finds a worker unresponsive, announces when its leases lapse, and dies. The
+    // worker recovers, the next owner renews its leases, and the bucket's owner starts the task
+    // elsewhere at the announced time.
     let (mut b, row) = running();
     b.fake(0).mute = true;
     let mut announced = Time::NEVER;
@@ -130,8 +132,8 @@
 
 #[test]
 fn a_lapse_is_not_announced_for_a_worker_that_the_list_shows_late() {
-    // A member starts, gains a rack, and hears of its workers later. Asked in between, it took the
-    // worker as gone and announced the lapse of its tasks, and then renewed them.
+    // A member starts, takes over a rack, and gets the list of its workers later. When probed in
+    // between, it treated the worker as gone, reported its leases as lapsed, and then renewed them.
     let (mut b, row) = running();
     b.members[1] = Racks::new(3);
     let now = b.now;
@@ -146,7 +148,7 @@
 #[test]
 fn a_worker_that_died_with_its_owner_gives_its_tasks_back() {
     // A member and a worker fail together. The next owner never reaches the worker, which stays in
-    // the platform's list. Its tasks waited for as long as it did.
+    // the platform's list. Its tasks were not restarted while it stayed there.
     let (mut b, row) = running();
     b.fake(0).cut = true;
     let now = b.now;
@@ -161,8 +163,8 @@
 
 #[test]
 fn a_late_handover_ends_nothing() {
-    // The former owner's handover comes five seconds after the new owner has the worker's report. It
-    // was taken as a newer report that lists no task, so that the room of a running task was free.
+    // The former owner's handover arrives five seconds after the new owner got the worker's report.
+    // It was treated as a newer report without tasks, which freed the room of a running task.
     let (mut b, row) = running();
     let now = b.now;
     let over = b.members[0].lost(&rack(), Epoch(1));
@@ -177,8 +179,8 @@
 
 #[test]
 fn a_leaving_worker_gets_no_start() {
-    // A worker begins to leave between the reservation and the start, or with a start waiting for
-    // orders that are on their way. Both would have gone out seconds after the list said so.
+    // A worker begins to leave between the reservation and the start, or while a start waits for
+    // orders in flight. Both starts were sent seconds after the list showed the worker as leaving.
     let mut b = Bench::new(1);
     b.run(1000);
     let now = b.now;
@@ -194,7 +196,7 @@
 
 #[test]
 fn a_start_of_more_than_is_reserved_puts_no_worker_over_its_size() {
-    // The estimate of a task grows between the wish for room and the attempt.
+    // The estimate of a task grows between the reservation and the attempt.
     let mut b = Bench::new(1);
     b.run(1000);
     let now = b.now;
@@ -204,7 +206,7 @@
     let other = b.members[0].reserve(&wish(1, 1, 8), now).rows.pop();
     let refused = |reply: StartReply| reply.refused.len();
     let first = b.members[0].start(start(&row, 10), now).expect("the rack's owner");
-    // One of the two has the room: 10 and 8 cores are more than a worker has.
+    // Only one of the two fits: a worker has fewer than 10 + 8 cores.
     let second = other.map_or(1, |row| {
         refused(b.members[0].start(start(&row, 8), now).expect("the rack's owner"))
     });
@@ -228,8 +230,8 @@
 
 #[test]
 fn a_stop_does_not_overtake_its_start() {
-    // A task is stopped before its start was sent. Both went out together; the worker confirmed that
-    // nothing ran, and then started it: its room was given to others.
+    // A task is stopped before its start was sent. Both orders were sent together; the worker
+    // confirmed that nothing ran and then started the task, whose room was given to others.
     let mut b = Bench::new(1);
     b.run(1000);
     let row = place(&mut b, 0, 0);
@@ -241,7 +243,7 @@
 
 #[test]
 fn a_stop_waits_until_its_start_is_too_late() {
-    // A start is unanswered and may be on its way still. The stop overtakes it and is confirmed.
+    // A start is unanswered and may still be in flight. The stop overtakes it and is confirmed.
     let (mut b, row, ask) = sent();
     let now = b.now;
     b.members[0].ordered(&row.worker, &ask, now, Err(Failure::Timeout), now);
@@ -254,7 +256,7 @@
     assert_eq!((ask.start.len(), ask.stop.len()), (0, 1));
 }
 
-/// A bench with one worker, to which the start of task 0 was sent just now.
+/// A test bench with one worker, to which the start of task 0 was just sent.
 fn sent() -> (Bench, ReserveRow, WorkerAsk) {
     let mut b = Bench::new(1);
     b.run(1000);
@@ -265,7 +267,7 @@
     (b, row, ask)
 }
 
-/// The orders that go out now, empty where none do.
+/// The orders that are sent now; empty if there are none.
 fn orders(racks: &mut Racks, now: Time) -> WorkerAsk {
     let mut out = vec![];
     racks.tick(now, true, &mut out);
@@ -279,8 +281,8 @@
 
 #[test]
 fn a_refused_repeat_ends_nothing() {
-    // A start arrives and its answer is lost. The repeat comes too late and is refused; the task
-    // runs all the same, and was told as lost.
+    // A start arrives and its answer is lost. The repeated start is too late and is refused; the
+    // task runs nevertheless, and was reported as lost.
     let (mut b, row, ask) = sent();
     let now = b.now;
     b.members[0].ordered(&row.worker, &ask, now, Err(Failure::Timeout), now);
@@ -293,8 +295,8 @@
 
 #[test]
 fn an_end_is_not_covered_by_a_late_start() {
-    // A short task ends at once, and the report that says so comes before the answer to its start.
-    // The word that it runs replaced the word of its end, and it was run again.
+    // A short task ends at once, and the report of its end arrives before the answer to its start.
+    // The state "running" from that answer replaced the end, and the task was run again.
     let (mut b, row, ask) = sent();
     let now = b.now;
     let later = now + Duration::from_secs(1);
@@ -310,8 +312,8 @@
 
 #[test]
 fn a_member_that_had_no_lease_takes_nobody_as_silent() {
-    // The key-value service is out for 15 s, and the member asks no worker meanwhile. When its lease
-    // was back it took all workers as silent, cut them off, and the whole cell's tasks ran out.
+    // The key-value service is out for 15 s, and the member polls no worker meanwhile. When it had a
+    // lease again, it found all workers unresponsive and let the leases of all tasks lapse.
     let (mut b, _) = running();
     b.leased[0] = false;
     b.run(15_000);
@@ -322,7 +324,7 @@
 
 #[test]
 fn a_vm_that_is_gone_is_forgotten() {
-    // 880 VMs are replaced a day. Each left its link and account behind for good.
+    // 880 VMs are replaced per day. Each left its link and account in memory permanently.
     let (mut b, _) = running();
     b.fake(0).cut = true;
     b.vms = BTreeMap::from([(worker(1), vm(1))]);
@@ -335,8 +337,8 @@
 
 #[test]
 fn a_rack_is_lost_with_the_workers_that_left_the_list() {
-    // A VM leaves the list by mistake and its rack changes its owner. The former owner kept its
-    // link, and later told as lost what the new owner had renewed.
+    // A VM is missing from the list by mistake, and its rack changes owners. The former owner kept
+    // its link, and later reported as lost what the new owner had renewed.
     let (mut b, _) = running();
     b.vms.clear();
     b.list();
@@ -347,8 +349,8 @@
 
 #[test]
 fn stops_of_unknown_attempts_end() {
-    // A worker confirms only stops of what it knows. The stop of an attempt that had ended was sent
-    // for ever.
+    // A worker confirms only stops of attempts that it knows. The stop of an attempt that had ended
+    // was repeated without end.
     let (mut b, row) = running();
     b.fake(0).strict = true;
     let gone = ReserveRow { task: task(5), ..row };
@@ -362,8 +364,9 @@
 
 #[test]
 fn a_report_proves_nothing_of_a_start_on_its_way() {
-    // A bucket's owner asks after an attempt whose start is still on its way to the rack's owner. It
-    // took the report's silence as proof, and made the next attempt before that start came.
+    // A bucket's owner probes an attempt whose start is still in flight to the rack's owner. It took
+    // the attempt's absence from the report as proof of its end, and made the next attempt before
+    // that start arrived.
     let (mut b, row) = running();
     let now = b.now;
     let next = b.members[0].reserve(&wish(1, 1, 1), now).rows.pop().unwrap();
@@ -374,8 +377,8 @@
 
 #[test]
 fn a_worker_that_forgot_its_epoch_is_fenced_again() {
-    // A worker's agent restarts and knows no epoch. Until an order raised it, a former owner's start
-    // that had been held up was taken.
+    // A worker's agent restarts and knows no epoch. Until an order raised its epoch, it accepted a
+    // delayed start of a former owner.
     let (mut b, _) = running();
     b.fake(0).epoch = Epoch(0);
     b.fake(0).runs.clear();
