--- a/src/commit.rs
+++ b/src/commit.rs
@@ -39,11 +39,11 @@
 
 /// Writes per second of one bucket. All 64 together make 300 of the several hundred that the KV
 /// handles; the rest is for leases, ownership and configuration.
-const RATE: f64 = 300.0 / 64.0;
+const WRITES_PER_SECOND: f64 = 300.0 / 64.0;
 
 /// The maximum number of writes that a bucket may accumulate, so that a claim on an idle bucket is
 /// written at once, and so is its end.
-const BURST: f64 = 4.0;
+const WRITES_MAX: f64 = 4.0;
 
 /// How long a change that is not urgent is delayed, so that an urgent one can carry it: the end of a
 /// claim with the next claim. Short compared with the time after which the end is sent again.
@@ -66,7 +66,7 @@
     sent: Ticket,
     done: Ticket,
     calls: u64,
-    rest: Duration,
+    backoff: Duration,
     tokens: f64,
     filled: Time,
 }
@@ -77,7 +77,7 @@
     Idle,
     Writing(u64),
     Reading(u64),
-    Resting(Time),
+    Paused(Time),
     Lost,
 }
 
@@ -128,8 +128,8 @@
             sent: 0,
             done: 0,
             calls: 0,
-            rest: PAUSE_MIN,
-            tokens: BURST,
+            backoff: PAUSE_MIN,
+            tokens: WRITES_MAX,
             filled: Time::ZERO,
         }
     }
@@ -170,7 +170,7 @@
     pub fn next(&mut self, now: Time, fill: impl FnOnce(&mut BucketRecord)) -> Option<Call> {
         match self.state {
             State::Unread => Some(self.reading()),
-            State::Resting(until) if now >= until => Some(self.reading()),
+            State::Paused(until) if now >= until => Some(self.reading()),
             State::Idle if self.dirty => {
                 (self.due(now) && self.token(now)).then(|| self.writing(fill))
             }
@@ -191,7 +191,7 @@
 
     fn token(&mut self, now: Time) -> bool {
         let passed = now.since(self.filled).as_secs_f64();
-        self.tokens = (self.tokens + passed * RATE).min(BURST);
+        self.tokens = (self.tokens + passed * WRITES_PER_SECOND).min(WRITES_MAX);
         self.filled = now;
         let enough = self.tokens >= 1.0;
         if enough {
@@ -206,7 +206,7 @@
             return Step::Nothing;
         }
         match reply {
-            Some(reply) if reply.done => self.landed(reply.revision, self.sent),
+            Some(reply) if reply.done => self.write_done(reply.revision, self.sent),
             // Refused or lost: only a read shows which write took effect.
             reply => {
                 self.base = self.base.max(reply.map_or(self.base, |reply| reply.revision));
@@ -236,7 +236,7 @@
             Some((_, record)) if record.epoch > self.epoch => self.lose(),
             Some((_, record)) if record.epoch == self.epoch => {
                 if record.owner == self.owner {
-                    self.landed(revision, record.serial)
+                    self.write_done(revision, record.serial)
                 } else {
                     self.lose()
                 }
@@ -269,10 +269,10 @@
         Call::Write { call: self.calls, expect: self.base, record: Box::new(record) }
     }
 
-    fn landed(&mut self, revision: Revision, serial: Ticket) -> Step {
+    fn write_done(&mut self, revision: Revision, serial: Ticket) -> Step {
         self.base = revision;
         self.state = State::Idle;
-        self.rest = PAUSE_MIN;
+        self.backoff = PAUSE_MIN;
         self.ready = true;
         self.done = self.done.max(serial);
         // The last write is not known to have taken effect, so the next write carries its changes as
@@ -286,7 +286,7 @@
     fn adopt(&mut self, revision: Revision, record: Option<Box<BucketRecord>>) -> Step {
         self.base = revision;
         self.state = State::Idle;
-        self.rest = PAUSE_MIN;
+        self.backoff = PAUSE_MIN;
         (self.dirty, self.urgent) = (true, true);
         Step::Adopt(record)
     }
@@ -297,8 +297,8 @@
     }
 
     fn pause(&mut self, now: Time) -> Step {
-        self.state = State::Resting(now + self.rest);
-        self.rest = (self.rest * 2).min(PAUSE_MAX);
+        self.state = State::Paused(now + self.backoff);
+        self.backoff = (self.backoff * 2).min(PAUSE_MAX);
         Step::Nothing
     }
 }
--- a/src/racks/place.rs
+++ b/src/racks/place.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Makes room for urgent work: stops the cheapest set of tasks on one worker and keeps that
-    /// worker's room for the urgent task. Returns whether room is being made.
+    /// Makes room for urgent work: stops the cheapest tasks that can be checkpointed on one worker,
+    /// and keeps that worker's room for the urgent task. Returns whether room is being made.
     pub fn preempt(&mut self, ask: &ReserveAsk, now: Time) -> bool {
         let mut preempting = false;
         for item in ask.items.iter().filter(|i| i.urgent) {
