--- a/src/cli.rs
+++ b/src/cli.rs
@@ -4,7 +4,7 @@
     crate::{
         Kind,
         ids::Version,
-        text::{Fault, LIMIT, Plan},
+        text::{Fault, MAX_TEXT_BYTES, Plan},
         trace,
     },
     lexopt::{Arg, Parser, ValueExt},
@@ -365,7 +365,7 @@
 /// Reads a file up to one byte over the limit: enough to refuse what is longer.
 pub(crate) fn read(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    File::open(path)?.take(LIMIT as u64 + 1).read_to_end(&mut bytes)?;
+    File::open(path)?.take(MAX_TEXT_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,11 +1,13 @@
-//! The closed list of error kinds, and what callers and operators are told for each.
+//! The closed list of error kinds, and the response that callers and operators get for each.
+//!
+//! The response says whether the request ran, so that a caller knows whether a retry is safe.
 
 use {displaydoc::Display, std::fmt, std::time::Duration};
 
-/// Whether the work that an error speaks of was run.
+/// Whether the work that an error refers to was run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum Ran {
-    /// It certainly did not run, and will not.
+    /// It did not run and will not.
     #[display("no")]
     No,
     /// It may have run.
@@ -13,25 +15,26 @@
     Unknown,
 }
 
-/// What a caller is told for one kind of error.
+/// What a caller gets for one kind of error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
     /// Whether the request was run.
     pub ran: Ran,
-    /// When to come back, unless the decision gives a measured time.
+    /// How long to wait before a retry, unless the error carries a measured time; none if a retry
+    /// can't help.
     pub back: Option<Duration>,
     /// The label of the kind in counters and logs.
     pub label: &'static str,
 }
 
-/// An error: one kind of the closed list, the detail of this case and when to come back.
+/// An error: its kind, the detail of this case, and how long to wait before a retry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     kind: Kind,
     detail: Box<str>,
-    back: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 /// The kinds of error.
@@ -139,7 +142,7 @@
         BadMethod,
     ];
 
-    /// The table from kind to answer.
+    /// The status, retry time and label of this kind.
     pub const fn answer(self) -> Answer {
         let (status, ran, back, label) = match self {
             Late => (503, Ran::No, Some(500), "late"),
@@ -190,28 +193,28 @@
 impl Error {
     /// An error of this kind, with the detail of this case.
     pub fn new(kind: Kind, detail: impl Into<Box<str>>) -> Self {
-        Error { kind, detail: detail.into(), back: kind.answer().back }
+        Error { kind, detail: detail.into(), retry_after: kind.answer().back }
     }
 
-    /// The same error with a measured time to come back.
-    pub fn after(mut self, back: Duration) -> Self {
-        self.back = Some(back);
+    /// The same error with a measured time to wait before a retry.
+    pub fn after(mut self, retry_after: Duration) -> Self {
+        self.retry_after = Some(retry_after);
         self
     }
 
-    /// The kind.
+    /// The kind of this error.
     pub fn kind(&self) -> Kind {
         self.kind
     }
 
-    /// The detail of this case; empty where the kind says all.
+    /// The detail of this case; empty if the kind says everything.
     pub fn detail(&self) -> &str {
         &self.detail
     }
 
-    /// When to come back, if coming back can help.
+    /// How long to wait before a retry; none if a retry can't help.
     pub fn back(&self) -> Option<Duration> {
-        self.back
+        self.retry_after
     }
 }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,7 @@
-//! HTTP plumbing that every duty shares: a server with limits and a client with deadlines.
+//! HTTP for all threads of a member: a server with limits and a client with deadlines.
+//!
+//! The limits bound the memory and connections that callers can occupy; the deadlines end calls on
+//! connections that no longer carry traffic.
 
 use {
     crate::error::{Error, Kind},
@@ -32,7 +35,7 @@
     },
 };
 
-/// The request's id, on requests to workers and on their answers.
+/// The request's id, on requests to workers and on their responses.
 pub const REQUEST: &str = "x-dwr-request";
 /// The epoch of the dispatching owner.
 pub const EPOCH: &str = "x-dwr-epoch";
@@ -44,40 +47,40 @@
 pub const RAN: &str = "x-dwr-ran";
 /// The label of the error's kind.
 pub const REASON: &str = "x-dwr-reason";
-/// When to come back, in milliseconds; `retry-after` says the same in whole seconds.
+/// When to retry, in milliseconds; `retry-after` gives the same in whole seconds, rounded up.
 pub const BACK: &str = "x-dwr-retry-ms";
-/// Who calls.
+/// The caller's name.
 pub const CALLER: &str = "x-dwr-caller";
 /// How long the caller waits for the answer, in milliseconds.
 pub const DEADLINE: &str = "x-dwr-deadline-ms";
 /// How long the request is expected to run, in milliseconds.
 pub const RUN: &str = "x-dwr-run-ms";
-/// The key of a non-idempotent request.
+/// The idempotency key of a non-idempotent request.
 pub const KEY: &str = "idempotency-key";
 /// How often a request was forwarded between members.
 pub const HOPS: &str = "x-dwr-hops";
-/// The key that members and operators show.
+/// The shared secret that members and operators present.
 pub const SECRET: &str = "x-dwr-secret";
 
 /// How long an open connection may stay idle before it is closed.
 ///
-/// Something between two ends may forget a connection after minutes; a connection that young is
-/// still known to it.
-const IDLE: Duration = Duration::from_secs(20);
-/// How long a connection may take to open, within one availability zone's reach.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Middleboxes may drop the state of a connection that has been idle for minutes; 20 s stays well
+/// below that.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long a connection may take to open; the other end is within reach of one availability zone.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How often the other end of a silent connection is probed, and after three of which it is given up.
+/// The interval between TCP keepalive probes; a connection is closed after three unanswered ones.
 ///
-/// A call that waits at the other end has no traffic of its own. Without probes, one whose
-/// connection something has forgotten would be noticed only at its deadline.
-const PROBE: Duration = Duration::from_secs(1);
+/// A call that waits for its response sends no traffic. Without probes, a call whose connection a
+/// middlebox has dropped would fail only at its deadline.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The most bytes of a request's head.
-const HEAD: usize = 64 * 1024;
+/// The maximum size of a request's head, in bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
-/// A whole message, head and body.
+/// A complete message: head and body.
 pub type Whole<T> = (T, Bytes);
 
 /// Limits of a server.
@@ -85,13 +88,13 @@
 pub struct Limits {
     /// The largest body, in bytes.
     pub body: usize,
-    /// The most connections at once.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// How long a sender may take for its headers, and again for its body.
+    /// How long a sender may take for its headers, and separately for its body.
     pub patience: Duration,
 }
 
-/// A client whose connections are kept and whose calls have deadlines.
+/// A client that reuses connections and applies a deadline to each call.
 #[derive(Clone)]
 pub struct Client {
     idle: usize,
@@ -100,46 +103,48 @@
 
 type Connections = Pool<HttpConnector, Full<Bytes>>;
 
-/// The kept connections to each address; a set of connections has a number of its own.
+/// The connection pool of each address. Each pool has a unique number, which tells a pool from its
+/// replacement at the same address.
 #[derive(Default)]
 struct Pools {
-    last: u64,
-    of: FxHashMap<Box<str>, (u64, Connections)>,
+    last_number: u64,
+    by_addr: FxHashMap<Box<str>, (u64, Connections)>,
 }
 
-/// The most addresses whose connections are kept: twice the workers of the target.
-const ADDRESSES: usize = 8192;
+/// The maximum number of addresses with a connection pool: twice the workers of the largest planned
+/// fleet.
+const MAX_ADDRESSES: usize = 8192;
 
-/// How long a call may take, and how large its answer may be.
+/// How long a call may take, and how large its response may be.
 #[derive(Clone, Copy, Debug)]
 pub struct Patience {
-    /// How long until the answer begins.
+    /// How long until the response's head arrives.
     pub head: Duration,
-    /// How long between two parts of its body.
+    /// How long between two frames of the body.
     pub part: Duration,
-    /// How long in all.
+    /// How long the whole call may take.
     pub whole: Duration,
-    /// The most bytes of its body that are read.
+    /// The maximum size of the body, in bytes.
     pub most: usize,
 }
 
 impl Patience {
-    /// Waits so long for a whole answer of any size.
+    /// Waits up to `limit` for a complete response of any size.
     pub fn new(limit: Duration) -> Self {
         Patience { head: limit, part: limit, whole: limit, most: usize::MAX }
     }
 }
 
-/// Why a call brought no whole answer.
+/// Why a call returned no complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The connection could not be opened: nothing was sent.
     Unsent,
-    /// The connection broke, or the answer was cut short.
+    /// The connection broke, or the response was truncated.
     Broken,
-    /// No whole answer came in time.
+    /// No complete response arrived in time.
     Timeout,
-    /// The answer, of this status, has more bytes than are read of it.
+    /// The response, which has this status, is larger than the limit.
     TooLarge(u16),
 }
 
@@ -149,7 +154,7 @@
         Client { idle, pools: Arc::default() }
     }
 
-    /// Sends a request and reads its whole answer within `limit`.
+    /// Sends a request and reads the complete response within `limit`.
     ///
     /// # Errors
     ///
@@ -162,17 +167,17 @@
         self.send_patient(request, &Patience::new(limit)).await
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads the complete response.
     ///
-    /// Dropping a call that ran out of time closes its connection, so that an answer that comes
-    /// late can never be read as the answer to the next request. The unused connections to the same
-    /// address go with it. Guards against something between the two ends that has lost track of all
-    /// of them: each further call would wait for its deadline on the next dead one, and a member
-    /// would lose its lease, or a worker its tasks, although new connections work.
+    /// A call that times out closes its connection, so that a late response is never read as the
+    /// response to the next request. The idle connections to the same address are closed too: a
+    /// middlebox may have dropped the state of all of them. Otherwise each further call would wait
+    /// for its deadline on the next dead connection, and a member would lose its lease, or a worker
+    /// its tasks, although new connections work.
     ///
     /// # Errors
     ///
-    /// Errs where no whole answer came in time, or one of more bytes than are read.
+    /// Errs if no complete response arrived in time, or if the response exceeds the size limit.
     pub async fn send_patient(
         &self,
         request: Request<Full<Bytes>>,
@@ -192,31 +197,32 @@
         done
     }
 
-    /// The connections to an address, and their set's number.
+    /// The connection pool of an address, and the pool's number.
     fn pool(&self, to: &str) -> (u64, Connections) {
         let mut pools = self.pools.lock().expect("no holder panics");
-        if let Some(known) = pools.of.get(to) {
+        if let Some(known) = pools.by_addr.get(to) {
             return known.clone();
         }
-        if pools.of.len() >= ADDRESSES {
-            // Addresses of VMs that are long gone; those in use come back with their next call.
-            pools.of.clear();
+        if pools.by_addr.len() >= MAX_ADDRESSES {
+            // Most entries are of VMs that no longer exist; an address in use gets a new pool at
+            // its next call.
+            pools.by_addr.clear();
         }
-        pools.last += 1;
-        let new = (pools.last, open(self.idle));
-        pools.of.insert(to.into(), new.clone());
+        pools.last_number += 1;
+        let new = (pools.last_number, open(self.idle));
+        pools.by_addr.insert(to.into(), new.clone());
         new
     }
 
-    /// Drops the unused connections of a set, unless a newer set has taken its place.
+    /// Closes the idle connections of a pool, unless a newer pool has replaced it.
     fn drop_pool(&self, to: &str, number: u64) {
         let mut pools = self.pools.lock().expect("no holder panics");
-        if pools.of.get(to).is_some_and(|(n, _)| *n == number) {
-            pools.of.remove(to);
+        if pools.by_addr.get(to).is_some_and(|(n, _)| *n == number) {
+            pools.by_addr.remove(to);
         }
     }
 
-    /// Sends `ask` as JSON and reads the answer as JSON; errs on any status but 200.
+    /// Sends `ask` as JSON and reads the response as JSON; errs on any status that is not a success.
     pub async fn json<A: serde::Serialize, R: serde::de::DeserializeOwned>(
         &self,
         method: &str,
@@ -234,7 +240,7 @@
     }
 }
 
-/// Sends a request and reads its answer; counts the bytes of its body as they come.
+/// Sends a request and reads the response; adds the bytes of its body to `received` as they arrive.
 async fn exchange(
     pool: &Connections,
     request: Request<Full<Bytes>>,
@@ -246,9 +252,10 @@
         .map_err(|_| Failure::Timeout)?
         .map_err(|e| if e.is_connect() { Failure::Unsent } else { Failure::Broken })?;
     let (head, mut body) = response.into_parts();
-    let said = head.headers.get(CONTENT_LENGTH).and_then(|s| s.to_str().ok()?.parse().ok());
+    let content_length =
+        head.headers.get(CONTENT_LENGTH).and_then(|s| s.to_str().ok()?.parse().ok());
     let too_large = Failure::TooLarge(head.status.as_u16());
-    if said.is_some_and(|n: usize| n > patience.most) {
+    if content_length.is_some_and(|n: usize| n > patience.most) {
         return Err(too_large);
     }
     let mut whole = BytesMut::new();
@@ -261,8 +268,8 @@
         }
         whole.extend_from_slice(&data);
     }
-    // A body cut short by a proxy that closes cleanly would pass for a whole one.
-    match said {
+    // A body truncated by a proxy that closes cleanly would otherwise be taken for a complete one.
+    match content_length {
         Some(n) if n != whole.len() => Err(Failure::Broken),
         _ => Ok((head, whole.freeze())),
     }
@@ -271,22 +278,22 @@
 fn open(idle: usize) -> Connections {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
-    connector.set_connect_timeout(Some(CONNECT));
-    connector.set_keepalive(Some(PROBE));
-    connector.set_keepalive_interval(Some(PROBE));
+    connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
+    connector.set_keepalive(Some(PROBE_INTERVAL));
+    connector.set_keepalive_interval(Some(PROBE_INTERVAL));
     connector.set_keepalive_retries(Some(2));
     #[cfg(target_os = "linux")]
-    connector.set_tcp_user_timeout(Some(3 * PROBE));
+    connector.set_tcp_user_timeout(Some(3 * PROBE_INTERVAL));
     Pool::builder(TokioExecutor::new())
-        .pool_idle_timeout(IDLE)
+        .pool_idle_timeout(IDLE_TIMEOUT)
         .pool_timer(TokioTimer::new())
         .pool_max_idle_per_host(idle)
-        // A repeat by the library would be a second dispatch of the same request.
+        // A retry by the library would dispatch the same request a second time.
         .retry_canceled_requests(false)
         .build(connector)
 }
 
-/// Serves `handle` until `stop` ends, then lets the requests in progress finish.
+/// Serves requests with `handle` until `stop` completes, then lets open requests finish.
 pub async fn serve<F, A>(
     listener: TcpListener,
     limits: Limits,
@@ -305,7 +312,7 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => stream,
                 Err(_) => {
-                    // Out of file descriptors: accepting again at once would spin.
+                    // Out of file descriptors: retrying `accept` at once would spin.
                     tokio::time::sleep(Duration::from_millis(20)).await;
                     continue;
                 }
@@ -313,15 +320,15 @@
         };
         let _ = stream.set_nodelay(true);
         let Ok(permit) = room.clone().try_acquire_owned() else {
-            tokio::spawn(turn_away(stream));
+            tokio::spawn(reject_connection(stream));
             continue;
         };
         let handle = handle.clone();
-        let service = service_fn(move |request| one(request, limits, handle.clone()));
+        let service = service_fn(move |request| handle_request(request, limits, handle.clone()));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(limits.patience)
-            .max_buf_size(HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         let watched = graceful.watch(connection);
         tokio::spawn(async move {
@@ -333,7 +340,7 @@
     graceful.shutdown().await;
 }
 
-/// The answer for an error, by the table from kind to answer.
+/// The response for an error, according to [`Kind::answer`].
 pub fn refusal(error: &Error) -> Response<Full<Bytes>> {
     let answer = error.kind().answer();
     let mut b = Response::builder()
@@ -347,19 +354,19 @@
     b.body(Full::new(format!("{error}\n").into())).unwrap_or_default()
 }
 
-/// A plain answer.
+/// A response with a status and a body.
 pub fn answer(status: u16, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut r = Response::new(Full::new(body.into()));
     *r.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
     r
 }
 
-/// The address in a form that a URI takes.
+/// The URI of a path at an address.
 pub fn uri(addr: SocketAddr, path: &str) -> String {
     format!("http://{addr}{path}")
 }
 
-async fn one<F, A>(
+async fn handle_request<F, A>(
     request: Request<Incoming>,
     limits: Limits,
     handle: F,
@@ -373,13 +380,13 @@
     let failed = body.is_err();
     let mut response = handle(head, body).await;
     if failed {
-        // The rest of the body is unread: the connection can't carry a next request.
+        // The rest of the body is unread, so the connection can't carry another request.
         response.headers_mut().insert(CONNECTION, CLOSE);
     }
     Ok(response)
 }
 
-/// Reads a whole body, within the limits.
+/// Reads a complete body within the limits.
 async fn read(body: Incoming, limits: Limits) -> Result<Bytes, Error> {
     let whole = Limited::new(body, limits.body).collect();
     match timeout(limits.patience, whole).await {
@@ -390,8 +397,9 @@
     }
 }
 
-/// Answers a connection over the limit; a silent close would look like a broken network.
-async fn turn_away(stream: TcpStream) {
+/// Rejects a connection over the limit with a response; a silent close would look like a network
+/// fault.
+async fn reject_connection(stream: TcpStream) {
     let service = service_fn(|_: Request<Incoming>| async {
         let mut r = refusal(&Kind::Connections.into());
         r.headers_mut().insert(CONNECTION, CLOSE);
--- a/src/ini.rs
+++ b/src/ini.rs
@@ -1,5 +1,7 @@
-//! What the operators' text and the settings have in common: lines, sections, and what is wrong
-//! with them.
+//! Parsing shared by the operators' text and the settings: lines, sections, and the list of errors.
+//!
+//! A file is refused as a whole with all its errors, each with line, cause and remedy. The limits
+//! bound the memory and time that a malformed file can cost.
 
 use {
     ini_core::{Item, Parser, trim},
@@ -7,29 +9,30 @@
     std::{borrow::Cow, fmt},
 };
 
-/// The most bytes of a text: the key-value service's megabyte, less room for the record's frame.
-pub const LIMIT: usize = 1_000_000;
+/// The maximum size of a text, in bytes: the key-value service's limit of 1 MiB, less the rest of the
+/// record.
+pub const MAX_TEXT_BYTES: usize = 1_000_000;
 
-/// The most bytes of a text as JSON: a megabyte less 4 KiB for the rest of the record, which is
-/// numbers and the name of who submitted it.
-pub const RECORD: usize = (1 << 20) - (4 << 10);
+/// The maximum size of a text encoded as JSON, in bytes: 1 MiB less 4 KiB for the rest of the record,
+/// which consists of numbers and the submitter's name.
+pub const MAX_RECORD_BYTES: usize = (1 << 20) - (4 << 10);
 
-/// The longest name, in bytes. Names become parts of record keys and counter labels, which other
-/// systems hold to 63.
-pub const NAME: usize = 63;
+/// The maximum length of a name, in bytes. Names become parts of record keys and metric labels, which
+/// other systems limit to 63.
+pub const MAX_NAME_BYTES: usize = 63;
 
-/// The longest value, in bytes: room for a list of about sixty names.
-pub const VALUE: usize = 4096;
+/// The maximum length of a value, in bytes: enough for a list of about sixty names.
+pub const MAX_VALUE_BYTES: usize = 4096;
 
-/// The most faults that one reading lists; a text of nothing but faults would otherwise need many
-/// times its own size.
-pub const FAULTS: usize = 1000;
+/// The maximum number of faults listed for one text; the list for a text full of faults would
+/// otherwise be many times the size of the text.
+pub const MAX_FAULTS: usize = 1000;
 
-/// The most comparisons that one reading spends on suggestions, so that they stay a fraction of
-/// the time of a reading: each costs about a microsecond.
-const COMPARISONS: u32 = 50_000;
+/// The maximum number of comparisons made for suggestions in one text. Each costs about a
+/// microsecond, so suggestions take a fraction of the time of parsing.
+const MAX_COMPARISONS: u32 = 50_000;
 
-/// One thing that is wrong with a text.
+/// An error in a text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Fault {
     /// The line, counted from 1.
@@ -46,11 +49,11 @@
     }
 }
 
-/// The faults found so far, and how much may still be spent on suggestions.
+/// The faults found so far, and the remaining comparisons for suggestions.
 pub(crate) struct Faults {
     list: Vec<Fault>,
-    more: u32,
-    left: u32,
+    unlisted: u32,
+    comparisons_left: u32,
 }
 
 /// A line `key = value`.
@@ -71,14 +74,14 @@
 
 impl Faults {
     pub fn new() -> Self {
-        Faults { list: Vec::new(), more: 0, left: COMPARISONS }
+        Faults { list: Vec::new(), unlisted: 0, comparisons_left: MAX_COMPARISONS }
     }
 
     pub fn add(&mut self, line: u32, cause: impl Into<Box<str>>, remedy: impl Into<Box<str>>) {
-        if self.list.len() < FAULTS {
+        if self.list.len() < MAX_FAULTS {
             self.list.push(Fault { line, cause: cause.into(), remedy: remedy.into() });
         } else {
-            self.more += 1;
+            self.unlisted += 1;
         }
     }
 
@@ -87,21 +90,21 @@
     }
 
     pub fn count(&self) -> usize {
-        self.list.len() + self.more as usize
+        self.list.len() + self.unlisted as usize
     }
 
-    /// What to say of an unknown word: the known one nearest to it, or some of those known.
+    /// The remedy for an unknown word: the most similar known word, or a list of known words.
     pub fn hint<'a>(&mut self, word: &str, known: impl Iterator<Item = &'a str> + Clone) -> String {
-        let mut best = (limit(word) + 1, "");
+        let mut best = (max_edits(word) + 1, "");
         for name in known.clone() {
-            if self.left == 0 {
+            if self.comparisons_left == 0 {
                 break;
             }
             if name.len().abs_diff(word.len()) < best.0 {
-                self.left -= 1;
-                let far = distance(word, name);
-                if far < best.0 {
-                    best = (far, name);
+                self.comparisons_left -= 1;
+                let edits = edit_distance(word, name);
+                if edits < best.0 {
+                    best = (edits, name);
                 }
             }
         }
@@ -116,25 +119,26 @@
         }
     }
 
-    /// The faults by line; the last one counts those that are not listed.
+    /// The faults in order of lines; the last one gives the number of faults not listed.
     pub fn finish(mut self) -> Vec<Fault> {
         self.list.sort_by_key(|f| f.line);
-        if let (Some(last), true) = (self.list.last(), self.more > 0) {
+        if let (Some(last), true) = (self.list.last(), self.unlisted > 0) {
             let line = last.line;
-            let cause = format!("{} more errors are not listed", self.more).into();
+            let cause = format!("{} more errors are not listed", self.unlisted).into();
             self.list.push(Fault { line, cause, remedy: "mend those above first".into() });
         }
         self.list
     }
 }
 
-/// A text of at most [`LIMIT`] bytes in which every odd byte has been told and replaced.
+/// Decodes a text of at most [`MAX_TEXT_BYTES`] bytes; adds a fault for each line with disallowed characters
+/// and replaces them.
 ///
-/// Returns nothing where reading on makes no sense.
-pub(crate) fn clean<'a>(bytes: &'a [u8], faults: &mut Faults) -> Option<Cow<'a, str>> {
-    if bytes.len() > LIMIT {
+/// Returns `None` for a text over the limit, which is not parsed.
+pub(crate) fn decode<'a>(bytes: &'a [u8], faults: &mut Faults) -> Option<Cow<'a, str>> {
+    if bytes.len() > MAX_TEXT_BYTES {
         let cause = format!("the text has {} bytes", bytes.len());
-        faults.add(1, cause, format!("the limit is {LIMIT}; remove what no longer runs"));
+        faults.add(1, cause, format!("the limit is {MAX_TEXT_BYTES}; remove what no longer runs"));
         return None;
     }
     const BOM: &[u8] = b"\xef\xbb\xbf";
@@ -146,7 +150,7 @@
         None => bytes,
     };
     if let Ok(text) = std::str::from_utf8(bytes)
-        && !text.lines().any(|l| l.contains(odd))
+        && !text.lines().any(|l| l.contains(is_disallowed))
     {
         return Some(text.into());
     }
@@ -158,40 +162,43 @@
         }
         let end = if text.ends_with("\r\n") { text.len() - 2 } else { text.len() };
         let end = if text.ends_with('\n') { end.min(text.len() - 1) } else { end };
-        if let Some(c) = text[..end].chars().find(|c| odd(*c)) {
+        if let Some(c) = text[..end].chars().find(|c| is_disallowed(*c)) {
             let cause = format!("the character U+{:04X} stands in the line", u32::from(c));
             faults.add(line, cause, "remove it");
         }
         out.extend(
-            text[..end].chars().map(|c| if odd(c) { char::REPLACEMENT_CHARACTER } else { c }),
+            text[..end]
+                .chars()
+                .map(|c| if is_disallowed(c) { char::REPLACEMENT_CHARACTER } else { c }),
         );
         out.push_str(&text[end..]);
     }
     Some(out.into())
 }
 
-/// Refuses a text that is too long once it stands in its record.
+/// Refuses a text that is too long once it is encoded in its record.
 ///
-/// The failure: a text just under [`LIMIT`] is checked and found good, and the key-value service
-/// refuses its record, since JSON writes a line end, tab, quote or backslash as two bytes. It shows
-/// at submission only. Odd characters, which take more, are refused already.
-pub(crate) fn record(text: &str, faults: &mut Faults) {
-    let twice = text.bytes().filter(|b| b"\n\r\t\"\\".contains(b)).count();
-    let len = text.len() + twice + "\"\"".len();
-    if len > RECORD {
-        let remedy =
-            format!("the limit is {RECORD}; each line end, tab, quote and backslash counts twice");
+/// JSON encodes a line end, tab, quote or backslash as two bytes. Without this check, a text just
+/// under [`MAX_TEXT_BYTES`] would pass, and the key-value service would refuse its record at submission.
+/// Other characters that JSON escapes are refused before.
+pub(crate) fn check_record(text: &str, faults: &mut Faults) {
+    let escaped = text.bytes().filter(|b| b"\n\r\t\"\\".contains(b)).count();
+    let len = text.len() + escaped + "\"\"".len();
+    if len > MAX_RECORD_BYTES {
+        let remedy = format!(
+            "the limit is {MAX_RECORD_BYTES}; each line end, tab, quote and backslash counts twice"
+        );
         faults.add(1, format!("the text takes {len} bytes in its record"), remedy);
     }
 }
 
-/// Whether a character has no place in a line: it cannot be seen, and hides what a line says.
-fn odd(c: char) -> bool {
+/// Whether a character is not allowed in a line: it is invisible and can disguise the line's content.
+fn is_disallowed(c: char) -> bool {
     c.is_control() && c != '\t'
         || matches!(c, '\u{feff}' | '\u{202a}'..='\u{202e}' | '\u{2066}'..='\u{2069}')
 }
 
-/// The sections of a text; lines that belong to none are told.
+/// Splits a text into sections; a line outside of any section is a fault.
 pub(crate) fn sections<'a>(text: &'a str, faults: &mut Faults) -> Vec<Section<'a>> {
     let mut sections: Vec<Section<'a>> = Vec::new();
     let mut parser = Parser::new(text).auto_trim(true);
@@ -214,7 +221,7 @@
                 match sections.last_mut() {
                     Some(section) => section.entries.push(entry),
                     None => {
-                        let cause = format!("{:?} stands before any section", short(key));
+                        let cause = format!("{:?} stands before any section", truncated(key));
                         faults.add(line, cause, "begin with a section like [pool NAME]");
                     }
                 }
@@ -230,9 +237,9 @@
     value: Option<&'a str>,
     faults: &mut Faults,
 ) -> Option<Entry<'a>> {
-    // Only the first word: the rest may be a secret whose `=` was forgotten.
+    // Shows only the first word: the rest may be a secret after a missing `=`.
     let word = key.split_whitespace().next().unwrap_or_default();
-    let cause = format!("{:?} is no key with a value", short(word));
+    let cause = format!("{:?} is no key with a value", truncated(word));
     let Some(value) = value else {
         let remedy = match key.as_bytes() {
             [b'#', ..] => "a comment begins with ;",
@@ -246,29 +253,29 @@
         faults.add(line, cause, "a comment begins with ;");
         return None;
     }
-    if value.len() > VALUE {
-        let cause = format!("the value of {:?} has {} bytes", short(key), value.len());
-        faults.add(line, cause, format!("the limit is {VALUE}"));
+    if value.len() > MAX_VALUE_BYTES {
+        let cause = format!("the value of {:?} has {} bytes", truncated(key), value.len());
+        faults.add(line, cause, format!("the limit is {MAX_VALUE_BYTES}"));
         return None;
     }
     Some(Entry { line, key, value })
 }
 
-/// The beginning of a text that may be long, for a message.
-pub(crate) fn short(s: &str) -> Cow<'_, str> {
-    match s.char_indices().nth(NAME) {
+/// Truncates a text to the length of a name, for a message.
+pub(crate) fn truncated(s: &str) -> Cow<'_, str> {
+    match s.char_indices().nth(MAX_NAME_BYTES) {
         Some((at, _)) => format!("{}...", &s[..at]).into(),
         None => s.into(),
     }
 }
 
-/// How many edits a suggestion may be away; more for longer words.
-fn limit(word: &str) -> usize {
+/// The maximum edit distance of a suggestion; larger for longer words.
+fn max_edits(word: &str) -> usize {
     if word.len() < 5 { 1 } else { 2 }
 }
 
-/// The number of bytes to insert, remove or change to make `a` into `b`.
-fn distance(a: &str, b: &str) -> usize {
+/// The Levenshtein distance of two words, in bytes.
+fn edit_distance(a: &str, b: &str) -> usize {
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, x) in a.bytes().enumerate() {
         let mut corner = row[0];
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The counters and levels of a member, and the pages that show them.
+//! The counters, gauges and histograms of a member, and the HTTP pages that export them.
 
 use {
     crate::{
@@ -17,41 +17,42 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// The bounds of the times of jobs, in seconds.
-const TIMES: [f64; 13] = [0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 20.0, 60.0];
+/// The histogram buckets of job times, in seconds.
+const JOB_BUCKETS: [f64; 13] =
+    [0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 20.0, 60.0];
 
-/// The bounds of the times of calls, in seconds: a quiet store answers within 10 ms.
-const CALLS: [f64; 9] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0];
+/// The histogram buckets of call times, in seconds: an idle store answers within 10 ms.
+const CALL_BUCKETS: [f64; 9] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0];
 
 /// The metrics of a member.
 pub struct Metrics {
     registry: Registry,
     verdicts: IntCounterVec,
-    retries: IntCounterVec,
-    /// KV calls by kind and outcome.
+    retry_counts: IntCounterVec,
+    /// Calls of the key-value service by kind and outcome.
     pub kv: IntCounterVec,
-    calls: IntCounterVec,
+    call_counts: IntCounterVec,
     /// Messages dropped because a ring was full, by ring.
     pub full: IntCounterVec,
-    bytes: IntCounterVec,
+    control_bytes: IntCounterVec,
     levels: IntGaugeVec,
-    ready: IntGauge,
-    wait: Histogram,
-    starts: IntCounterVec,
-    ends: IntCounterVec,
-    moves: IntCounterVec,
-    waiting: IntGaugeVec,
+    ready_gauge: IntGauge,
+    answer_seconds: Histogram,
+    step_starts: IntCounterVec,
+    run_ends: IntCounterVec,
+    shard_moves: IntCounterVec,
+    waiting_tasks: IntGaugeVec,
     ages: IntGaugeVec,
-    away: GaugeVec,
-    times: HistogramVec,
-    unanswered: IntCounterVec,
-    noted: IntCounter,
-    answers: HistogramVec,
-    received: IntCounterVec,
+    away_seconds: GaugeVec,
+    job_seconds: HistogramVec,
+    unanswered_orders: IntCounterVec,
+    ends_noted: IntCounter,
+    call_seconds: HistogramVec,
+    received_bytes: IntCounterVec,
 }
 
 impl Metrics {
-    /// All metrics, at zero. Every kind of refusal and retry is there from the start.
+    /// All metrics, at zero. Every kind of refusal and retry is exported from the start.
     pub fn new() -> Self {
         let counter = |name: &str, help: &str, label: &str| {
             IntCounterVec::new(Opts::new(name, help), &[label]).expect("the names are well-formed")
@@ -63,28 +64,36 @@
                 "Final answers to callers by reason.",
                 "reason",
             ),
-            retries: counter("dwr_retries_total", "Dispatches made again by reason.", "reason"),
+            retry_counts: counter(
+                "dwr_retries_total",
+                "Dispatches made again by reason.",
+                "reason",
+            ),
             kv: counter("dwr_kv_calls_total", "Calls of the key-value service.", "call"),
-            calls: IntCounterVec::new(
+            call_counts: IntCounterVec::new(
                 Opts::new("dwr_calls_total", "Calls of the outside by kind and answer."),
                 &["call", "answer"],
             )
             .expect("the names are well-formed"),
             full: counter("dwr_ring_full_total", "Messages dropped at a full ring.", "ring"),
-            bytes: counter("dwr_control_bytes_total", "Bytes sent for control.", "duty"),
+            control_bytes: counter("dwr_control_bytes_total", "Bytes sent for control.", "duty"),
             levels: IntGaugeVec::new(Opts::new("dwr_level", "Levels of a member."), &["what"])
                 .expect("the names are well-formed"),
-            ready: IntGauge::new("dwr_ready", "Whether callers are served.")
+            ready_gauge: IntGauge::new("dwr_ready", "Whether callers are served.")
                 .expect("the names are well-formed"),
-            wait: Histogram::with_opts(HistogramOpts::new(
+            answer_seconds: Histogram::with_opts(HistogramOpts::new(
                 "dwr_answer_seconds",
                 "From a request to its final answer.",
             ))
             .expect("the names are well-formed"),
-            starts: counter("dwr_step_starts_total", "First starts of steps by delay.", "reason"),
-            ends: counter("dwr_run_ends_total", "Ends of runs taken in by how.", "how"),
-            moves: counter("dwr_shard_moves_total", "What became of shards here.", "what"),
-            waiting: IntGaugeVec::new(
+            step_starts: counter(
+                "dwr_step_starts_total",
+                "First starts of steps by delay.",
+                "reason",
+            ),
+            run_ends: counter("dwr_run_ends_total", "Ends of runs taken in by how.", "how"),
+            shard_moves: counter("dwr_shard_moves_total", "What became of shards here.", "what"),
+            waiting_tasks: IntGaugeVec::new(
                 Opts::new("dwr_waiting_tasks", "Tasks that could start and wait."),
                 &["priority"],
             )
@@ -94,61 +103,61 @@
                 &["what"],
             )
             .expect("the names are well-formed"),
-            away: GaugeVec::new(
+            away_seconds: GaugeVec::new(
                 Opts::new("dwr_away_seconds", "The longest that a lasting task is away."),
                 &["cause"],
             )
             .expect("the names are well-formed"),
-            times: HistogramVec::new(
+            job_seconds: HistogramVec::new(
                 HistogramOpts::new("dwr_job_seconds", "From a job's coming to what befell it.")
-                    .buckets(TIMES.to_vec()),
+                    .buckets(JOB_BUCKETS.to_vec()),
                 &["to"],
             )
             .expect("the names are well-formed"),
-            unanswered: counter(
+            unanswered_orders: counter(
                 "dwr_orders_unanswered_total",
                 "Orders to workers that had no answer.",
                 "order",
             ),
-            noted: IntCounter::new("dwr_ends_noted_total", "Ends that workers may forget.")
+            ends_noted: IntCounter::new("dwr_ends_noted_total", "Ends that workers may forget.")
                 .expect("the names are well-formed"),
-            received: IntCounterVec::new(
+            received_bytes: IntCounterVec::new(
                 Opts::new("dwr_received_bytes_total", "Bytes of the outside's answers."),
                 &["call", "answer"],
             )
             .expect("the names are well-formed"),
-            answers: HistogramVec::new(
+            call_seconds: HistogramVec::new(
                 HistogramOpts::new("dwr_call_seconds", "How long answers of the outside took.")
-                    .buckets(CALLS.to_vec()),
+                    .buckets(CALL_BUCKETS.to_vec()),
                 &["call"],
             )
             .expect("the names are well-formed"),
         };
         for kind in Kind::ALL {
             m.verdicts.with_label_values(&[kind.answer().label]);
-            m.retries.with_label_values(&[kind.answer().label]);
+            m.retry_counts.with_label_values(&[kind.answer().label]);
         }
         let all: [Box<dyn Collector>; 20] = [
             Box::new(m.verdicts.clone()),
-            Box::new(m.retries.clone()),
+            Box::new(m.retry_counts.clone()),
             Box::new(m.kv.clone()),
-            Box::new(m.calls.clone()),
+            Box::new(m.call_counts.clone()),
             Box::new(m.full.clone()),
-            Box::new(m.bytes.clone()),
+            Box::new(m.control_bytes.clone()),
             Box::new(m.levels.clone()),
-            Box::new(m.ready.clone()),
-            Box::new(m.wait.clone()),
-            Box::new(m.starts.clone()),
-            Box::new(m.ends.clone()),
-            Box::new(m.moves.clone()),
-            Box::new(m.waiting.clone()),
+            Box::new(m.ready_gauge.clone()),
+            Box::new(m.answer_seconds.clone()),
+            Box::new(m.step_starts.clone()),
+            Box::new(m.run_ends.clone()),
+            Box::new(m.shard_moves.clone()),
+            Box::new(m.waiting_tasks.clone()),
             Box::new(m.ages.clone()),
-            Box::new(m.away.clone()),
-            Box::new(m.times.clone()),
-            Box::new(m.unanswered.clone()),
-            Box::new(m.noted.clone()),
-            Box::new(m.answers.clone()),
-            Box::new(m.received.clone()),
+            Box::new(m.away_seconds.clone()),
+            Box::new(m.job_seconds.clone()),
+            Box::new(m.unanswered_orders.clone()),
+            Box::new(m.ends_noted.clone()),
+            Box::new(m.call_seconds.clone()),
+            Box::new(m.received_bytes.clone()),
         ];
         for c in all {
             m.registry.register(c).expect("no name is taken twice");
@@ -162,117 +171,120 @@
         self.verdicts.with_label_values(&[label]).inc();
     }
 
-    /// Counts a refusal made before the decisions' duty.
+    /// Counts a request refused before it reached the deciding thread.
     pub fn refused(&self, kind: Kind) {
         self.verdicts.with_label_values(&[kind.answer().label]).inc();
     }
 
-    /// Counts a dispatch made again.
+    /// Counts a retried dispatch.
     pub fn retry(&self, kind: Kind) {
-        self.retries.with_label_values(&[kind.answer().label]).inc();
+        self.retry_counts.with_label_values(&[kind.answer().label]).inc();
     }
 
-    /// Counts the bytes of a message that a duty sends for control, without its headers.
+    /// Counts the bytes of a control message that a duty (a thread of a member) sends, without its
+    /// headers.
     pub fn sent(&self, duty: &str, bytes: usize) {
-        self.bytes.with_label_values(&[duty]).inc_by(bytes as u64);
+        self.control_bytes.with_label_values(&[duty]).inc_by(bytes as u64);
     }
 
-    /// Counts a call of the outside and how it was answered.
+    /// Counts a call to an external service and its outcome.
     pub fn called(&self, call: &str, answer: &str) {
-        self.calls.with_label_values(&[call, answer]).inc();
+        self.call_counts.with_label_values(&[call, answer]).inc();
     }
 
-    /// Counts the bytes of an answer of the outside.
+    /// Counts the bytes of a response of an external service.
     pub fn received(&self, call: &str, answer: &str, bytes: usize) {
-        self.received.with_label_values(&[call, answer]).inc_by(bytes as u64);
+        self.received_bytes.with_label_values(&[call, answer]).inc_by(bytes as u64);
     }
 
-    /// All calls of the outside so far by kind, for the log of a member whose metrics nobody reads.
+    /// Total calls to external services by kind, for the log of a member whose metrics nobody collects.
     pub fn calls(&self) -> Box<str> {
-        sums(&self.calls, |call, _| call.into())
+        sums(&self.call_counts, |call, _| call.into())
     }
 
-    /// The bytes of all answers of the outside so far by kind and answer, for the same log.
+    /// Total bytes of responses of external services by kind and outcome, for the same log.
     pub fn all_received(&self) -> Box<str> {
-        sums(&self.received, |call, answer| format!("{call}/{answer}"))
+        sums(&self.received_bytes, |call, answer| format!("{call}/{answer}"))
     }
 
-    /// Notes how long an answer of the outside took.
+    /// Records how long a response of an external service took.
     pub fn answered_in(&self, call: &str, time: Duration) {
-        self.answers.with_label_values(&[call]).observe(time.as_secs_f64());
+        self.call_seconds.with_label_values(&[call]).observe(time.as_secs_f64());
     }
 
-    /// Counts an order to a worker that had no answer.
+    /// Counts an order to which a worker sent no response.
     pub fn unanswered(&self, order: &str) {
-        self.unanswered.with_label_values(&[order]).inc();
+        self.unanswered_orders.with_label_values(&[order]).inc();
     }
 
-    /// Notes whether callers are served.
+    /// Sets whether callers are served.
     pub fn ready(&self, ready: bool) {
-        self.ready.set(i64::from(ready));
+        self.ready_gauge.set(i64::from(ready));
     }
 
-    /// Notes one level.
+    /// Sets one level.
     pub fn level(&self, what: &str, n: usize) {
         self.levels.with_label_values(&[what]).set(i64::try_from(n).unwrap_or(i64::MAX));
     }
 
-    /// Counts a final answer other than an error.
+    /// Counts a final answer that is not an error.
     pub fn answered(&self) {
         self.verdicts.with_label_values(&["answered"]).inc();
     }
 
-    /// Counts what became of a shard here: taken over, lost, released, deposed, settled.
+    /// Counts a change of a shard's ownership at this member: taken over, lost, released, deposed or
+    /// settled.
     pub fn moved(&self, what: &str) {
-        self.moves.with_label_values(&[what]).inc();
+        self.shard_moves.with_label_values(&[what]).inc();
     }
 
-    /// Adds what a shard has done.
+    /// Adds the counts and times that a shard has collected since its last tally.
     pub fn tally(&self, tally: &Tally) {
         for (reason, n) in &tally.starts {
-            self.starts.with_label_values(&[reason]).inc_by(*n);
+            self.step_starts.with_label_values(&[reason]).inc_by(*n);
         }
         for (how, n) in &tally.ends {
-            self.ends.with_label_values(&[how]).inc_by(*n);
+            self.run_ends.with_label_values(&[how]).inc_by(*n);
         }
-        self.noted.inc_by(tally.noted);
+        self.ends_noted.inc_by(tally.noted);
         let times = |to: &str, all: &[Duration]| {
-            let histogram = self.times.with_label_values(&[to]);
+            let histogram = self.job_seconds.with_label_values(&[to]);
             all.iter().for_each(|t| histogram.observe(t.as_secs_f64()));
         };
         times("start", &tally.first);
         times("completion", &tally.done);
     }
 
-    /// Notes how many tasks wait, by priority; what isn't named has none.
+    /// Sets how many tasks wait, by priority; a priority that isn't in the map has none.
     pub fn waiting(&self, by_priority: &BTreeMap<u8, usize>) {
-        self.waiting.reset();
+        self.waiting_tasks.reset();
         for (priority, n) in by_priority {
             let n = i64::try_from(*n).unwrap_or(i64::MAX);
-            self.waiting.with_label_values(&[&priority.to_string()]).set(n);
+            self.waiting_tasks.with_label_values(&[&priority.to_string()]).set(n);
         }
     }
 
-    /// Notes the longest that a lasting task is away, by cause; what isn't named has none.
+    /// Sets the longest time that a long-running task has not run, by cause; a cause that isn't in the
+    /// map has no such task.
     pub fn away(&self, by_cause: &BTreeMap<Cause, Duration>) {
-        self.away.reset();
+        self.away_seconds.reset();
         for (cause, time) in by_cause {
-            self.away.with_label_values(&[&cause.to_string()]).set(time.as_secs_f64());
+            self.away_seconds.with_label_values(&[&cause.to_string()]).set(time.as_secs_f64());
         }
     }
 
-    /// Notes how old something is that is known here.
+    /// Sets the age of this member's information about `what`.
     pub fn age(&self, what: &str, age: Duration) {
         let ms = i64::try_from(age.as_millis()).unwrap_or(i64::MAX);
         self.ages.with_label_values(&[what]).set(ms);
     }
 
-    /// Notes how long a request took.
+    /// Records the time from a request to its final answer.
     pub fn took(&self, time: Duration) {
-        self.wait.observe(time.as_secs_f64());
+        self.answer_seconds.observe(time.as_secs_f64());
     }
 
-    /// Notes the levels.
+    /// Sets the levels of a member, and whether it is ready.
     pub fn state(&self, racks: usize, buckets: usize, version: u64, requests: usize, ready: bool) {
         let set = |what: &str, n: usize| {
             let n = i64::try_from(n).unwrap_or(i64::MAX);
@@ -282,24 +294,24 @@
         set("buckets", buckets);
         set("requests", requests);
         set("version", usize::try_from(version).unwrap_or(usize::MAX));
-        self.ready.set(i64::from(ready));
+        self.ready_gauge.set(i64::from(ready));
     }
 
-    /// The page at `path`: `/metrics`, or `/ready` for the balancer.
+    /// The page at `path`: `/metrics`, or `/ready` for the load balancer.
     pub fn page(&self, path: &str) -> Response<Full<Bytes>> {
         match path {
             "/metrics" => match TextEncoder::new().encode_to_string(&self.registry.gather()) {
                 Ok(text) => answer(200, text),
                 Err(e) => answer(500, e.to_string()),
             },
-            "/ready" if self.ready.get() == 1 => answer(200, "ready\n"),
+            "/ready" if self.ready_gauge.get() == 1 => answer(200, "ready\n"),
             "/ready" => answer(503, "not ready\n"),
             _ => answer(404, "no such page\n"),
         }
     }
 }
 
-/// A counter of calls, summed by what `name` makes of each call and answer.
+/// The sums of a counter of calls, grouped by the name that `name` gives each call and answer.
 fn sums(counter: &IntCounterVec, name: impl Fn(&str, &str) -> String) -> Box<str> {
     let mut sums: BTreeMap<String, u64> = BTreeMap::new();
     for metric in counter.collect().iter().flat_map(|family| family.get_metric()) {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -8,7 +8,7 @@
 use {
     crate::{
         Error, Kind,
-        ini::{self, Entry, Faults, NAME, Section, short},
+        ini::{self, Entry, Faults, MAX_NAME_BYTES, Section, truncated},
         text::duration,
     },
     serde::Deserialize,
@@ -107,7 +107,7 @@
 }
 
 fn checked(bytes: &[u8], faults: &mut Faults) -> Option<Settings> {
-    let text = ini::clean(bytes, faults)?;
+    let text = ini::decode(bytes, faults)?;
     let schema: Schema = serde_json::from_str(include_str!("../schema/settings.json"))
         .expect("the schema is part of the build, and every test of settings reads it");
     let tables = tables(&ini::sections(&text, faults), &schema, faults);
@@ -131,7 +131,7 @@
     for section in sections {
         let Some(property) = top.properties.get(section.head) else {
             let remedy = faults.hint(section.head, top.properties.keys().map(|k| &**k));
-            let cause = format!("no section is called {:?}", short(section.head));
+            let cause = format!("no section is called {:?}", truncated(section.head));
             faults.add(section.line, cause, remedy);
             continue;
         };
@@ -160,7 +160,7 @@
     let mut out = Map::new();
     for entry in &section.entries {
         let Some(property) = table.properties.get(entry.key) else {
-            let cause = format!("[{}] has no key {:?}", section.head, short(entry.key));
+            let cause = format!("[{}] has no key {:?}", section.head, truncated(entry.key));
             let remedy = faults.hint(entry.key, table.properties.keys().map(|k| &**k));
             faults.add(entry.line, cause, remedy);
             continue;
@@ -187,7 +187,7 @@
     let cause = match entry.key {
         // The detail goes to logs, which a secret must not.
         "secret" => format!("the secret has {} characters", entry.value.len()),
-        key => format!("{key:?} cannot be {:?}", short(entry.value)),
+        key => format!("{key:?} cannot be {:?}", truncated(entry.value)),
     };
     faults.add(entry.line, cause, remedy);
 }
@@ -211,7 +211,9 @@
             Ok(_) => Ok(text.into()),
             Err(_) => Err("an IP number and a port, like 10.0.0.1:7001"),
         },
-        (_, Some("zone")) if text.is_empty() || text.len() > NAME => Err("a name of 1 to 63 bytes"),
+        (_, Some("zone")) if text.is_empty() || text.len() > MAX_NAME_BYTES => {
+            Err("a name of 1 to 63 bytes")
+        }
         _ => special(entry),
     }
 }
--- a/src/text/keys.rs
+++ b/src/text/keys.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        ini::{Entry, Faults, Section, short},
+        ini::{Entry, Faults, Section, truncated},
         units::{Accels, Cores, Memory, Size},
     },
     std::{collections::BTreeMap, ops::RangeInclusive, str::FromStr, time::Duration},
@@ -29,7 +29,8 @@
         let mut found: BTreeMap<&str, Entry> = BTreeMap::new();
         for entry in &section.entries {
             if !known.contains(&entry.key) {
-                let cause = format!("[{}] has no key {:?}", short(section.head), short(entry.key));
+                let cause =
+                    format!("[{}] has no key {:?}", truncated(section.head), truncated(entry.key));
                 let remedy = faults.hint(entry.key, known.iter().copied());
                 faults.add(entry.line, cause, remedy);
             } else if let Some(first) = found.get(entry.key) {
@@ -56,7 +57,7 @@
         if let Some(entry) = self.found.get(key) {
             return Some(entry.value);
         }
-        let cause = format!("[{}] lacks {key:?}", short(self.head));
+        let cause = format!("[{}] lacks {key:?}", truncated(self.head));
         self.faults.add(self.line, cause, format!("add a line like {key} = {example}"));
         None
     }
@@ -130,7 +131,7 @@
     /// A fault of a key's value.
     pub fn refuse<T>(&mut self, key: &str, remedy: impl Into<Box<str>>) -> Option<T> {
         let value = self.found.get(key).map_or("", |e| e.value);
-        let cause = format!("{key:?} cannot be {:?}", short(value));
+        let cause = format!("{key:?} cannot be {:?}", truncated(value));
         self.faults.add(self.line(key), cause, remedy);
         None
     }
--- a/src/text/mod.rs
+++ b/src/text/mod.rs
@@ -18,5 +18,7 @@
         diff::diff,
         plan::{Job, JobKind, Plan, Pool, Service, Team},
     },
-    crate::ini::{FAULTS, Fault, LIMIT, NAME, RECORD, VALUE},
+    crate::ini::{
+        Fault, MAX_FAULTS, MAX_NAME_BYTES, MAX_RECORD_BYTES, MAX_TEXT_BYTES, MAX_VALUE_BYTES,
+    },
 };
--- a/src/text/read.rs
+++ b/src/text/read.rs
@@ -9,7 +9,7 @@
     },
     crate::{
         ids::{JobId, PoolId, ServiceId, TeamId},
-        ini::{self, Fault, Faults, NAME, Section, short},
+        ini::{self, Fault, Faults, MAX_NAME_BYTES, Section, truncated},
     },
     std::{collections::BTreeMap, time::Duration},
 };
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// All faults of the text, by line; there is at least one. Of more than [`FAULTS`](super::FAULTS)
+    /// All faults of the text, by line; there is at least one. Of more than [`MAX_FAULTS`](super::FAULTS)
     /// the rest are counted in one last fault.
     pub fn read(text: &str) -> Result<Plan, Vec<Fault>> {
         Plan::read_bytes(text.as_bytes())
@@ -74,8 +74,8 @@
     /// As [`Plan::read`].
     pub fn read_bytes(bytes: &[u8]) -> Result<Plan, Vec<Fault>> {
         let mut faults = Faults::new();
-        let Some(text) = ini::clean(bytes, &mut faults) else { return Err(faults.finish()) };
-        ini::record(&text, &mut faults);
+        let Some(text) = ini::decode(bytes, &mut faults) else { return Err(faults.finish()) };
+        ini::check_record(&text, &mut faults);
         let sections = ini::sections(&text, &mut faults);
         if sections.is_empty() && faults.is_empty() {
             faults.add(1, "the text is empty", "declare at least one section like [pool NAME]");
@@ -138,11 +138,11 @@
         let name = ini_core::trim(name);
         if !KINDS.contains(&kind) {
             let remedy = faults.hint(kind, KINDS.iter().copied());
-            faults.add(line, format!("no section is called {:?}", short(kind)), remedy);
+            faults.add(line, format!("no section is called {:?}", truncated(kind)), remedy);
             return None;
         }
         if !sound(name) {
-            let cause = format!("a {kind} cannot be named {:?}", short(name));
+            let cause = format!("a {kind} cannot be named {:?}", truncated(name));
             faults.add(line, cause, NAMES);
             return None;
         }
@@ -168,7 +168,7 @@
     let bytes = name.as_bytes();
     edge(bytes.first())
         && edge(bytes.last())
-        && bytes.len() <= NAME
+        && bytes.len() <= MAX_NAME_BYTES
         && bytes.iter().all(|b| b.is_ascii_alphanumeric() || b"-_.".contains(b))
 }
 
@@ -269,7 +269,7 @@
 fn unknown(keys: &mut Keys<'_, '_>, key: &str, what: &str, name: &str, set: &BTreeMap<&str, u32>) {
     let remedy = keys.faults.hint(name, set.keys().copied());
     let line = keys.line(key);
-    keys.faults.add(line, format!("unknown {what} {:?}", short(name)), remedy);
+    keys.faults.add(line, format!("unknown {what} {:?}", truncated(name)), remedy);
 }
 
 /// The names of `after`, each of them declared and named once.
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -4,7 +4,8 @@
     dogwoodreach::{
         ids::{JobId, PoolId, ServiceId, TeamId},
         text::{
-            FAULTS, Fault, Job, JobKind, LIMIT, Plan, Pool, RECORD, Service, Team, VALUE, diff,
+            Fault, Job, JobKind, MAX_FAULTS, MAX_RECORD_BYTES, MAX_TEXT_BYTES, MAX_VALUE_BYTES,
+            Plan, Pool, Service, Team, diff,
         },
         units::Size,
     },
@@ -140,7 +141,7 @@
 #[test]
 fn the_limit_is_the_last_length_that_is_read() {
     let mut text = format!("{GOOD};");
-    text.extend(std::iter::repeat_n('x', LIMIT - text.len()));
+    text.extend(std::iter::repeat_n('x', MAX_TEXT_BYTES - text.len()));
     Plan::read(&text).expect("a good text");
     text.push('x');
     let want = "line 1: the text has 1000001 bytes; the limit is 1000000; remove what no longer \
@@ -154,8 +155,8 @@
 fn a_text_that_is_too_long_in_its_record_is_refused_by_the_check() {
     let mut text = format!("{GOOD}{};", ";\n".repeat(100_000));
     let record = |text: &str| serde_json::to_string(text).expect("JSON").len();
-    text.extend(std::iter::repeat_n('x', RECORD - record(&text)));
-    assert!(text.len() < LIMIT);
+    text.extend(std::iter::repeat_n('x', MAX_RECORD_BYTES - record(&text)));
+    assert!(text.len() < MAX_TEXT_BYTES);
     Plan::read(&text).expect("a good text");
     text.push('x');
     let told = told(&faults(&text));
@@ -165,7 +166,7 @@
 
 #[test]
 fn a_value_over_its_limit_is_told_without_being_repeated() {
-    let fits = "x".repeat(VALUE);
+    let fits = "x".repeat(MAX_VALUE_BYTES);
     let cause = faults(&format!("[pool a]\ncores = {fits}\n"))[1].cause.len();
     assert!(cause < 100, "{cause} bytes");
     let told = told(&faults(&format!("[pool a]\ncores = {fits}x\n")));
@@ -174,10 +175,10 @@
 
 #[test]
 fn a_text_of_nothing_but_faults_is_told_in_part_and_counted_whole() {
-    let text = "x\n".repeat(LIMIT / 2);
+    let text = "x\n".repeat(MAX_TEXT_BYTES / 2);
     let faults = faults(&text);
-    assert_eq!(faults.len(), FAULTS + 1);
-    assert_eq!(&*faults[FAULTS].cause, "499001 more errors are not listed");
+    assert_eq!(faults.len(), MAX_FAULTS + 1);
+    assert_eq!(&*faults[MAX_FAULTS].cause, "499001 more errors are not listed");
 }
 
 #[test]
@@ -215,7 +216,7 @@
 #[test]
 fn a_cycle_as_long_as_a_text_allows_is_told_without_a_stack_of_its_length() {
     let text = chain(11_000);
-    assert!((LIMIT * 9 / 10..LIMIT).contains(&text.len()), "{}", text.len());
+    assert!((MAX_TEXT_BYTES * 9 / 10..MAX_TEXT_BYTES).contains(&text.len()), "{}", text.len());
     let faults = faults(&text);
     assert_eq!(faults.len(), 1, "{}", told(&faults));
     assert!(faults[0].cause.starts_with("a cycle: j1 -> j2 -> j3 -> "), "{}", faults[0]);
