--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,5 @@
-//! The command line: its commands, its exit codes, and the one command that needs no member.
+//! The command line: its commands, their options, the exit codes, and `check`, which needs no
+//! member.
 
 use {
     crate::{
@@ -20,7 +21,7 @@
     },
 };
 
-/// What `--help` shows.
+/// The text of `--help`.
 pub const HELP: &str = "\
 dogwoodreach, a cluster scheduler for unlike workloads
 
@@ -53,7 +54,7 @@
   6  the member cannot be reached; nothing was changed
 ";
 
-/// A command line, read.
+/// A parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Runs a member.
@@ -65,31 +66,31 @@
     Check {
         /// The text's file.
         text: PathBuf,
-        /// Whether to answer in JSON.
+        /// Whether to write JSON.
         json: bool,
     },
     /// Submits a text.
     Submit {
         /// The text's file.
         text: PathBuf,
-        /// The version that it was edited from, if the operator names one.
+        /// The version that the text was edited from, if the operator gives one.
         base: Option<Version>,
-        /// Who submits it.
+        /// The name of the submitter.
         by: Option<Box<str>>,
-        /// The member to ask.
+        /// The member to call.
         target: Target,
     },
     /// Shows what is in force, and what runs and waits.
     Show(Target),
     /// Stops a member once its requests have ended.
     Drain(Target),
-    /// Puts the lines of one id in order.
+    /// Shows the log lines of one job, step or task in order of time.
     Trace {
         /// A job's number, or the name of a step or task of it.
         id: trace::Id,
-        /// The logs.
+        /// The log files.
         files: Vec<PathBuf>,
-        /// Whether to answer in JSON.
+        /// Whether to write JSON.
         json: bool,
     },
     /// Shows the help.
@@ -98,28 +99,28 @@
     Version,
 }
 
-/// The member that a command asks, and how.
+/// The member that a command calls, and how to call it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
     /// The member's address for operators.
     pub to: SocketAddr,
     /// The file that holds the secret.
     pub secret: PathBuf,
-    /// Whether to answer in JSON.
+    /// Whether to write JSON.
     pub json: bool,
 }
 
-/// What is wrong with a command line.
+/// An error in a command line.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 #[display("{cause}")]
 pub struct Usage {
     /// What is wrong, and what would be right.
     pub cause: Box<str>,
-    /// Whether to answer in JSON.
+    /// Whether to write JSON.
     pub json: bool,
 }
 
-/// The exit codes.
+/// The exit codes of all commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
@@ -131,7 +132,7 @@
     Usage = 2,
     /// The text or the settings have errors.
     Faulty = 3,
-    /// Another text was first.
+    /// Another text was accepted first.
     Conflict = 4,
     /// The outcome is unknown.
     Unknown = 5,
@@ -156,10 +157,10 @@
     }
 }
 
-/// The options of a command line, before it is known what its command needs.
+/// The options of a command line, before they are matched with the command.
 #[derive(Default)]
 struct Options {
-    words: Vec<OsString>,
+    positional: Vec<OsString>,
     settings: Option<OsString>,
     to: Option<OsString>,
     secret: Option<OsString>,
@@ -170,59 +171,63 @@
     version: bool,
 }
 
-/// Reads a command line without the program's name.
+/// Parses the arguments of a command line, without the program's name.
 ///
 /// # Errors
 ///
-/// What is wrong with it; `json` says whether the user asked for JSON before it went wrong.
+/// Errs on an unknown command or option, and on a missing or malformed value. `json` of the error
+/// says whether `--json` is among the arguments.
 pub fn parse(args: Vec<OsString>) -> Result<Command, Usage> {
-    // An error is told in JSON even where `--json` comes after the word that is wrong.
+    // Errors are written as JSON even if `--json` follows the argument at fault.
     let json = args.iter().any(|a| a == "--json");
-    command(args).map_err(|e| Usage { cause: e.to_string().into(), json })
+    parse_command(args).map_err(|e| Usage { cause: e.to_string().into(), json })
 }
 
-fn command(args: Vec<OsString>) -> Result<Command, lexopt::Error> {
-    let mut options = options(args)?;
+fn parse_command(args: Vec<OsString>) -> Result<Command, lexopt::Error> {
+    let mut options = parse_options(args)?;
     if options.help {
         return Ok(Command::Help);
     }
     if options.version {
         return Ok(Command::Version);
     }
-    let name = match options.words.is_empty() {
+    let name = match options.positional.is_empty() {
         true => return Err("no command; try --help".into()),
-        false => options.words.remove(0).string()?,
+        false => options.positional.remove(0).string()?,
     };
     let command = match &*name {
         "serve" => {
-            let settings = need(options.settings.take(), "serve", "--settings FILE")?;
+            let settings = require(options.settings.take(), "serve", "--settings FILE")?;
             Command::Serve { settings: settings.into() }
         }
-        "check" => Command::Check { text: text(&mut options, "check")?, json: json(&mut options) },
+        "check" => Command::Check {
+            text: text_path(&mut options, "check")?,
+            json: take_json(&mut options),
+        },
         "submit" => Command::Submit {
-            text: text(&mut options, "submit")?,
-            base: options.base.take().map(base).transpose()?,
+            text: text_path(&mut options, "submit")?,
+            base: options.base.take().map(parse_base).transpose()?,
             by: options.by.take().map(|v| v.string().map(Box::from)).transpose()?,
             target: target(&mut options, "submit")?,
         },
         "show" => Command::Show(target(&mut options, "show")?),
         "drain" => Command::Drain(target(&mut options, "drain")?),
-        "trace" => traced(&mut options)?,
+        "trace" => trace_command(&mut options)?,
         other => return Err(format!("no command is called {other:?}; try --help").into()),
     };
-    match options.rest() {
+    match options.first_unused() {
         Some(word) => Err(format!("{name} takes no {word}; try --help").into()),
         None => Ok(command),
     }
 }
 
-fn options(args: Vec<OsString>) -> Result<Options, lexopt::Error> {
+fn parse_options(args: Vec<OsString>) -> Result<Options, lexopt::Error> {
     let mut parser = Parser::from_args(args);
     let mut options = Options::default();
     while let Some(arg) = parser.next()? {
         let (slot, name) = match arg {
             Arg::Value(word) => {
-                options.words.push(word);
+                options.positional.push(word);
                 continue;
             }
             Arg::Long("json") => {
@@ -252,8 +257,8 @@
 }
 
 impl Options {
-    /// The first word or option that no command took.
-    fn rest(&self) -> Option<String> {
+    /// The first argument or option that the command has not used.
+    fn first_unused(&self) -> Option<String> {
         let named = [
             (&self.settings, "--settings"),
             (&self.to, "--to"),
@@ -263,51 +268,52 @@
         ];
         let named = named.into_iter().find(|(value, _)| value.is_some()).map(|(_, name)| name);
         let json = self.json.then_some("--json");
-        let word = self.words.first().map(|w| format!("{:?}", w.to_string_lossy()));
+        let word = self.positional.first().map(|w| format!("{:?}", w.to_string_lossy()));
         word.or(named.or(json).map(String::from))
     }
 }
 
-fn need(value: Option<OsString>, name: &str, what: &str) -> Result<OsString, lexopt::Error> {
+fn require(value: Option<OsString>, name: &str, what: &str) -> Result<OsString, lexopt::Error> {
     value.ok_or_else(|| format!("{name} needs {what}; try --help").into())
 }
 
-fn text(options: &mut Options, name: &str) -> Result<PathBuf, lexopt::Error> {
-    let word = if options.words.is_empty() { None } else { Some(options.words.remove(0)) };
-    need(word, name, "the file of a text").map(PathBuf::from)
+fn text_path(options: &mut Options, name: &str) -> Result<PathBuf, lexopt::Error> {
+    let word =
+        if options.positional.is_empty() { None } else { Some(options.positional.remove(0)) };
+    require(word, name, "the file of a text").map(PathBuf::from)
 }
 
-fn traced(options: &mut Options) -> Result<Command, lexopt::Error> {
-    let mut words = std::mem::take(&mut options.words).into_iter();
-    let word = need(words.next(), "trace", "an ID and FILES")?.string()?;
+fn trace_command(options: &mut Options) -> Result<Command, lexopt::Error> {
+    let mut positional = std::mem::take(&mut options.positional).into_iter();
+    let word = require(positional.next(), "trace", "an ID and FILES")?.string()?;
     let remedy = "a job's 16 hexadecimal digits, or the name of a step or task";
     let id = trace::Id::read(&word).ok_or(format!("ID cannot be {word:?}; {remedy}"))?;
-    let files: Vec<PathBuf> = words.map(PathBuf::from).collect();
+    let files: Vec<PathBuf> = positional.map(PathBuf::from).collect();
     if files.is_empty() {
         return Err("trace needs FILES; try --help".into());
     }
-    Ok(Command::Trace { id, files, json: json(options) })
+    Ok(Command::Trace { id, files, json: take_json(options) })
 }
 
-fn base(word: OsString) -> Result<Version, lexopt::Error> {
+fn parse_base(word: OsString) -> Result<Version, lexopt::Error> {
     let remedy = "a version, as show gives it";
     word.parse().map_err(|_: lexopt::Error| format!("--base cannot be {word:?}; {remedy}").into())
 }
 
-fn address(word: OsString) -> Result<SocketAddr, lexopt::Error> {
+fn parse_address(word: OsString) -> Result<SocketAddr, lexopt::Error> {
     let remedy = "an IP number and a port, like 10.0.0.1:8081";
     word.parse().map_err(|_: lexopt::Error| format!("--to cannot be {word:?}; {remedy}").into())
 }
 
-fn json(options: &mut Options) -> bool {
+fn take_json(options: &mut Options) -> bool {
     std::mem::take(&mut options.json)
 }
 
 fn target(options: &mut Options, name: &str) -> Result<Target, lexopt::Error> {
     Ok(Target {
-        to: address(need(options.to.take(), name, "--to ADDR")?)?,
-        secret: need(options.secret.take(), name, "--secret-file FILE")?.into(),
-        json: json(options),
+        to: parse_address(require(options.to.take(), name, "--to ADDR")?)?,
+        secret: require(options.secret.take(), name, "--secret-file FILE")?.into(),
+        json: take_json(options),
     })
 }
 
@@ -318,16 +324,16 @@
     errors: &'a [Fault],
 }
 
-/// An error other than a text's, as `--json` writes it.
+/// An error that is not one of a text, as `--json` writes it.
 #[derive(Serialize)]
 struct Failed<'a> {
     ok: bool,
     cause: &'a str,
 }
 
-/// Checks the text in a file, tells the faults, and says how it went.
+/// Checks the text in a file, and writes its faults or a summary.
 pub fn check(path: &Path, json: bool) -> Exit {
-    let bytes = match read(path) {
+    let bytes = match read_limited(path) {
         Ok(bytes) => bytes,
         Err(e) => return fail(Exit::Usage, &format!("cannot read {}: {e}", path.display()), json),
     };
@@ -335,7 +341,7 @@
         Ok(plan) if !json => {
             let (pools, teams) = (plan.pools.len(), plan.teams.len());
             let (services, jobs) = (plan.services.len(), plan.jobs.len());
-            say(format_args!(
+            print_line(format_args!(
                 "{}: good (pools {pools}, teams {teams}, services {services}, jobs {jobs})",
                 path.display()
             ));
@@ -347,12 +353,12 @@
     if json {
         write_json(&Checked { ok: faults.is_empty(), errors: &faults });
     } else {
-        tell(path, &faults);
+        print_faults(path, &faults);
     }
     exit
 }
 
-/// Tells an error, to people on the standard error and to programs on the standard output.
+/// Writes an error: as text to standard error, or as JSON to standard output. Returns `exit`.
 pub fn fail(exit: Exit, cause: &str, json: bool) -> Exit {
     if json {
         write_json(&Failed { ok: false, cause });
@@ -362,26 +368,26 @@
     exit
 }
 
-/// Reads a file up to one byte over the limit: enough to refuse what is longer.
-pub(crate) fn read(path: &Path) -> io::Result<Vec<u8>> {
+/// Reads a file up to one byte over [`MAX_TEXT_BYTES`], which is enough to refuse a longer file.
+pub(crate) fn read_limited(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?.take(MAX_TEXT_BYTES as u64 + 1).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-fn tell(path: &Path, faults: &[Fault]) {
+fn print_faults(path: &Path, faults: &[Fault]) {
     let mut out = io::BufWriter::new(io::stderr().lock());
     for fault in faults {
         let _ = writeln!(out, "{}: {fault}", path.display());
     }
 }
 
-/// Writes a line; a reader that has gone is no error of the command.
-pub fn say(line: fmt::Arguments<'_>) {
+/// Writes a line to standard output. Ignores errors: a closed pipe must not fail the command.
+pub fn print_line(line: fmt::Arguments<'_>) {
     let _ = writeln!(io::stdout(), "{line}");
 }
 
-/// Writes one JSON object and ends the line.
+/// Writes a value as JSON and a line end to standard output.
 pub fn write_json(value: &impl Serialize) {
     let mut out = io::stdout().lock();
     let _ = serde_json::to_writer(&mut out, value);
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -1,8 +1,8 @@
-//! The commands that run a member or ask one.
+//! The commands that run a member or call one, and the output of each.
 
 use {
     crate::{
-        cli::{Command, Exit, HELP, Target, check, fail, read, say, write_json},
+        cli::{Command, Exit, HELP, Target, check, fail, print_line, read_limited, write_json},
         error::{Error, Kind},
         ids::{SubmissionId, Version},
         member,
@@ -15,11 +15,11 @@
     tokio::runtime::Builder,
 };
 
-/// Carries out a command.
+/// Runs a command and returns its exit code.
 pub fn run(command: Command) -> Exit {
     match command {
-        Command::Help => say(format_args!("{}", HELP.trim_end())),
-        Command::Version => say(format_args!("dogwoodreach {}", env!("CARGO_PKG_VERSION"))),
+        Command::Help => print_line(format_args!("{}", HELP.trim_end())),
+        Command::Version => print_line(format_args!("dogwoodreach {}", env!("CARGO_PKG_VERSION"))),
         Command::Check { text, json } => return check(&text, json),
         Command::Serve { settings } => return serve(&settings),
         Command::Submit { text, base, by, target } => return submit(&text, base, by, &target),
@@ -31,7 +31,7 @@
 }
 
 fn serve(path: &Path) -> Exit {
-    let bytes = match read(path) {
+    let bytes = match read_limited(path) {
         Ok(bytes) => bytes,
         Err(e) => return fail(Exit::Usage, &format!("cannot read {}: {e}", path.display()), false),
     };
@@ -61,25 +61,25 @@
     let trace = trace::trace(id, lines);
     match (json, trace.ok) {
         (true, _) => write_json(&trace),
-        (false, true) => say(format_args!("{trace}")),
+        (false, true) => print_line(format_args!("{trace}")),
         (false, false) => return fail(Exit::Refused, &trace.sentence, false),
     }
     if trace.ok { Exit::Done } else { Exit::Refused }
 }
 
 fn submit(path: &Path, base: Option<Version>, by: Option<Box<str>>, target: &Target) -> Exit {
-    let bytes = match read(path) {
+    let bytes = match read_limited(path) {
         Ok(bytes) => bytes,
         Err(e) => {
             return fail(Exit::Usage, &format!("cannot read {}: {e}", path.display()), target.json);
         }
     };
-    // A text with errors is not worth a call, and is reported in the same words.
+    // A text with errors is reported as `check` reports it, without a call to the member.
     if Plan::read_bytes(&bytes).is_err() {
         return check(path, target.json);
     }
     let text: Box<str> = String::from_utf8_lossy(&bytes).into();
-    asking(target, async |secret: &str| {
+    with_secret(target, async |secret: &str| {
         let base = match base {
             Some(base) => base,
             None => operators::show(target.to, secret).await?.version,
@@ -96,7 +96,7 @@
         }
         if reply.accepted {
             if !target.json {
-                say(format_args!("accepted: version {} is in force", reply.version));
+                print_line(format_args!("accepted: version {} is in force", reply.version));
             }
             return Ok(Exit::Done);
         }
@@ -104,43 +104,43 @@
             return Ok(if reply.errors.is_empty() { Exit::Conflict } else { Exit::Faulty });
         }
         if !reply.errors.is_empty() {
-            reply.errors.iter().for_each(|e| say(format_args!("{e}")));
+            reply.errors.iter().for_each(|e| print_line(format_args!("{e}")));
             return Ok(Exit::Faulty);
         }
-        let theirs = reply.text.unwrap_or_default();
-        say(format_args!("version {} was first; it differs from yours by:", reply.version));
-        say(format_args!("{}", diff(&text, &theirs).trim_end()));
+        let other = reply.text.unwrap_or_default();
+        print_line(format_args!("version {} was first; it differs from yours by:", reply.version));
+        print_line(format_args!("{}", diff(&text, &other).trim_end()));
         Ok(Exit::Conflict)
     })
 }
 
 fn show(target: &Target) -> Exit {
-    asking(target, async |secret: &str| {
+    with_secret(target, async |secret: &str| {
         let show = operators::show(target.to, secret).await?;
         if target.json {
             write_json(&show)
         } else {
-            print(&show)
+            print_show(&show)
         }
         Ok(Exit::Done)
     })
 }
 
 fn drain(target: &Target) -> Exit {
-    asking(target, async |secret: &str| {
+    with_secret(target, async |secret: &str| {
         operators::drain(target.to, secret).await?;
         if target.json {
             write_json(&true);
         } else {
-            say(format_args!("{} stops once its requests have ended", target.to));
+            print_line(format_args!("{} stops once its requests have ended", target.to));
         }
         Ok(Exit::Done)
     })
 }
 
-/// Asks a member with the secret from the target's file, and reports what went wrong.
-fn asking(target: &Target, ask: impl AsyncFnOnce(&str) -> Result<Exit, Error>) -> Exit {
-    let secret = match read(&target.secret) {
+/// Runs `ask` with the secret from the target's file, and reports its error if it fails.
+fn with_secret(target: &Target, ask: impl AsyncFnOnce(&str) -> Result<Exit, Error>) -> Exit {
+    let secret = match read_limited(&target.secret) {
         Ok(bytes) => String::from_utf8_lossy(&bytes).trim().to_owned(),
         Err(e) => {
             let cause = format!("cannot read {}: {e}", target.secret.display());
@@ -158,18 +158,18 @@
     }
 }
 
-fn print(show: &Show) {
-    say(format_args!("version {} in force; {} requests open", show.version, show.waiting));
+fn print_show(show: &Show) {
+    print_line(format_args!("version {} in force; {} requests open", show.version, show.waiting));
     for m in &show.members {
         let state = if m.draining { ", stopping" } else { "" };
         let here = if m.incarnation == show.member { " (this one)" } else { "" };
-        say(format_args!(
+        print_line(format_args!(
             "member {}{here}: {}, version {}, owns {} rows{state}",
             m.incarnation, m.zone, m.version, m.rows
         ));
     }
     for w in &show.workers {
-        say(format_args!(
+        print_line(format_args!(
             "worker {}: {}, {} of {} slots busy, free {}",
             w.worker, w.state, w.busy, w.slots, w.room
         ));
@@ -177,6 +177,6 @@
     for t in &show.tasks {
         let at = t.worker.as_ref().map(|w| format!(" on {w}")).unwrap_or_default();
         let why = t.reason.as_ref().map(|r| format!(": {r}")).unwrap_or_default();
-        say(format_args!("task {} attempt {}: {}{at}{why}", t.task, t.attempt, t.state));
+        print_line(format_args!("task {} attempt {}: {}{at}{why}", t.task, t.attempt, t.state));
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -222,7 +222,8 @@
         }
     }
 
-    /// Sends `ask` as JSON and reads the response as JSON; errs on any status that is not a success.
+    /// Sends `ask` as JSON and reads the response as JSON; errs on any status that is not a
+    /// success.
     pub async fn json<A: serde::Serialize, R: serde::de::DeserializeOwned>(
         &self,
         method: &str,
--- a/src/ini.rs
+++ b/src/ini.rs
@@ -9,16 +9,16 @@
     std::{borrow::Cow, fmt},
 };
 
-/// The maximum size of a text, in bytes: the key-value service's limit of 1 MiB, less the rest of the
-/// record.
+/// The maximum size of a text, in bytes: the key-value service's limit of 1 MiB, less the rest of
+/// the record.
 pub const MAX_TEXT_BYTES: usize = 1_000_000;
 
-/// The maximum size of a text encoded as JSON, in bytes: 1 MiB less 4 KiB for the rest of the record,
-/// which consists of numbers and the submitter's name.
+/// The maximum size of a text encoded as JSON, in bytes: 1 MiB less 4 KiB for the rest of the
+/// record, which consists of numbers and the submitter's name.
 pub const MAX_RECORD_BYTES: usize = (1 << 20) - (4 << 10);
 
-/// The maximum length of a name, in bytes. Names become parts of record keys and metric labels, which
-/// other systems limit to 63.
+/// The maximum length of a name, in bytes. Names become parts of record keys and metric labels,
+/// which other systems limit to 63.
 pub const MAX_NAME_BYTES: usize = 63;
 
 /// The maximum length of a value, in bytes: enough for a list of about sixty names.
@@ -131,8 +131,8 @@
     }
 }
 
-/// Decodes a text of at most [`MAX_TEXT_BYTES`] bytes; adds a fault for each line with disallowed characters
-/// and replaces them.
+/// Decodes a text of at most [`MAX_TEXT_BYTES`] bytes; adds a fault for each line with disallowed
+/// characters and replaces them.
 ///
 /// Returns `None` for a text over the limit, which is not parsed.
 pub(crate) fn decode<'a>(bytes: &'a [u8], faults: &mut Faults) -> Option<Cow<'a, str>> {
@@ -179,8 +179,8 @@
 /// Refuses a text that is too long once it is encoded in its record.
 ///
 /// JSON encodes a line end, tab, quote or backslash as two bytes. Without this check, a text just
-/// under [`MAX_TEXT_BYTES`] would pass, and the key-value service would refuse its record at submission.
-/// Other characters that JSON escapes are refused before.
+/// under [`MAX_TEXT_BYTES`] would pass, and the key-value service would refuse its record at
+/// submission. Other characters that JSON escapes are refused before.
 pub(crate) fn check_record(text: &str, faults: &mut Faults) {
     let escaped = text.bytes().filter(|b| b"\n\r\t\"\\".contains(b)).count();
     let len = text.len() + escaped + "\"\"".len();
@@ -192,7 +192,8 @@
     }
 }
 
-/// Whether a character is not allowed in a line: it is invisible and can disguise the line's content.
+/// Whether a character is not allowed in a line: it is invisible and can disguise the line's
+/// content.
 fn is_disallowed(c: char) -> bool {
     c.is_control() && c != '\t'
         || matches!(c, '\u{feff}' | '\u{202a}'..='\u{202e}' | '\u{2066}'..='\u{2069}')
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,17 @@
 //! dogwoodreach, a cluster scheduler for unlike workloads.
 //!
-//! The types and the deciding code stand here; the binary only reads its command line. Where to
-//! begin:
+//! This crate holds all types and the scheduling code; the binary only parses its command line.
+//! Start with these modules:
 //!
-//! - [`text`]: the operators' text, read into a [`text::Plan`].
-//! - [`core`]: one member's state; [`event`] has what it is told and what it orders.
+//! - [`text`]: the operators' text, parsed into a [`text::Plan`].
+//! - [`core`]: the state of one member; [`event`] defines its inputs and outputs.
 //! - [`ownership`], [`racks`], [`jobs`], [`requests`], [`config`]: the parts of that state.
-//! - [`decide`]: the decisions, without network or clock.
-//! - [`member`]: the threads around it, one for each duty.
-//! - [`site`]: a member on a site whose store and workers are spoken to by [`ports`]: [`table`] has
-//!   who owns which [`shard`], [`store`] the clients of the outside.
+//! - [`decide`]: the scheduling decisions, without network or clock.
+//! - [`member`]: the threads of a member, one for each duty.
+//! - [`site`]: a member on a site whose store and workers are reached through [`ports`]. [`table`]
+//!   records which member owns each [`shard`]; [`store`] has the clients of external services.
 //!
-//! Everything that decides takes the present [`Time`] as an argument, so that it can be driven by
-//! hand:
+//! All scheduling code takes the present [`Time`] as an argument, so that tests can control it:
 //!
 //! ```
 //! use dogwoodreach::{
@@ -33,7 +32,7 @@
 //!     run: Duration::from_millis(150),
 //! };
 //!
-//! // The first is let in; one that is due before it could end is refused at once.
+//! // The first request is admitted; one that could not end by its deadline is refused at once.
 //! assert!(gate.admit(&mut queue, ask(1, 2000), Time::ZERO).is_ok());
 //! let late = gate.admit(&mut queue, ask(2, 100), Time::ZERO).unwrap_err();
 //! assert_eq!(late.kind(), Kind::Late);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The one binary.
+//! The `dogwoodreach` binary: parses the command line and runs the command.
 
 use {
     dogwoodreach::{
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -197,7 +197,8 @@
         self.received_bytes.with_label_values(&[call, answer]).inc_by(bytes as u64);
     }
 
-    /// Total calls to external services by kind, for the log of a member whose metrics nobody collects.
+    /// Total calls to external services by kind, for the log of a member whose metrics nobody
+    /// collects.
     pub fn calls(&self) -> Box<str> {
         sums(&self.call_counts, |call, _| call.into())
     }
@@ -232,8 +233,8 @@
         self.verdicts.with_label_values(&["answered"]).inc();
     }
 
-    /// Counts a change of a shard's ownership at this member: taken over, lost, released, deposed or
-    /// settled.
+    /// Counts a change of a shard's ownership at this member: taken over, lost, released, deposed
+    /// or settled.
     pub fn moved(&self, what: &str) {
         self.shard_moves.with_label_values(&[what]).inc();
     }
@@ -264,8 +265,8 @@
         }
     }
 
-    /// Sets the longest time that a long-running task has not run, by cause; a cause that isn't in the
-    /// map has no such task.
+    /// Sets the longest time that a long-running task has not run, by cause; a cause that isn't in
+    /// the map has no such task.
     pub fn away(&self, by_cause: &BTreeMap<Cause, Duration>) {
         self.away_seconds.reset();
         for (cause, time) in by_cause {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
-//! A member's settings, read from an INI file and checked before anything starts.
+//! A member's settings, parsed from an INI file and checked before the member starts.
 //!
-//! The sections and keys are those of `schema/settings.json`, from which the types are generated;
-//! a key added there is known here.
+//! The sections and keys are defined in `schema/settings.json`, from which the types are generated;
+//! a key added there needs no change here.
 
 pub use crate::schema::{LimitSettings, LogSettings, MemberSettings, PlatformSettings, Settings};
 
@@ -16,29 +16,31 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// The shortest secret, in bytes: 16 random characters are beyond guessing over a network.
-const SECRET: usize = 16;
+/// The minimum length of the secret, in bytes: 16 random characters can't be guessed over a
+/// network.
+const MIN_SECRET_BYTES: usize = 16;
 
-/// The addresses that others serve, so that their ports must be named.
-const PLATFORM: [&str; 2] = ["kv", "vms"];
+/// The keys of addresses that the platform serves; their ports must be given, unlike those of
+/// addresses that the member listens on.
+const PLATFORM_KEYS: [&str; 2] = ["kv", "vms"];
 
-/// The log levels, from none to all.
-const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
+/// The log levels, in order of verbosity.
+const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
-/// What the schema says of the sections.
+/// The schema of the file.
 #[derive(Deserialize)]
 struct Schema {
     definitions: BTreeMap<Box<str>, Table>,
 }
 
-/// What the schema says of one section, or of the sections of the file.
+/// The schema of one section, or of the list of sections.
 #[derive(Deserialize)]
 struct Table {
     properties: BTreeMap<Box<str>, Property>,
     required: Vec<Box<str>>,
 }
 
-/// What the schema says of one key or section.
+/// The schema of one key or section.
 #[derive(Deserialize)]
 struct Property {
     description: Box<str>,
@@ -49,7 +51,7 @@
     parts: Vec<Part>,
 }
 
-/// A section's type, as `#/definitions/NAME`.
+/// A reference to a section's type, as `#/definitions/NAME`.
 #[derive(Deserialize)]
 struct Part {
     #[serde(rename = "$ref")]
@@ -57,19 +59,19 @@
 }
 
 impl Schema {
-    /// The keys of a section.
+    /// The schema of a section.
     fn table(&self, section: &Property) -> &Table {
         let name = section.parts.first().and_then(|p| p.name.strip_prefix("#/definitions/"));
         &self.definitions[name.expect("a section of the schema names its definition")]
     }
 }
 
-/// What was met so far.
+/// The sections, keys and addresses read so far.
 #[derive(Default)]
 struct Seen<'a> {
-    /// The lines of sections and keys; a section is under the empty key.
+    /// The lines of sections and keys; a section has the empty key.
     lines: BTreeMap<(&'a str, &'a str), u32>,
-    /// The keys and lines of addresses, of which no two may be alike.
+    /// The key and line of each address; no two may be equal.
     addrs: BTreeMap<SocketAddr, (&'a str, u32)>,
 }
 
@@ -79,7 +81,7 @@
     }
 }
 
-/// Reads and checks settings.
+/// Parses and checks settings.
 ///
 /// # Errors
 ///
@@ -89,14 +91,14 @@
     read_bytes(text.as_bytes())
 }
 
-/// Reads and checks settings that may not be UTF-8.
+/// Parses and checks settings that may not be valid UTF-8.
 ///
 /// # Errors
 ///
 /// As [`read`].
 pub fn read_bytes(bytes: &[u8]) -> Result<Settings, Error> {
     let mut faults = Faults::new();
-    let settings = checked(bytes, &mut faults);
+    let settings = parse(bytes, &mut faults);
     match settings {
         Some(settings) if faults.is_empty() => Ok(settings),
         _ => {
@@ -106,10 +108,10 @@
     }
 }
 
-fn checked(bytes: &[u8], faults: &mut Faults) -> Option<Settings> {
+fn parse(bytes: &[u8], faults: &mut Faults) -> Option<Settings> {
     let text = ini::decode(bytes, faults)?;
     let schema: Schema = serde_json::from_str(include_str!("../schema/settings.json"))
-        .expect("the schema is part of the build, and every test of settings reads it");
+        .expect("the schema is compiled in, and every test of settings parses it");
     let tables = tables(&ini::sections(&text, faults), &schema, faults);
     if !faults.is_empty() {
         return None;
@@ -123,7 +125,7 @@
     }
 }
 
-/// The sections of the file, each of the schema's type.
+/// The sections of the file as JSON values of the schema's types.
 fn tables(sections: &[Section<'_>], schema: &Schema, faults: &mut Faults) -> Map<String, Value> {
     let mut seen = Seen::default();
     let mut out = Map::new();
@@ -150,7 +152,7 @@
     out
 }
 
-/// The keys of one section, each of the schema's type.
+/// The keys of one section as JSON values of the schema's types.
 fn keys<'a>(
     section: &Section<'a>,
     table: &Table,
@@ -172,9 +174,9 @@
         }
         match value(entry, property) {
             Ok(value) => drop(out.insert(entry.key.into(), value)),
-            Err(remedy) => refuse(entry, remedy, faults),
+            Err(remedy) => add_refusal(entry, remedy, faults),
         }
-        alone(entry, property, seen, faults);
+        check_address(entry, property, seen, faults);
     }
     for name in table.required.iter().filter(|n| !seen.has(section.head, n)) {
         let remedy = format!("add it: {}", table.properties[name].description);
@@ -183,16 +185,16 @@
     out
 }
 
-fn refuse(entry: &Entry<'_>, remedy: &str, faults: &mut Faults) {
+fn add_refusal(entry: &Entry<'_>, remedy: &str, faults: &mut Faults) {
     let cause = match entry.key {
-        // The detail goes to logs, which a secret must not.
+        // Errors are logged, and the secret must not be.
         "secret" => format!("the secret has {} characters", entry.value.len()),
         key => format!("{key:?} cannot be {:?}", truncated(entry.value)),
     };
     faults.add(entry.line, cause, remedy);
 }
 
-/// A value of the schema's type, or what would be right.
+/// A value of the schema's type, or the remedy.
 fn value(entry: &Entry<'_>, property: &Property) -> Result<Value, &'static str> {
     let text = entry.value;
     match (property.kind.as_deref(), property.format.as_deref()) {
@@ -214,29 +216,35 @@
         (_, Some("zone")) if text.is_empty() || text.len() > MAX_NAME_BYTES => {
             Err("a name of 1 to 63 bytes")
         }
-        _ => special(entry),
+        _ => special_value(entry),
     }
 }
 
-/// A value of a key of which the schema knows less than this code.
-fn special(entry: &Entry<'_>) -> Result<Value, &'static str> {
+/// The value of a key with rules that the schema doesn't contain, or the remedy.
+fn special_value(entry: &Entry<'_>) -> Result<Value, &'static str> {
     let text = entry.value;
     match entry.key {
-        "secret" if text.len() < SECRET => Err("16 characters or more, made at random"),
-        "level" if !LEVELS.contains(&text) => Err("off, error, warn, info, debug or trace"),
+        "secret" if text.len() < MIN_SECRET_BYTES => Err("16 characters or more, made at random"),
+        "level" if !LOG_LEVELS.contains(&text) => Err("off, error, warn, info, debug or trace"),
         _ => Ok(text.into()),
     }
 }
 
-/// Tells an address that another key has too: the second listener could not open it.
-fn alone<'a>(entry: &Entry<'a>, property: &Property, seen: &mut Seen<'a>, faults: &mut Faults) {
+/// Adds a fault for an address that another key has too: the second listener could not bind it.
+fn check_address<'a>(
+    entry: &Entry<'a>,
+    property: &Property,
+    seen: &mut Seen<'a>,
+    faults: &mut Faults,
+) {
     if property.format.as_deref() != Some("socket-addr") {
         return;
     }
     let Ok(addr) = entry.value.parse::<SocketAddr>() else { return };
-    // Port 0 is whichever is free: never the same twice, and peers learn it from the record.
+    // The system assigns a free port for port 0: two are never equal, and peers get the assigned
+    // port from the member's record.
     if addr.port() == 0 {
-        if PLATFORM.contains(&entry.key) {
+        if PLATFORM_KEYS.contains(&entry.key) {
             let cause = format!("{:?} cannot be {addr}", entry.key);
             faults.add(entry.line, cause, "the port that the platform serves it at");
         }
--- a/src/text/check.rs
+++ b/src/text/check.rs
@@ -1,4 +1,4 @@
-//! The checks that need more than one section: what can never run, and what waits for itself.
+//! The checks that need more than one section: jobs that can never run, and dependency cycles.
 
 use {
     super::{
@@ -13,18 +13,20 @@
     std::collections::BTreeMap,
 };
 
-/// The most names of a cycle that a fault lists.
-const CYCLE: usize = 8;
+/// The maximum number of names of a cycle that a fault lists.
+const MAX_CYCLE_NAMES: usize = 8;
 
-/// Finds jobs whose size no worker of their pool, no quota or no whole pool could ever hold.
-pub(super) fn sizes(plan: &Plan, places: &Places<'_>, faults: &mut Faults) {
+/// Finds jobs that can never run: a task exceeds a worker of the pool, a gang exceeds the whole
+/// pool, or a task or gang exceeds the team's quota.
+pub(super) fn check_sizes(plan: &Plan, places: &Places<'_>, faults: &mut Faults) {
     for (name, job) in &plan.jobs {
         let Some(lines) = places.get(name.as_str()) else { continue };
         if let Some(pool) = plan.pools.get(&job.pool) {
             let before = faults.count();
-            worker(name, job, pool, places, faults);
+            check_task_size(name, job, pool, places, faults);
             if job.kind == JobKind::Gang && faults.count() == before {
-                let room = held(&job.size, pool).saturating_mul(u64::from(pool.workers));
+                let room =
+                    tasks_per_worker(&job.size, pool).saturating_mul(u64::from(pool.workers));
                 if u64::from(job.tasks) > room {
                     let cause = format!(
                         "gang {name} has {} tasks, and all of pool {} holds {room} of its size",
@@ -36,7 +38,7 @@
         }
         let Some(quota) = plan.teams.get(&job.team).and_then(|t| t.quota) else { continue };
         let (sum, what) = match job.kind {
-            JobKind::Gang => (times(&job.size, job.tasks), "gang"),
+            JobKind::Gang => (multiplied(&job.size, job.tasks), "gang"),
             JobKind::Replicas | JobKind::Batch => (job.size, "one task of"),
         };
         if !sum.fits(&quota) {
@@ -46,8 +48,8 @@
     }
 }
 
-/// Finds the dimensions in which one task is larger than one worker.
-fn worker(name: &JobId, job: &Job, pool: &Pool, places: &Places<'_>, faults: &mut Faults) {
+/// Adds a fault for each dimension in which one task is larger than one worker.
+fn check_task_size(name: &JobId, job: &Job, pool: &Pool, places: &Places<'_>, faults: &mut Faults) {
     let Some(lines) = places.get(name.as_str()) else { return };
     let (need, room) = (&job.size, &pool.size);
     let mut over = |line, fits: bool, need: String, room: String| {
@@ -65,8 +67,8 @@
     over(lines.accels, need.accels <= room.accels, accels(need.accels), accels(room.accels));
 }
 
-/// How many tasks of a size one worker holds.
-fn held(size: &Size, pool: &Pool) -> u64 {
+/// How many tasks of a size fit on one worker of a pool.
+fn tasks_per_worker(size: &Size, pool: &Pool) -> u64 {
     let parts = [
         pool.size.cores.0.checked_div(size.cores.0),
         pool.size.memory.0.checked_div(size.memory.0),
@@ -75,7 +77,7 @@
     parts.into_iter().flatten().min().unwrap_or(0)
 }
 
-fn times(size: &Size, tasks: u32) -> Size {
+fn multiplied(size: &Size, tasks: u32) -> Size {
     let n = u64::from(tasks);
     Size {
         cores: Cores(size.cores.0.saturating_mul(n)),
@@ -84,34 +86,35 @@
     }
 }
 
-/// A service or job on the way of the search for cycles.
-struct Step<'p> {
+/// A service or job on the current path of the search for cycles, with its unvisited dependencies.
+struct Frame<'p> {
     name: &'p str,
-    rest: std::slice::Iter<'p, Box<str>>,
+    unvisited: std::slice::Iter<'p, Box<str>>,
 }
 
-/// Finds services and jobs that wait for themselves, in one walk of every dependency.
+/// Finds services and jobs that depend on themselves, in one depth-first search.
 ///
-/// One fault is told for each dependency that closes a cycle; without these there is none left.
-/// The walk keeps its own stack: a chain as long as a text allows would overflow a thread's.
-pub(super) fn cycles(plan: &Plan, places: &Places<'_>, faults: &mut Faults) {
+/// There is one fault for each dependency that closes a cycle; removing these removes all cycles.
+/// The search keeps an explicit stack: recursion over the longest chain that a text allows would
+/// overflow the thread's stack.
+pub(super) fn check_cycles(plan: &Plan, places: &Places<'_>, faults: &mut Faults) {
     let services = plan.services.iter().map(|(n, s)| (n.as_str(), &s.after));
     let jobs = plan.jobs.iter().map(|(n, j)| (n.as_str(), &j.after));
     let graph: BTreeMap<&str, &Vec<Box<str>>> = services.chain(jobs).collect();
-    // Where a name is on the way; `None` once all that it waits for is known to end.
+    // The position of a name on the path; `None` once all its dependencies are visited.
     let mut seen: BTreeMap<&str, Option<usize>> = BTreeMap::new();
-    let mut way: Vec<Step<'_>> = Vec::new();
+    let mut path: Vec<Frame<'_>> = Vec::new();
     for (name, after) in &graph {
         if seen.contains_key(name) {
             continue;
         }
         seen.insert(name, Some(0));
-        way.push(Step { name, rest: after.iter() });
-        while let Some(step) = way.last_mut() {
-            let (from, next) = (step.name, step.rest.next());
+        path.push(Frame { name, unvisited: after.iter() });
+        while let Some(frame) = path.last_mut() {
+            let (from, next) = (frame.name, frame.unvisited.next());
             let Some(next) = next else {
                 seen.insert(from, None);
-                way.pop();
+                path.pop();
                 continue;
             };
             let Some((next, after)) = graph.get_key_value(&**next) else { continue };
@@ -119,23 +122,23 @@
                 Some(None) => {}
                 Some(Some(at)) => {
                     let line = places.get(from).map_or(1, |l| l.after);
-                    let cause = format!("a cycle: {}", cycle(&way[*at..]));
+                    let cause = format!("a cycle: {}", describe_cycle(&path[*at..]));
                     faults.add(line, cause, "remove one of these dependencies");
                 }
                 None => {
-                    seen.insert(next, Some(way.len()));
-                    way.push(Step { name: next, rest: after.iter() });
+                    seen.insert(next, Some(path.len()));
+                    path.push(Frame { name: next, unvisited: after.iter() });
                 }
             }
         }
     }
 }
 
-fn cycle(way: &[Step<'_>]) -> String {
-    let mut names: Vec<&str> = way.iter().take(CYCLE).map(|s| s.name).collect();
-    if way.len() > CYCLE {
+fn describe_cycle(path: &[Frame<'_>]) -> String {
+    let mut names: Vec<&str> = path.iter().take(MAX_CYCLE_NAMES).map(|f| f.name).collect();
+    if path.len() > MAX_CYCLE_NAMES {
         names.push("...");
     }
-    names.extend(way.first().map(|s| s.name));
+    names.extend(path.first().map(|f| f.name));
     names.join(" -> ")
 }
--- a/src/text/diff.rs
+++ b/src/text/diff.rs
@@ -1,11 +1,12 @@
-//! What one text has and another has not, for the operator who was second in a race.
+//! The difference of two texts, for an operator whose submission lost to another one.
 
 use std::fmt::Write;
 
 /// The lines that differ, in the unified form: one hunk, from the first to the last difference.
 ///
-/// Empty where the lines are the same. The time is in proportion to the length of both; lines that
-/// stand unchanged between two changes are shown on both sides.
+/// Empty if all lines are equal. Takes time proportional to the length of both texts. Unchanged
+/// lines between two changes are shown as removed and added, since only the common head and tail
+/// are left out.
 pub fn diff(old: &str, new: &str) -> Box<str> {
     let old: Vec<&str> = old.lines().collect();
     let new: Vec<&str> = new.lines().collect();
@@ -28,7 +29,7 @@
     out.into()
 }
 
-/// A range of lines in the unified form, where an empty one names the line before it.
+/// A range of lines in the unified form; an empty range gives the line before it.
 fn range(head: usize, len: usize) -> String {
     format!("{},{len}", if len == 0 { head } else { head + 1 })
 }
--- a/src/text/keys.rs
+++ b/src/text/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of one section, each read into its type.
+//! The keys of one section, and parsers of their values.
 
 use {
     crate::{
@@ -8,53 +8,53 @@
     std::{collections::BTreeMap, ops::RangeInclusive, str::FromStr, time::Duration},
 };
 
-/// The most of one dimension of a size: cores, GB or accelerators. A hundred times the largest
-/// fleet planned for, and a hundred thousand tasks of it still fit a 64-bit sum.
-const MOST: u64 = 10_000_000;
+/// The maximum of one dimension of a size: cores, GB or accelerators. This is a hundred times the
+/// largest planned fleet, and the sum over a hundred thousand tasks still fits 64 bits.
+const MAX_AMOUNT: u64 = 10_000_000;
 
-/// The longest duration: a year, longer than any season's work.
-const LONGEST: Duration = Duration::from_secs(365 * 24 * 3600);
+/// The maximum duration: a year, longer than any season's work.
+const MAX_DURATION: Duration = Duration::from_secs(365 * 24 * 3600);
 
-/// The keys of a section that its kind knows.
+/// The known keys of a section.
 pub(super) struct Keys<'a, 'f> {
     pub faults: &'f mut Faults,
     line: u32,
     head: &'a str,
-    found: BTreeMap<&'a str, Entry<'a>>,
+    entries: BTreeMap<&'a str, Entry<'a>>,
 }
 
 impl<'a, 'f> Keys<'a, 'f> {
-    /// The keys of a section; unknown and repeated ones are faults.
+    /// Collects the keys of a section; unknown and repeated keys are faults.
     pub fn new(section: &Section<'a>, known: &[&str], faults: &'f mut Faults) -> Self {
-        let mut found: BTreeMap<&str, Entry> = BTreeMap::new();
+        let mut entries: BTreeMap<&str, Entry> = BTreeMap::new();
         for entry in &section.entries {
             if !known.contains(&entry.key) {
                 let cause =
                     format!("[{}] has no key {:?}", truncated(section.head), truncated(entry.key));
                 let remedy = faults.hint(entry.key, known.iter().copied());
                 faults.add(entry.line, cause, remedy);
-            } else if let Some(first) = found.get(entry.key) {
+            } else if let Some(first) = entries.get(entry.key) {
                 let cause = format!("{:?} stands here and in line {}", entry.key, first.line);
                 faults.add(entry.line, cause, "keep one of the two");
             } else {
-                found.insert(entry.key, *entry);
+                entries.insert(entry.key, *entry);
             }
         }
-        Keys { faults, line: section.line, head: section.head, found }
+        Keys { faults, line: section.line, head: section.head, entries }
     }
 
-    /// The line of a key, or of the section where it has no such key.
+    /// The line of a key, or of the section if the key is absent.
     pub fn line(&self, key: &str) -> u32 {
-        self.found.get(key).map_or(self.line, |e| e.line)
+        self.entries.get(key).map_or(self.line, |e| e.line)
     }
 
     pub fn has(&self, key: &str) -> bool {
-        self.found.contains_key(key)
+        self.entries.contains_key(key)
     }
 
-    /// The value of a key that must be there.
-    pub fn need(&mut self, key: &str, example: &str) -> Option<&'a str> {
-        if let Some(entry) = self.found.get(key) {
+    /// The value of a required key; adds a fault if the key is absent.
+    pub fn require(&mut self, key: &str, example: &str) -> Option<&'a str> {
+        if let Some(entry) = self.entries.get(key) {
             return Some(entry.value);
         }
         let cause = format!("[{}] lacks {key:?}", truncated(self.head));
@@ -64,7 +64,7 @@
 
     /// A whole number in a range.
     pub fn number(&mut self, key: &str, range: RangeInclusive<u32>, example: &str) -> Option<u32> {
-        let value = self.need(key, example)?;
+        let value = self.require(key, example)?;
         let number = value.parse().ok().filter(|n| range.contains(n));
         if number.is_none() || value.starts_with('+') {
             let remedy = format!("a whole number from {} to {}", range.start(), range.end());
@@ -73,14 +73,14 @@
         number
     }
 
-    /// A whole number in a range, or what it is where the key is not there.
+    /// A whole number in a range, or `absent` if the key is absent.
     pub fn number_or(&mut self, key: &str, range: RangeInclusive<u32>, absent: u32) -> Option<u32> {
         if self.has(key) { self.number(key, range, "") } else { Some(absent) }
     }
 
-    /// `yes` or `no`; no where the key is not there.
-    pub fn yes(&mut self, key: &str) -> Option<bool> {
-        match self.found.get(key).map(|e| e.value) {
+    /// `yes` or `no`; false if the key is absent.
+    pub fn flag(&mut self, key: &str) -> Option<bool> {
+        match self.entries.get(key).map(|e| e.value) {
             None | Some("no") => Some(false),
             Some("yes") => Some(true),
             Some(_) => self.refuse(key, "yes or no"),
@@ -89,55 +89,56 @@
 
     /// A duration above zero.
     pub fn duration(&mut self, key: &str, example: &str) -> Option<Duration> {
-        let value = self.need(key, example)?;
+        let value = self.require(key, example)?;
         match duration(value) {
-            Some(d) if !d.is_zero() && d <= LONGEST => Some(d),
+            Some(d) if !d.is_zero() && d <= MAX_DURATION => Some(d),
             Some(_) => self.refuse(key, "a duration from 1ms to 8760h"),
             None => self.refuse(key, "a whole number with ms, s, m or h, like 30s"),
         }
     }
 
-    /// Cores, memory and accelerators; the last are zero where they are not named.
+    /// Cores, memory and accelerators; accelerators are zero if the key is absent.
     pub fn size(&mut self) -> Option<Size> {
-        let cores = self.part("cores", "2", |c: &Cores| (1..=MOST * 1000).contains(&c.0));
-        let memory = self.part("memory", "4GB", |m: &Memory| (1..=MOST * 1024).contains(&m.0));
+        let cores = self.amount("cores", "2", |c: &Cores| (1..=MAX_AMOUNT * 1000).contains(&c.0));
+        let memory =
+            self.amount("memory", "4GB", |m: &Memory| (1..=MAX_AMOUNT * 1024).contains(&m.0));
         let accels = match self.has("accelerators") {
-            true => self.part("accelerators", "1", |a: &Accels| a.0 <= MOST),
+            true => self.amount("accelerators", "1", |a: &Accels| a.0 <= MAX_AMOUNT),
             false => Some(Accels(0)),
         };
         Some(Size { cores: cores?, memory: memory?, accels: accels? })
     }
 
-    fn part<T: FromStr>(&mut self, key: &str, example: &str, fits: fn(&T) -> bool) -> Option<T>
+    fn amount<T: FromStr>(&mut self, key: &str, example: &str, fits: fn(&T) -> bool) -> Option<T>
     where
         T::Err: std::fmt::Display,
     {
-        let value = self.need(key, example)?;
+        let value = self.require(key, example)?;
         match value.parse() {
             Ok(part) if fits(&part) && !value.starts_with('+') => Some(part),
-            Ok(_) if key == "accelerators" => self.refuse(key, format!("from 0 to {MOST}")),
-            Ok(_) => self.refuse(key, format!("more than 0 and up to {MOST} cores or GB")),
+            Ok(_) if key == "accelerators" => self.refuse(key, format!("from 0 to {MAX_AMOUNT}")),
+            Ok(_) => self.refuse(key, format!("more than 0 and up to {MAX_AMOUNT} cores or GB")),
             Err(_) if key == "accelerators" => self.refuse(key, "a whole number, like 8"),
             Err(e) => self.refuse(key, e.to_string()),
         }
     }
 
-    /// Names parted by commas.
+    /// Names separated by commas; empty if the key is absent.
     pub fn list(&mut self, key: &str) -> Vec<&'a str> {
-        let Some(entry) = self.found.get(key) else { return Vec::new() };
+        let Some(entry) = self.entries.get(key) else { return Vec::new() };
         entry.value.split(',').map(ini_core::trim).collect()
     }
 
-    /// A fault of a key's value.
+    /// Adds a fault for a key's value and returns `None`.
     pub fn refuse<T>(&mut self, key: &str, remedy: impl Into<Box<str>>) -> Option<T> {
-        let value = self.found.get(key).map_or("", |e| e.value);
+        let value = self.entries.get(key).map_or("", |e| e.value);
         let cause = format!("{key:?} cannot be {:?}", truncated(value));
         self.faults.add(self.line(key), cause, remedy);
         None
     }
 }
 
-/// A duration written as a whole number with its unit.
+/// Parses a duration, a whole number with a unit (`ms`, `s`, `m` or `h`).
 pub(crate) fn duration(s: &str) -> Option<Duration> {
     let at = s.find(|c: char| !c.is_ascii_digit())?;
     let number: u64 = s[..at].parse().ok()?;
--- a/src/text/mod.rs
+++ b/src/text/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' text: read, checked and compared.
+//! The operators' text: parsed, checked and compared.
 //!
-//! A text is an INI file of sections like `[pool NAME]`. It is taken whole or refused whole, with
-//! every fault's line, cause and remedy, so that what is in force never is half of what was meant.
-//! Reading takes time in proportion to the text's length.
+//! A text is an INI file of sections like `[pool NAME]`. It is accepted or refused as a whole, with
+//! the line, cause and remedy of every fault, so that a text is never in force in part. Parsing
+//! takes time proportional to the text's length.
 
 mod check;
 mod diff;
--- a/src/text/moved.rs
+++ b/src/text/moved.rs
@@ -1,4 +1,4 @@
-//! Jobs that a new text gives to another team.
+//! The check that a new text moves no job to another team.
 
 use {
     super::{Fault, Plan},
@@ -6,17 +6,18 @@
 };
 
 impl Plan {
-    /// The faults of this plan, read from `text`, as the one that follows `old`: jobs whose team has
+    /// The faults of this plan, parsed from `text`, as the successor of `old`: jobs whose team has
     /// changed.
     ///
-    /// All jobs of a team belong to one bucket, and a job that changes its team to another one, maybe
-    /// with another owner. That owner would start its tasks while the former one still stops them,
-    /// and they would run in two places. So a job keeps its team for as long as it is listed.
+    /// All jobs of a team belong to one bucket. A job that changes its team moves to another
+    /// bucket, which may have another owner. That owner would start the job's tasks while the
+    /// previous owner still stops them, and they would run twice. A job therefore keeps its team
+    /// while it is listed.
     pub fn moved(&self, old: &Plan, text: &str) -> Vec<Fault> {
         let team = |name: &JobId| old.jobs.get(name).map(|j| &j.team);
         let moved = self.jobs.iter().filter(|(name, j)| team(name).is_some_and(|t| *t != j.team));
         let fault = |(name, _): (&JobId, _)| Fault {
-            line: line(text, name),
+            line: section_line(text, name),
             cause: format!("the job {:?} changes its team", name.as_str()).into(),
             remedy: "submit a text without it, wait until its tasks have stopped, then list it"
                 .into(),
@@ -25,8 +26,8 @@
     }
 }
 
-/// The line of a job's section, or the first where it can't be told.
-fn line(text: &str, name: &JobId) -> u32 {
+/// The line of a job's section, or 1 if it isn't found.
+fn section_line(text: &str, name: &JobId) -> u32 {
     let head = |line: &str| {
         let inner = line.trim().strip_prefix('[')?.strip_suffix(']')?;
         let (kind, rest) = inner.trim().split_once([' ', '\t'])?;
--- a/src/text/places.rs
+++ b/src/text/places.rs
@@ -1,8 +1,9 @@
-//! Where the items of a text stand, for faults that are found once the whole is read.
+//! The lines of services and jobs and of their keys, for faults found after the whole text is
+//! parsed.
 
 use std::collections::BTreeMap;
 
-/// Where the keys of an item stand, for faults found once the whole is read.
+/// The lines of a section's head and of its keys.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Lines {
     pub head: u32,
--- a/src/text/plan.rs
+++ b/src/text/plan.rs
@@ -1,4 +1,4 @@
-//! What a text says, once read: pools, teams, services and jobs.
+//! The content of a parsed text: pools, teams, services and jobs.
 
 use {
     crate::{
@@ -8,49 +8,49 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// A whole text, checked: every name that stands in it is declared in it.
+/// A parsed and checked text: every name that it refers to is declared in it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     /// The pools of workers.
     pub pools: BTreeMap<PoolId, Pool>,
     /// The teams.
     pub teams: BTreeMap<TeamId, Team>,
-    /// The services that requests call.
+    /// The services that callers request.
     pub services: BTreeMap<ServiceId, Service>,
-    /// The jobs; no job has the name of a service.
+    /// The jobs; a job and a service never share a name.
     pub jobs: BTreeMap<JobId, Job>,
 }
 
-/// A pool of alike workers, as the platform's list of VMs names it.
+/// A pool of identical workers, under its name in the platform's list of VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pool {
-    /// What one worker has.
+    /// The size of one worker.
     pub size: Size,
     /// How many workers the pool has.
     pub workers: u32,
     /// How many requests a worker runs at once.
     pub slots: u32,
-    /// How many connections a worker takes.
+    /// How many connections a worker accepts.
     pub connections: u32,
 }
 
-/// A team, to which services and jobs belong.
+/// A team, which owns services and jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Team {
-    /// Its share, relative to the other teams'.
+    /// Its share of a pool, relative to the weights of other teams.
     pub weight: u32,
-    /// The most that its tasks may use at once; none: no limit.
+    /// The maximum that its tasks may use at once; none means no limit.
     pub quota: Option<Size>,
 }
 
 /// A service, called by requests and served by the workers of its pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Whose it is.
+    /// The team that owns it.
     pub team: TeamId,
-    /// Whose workers serve it.
+    /// The pool whose workers serve it.
     pub pool: PoolId,
-    /// How long a request may take, waiting included.
+    /// How long a request may take, including the wait in the queue.
     pub deadline: Duration,
     /// How long a request is expected to run.
     pub run: Duration,
@@ -58,40 +58,40 @@
     pub after: Vec<Box<str>>,
 }
 
-/// How the tasks of a job belong together.
+/// How the tasks of a job run together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum JobKind {
-    /// Tasks that run for ever, each of them replaced when it ends.
+    /// Tasks that run without end; each is replaced when it ends.
     #[display("replicas")]
     Replicas,
-    /// Tasks that end, each of them of use by itself.
+    /// Tasks that end and are independent of each other.
     #[display("batch")]
     Batch,
-    /// Tasks that run all at once or not at all.
+    /// Tasks that run all at the same time or not at all.
     #[display("gang")]
     Gang,
 }
 
-/// A job: so many alike tasks.
+/// A job: a number of identical tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// How its tasks belong together.
+    /// How its tasks run together.
     pub kind: JobKind,
-    /// Whose it is.
+    /// The team that owns it.
     pub team: TeamId,
-    /// On whose workers it runs.
+    /// The pool whose workers run it.
     pub pool: PoolId,
     /// How many tasks it has.
     pub tasks: u32,
-    /// What one task needs.
+    /// The size of one task.
     pub size: Size,
-    /// How long a task is declared to run; zero: for ever, as replicas do.
+    /// How long a task is declared to run; zero means without end, as for replicas.
     pub run: Duration,
-    /// By when it must have ended, counted from the text's acceptance.
+    /// The time by which the job must have ended, counted from the text's acceptance.
     pub deadline: Option<Duration>,
-    /// Its place among the jobs of its team; higher goes first.
+    /// Its priority among the jobs of its team; higher starts first.
     pub priority: u32,
-    /// Whether it may take the place of other work, to start at once.
+    /// Whether it may preempt other work to start at once.
     pub urgent: bool,
     /// The services and jobs that it depends on.
     pub after: Vec<Box<str>>,
--- a/src/text/read.rs
+++ b/src/text/read.rs
@@ -1,4 +1,4 @@
-//! A text read into a [`Plan`], section by section.
+//! Parses a text into a [`Plan`], section by section.
 
 use {
     super::{
@@ -14,26 +14,27 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// The most tasks of a job, so that one line of text cannot fill a member's memory.
-const TASKS: u32 = 100_000;
-/// The most workers of a pool; the fleet planned for has 3,900.
-const WORKERS: u32 = 100_000;
-/// Slots of a worker where the text names none: what both users' services offer.
-const SLOTS: u32 = 8;
-/// Connections of a worker where the text names none: what both users' services offer.
-const CONNECTIONS: u32 = 64;
-/// The most slots and connections of a worker: the ports of one address.
-const PORTS: u32 = 65_535;
-/// The highest weight and priority; a thousand steps tell any two teams or jobs apart.
-const STEPS: u32 = 1000;
+/// The maximum number of tasks of a job, so that one line of text can't exhaust a member's memory.
+const MAX_TASKS: u32 = 100_000;
+/// The maximum number of workers of a pool; the largest planned fleet has 3,900.
+const MAX_WORKERS: u32 = 100_000;
+/// Slots of a worker if the text gives none: the services of both user organizations offer 8.
+const DEFAULT_SLOTS: u32 = 8;
+/// Connections of a worker if the text gives none: the services of both user organizations accept
+/// 64.
+const DEFAULT_CONNECTIONS: u32 = 64;
+/// The maximum number of slots and connections of a worker: the ports of one address.
+const MAX_PORTS: u32 = 65_535;
+/// The maximum weight and priority; a thousand values are enough to rank all teams or jobs.
+const MAX_LEVEL: u32 = 1000;
 
-const KINDS: [&str; 6] = ["pool", "team", "service", "replicas", "batch", "gang"];
-const POOL: [&str; 6] = ["cores", "memory", "accelerators", "workers", "slots", "connections"];
-const TEAM: [&str; 4] = ["weight", "cores", "memory", "accelerators"];
-const SERVICE: [&str; 5] = ["team", "pool", "deadline", "run", "after"];
-const REPLICAS: [&str; 9] =
+const SECTION_KINDS: [&str; 6] = ["pool", "team", "service", "replicas", "batch", "gang"];
+const POOL_KEYS: [&str; 6] = ["cores", "memory", "accelerators", "workers", "slots", "connections"];
+const TEAM_KEYS: [&str; 4] = ["weight", "cores", "memory", "accelerators"];
+const SERVICE_KEYS: [&str; 5] = ["team", "pool", "deadline", "run", "after"];
+const REPLICAS_KEYS: [&str; 9] =
     ["team", "pool", "tasks", "cores", "memory", "accelerators", "priority", "urgent", "after"];
-const JOB: [&str; 11] = [
+const JOB_KEYS: [&str; 11] = [
     "team",
     "pool",
     "tasks",
@@ -48,26 +49,26 @@
 ];
 
 /// The names that a text declares, with the lines of their sections. Services and jobs share one
-/// set, as `after` names both.
+/// namespace, since `after` refers to both.
 #[derive(Default)]
 pub(super) struct Names<'a> {
     pools: BTreeMap<&'a str, u32>,
     teams: BTreeMap<&'a str, u32>,
-    pub works: BTreeMap<&'a str, u32>,
+    pub workloads: BTreeMap<&'a str, u32>,
 }
 
 impl Plan {
-    /// Reads and checks a text.
+    /// Parses and checks a text.
     ///
     /// # Errors
     ///
-    /// All faults of the text, by line; there is at least one. Of more than [`MAX_FAULTS`](super::FAULTS)
-    /// the rest are counted in one last fault.
+    /// All faults of the text in order of lines; there is at least one. If there are more than
+    /// [`MAX_FAULTS`](super::MAX_FAULTS), a last fault gives the number of those not listed.
     pub fn read(text: &str) -> Result<Plan, Vec<Fault>> {
         Plan::read_bytes(text.as_bytes())
     }
 
-    /// Reads and checks a text that may not be UTF-8.
+    /// Parses and checks a text that may not be valid UTF-8.
     ///
     /// # Errors
     ///
@@ -87,7 +88,7 @@
 
 fn plan(sections: &[Section<'_>], faults: &mut Faults) -> Plan {
     let mut names = Names::default();
-    let heads: Vec<_> = sections.iter().map(|s| names.head(s, faults)).collect();
+    let heads: Vec<_> = sections.iter().map(|s| names.declare(s, faults)).collect();
     let mut plan = Plan::default();
     let mut places = Places::new();
     for (section, head) in sections.iter().zip(heads) {
@@ -102,7 +103,7 @@
                 plan.teams.extend(team);
             }
             Some(("service", name)) => {
-                let mut keys = Keys::new(section, &SERVICE, faults);
+                let mut keys = Keys::new(section, &SERVICE_KEYS, faults);
                 places.insert(name, lines(&keys, section));
                 let service = service(&mut keys, &names).map(|s| (ServiceId::from(name), s));
                 plan.services.extend(service);
@@ -116,40 +117,44 @@
             }
         }
     }
-    check::sizes(&plan, &places, faults);
-    check::cycles(&plan, &places, faults);
+    check::check_sizes(&plan, &places, faults);
+    check::check_cycles(&plan, &places, faults);
     plan
 }
 
-/// The kind of a job's section, and the keys that it knows.
+/// The kind of a job's section, and its known keys.
 fn job_kind(kind: &str) -> (JobKind, &'static [&'static str]) {
     match kind {
-        "replicas" => (JobKind::Replicas, &REPLICAS),
-        "batch" => (JobKind::Batch, &JOB),
-        _ => (JobKind::Gang, &JOB),
+        "replicas" => (JobKind::Replicas, &REPLICAS_KEYS),
+        "batch" => (JobKind::Batch, &JOB_KEYS),
+        _ => (JobKind::Gang, &JOB_KEYS),
     }
 }
 
 impl<'a> Names<'a> {
-    /// The kind and name of a section, entered among the names; nothing where it is at fault.
-    fn head(&mut self, section: &Section<'a>, faults: &mut Faults) -> Option<(&'a str, &'a str)> {
+    /// Declares a section's name and returns its kind and name; `None` if the head has a fault.
+    fn declare(
+        &mut self,
+        section: &Section<'a>,
+        faults: &mut Faults,
+    ) -> Option<(&'a str, &'a str)> {
         let Section { line, head, .. } = *section;
         let (kind, name) = head.split_once([' ', '\t']).unwrap_or((head, ""));
         let name = ini_core::trim(name);
-        if !KINDS.contains(&kind) {
-            let remedy = faults.hint(kind, KINDS.iter().copied());
+        if !SECTION_KINDS.contains(&kind) {
+            let remedy = faults.hint(kind, SECTION_KINDS.iter().copied());
             faults.add(line, format!("no section is called {:?}", truncated(kind)), remedy);
             return None;
         }
-        if !sound(name) {
+        if !is_valid_name(name) {
             let cause = format!("a {kind} cannot be named {:?}", truncated(name));
-            faults.add(line, cause, NAMES);
+            faults.add(line, cause, NAME_RULE);
             return None;
         }
         let set = match kind {
             "pool" => &mut self.pools,
             "team" => &mut self.teams,
-            _ => &mut self.works,
+            _ => &mut self.workloads,
         };
         if let Some(first) = set.get(name) {
             let cause = format!("{name:?} is declared here and in line {first}");
@@ -161,9 +166,9 @@
     }
 }
 
-const NAMES: &str = "1 to 63 ASCII letters, digits, and -, _ or . within them";
+const NAME_RULE: &str = "1 to 63 ASCII letters, digits, and -, _ or . within them";
 
-fn sound(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     let edge = |b: Option<&u8>| b.is_some_and(u8::is_ascii_alphanumeric);
     let bytes = name.as_bytes();
     edge(bytes.first())
@@ -184,36 +189,36 @@
 }
 
 fn pool(section: &Section<'_>, faults: &mut Faults) -> Option<Pool> {
-    let mut keys = Keys::new(section, &POOL, faults);
+    let mut keys = Keys::new(section, &POOL_KEYS, faults);
     let size = keys.size();
-    let workers = keys.number("workers", 1..=WORKERS, "35");
-    let slots = keys.number_or("slots", 1..=PORTS, SLOTS);
-    let connections = keys.number_or("connections", 1..=PORTS, CONNECTIONS);
+    let workers = keys.number("workers", 1..=MAX_WORKERS, "35");
+    let slots = keys.number_or("slots", 1..=MAX_PORTS, DEFAULT_SLOTS);
+    let connections = keys.number_or("connections", 1..=MAX_PORTS, DEFAULT_CONNECTIONS);
     Some(Pool { size: size?, workers: workers?, slots: slots?, connections: connections? })
 }
 
 fn team(section: &Section<'_>, faults: &mut Faults) -> Option<Team> {
-    let mut keys = Keys::new(section, &TEAM, faults);
-    let weight = keys.number_or("weight", 1..=STEPS, 1);
+    let mut keys = Keys::new(section, &TEAM_KEYS, faults);
+    let weight = keys.number_or("weight", 1..=MAX_LEVEL, 1);
     let limited = ["cores", "memory", "accelerators"].iter().any(|k| keys.has(k));
     let quota = if limited { Some(keys.size()?) } else { None };
     Some(Team { weight: weight?, quota })
 }
 
 fn service(keys: &mut Keys<'_, '_>, names: &Names<'_>) -> Option<Service> {
-    let owner = owner(keys, names);
+    let team_and_pool = team_and_pool(keys, names);
     let deadline = keys.duration("deadline", "2s");
     let run = keys.duration("run", "200ms");
     let after = after(keys, names);
-    let (team, pool) = owner?;
+    let (team, pool) = team_and_pool?;
     let (deadline, run) = (deadline?, run?);
-    in_time(keys, run, Some(deadline))?;
+    check_deadline(keys, run, Some(deadline))?;
     Some(Service { team, pool, deadline, run, after: after? })
 }
 
 fn job(keys: &mut Keys<'_, '_>, kind: JobKind, names: &Names<'_>) -> Option<Job> {
-    let owner = owner(keys, names);
-    let tasks = keys.number("tasks", 1..=TASKS, "1");
+    let team_and_pool = team_and_pool(keys, names);
+    let tasks = keys.number("tasks", 1..=MAX_TASKS, "1");
     let size = keys.size();
     let run = match kind {
         JobKind::Replicas => Some(Duration::ZERO),
@@ -223,12 +228,12 @@
         true => keys.duration("deadline", "4h").map(Some),
         false => Some(None),
     };
-    let priority = keys.number_or("priority", 0..=STEPS, 0);
-    let urgent = keys.yes("urgent");
+    let priority = keys.number_or("priority", 0..=MAX_LEVEL, 0);
+    let urgent = keys.flag("urgent");
     let after = after(keys, names);
-    let (team, pool) = owner?;
+    let (team, pool) = team_and_pool?;
     let (run, deadline) = (run?, deadline?);
-    in_time(keys, run, deadline)?;
+    check_deadline(keys, run, deadline)?;
     Some(Job {
         kind,
         team,
@@ -243,42 +248,56 @@
     })
 }
 
-/// Refuses a deadline that even work that starts at once would miss.
-fn in_time(keys: &mut Keys<'_, '_>, run: Duration, deadline: Option<Duration>) -> Option<()> {
+/// Refuses a deadline shorter than the run time, which would be missed even without waiting.
+fn check_deadline(
+    keys: &mut Keys<'_, '_>,
+    run: Duration,
+    deadline: Option<Duration>,
+) -> Option<()> {
     match deadline {
         Some(d) if d < run => keys.refuse("deadline", "no less than run, or nothing ends in time"),
         _ => Some(()),
     }
 }
 
-fn owner(keys: &mut Keys<'_, '_>, names: &Names<'_>) -> Option<(TeamId, PoolId)> {
-    let team = known(keys, "team", &names.teams);
-    let pool = known(keys, "pool", &names.pools);
+fn team_and_pool(keys: &mut Keys<'_, '_>, names: &Names<'_>) -> Option<(TeamId, PoolId)> {
+    let team = declared_name(keys, "team", &names.teams);
+    let pool = declared_name(keys, "pool", &names.pools);
     Some((TeamId::from(team?), PoolId::from(pool?)))
 }
 
-fn known<'a>(keys: &mut Keys<'a, '_>, key: &str, set: &BTreeMap<&str, u32>) -> Option<&'a str> {
-    let name = keys.need(key, "NAME")?;
+fn declared_name<'a>(
+    keys: &mut Keys<'a, '_>,
+    key: &str,
+    set: &BTreeMap<&str, u32>,
+) -> Option<&'a str> {
+    let name = keys.require(key, "NAME")?;
     if set.contains_key(name) {
         return Some(name);
     }
-    unknown(keys, key, key, name, set);
+    add_unknown(keys, key, key, name, set);
     None
 }
 
-fn unknown(keys: &mut Keys<'_, '_>, key: &str, what: &str, name: &str, set: &BTreeMap<&str, u32>) {
+fn add_unknown(
+    keys: &mut Keys<'_, '_>,
+    key: &str,
+    what: &str,
+    name: &str,
+    set: &BTreeMap<&str, u32>,
+) {
     let remedy = keys.faults.hint(name, set.keys().copied());
     let line = keys.line(key);
     keys.faults.add(line, format!("unknown {what} {:?}", truncated(name)), remedy);
 }
 
-/// The names of `after`, each of them declared and named once.
+/// The names of `after`; each must be declared and listed once.
 fn after(keys: &mut Keys<'_, '_>, names: &Names<'_>) -> Option<Vec<Box<str>>> {
     let list = keys.list("after");
     let mut seen = BTreeMap::new();
     for name in &list {
-        if !names.works.contains_key(name) {
-            unknown(keys, "after", "job or service", name, &names.works);
+        if !names.workloads.contains_key(name) {
+            add_unknown(keys, "after", "job or service", name, &names.workloads);
         } else if seen.insert(*name, ()).is_some() {
             let line = keys.line("after");
             keys.faults.add(line, format!("{name:?} stands twice in after"), "name it once");
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,4 +1,4 @@
-//! The present time, as an argument of everything that decides.
+//! The present time, which all scheduling code takes as an argument, so that tests can set it.
 
 use {
     derive_more::Display,
@@ -33,7 +33,7 @@
 impl Time {
     /// The start of the process.
     pub const ZERO: Time = Time(0);
-    /// A time that never comes.
+    /// A time that is never reached.
     pub const NEVER: Time = Time(u64::MAX);
 
     /// The time `ms` milliseconds after the start.
@@ -41,7 +41,7 @@
         Time(ms * 1000)
     }
 
-    /// The time passed since `earlier`, zero if `earlier` lies ahead.
+    /// The time elapsed since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -68,7 +68,7 @@
     }
 }
 
-/// A duration in whole milliseconds, as messages carry it.
+/// A duration in whole milliseconds, as messages carry it; `u64::MAX` on overflow.
 pub fn millis(d: Duration) -> u64 {
     u64::try_from(d.as_millis()).unwrap_or(u64::MAX)
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what is read, what is written where, and the exit codes.
+//! The command line: parsing, output on each stream, and exit codes.
 
 use {
     dogwoodreach::{
@@ -17,7 +17,7 @@
     line.split_whitespace().map(OsString::from).collect()
 }
 
-/// Runs the binary; its exit code, standard output and standard error.
+/// Runs the binary and returns its exit code, standard output and standard error.
 fn run(line: &str) -> (i32, String, String) {
     let binary = env!("CARGO_BIN_EXE_dogwoodreach");
     let output = std::process::Command::new(binary).args(args(line)).output();
@@ -130,7 +130,7 @@
     let (code, out, err) = run("check /nowhere/t.ini");
     assert_eq!((code, &*out), (2, ""));
     assert!(err.starts_with("dogwoodreach: cannot read /nowhere/t.ini: No such file"), "{err}");
-    // An endless file is refused after the limit, not read for ever.
+    // An endless file is refused at the size limit; the command must not read on.
     let (code, _, err) = run("check /dev/zero");
     assert_eq!(code, 3);
     assert!(err.contains("the text has 1000001 bytes"), "{err}");
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,5 @@
-//! The configuration under races, lost answers and stale reads; the invariants as the model names them.
+//! The configuration under races, lost replies and stale reads. The messages of the assertions give
+//! the invariants by their names in the formal model.
 
 use {
     arbtest::arbitrary::{Result, Unstructured},
@@ -12,8 +13,8 @@
     std::time::Duration,
 };
 
-/// What is on its way between a member and the store.
-enum Mail {
+/// A message in transit between a member and the store.
+enum Message {
     Write(Revision, ConfigRecord),
     Read,
     Written(KvPutReply),
@@ -24,14 +25,14 @@
 #[derive(Default)]
 struct Member {
     config: Config,
-    mail: Vec<Mail>,
-    /// The highest version that was in force here.
-    seen: Version,
-    /// The submission that waits for its answer, and since when.
-    asked: Option<(Submit, Time)>,
+    messages: Vec<Message>,
+    /// The highest version that was in force at this member.
+    highest: Version,
+    /// The submission that waits for its reply, and when it was made.
+    submitted: Option<(Submit, Time)>,
 }
 
-/// Two members and one record with all its versions.
+/// Two members and the stored record with all its versions.
 #[derive(Default)]
 struct World {
     now: Time,
@@ -52,17 +53,17 @@
         Some((Revision(self.history.len() as u64), last.clone()))
     }
 
-    /// An operator edits what a member shows, or an older text, and submits it there.
+    /// Submits a text to a member, edited from the version that it shows or an older one.
     fn submit(&mut self, m: usize, older: bool) {
         let member = &mut self.members[m];
-        if member.asked.is_some() {
+        if member.submitted.is_some() {
             return;
         }
         self.submissions += 1;
         let base = Version(member.config.version().0.saturating_sub(u64::from(older)));
         let submission = SubmissionId(self.submissions);
         let ask = Submit { base, by: "operator".into(), submission, text: text(self.submissions) };
-        member.asked = Some((ask.clone(), self.now));
+        member.submitted = Some((ask.clone(), self.now));
         let step = member.config.submit(7, ask, self.now);
         self.step(m, Some(step));
     }
@@ -71,32 +72,32 @@
         match step {
             None => {}
             Some(Step::Write(expect, record)) => {
-                self.members[m].mail.push(Mail::Write(expect, record));
+                self.members[m].messages.push(Message::Write(expect, record));
             }
-            Some(Step::Read) => self.members[m].mail.push(Mail::Read),
+            Some(Step::Read) => self.members[m].messages.push(Message::Read),
             Some(Step::Answer(ticket, reply)) => {
                 assert_eq!(ticket, 7);
-                self.answered(m, reply);
+                self.check_reply(m, reply);
             }
         }
         let version = self.members[m].config.version();
-        assert!(version >= self.members[m].seen, "NoRevert: {version} after higher");
-        self.members[m].seen = version;
+        assert!(version >= self.members[m].highest, "NoRevert: {version} after higher");
+        self.members[m].highest = version;
     }
 
-    fn answered(&mut self, m: usize, reply: Option<SubmitReply>) {
-        let (ask, since) = self.members[m].asked.take().expect("it was asked");
-        let stands = self.history.iter().find(|r| r.submission == ask.submission);
+    fn check_reply(&mut self, m: usize, reply: Option<SubmitReply>) {
+        let (ask, since) = self.members[m].submitted.take().expect("a submission is open");
+        let stored = self.history.iter().find(|r| r.submission == ask.submission);
         match reply {
             Some(r) if r.accepted => {
-                let record = stands.expect("Accepted: it is in the store");
+                let record = stored.expect("Accepted: it is in the store");
                 assert!(
                     r.version >= record.version
                         && self.members[m].config.version() >= record.version
                 );
             }
             Some(r) => {
-                assert!(stands.is_none(), "Refused: it took effect");
+                assert!(stored.is_none(), "Refused: it took effect");
                 let known = self.members[m].config.record().map(|(_, r)| r.text.clone());
                 assert_eq!(r.text, known, "the loser gets the winner's text");
                 self.lost += 1;
@@ -108,44 +109,46 @@
         }
     }
 
-    /// Lets one mail come; a read may give what stood there before.
+    /// Delivers one message; the reply may be lost, and a read may return an earlier version.
     fn deliver(&mut self, m: usize, at: usize, lose: bool, stale: usize) {
         let now = self.now;
-        let mail = self.members[m].mail.remove(at);
-        match mail {
-            Mail::Write(expect, record) => {
+        let message = self.members[m].messages.remove(at);
+        match message {
+            Message::Write(expect, record) => {
                 let done = expect.0 == self.history.len() as u64;
                 if done {
                     self.history.push(record);
                 }
                 let revision = Revision(self.history.len() as u64);
-                let back = Mail::Written(KvPutReply { done, revision });
-                self.members[m].mail.push(if lose { Mail::Lost(true) } else { back });
+                let back = Message::Written(KvPutReply { done, revision });
+                self.members[m].messages.push(if lose { Message::Lost(true) } else { back });
             }
-            Mail::Read => {
+            Message::Read => {
                 let n = self.history.len().saturating_sub(stale);
                 let found = self.history[..n].last().cloned().map(|r| (Revision(n as u64), r));
-                let back = Mail::Entry(found);
-                self.members[m].mail.push(if lose { Mail::Lost(false) } else { back });
+                let back = Message::Entry(found);
+                self.members[m].messages.push(if lose { Message::Lost(false) } else { back });
             }
-            Mail::Written(reply) => {
+            Message::Written(reply) => {
                 let step = self.members[m].config.written(Some(reply), now);
                 self.step(m, step);
             }
-            Mail::Entry(found) => {
+            Message::Entry(found) => {
                 let entry = found.map(|(revision, record)| KvEntry {
                     key: "shared/config".into(),
                     revision,
-                    value: serde_json::to_string(&record).expect("it is a record").into(),
+                    value: serde_json::to_string(&record)
+                        .expect("the record is serializable")
+                        .into(),
                 });
                 let step = self.members[m].config.read(entry, now);
                 self.step(m, step);
             }
-            Mail::Lost(true) => {
+            Message::Lost(true) => {
                 let step = self.members[m].config.written(None, now);
                 self.step(m, step);
             }
-            Mail::Lost(false) => {
+            Message::Lost(false) => {
                 let step = self.members[m].config.read(None, now);
                 self.step(m, step);
             }
@@ -157,22 +160,22 @@
         self.step(m, step);
     }
 
-    fn turn(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    fn random_action(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         let m = u.choose_index(2)?;
         match u.int_in_range(0..=11)? {
             0 => self.submit(m, false),
             1 => self.submit(m, u.ratio(1, 4)?),
             2 => self.now = self.now + Duration::from_millis(u.int_in_range(10..=900)?),
             3 | 4 => self.tick(m),
-            // The watch, or a peer's word, of the record now or before.
+            // A watch event or a peer's message with the current or an earlier record.
             5 if !self.history.is_empty() => {
                 let n = u.choose_index(self.history.len())?;
                 let record = self.history[n].clone();
                 self.members[m].config.take(Revision(n as u64 + 1), record);
                 self.step(m, None);
             }
-            n if !self.members[m].mail.is_empty() => {
-                let at = u.choose_index(self.members[m].mail.len())?;
+            n if !self.members[m].messages.is_empty() => {
+                let at = u.choose_index(self.members[m].messages.len())?;
                 self.deliver(m, at, n < 8, u.int_in_range(0..=2)?);
             }
             _ => {}
@@ -180,13 +183,13 @@
         Ok(())
     }
 
-    /// Lets everything through.
+    /// Delivers all messages without loss until the members have settled.
     fn settle(&mut self) {
         for _ in 0..40 {
             self.now = self.now + Duration::from_millis(200);
             for m in 0..2 {
                 self.tick(m);
-                while !self.members[m].mail.is_empty() {
+                while !self.members[m].messages.is_empty() {
                     self.deliver(m, 0, false, 0);
                 }
                 if let Some((revision, record)) = self.current() {
@@ -197,9 +200,10 @@
     }
 }
 
-// Two operators submit through two members at once; answers are lost after the write took effect,
-// reads are stale, words of old versions come late. Nothing goes back, who is told "accepted" is, who
-// is told otherwise gets the text in force, and each submission is answered.
+// Two operators submit through two members at the same time. Replies are lost after the write took
+// effect, reads are stale, and messages with old versions arrive late. The version in force never
+// decreases, a submission reported as accepted is stored, a refused one gets the text in force, and
+// every submission gets a reply.
 #[test]
 fn any_order_keeps_the_configuration() {
     let (unknown, lost) = (std::cell::Cell::new(0), std::cell::Cell::new(0));
@@ -208,13 +212,13 @@
         let property = |u: &mut Unstructured<'_>| {
             let mut world = World::default();
             while !u.is_empty() {
-                world.turn(u)?;
+                world.random_action(u)?;
             }
             world.settle();
             unknown.set(unknown.get() + world.unknown);
             lost.set(lost.get() + world.lost);
             for m in &world.members {
-                assert!(m.asked.is_none(), "each is answered");
+                assert!(m.submitted.is_none(), "each is answered");
                 assert_eq!(m.config.version().0, world.history.len() as u64);
             }
             Ok(())
@@ -224,8 +228,8 @@
     assert!(unknown.get() > 10 && lost.get() > 100, "{} {}", unknown.get(), lost.get());
 }
 
-// An operator gives a job to another team in one step. The new team's bucket has another owner, which
-// would start the job's tasks while the former owner still stops them.
+// An operator moves a job to another team in one submission. The new team's bucket may have another
+// owner, which would start the job's tasks while the previous owner still stops them.
 #[test]
 fn a_job_keeps_its_team() {
     let one = "[pool p]\ncores = 4\nmemory = 16GB\nworkers = 4\n[team a]\n[team b]\n[batch nightly]\n\
--- a/tests/modules.rs
+++ b/tests/modules.rs
@@ -1,4 +1,5 @@
-//! The modules of `src` as their imports show them, against the module map of `docs/DESIGN.md`.
+//! The imports of the modules in `src`: they have no cycles and match the module map of
+//! `docs/DESIGN.md`.
 
 use {
     std::{
@@ -12,26 +13,27 @@
     },
 };
 
-/// The types shared by all, which any module may call without the map saying so.
+/// The modules of shared types, which any module may use without an entry in the map.
 const SHARED: [&str; 5] = ["error", "ids", "messages", "time", "units"];
-/// What each module calls.
+/// The modules that each module uses.
 type Calls = BTreeMap<String, BTreeSet<String>>;
 
-/// The paths of one file, from the crate's root.
+/// Collects the paths in one file, as paths from the crate's root.
 struct Paths {
     module: Vec<String>,
     found: Vec<Vec<String>>,
 }
 
 impl Paths {
-    /// Takes a path in, if it begins in this crate.
-    fn take(&mut self, path: &[String]) {
+    /// Records a path if it starts in this crate.
+    fn record(&mut self, path: &[String]) {
         let Some(first) = path.first() else { return };
         let supers = path.iter().take_while(|p| *p == "super").count();
         let (base, rest) = match first.as_str() {
             "crate" => (&[][..], &path[1..]),
             "self" => (&self.module[..], &path[1..]),
-            // Within a test or an inner module of a file, `super` may reach less far; none is so.
+            // Assumes that `super` isn't used in a module nested in a file, where it would refer to
+            // the file's own module.
             "super" if supers <= self.module.len() => {
                 (&self.module[..self.module.len() - supers], &path[supers..])
             }
@@ -40,26 +42,26 @@
         self.found.push(base.iter().chain(rest).cloned().collect());
     }
 
-    fn tree(&mut self, tree: &UseTree, before: &[String]) {
+    fn visit_tree(&mut self, tree: &UseTree, before: &[String]) {
         let with = |name: &syn::Ident| [before, &[name.to_string()]].concat();
         match tree {
-            UseTree::Path(path) => self.tree(&path.tree, &with(&path.ident)),
-            UseTree::Name(name) => self.take(&with(&name.ident)),
-            UseTree::Rename(name) => self.take(&with(&name.ident)),
-            UseTree::Glob(_) => self.take(before),
-            UseTree::Group(group) => group.items.iter().for_each(|t| self.tree(t, before)),
+            UseTree::Path(path) => self.visit_tree(&path.tree, &with(&path.ident)),
+            UseTree::Name(name) => self.record(&with(&name.ident)),
+            UseTree::Rename(name) => self.record(&with(&name.ident)),
+            UseTree::Glob(_) => self.record(before),
+            UseTree::Group(group) => group.items.iter().for_each(|t| self.visit_tree(t, before)),
         }
     }
 }
 
 impl<'a> Visit<'a> for Paths {
     fn visit_item_use(&mut self, item: &'a syn::ItemUse) {
-        self.tree(&item.tree, &[]);
+        self.visit_tree(&item.tree, &[]);
     }
 
     fn visit_path(&mut self, path: &'a syn::Path) {
         let names: Vec<String> = path.segments.iter().map(|s| s.ident.to_string()).collect();
-        self.take(&names);
+        self.record(&names);
         visit::visit_path(self, path);
     }
 }
@@ -83,7 +85,7 @@
     mods.collect()
 }
 
-/// The names that the crate gives out from its root, with the modules that they stand in.
+/// The names that the crate re-exports from its root, with the modules that define them.
 fn reexported() -> BTreeMap<String, String> {
     let mut paths = Paths { module: vec![], found: vec![] };
     paths.visit_file(&read(&root().join("lib.rs")));
@@ -91,14 +93,15 @@
     all.map(|p| (p[1].clone(), p[0].clone())).collect()
 }
 
-/// The sources, each with its module's path.
+/// Collects the source files, each with its module's path.
 fn sources(dir: &Path, module: &[String], out: &mut Vec<(Vec<String>, PathBuf)>) {
     for entry in fs::read_dir(dir).expect("a directory") {
         let path = entry.expect("an entry").path();
         let stem = path.file_stem().expect("a name").to_string_lossy().into_owned();
         let inner = [module, std::slice::from_ref(&stem)].concat();
         match (path.is_dir(), stem.as_str()) {
-            // The generated files are declared by their paths.
+            // Generated files are declared with a `path` attribute; `with_path_attribute` finds
+            // them.
             (true, "gen") => {}
             (true, _) => sources(&path, &inner, out),
             (false, "lib" | "main") if module.is_empty() => {}
@@ -108,8 +111,8 @@
     }
 }
 
-/// The modules that the crate declares with a path of their own.
-fn placed() -> Vec<(Vec<String>, PathBuf)> {
+/// The modules that the crate declares with a `path` attribute.
+fn with_path_attribute() -> Vec<(Vec<String>, PathBuf)> {
     let mut out = vec![];
     for item in read(&root().join("lib.rs")).items {
         let Item::Mod(item) = item else { continue };
@@ -125,9 +128,9 @@
     out
 }
 
-/// The paths that each module names, from the crate's root.
+/// The paths that each module uses, from the crate's root.
 fn paths() -> Vec<(Vec<String>, Vec<Vec<String>>)> {
-    let mut all = placed();
+    let mut all = with_path_attribute();
     sources(&root(), &[], &mut all);
     let names = reexported();
     let one = |(module, path): (Vec<String>, PathBuf)| {
@@ -143,7 +146,7 @@
     all.into_iter().map(one).collect()
 }
 
-/// What the modules within `dir` call of each other; those of the crate where it is empty.
+/// The uses among the modules in `dir`; an empty `dir` means the modules of the crate's root.
 fn calls(all: &[(Vec<String>, Vec<Vec<String>>)], dir: &[String]) -> Calls {
     let mut calls = Calls::new();
     let here = |p: &[String]| p.strip_prefix(dir).and_then(|rest| rest.first().cloned());
@@ -157,8 +160,8 @@
     calls
 }
 
-/// The modules that a module reaches by calls.
-fn reach(calls: &Calls, from: &str) -> BTreeSet<String> {
+/// The modules that a module uses, directly or indirectly.
+fn reachable(calls: &Calls, from: &str) -> BTreeSet<String> {
     let mut seen = BTreeSet::new();
     let mut next = vec![from.to_owned()];
     while let Some(module) = next.pop() {
@@ -171,13 +174,13 @@
     seen
 }
 
-/// The modules that reach themselves.
-fn circle(calls: &Calls) -> Vec<&str> {
-    calls.keys().map(String::as_str).filter(|m| reach(calls, m).contains(*m)).collect()
+/// The modules that are part of a cycle.
+fn in_cycle(calls: &Calls) -> Vec<&str> {
+    calls.keys().map(String::as_str).filter(|m| reachable(calls, m).contains(*m)).collect()
 }
 
-/// The rows of the map: each module, and what it may call.
-fn map() -> BTreeMap<String, BTreeSet<String>> {
+/// The rows of the map: each module, and the modules that it may use.
+fn map_rows() -> BTreeMap<String, BTreeSet<String>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/DESIGN.md");
     let text = fs::read_to_string(path).expect("the page");
     let (_, map) = text.split_once("## Module map").expect("the map");
@@ -199,25 +202,25 @@
     cell.split('`').skip(1).step_by(2).map(str::to_owned).collect()
 }
 
-// A type is moved, or a test is needed for one module alone: it takes all the others with it, and
-// nobody can say any more which of them decides, since they import each other in a circle.
+// Guards against cyclic imports: a module in a cycle can't be moved or tested without the others,
+// and it is unclear which of them makes a decision.
 #[test]
 fn no_modules_import_each_other_in_a_circle() {
     let all = paths();
     let crate_calls = calls(&all, &[]);
     assert!(crate_calls.len() > 50 && crate_calls["core"].contains("jobs"), "the imports are read");
-    assert_eq!(circle(&crate_calls), Vec::<&str>::new(), "of {crate_calls:#?}");
+    assert_eq!(in_cycle(&crate_calls), Vec::<&str>::new(), "of {crate_calls:#?}");
     let dirs: BTreeSet<&[String]> =
         all.iter().filter(|(m, _)| m.len() > 1).map(|(m, _)| &m[..m.len() - 1]).collect();
     for dir in dirs {
         let calls = calls(&all, dir);
-        assert_eq!(circle(&calls), Vec::<&str>::new(), "within {dir:?}: {calls:#?}");
+        assert_eq!(in_cycle(&calls), Vec::<&str>::new(), "within {dir:?}: {calls:#?}");
     }
 }
 
 #[test]
 fn the_module_map_names_every_module_and_what_it_calls() {
-    let (map, calls) = (map(), calls(&paths(), &[]));
+    let (map, calls) = (map_rows(), calls(&paths(), &[]));
     assert_eq!(map.keys().cloned().collect::<BTreeSet<_>>(), declared());
     for (module, to) in calls {
         let to: BTreeSet<String> =
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,4 +1,5 @@
-//! The operators' page says what the code does.
+//! The operators' page matches the code: its tables of errors, settings and exit codes, and its
+//! example text.
 
 use {
     dogwoodreach::{Kind, cli, text::Plan},
@@ -14,9 +15,9 @@
     assert_eq!(rows.len(), Kind::ALL.len());
     for (kind, row) in Kind::ALL.into_iter().zip(rows) {
         let answer = kind.answer();
-        let back = answer.back.map_or("-".into(), |d| format!("{} ms", d.as_millis()));
+        let retry_after = answer.back.map_or("-".into(), |d| format!("{} ms", d.as_millis()));
         let (label, status, ran) = (answer.label, answer.status, answer.ran);
-        let want = format!("| `{label}` | {status} | {ran} | {back} | {kind} | ");
+        let want = format!("| `{label}` | {status} | {ran} | {retry_after} | {kind} | ");
         assert!(row.starts_with(&want), "{row}\nnot {want}");
         assert!(row.len() > want.len() + 10, "{label}: what to do is missing");
     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is read, and what each fault is told as.
+//! The settings: parsing, and the message of each fault.
 
 use {
     dogwoodreach::{Kind, settings},
@@ -68,19 +68,20 @@
         ("info", "in\x07fo", "line 25: the character U+0007 stands in the line; remove it"),
     ];
     for (from, to, want) in cases {
-        let told = refusal(&GOOD.replacen(from, to, 1));
+        let message = refusal(&GOOD.replacen(from, to, 1));
         assert!(
-            told.lines().any(|l| l.starts_with(want)),
-            "{from:?} to {to:?}:\n{told}\nnot {want}"
+            message.lines().any(|l| l.starts_with(want)),
+            "{from:?} to {to:?}:\n{message}\nnot {want}"
         );
     }
 }
 
 #[test]
 fn all_faults_are_told_at_once() {
-    let told = refusal(&GOOD.replace("5s", "5").replace(":8084", ":80840").replace("info", "loud"));
-    let lines: Vec<_> = told.lines().map(|l| l.split(':').next().unwrap()).collect();
-    assert_eq!(lines, ["line 10", "line 21", "line 25"], "{told}");
+    let message =
+        refusal(&GOOD.replace("5s", "5").replace(":8084", ":80840").replace("info", "loud"));
+    let lines: Vec<_> = message.lines().map(|l| l.split(':').next().unwrap()).collect();
+    assert_eq!(lines, ["line 10", "line 21", "line 25"], "{message}");
 }
 
 #[test]
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -1,4 +1,4 @@
-//! The operators' text: what is read, and what each fault is told as.
+//! The operators' text: parsing, and the message of each fault.
 
 use {
     dogwoodreach::{
@@ -36,7 +36,7 @@
     Plan::read(text).expect_err("a fault")
 }
 
-fn told(faults: &[Fault]) -> String {
+fn messages(faults: &[Fault]) -> String {
     faults.iter().map(|f| format!("{f}\n")).collect()
 }
 
@@ -52,7 +52,7 @@
                     plan.services.len(),
                     plan.jobs.len()
                 ),
-                Err(faults) => told(&faults),
+                Err(faults) => messages(&faults),
             },
             "diff" => {
                 let (old, new) = case.input.split_once("=====\n").expect("two texts");
@@ -125,10 +125,10 @@
     ];
     for (tail, want) in cases {
         let text = [GOOD.as_bytes(), tail].concat();
-        assert_eq!(told(&Plan::read_bytes(&text).expect_err("a fault")), want);
+        assert_eq!(messages(&Plan::read_bytes(&text).expect_err("a fault")), want);
     }
     let cause = "line 1: the text begins with a byte-order mark; save it as UTF-8 without one\n";
-    assert_eq!(told(&faults(&format!("\u{feff}{GOOD}"))), cause);
+    assert_eq!(messages(&faults(&format!("\u{feff}{GOOD}"))), cause);
 }
 
 #[test]
@@ -146,11 +146,12 @@
     text.push('x');
     let want = "line 1: the text has 1000001 bytes; the limit is 1000000; remove what no longer \
                 runs\n";
-    assert_eq!(told(&faults(&text)), want);
+    assert_eq!(messages(&faults(&text)), want);
 }
 
-// An operator checks a text of short lines just under the limit, is told that it is good, and
-// submits it; the key-value service refuses the record, as every line end takes two bytes there.
+// Guards against a text that passes the check and fails at submission: every line end takes two
+// bytes in the record, so a text of short lines just under the limit exceeds the store's limit
+// there.
 #[test]
 fn a_text_that_is_too_long_in_its_record_is_refused_by_the_check() {
     let mut text = format!("{GOOD}{};", ";\n".repeat(100_000));
@@ -159,7 +160,7 @@
     assert!(text.len() < MAX_TEXT_BYTES);
     Plan::read(&text).expect("a good text");
     text.push('x');
-    let told = told(&faults(&text));
+    let told = messages(&faults(&text));
     assert_eq!(record(&text), 1_044_481);
     assert!(told.starts_with("line 1: the text takes 1044481 bytes in its record; "), "{told}");
 }
@@ -169,7 +170,7 @@
     let fits = "x".repeat(MAX_VALUE_BYTES);
     let cause = faults(&format!("[pool a]\ncores = {fits}\n"))[1].cause.len();
     assert!(cause < 100, "{cause} bytes");
-    let told = told(&faults(&format!("[pool a]\ncores = {fits}x\n")));
+    let told = messages(&faults(&format!("[pool a]\ncores = {fits}x\n")));
     assert!(told.contains("line 2: the value of \"cores\" has 4097 bytes; the limit is 4096\n"));
 }
 
@@ -188,7 +189,7 @@
         (include_str!("../examples/tsagaan-deel.ini"), "grants", "survey", (64, 256)),
     ];
     for (text, small, large, (cores, gb)) in cases {
-        let plan = Plan::read(text).unwrap_or_else(|faults| panic!("{}", told(&faults)));
+        let plan = Plan::read(text).unwrap_or_else(|faults| panic!("{}", messages(&faults)));
         let pool = |size, workers| Pool { size, workers, slots: 8, connections: 64 };
         assert_eq!(plan.pools.len(), 2);
         assert_eq!(plan.pools[&small.into()], pool(Size::new(16, 64 * 1024, 0), 35));
@@ -199,7 +200,7 @@
     }
 }
 
-/// A text near the limit: a chain of jobs, each after the one before.
+/// A text with a cycle of `jobs` jobs, each of which depends on the next.
 fn chain(jobs: u32) -> String {
     let mut text = String::from(GOOD);
     for i in 1..=jobs {
@@ -218,7 +219,7 @@
     let text = chain(11_000);
     assert!((MAX_TEXT_BYTES * 9 / 10..MAX_TEXT_BYTES).contains(&text.len()), "{}", text.len());
     let faults = faults(&text);
-    assert_eq!(faults.len(), 1, "{}", told(&faults));
+    assert_eq!(faults.len(), 1, "{}", messages(&faults));
     assert!(faults[0].cause.starts_with("a cycle: j1 -> j2 -> j3 -> "), "{}", faults[0]);
     assert!(faults[0].cause.len() < 200, "{}", faults[0]);
 }
