--- a/src/cli.rs
+++ b/src/cli.rs
@@ -131,7 +131,7 @@
     /// The command line is wrong, or a file cannot be read.
     Usage = 2,
     /// The text or the settings have errors.
-    Faulty = 3,
+    Invalid = 3,
     /// Another text was accepted first.
     Conflict = 4,
     /// The outcome is unknown.
@@ -149,7 +149,7 @@
 impl From<Kind> for Exit {
     fn from(kind: Kind) -> Self {
         match kind {
-            Kind::BadText | Kind::BadSettings => Exit::Faulty,
+            Kind::BadText | Kind::BadSettings => Exit::Invalid,
             Kind::Conflict => Exit::Conflict,
             Kind::OutcomeUnknown | Kind::Timeout | Kind::Broken => Exit::Unknown,
             _ => Exit::Refused,
@@ -348,7 +348,7 @@
             return Exit::Done;
         }
         Ok(_) => (Exit::Done, Vec::new()),
-        Err(faults) => (Exit::Faulty, faults),
+        Err(faults) => (Exit::Invalid, faults),
     };
     if json {
         write_json(&Checked { ok: faults.is_empty(), errors: &faults });
--- a/src/commands.rs
+++ b/src/commands.rs
@@ -37,7 +37,7 @@
     };
     let settings = match settings::read_bytes(&bytes) {
         Ok(settings) => settings,
-        Err(e) => return fail(Exit::Faulty, &format!("{}: {e}", path.display()), false),
+        Err(e) => return fail(Exit::Invalid, &format!("{}: {e}", path.display()), false),
     };
     env_logger::Builder::new()
         .parse_filters(&format!("{},hyper=warn,jsonrpsee=warn,soketto=warn", settings.log.level))
@@ -101,11 +101,11 @@
             return Ok(Exit::Done);
         }
         if target.json {
-            return Ok(if reply.errors.is_empty() { Exit::Conflict } else { Exit::Faulty });
+            return Ok(if reply.errors.is_empty() { Exit::Conflict } else { Exit::Invalid });
         }
         if !reply.errors.is_empty() {
             reply.errors.iter().for_each(|e| print_line(format_args!("{e}")));
-            return Ok(Exit::Faulty);
+            return Ok(Exit::Invalid);
         }
         let other = reply.text.unwrap_or_default();
         print_line(format_args!("version {} was first; it differs from yours by:", reply.version));
--- a/src/http.rs
+++ b/src/http.rs
@@ -209,7 +209,7 @@
             pools.by_addr.clear();
         }
         pools.last_number += 1;
-        let new = (pools.last_number, open(self.idle));
+        let new = (pools.last_number, new_pool(self.idle));
         pools.by_addr.insert(to.into(), new.clone());
         new
     }
@@ -276,7 +276,7 @@
     }
 }
 
-fn open(idle: usize) -> Connections {
+fn new_pool(idle: usize) -> Connections {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -305,7 +305,7 @@
     A: Future<Output = Response<Full<Bytes>>> + Send + 'static,
 {
     let graceful = GracefulShutdown::new();
-    let room = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.connections));
     tokio::pin!(stop);
     loop {
         let stream = tokio::select! {
@@ -320,7 +320,7 @@
             },
         };
         let _ = stream.set_nodelay(true);
-        let Ok(permit) = room.clone().try_acquire_owned() else {
+        let Ok(permit) = permits.clone().try_acquire_owned() else {
             tokio::spawn(reject_connection(stream));
             continue;
         };
--- a/src/ini.rs
+++ b/src/ini.rs
@@ -131,8 +131,8 @@
     }
 }
 
-/// Decodes a text of at most [`MAX_TEXT_BYTES`] bytes; adds a fault for each line with disallowed
-/// characters and replaces them.
+/// Decodes a text of at most [`MAX_TEXT_BYTES`] bytes; adds a fault for each line with invalid
+/// UTF-8 or disallowed characters and replaces them.
 ///
 /// Returns `None` for a text over the limit, which is not parsed.
 pub(crate) fn decode<'a>(bytes: &'a [u8], faults: &mut Faults) -> Option<Cow<'a, str>> {
--- a/src/text/check.rs
+++ b/src/text/check.rs
@@ -52,7 +52,7 @@
 fn check_task_size(name: &JobId, job: &Job, pool: &Pool, places: &Places<'_>, faults: &mut Faults) {
     let Some(lines) = places.get(name.as_str()) else { return };
     let (need, room) = (&job.size, &pool.size);
-    let mut over = |line, fits: bool, need: String, room: String| {
+    let mut check = |line, fits: bool, need: String, room: String| {
         if !fits {
             let cause =
                 format!("a task of {name} needs {need}, and a worker of {} has {room}", job.pool);
@@ -60,11 +60,11 @@
         }
     };
     let cores = |c: Cores| format!("{c} cores");
-    over(lines.cores, need.cores <= room.cores, cores(need.cores), cores(room.cores));
+    check(lines.cores, need.cores <= room.cores, cores(need.cores), cores(room.cores));
     let memory = |m: Memory| m.to_string();
-    over(lines.memory, need.memory <= room.memory, memory(need.memory), memory(room.memory));
+    check(lines.memory, need.memory <= room.memory, memory(need.memory), memory(room.memory));
     let accels = |a: Accels| format!("{a} accelerators");
-    over(lines.accels, need.accels <= room.accels, accels(need.accels), accels(room.accels));
+    check(lines.accels, need.accels <= room.accels, accels(need.accels), accels(room.accels));
 }
 
 /// How many tasks of a size fit on one worker of a pool.
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -139,8 +139,8 @@
 #[test]
 fn each_kind_of_error_has_its_exit_code() {
     let special = [
-        (Kind::BadText, Exit::Faulty),
-        (Kind::BadSettings, Exit::Faulty),
+        (Kind::BadText, Exit::Invalid),
+        (Kind::BadSettings, Exit::Invalid),
         (Kind::Conflict, Exit::Conflict),
         (Kind::OutcomeUnknown, Exit::Unknown),
         (Kind::Timeout, Exit::Unknown),
