--- a/standin/src/site/advice.rs
+++ b/standin/src/site/advice.rs
@@ -1,4 +1,5 @@
-//! Advice: a fixed random share of the workers is good for each step.
+//! Simulated advice service: a fixed random share of the workers is suitable for each step. It
+//! answers the calls of each member one after the other and issues tickets.
 
 use {
     dogwoodreach::{
@@ -10,42 +11,43 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// The most calls of one machine that wait.
-const WAITING: usize = 32;
+/// Maximum number of waiting calls from one member.
+const WAITING_CALLS: usize = 32;
 
-/// The service.
+/// The advice service.
 pub struct Service {
     seed: u64,
-    /// The share of workers that is good, in hundredths.
+    /// Percentage of workers that are suitable for a step.
     pub share: u64,
-    /// Of these jobs another share is.
+    /// Percentages that replace [`Service::share`] for some jobs.
     pub shares: BTreeMap<JobNo, u64>,
-    /// Whether it answers nothing.
+    /// Whether the service leaves all calls unanswered.
     pub down: bool,
-    /// Tickets, for what they were given and until when they are valid.
+    /// Issued tickets: step, worker and expiry.
     tickets: BTreeMap<Box<str>, (StepKey, WorkerId, Time)>,
-    /// When the calls of each machine are answered.
+    /// Times at which the pending calls of each member are answered.
     busy: BTreeMap<Incarnation, Vec<Time>>,
-    /// The worker that is good for a step of which no other is that was asked about.
-    only: BTreeMap<StepKey, WorkerId>,
+    /// The fallback worker of each step for which no worker of a call was suitable.
+    fallback: BTreeMap<StepKey, WorkerId>,
 }
 
 impl Service {
-    /// The service; the seed draws who is good for what.
+    /// Creates the service; the seed determines which workers are suitable for which steps.
     pub fn new(seed: u64) -> Self {
-        let (shares, tickets, busy, only) = Default::default();
-        Service { seed, share: 50, shares, down: false, tickets, busy, only }
+        let (shares, tickets, busy, fallback) = Default::default();
+        Service { seed, share: 50, shares, down: false, tickets, busy, fallback }
     }
 
-    /// Whether a worker may run a step; doesn't change.
+    /// Whether a worker may run a step. The draw for a pair never changes.
     pub fn good(&self, step: StepKey, worker: &WorkerId) -> bool {
         let text = format!("{step} {worker} {}", self.seed);
         let share = self.shares.get(&step.job).copied().unwrap_or(self.share);
         let drawn = xxhash_rust::xxh3::xxh3_64(text.as_bytes()) % 100 < share;
-        drawn || self.only.get(&step) == Some(worker)
+        drawn || self.fallback.get(&step) == Some(worker)
     }
 
-    /// When a call is answered that arrives now.
+    /// Accepts a call that arrives now and returns the time of its answer. Errs if the service
+    /// is down, the call lists over 100 workers or too many calls wait.
     pub fn ask(
         &mut self,
         via: Incarnation,
@@ -61,7 +63,7 @@
         }
         let calls = self.busy.entry(via).or_default();
         calls.retain(|t| *t > now);
-        if calls.len() > WAITING {
+        if calls.len() > WAITING_CALLS {
             return Err(Fault::Refused);
         }
         let begin = calls.last().copied().unwrap_or(now);
@@ -70,12 +72,12 @@
         Ok(over)
     }
 
-    /// The answer to a call.
+    /// Answers a call and issues a ticket for each suitable worker.
     pub fn answer(&mut self, call: &AdviceCall, valid: Duration, now: Time) -> Advice {
-        // A step that may run nowhere could never be done, whatever the scheduler does.
+        // If no worker were suitable, no scheduler could ever complete the step.
         let none = !call.workers.iter().any(|w| self.good(call.step, w));
         if let (true, Some(first)) = (none, call.workers.first()) {
-            self.only.entry(call.step).or_insert_with(|| first.clone());
+            self.fallback.entry(call.step).or_insert_with(|| first.clone());
         }
         let mut good = Vec::new();
         for worker in &call.workers {
@@ -89,7 +91,7 @@
         Advice { good, valid: Some(valid) }
     }
 
-    /// Whether a ticket holds for a step at a worker.
+    /// Whether a ticket is valid for a step at a worker.
     pub fn holds(&self, ticket: Option<&str>, step: StepKey, id: &WorkerId, now: Time) -> bool {
         let row = ticket.and_then(|t| self.tickets.get(t));
         row.is_some_and(|(s, w, until)| *s == step && w == id && now < *until)
--- a/standin/src/site/judge.rs
+++ b/standin/src/site/judge.rs
@@ -1,8 +1,10 @@
-//! The rules that a day is judged by, from what the workers and the store have seen.
+//! The rules that the judge of a simulated run checks against the events of the workers and the
+//! store. A violated rule is a [`Breach`]. Without the judge, a duplicate start or a lost end could
+//! pass unnoticed because the jobs still finish.
 
 use {
     crate::site::{
-        stay::Stays,
+        stay::Absences,
         wait::Waits,
         worker::{Note, World},
     },
@@ -19,97 +21,100 @@
     },
 };
 
-/// How long after a cancel a task may still start.
-pub const CANCEL: Duration = Duration::from_secs(2);
-/// How much too early a timed task may start.
-const EARLY: Duration = Duration::from_millis(500);
-/// How long after a fault the bounds of time don't hold.
-pub const CONTACT: Duration = Duration::from_secs(5);
-/// So many crashes under a task show that it crashes its workers; it isn't started [`MORE`] times more.
-const CRASHES: usize = 3;
-/// So many starts more break the promise.
-const MORE: usize = 3;
-/// After so many crashes under a task its job may be given up.
-const MAY: usize = 2;
+/// A task of a cancelled job may still start for this long after the cancel was acknowledged.
+pub const CANCEL_GRACE: Duration = Duration::from_secs(2);
+/// A task of a timed job may start this much before its due time.
+const START_TOLERANCE: Duration = Duration::from_millis(500);
+/// The rules with a time bound are suspended for this long after the last moment of a fault.
+pub const FAULT_GRACE: Duration = Duration::from_secs(5);
+/// After this number of worker crashes under a task, the task is known to crash its workers.
+/// Fewer than [`EXTRA_STARTS`] further starts are allowed.
+const CRASH_LIMIT: usize = 3;
+/// Number of starts after [`CRASH_LIMIT`] crashes that counts as a breach.
+const EXTRA_STARTS: usize = 3;
+/// The scheduler may fail a job after this number of worker crashes under one of its tasks.
+const GIVE_UP_CRASHES: usize = 2;
 /// The Unix clock at [`Time::ZERO`], in milliseconds.
 pub const UNIX: u64 = 1_700_000_000_000;
 
-/// How long after its acceptance a job may not be known yet.
-const VISIBLE: Duration = Duration::from_secs(3);
+/// A member may answer that it doesn't know a job for this long after the job was accepted.
+const VISIBLE_WITHIN: Duration = Duration::from_secs(3);
 
-/// A promise that was broken.
+/// A violation of one of the scheduler's guarantees.
 #[derive(Clone, Debug, Display, PartialEq)]
 #[display("seed {seed}, at {at}: {text}")]
 pub struct Breach {
-    /// The seed of the day.
+    /// Seed of the run.
     pub seed: u64,
-    /// When.
+    /// Time at which the judge detected the violation.
     pub at: Time,
-    /// What happened.
+    /// Description of the violation.
     pub text: Box<str>,
 }
 
-/// Whether a promise was kept.
+/// Result of a check.
 pub type Verdict = Result<(), Breach>;
 
-/// What is known of the day so far.
+/// State of the judge: the events of the run so far that later checks need.
 #[derive(Default)]
 pub struct Rules {
-    /// The seed of the day.
+    /// Seed of the run.
     pub seed: u64,
     /// The Unix clock at [`Time::ZERO`], in milliseconds.
     pub unix: u64,
-    /// Whether the rules with a bound of time are checked.
+    /// Whether the rules with a time bound are checked.
     pub timed: bool,
-    /// Until when the bounds of time don't hold.
+    /// The rules with a time bound are suspended until this time.
     pub trouble: Time,
-    /// Whether there was a fault at all.
+    /// Whether any fault has been injected.
     pub faults: bool,
-    /// Jobs whose cancel was sent, and when that was acknowledged.
+    /// Jobs for which a cancel was sent, with the time of its acknowledgement ([`Time::NEVER`]
+    /// until then).
     pub cancels: BTreeMap<JobNo, Time>,
-    /// Jobs that were accepted, and when.
+    /// Accepted jobs, with the time of their acceptance.
     pub accepted: BTreeMap<JobNo, Time>,
     refused: BTreeSet<JobNo>,
-    /// How jobs ended, as callers were told.
+    /// Final states of jobs, as reported to callers.
     over: BTreeMap<JobNo, State>,
-    /// The last token of each shard.
+    /// Latest token of each shard.
     tokens: BTreeMap<ShardNo, u64>,
-    /// Runs that ended as done: number, when, when noted. A note that comes after the worker's lease
-    /// has lapsed is none, and the note of one run says nothing of another.
+    /// Runs that completed: run number, end time, and time of the owner's acknowledgement. An
+    /// acknowledgement after the worker's lease has lapsed doesn't count, and the acknowledgement
+    /// of one run doesn't cover other runs of the task.
     done: BTreeMap<TaskKey, Vec<(u32, Time, Option<Time>)>>,
-    /// When each task started last.
+    /// Time of the latest start of each task.
     starts: BTreeMap<TaskKey, Time>,
-    /// Runs that failed: number, when, when noted.
+    /// Runs that failed: run number, end time, and time of the owner's acknowledgement.
     failed: BTreeMap<TaskKey, Vec<(u32, Time, Option<Time>)>>,
-    /// How many workers have crashed under each task.
+    /// Number of worker crashes under each task.
     crashes: BTreeMap<TaskKey, usize>,
-    /// How often tasks that crash workers were started after as many crashes as show it.
+    /// Number of starts of each task after [`CRASH_LIMIT`] crashes.
     more: BTreeMap<TaskKey, usize>,
-    /// The lasting tasks that do not run.
-    stays: Stays,
-    /// The jobs that have room and do not run.
+    /// Long-running tasks that aren't running.
+    stays: Absences,
+    /// Jobs that have room but don't run.
     waits: Waits,
-    /// Every start, for those who count.
+    /// Number of starts.
     pub count: u64,
 }
 
 impl Rules {
-    /// The judge of a day that has not begun.
+    /// Creates the judge of a run that hasn't begun, with all rules enabled.
     pub fn new(seed: u64) -> Self {
         Rules { seed, unix: UNIX, timed: true, ..Rules::default() }
     }
 
-    fn broke(&self, at: Time, text: String) -> Verdict {
+    fn breach(&self, at: Time, text: String) -> Verdict {
         Err(Breach { seed: self.seed, at, text: text.into() })
     }
 
-    /// A fault begins or goes on now.
+    /// Records that a fault is active now.
     pub fn fault(&mut self, now: Time) {
         self.faults = true;
-        self.trouble = self.trouble.max(now + CONTACT);
+        self.trouble = self.trouble.max(now + FAULT_GRACE);
     }
 
-    /// Checks what happened since the last call, and what runs now.
+    /// Checks the events since the last call and the runs that are active now.
     pub fn check(&mut self, world: &mut World) -> Verdict {
         for note in std::mem::take(&mut world.notes) {
             match note {
@@ -118,50 +123,51 @@
                 }
                 Note::Crash { task } => *self.crashes.entry(task).or_default() += 1,
                 Note::End { at, end } => self.end(world, at, end.task, end.run, end.how)?,
-                Note::Seen { task, run, how } => self.seen(world, task, run, how)?,
-                Note::Odd(text) => self.broke(world.now, text)?,
+                Note::Seen { task, run, how } => self.acknowledge(world, task, run, how)?,
+                Note::Odd(text) => self.breach(world.now, text)?,
             }
         }
-        self.running(world)?;
-        self.staying(world)?;
-        self.waiting(world)
+        self.check_running(world)?;
+        self.check_long_running(world)?;
+        self.check_waiting(world)
     }
 
-    /// No lasting task is away for long beside room.
-    fn staying(&mut self, world: &World) -> Verdict {
+    /// Checks that no long-running task stays down for long while there is room for it.
+    fn check_long_running(&mut self, world: &World) -> Verdict {
         if !self.timed {
             return Ok(());
         }
         let mut stays = std::mem::take(&mut self.stays);
-        let owed = |no| self.owes(no) && !self.cancels.contains_key(&no);
+        let owed = |no| self.is_accepted(no) && !self.cancels.contains_key(&no);
         let text = stays.overdue(world, self.trouble, owed);
         self.stays = stays;
-        text.map_or(Ok(()), |text| self.broke(world.now, text))
+        text.map_or(Ok(()), |text| self.breach(world.now, text))
     }
 
-    /// Whether a job was accepted; where nobody tells of acceptances each is as it is asked for.
-    fn owes(&self, no: JobNo) -> bool {
+    /// Whether a job was accepted. If the test records no acceptances, every job counts as
+    /// accepted.
+    fn is_accepted(&self, no: JobNo) -> bool {
         self.accepted.is_empty() || self.accepted.contains_key(&no)
     }
 
-    /// No job of which nothing runs waits for long beside room.
-    fn waiting(&mut self, world: &World) -> Verdict {
+    /// Checks that no job without an active run waits for long while there is room for it.
+    fn check_waiting(&mut self, world: &World) -> Verdict {
         if !self.timed {
             return Ok(());
         }
         let mut waits = std::mem::take(&mut self.waits);
-        let text = waits.overdue(world, self.trouble, |no| self.turns(world, no));
+        let text = waits.overdue(world, self.trouble, |no| self.ready_tasks(world, no));
         self.waits = waits;
-        text.map_or(Ok(()), |text| self.broke(world.now, text))
+        text.map_or(Ok(()), |text| self.breach(world.now, text))
     }
 
-    /// The tasks of a job whose turn has come, one of each step.
-    fn turns(&self, world: &World, no: JobNo) -> Vec<TaskKey> {
+    /// The tasks of a job that are ready to start, at most one for each step.
+    fn ready_tasks(&self, world: &World, no: JobNo) -> Vec<TaskKey> {
         let Some(record) = world.jobs.get(&no) else { return vec![] };
         let most = world.queue(no).map_or(0, |q| q.attempts) as usize;
         let key = TaskKey { step: StepKey { job: no, time: 0, step: 0 }, index: 0 };
         let mut mine = self.failed.range(key..).take_while(|(t, _)| t.step.job == no);
-        if !self.owes(no)
+        if !self.is_accepted(no)
             || self.cancels.contains_key(&no)
             || self.refused.contains(&no)
             || self.over.contains_key(&no)
@@ -178,7 +184,7 @@
                 let own = (0..if s.gang { 1 } else { s.count })
                     .map(|index| TaskKey { step: key(*step), index })
                     .find(|t| !self.done.contains_key(t))?;
-                let noted = |a: &u16| self.step_noted(world, key(*a));
+                let noted = |a: &u16| self.step_acknowledged(world, key(*a));
                 let may = !world.hopeless.contains(&(no, *step)) && s.after.iter().all(noted);
                 may.then_some(own)
             };
@@ -187,36 +193,38 @@
         all.collect()
     }
 
-    /// Whether the ends of all tasks of a step are noted as done.
-    fn step_noted(&self, world: &World, key: StepKey) -> bool {
+    /// Whether the owner has acknowledged the completion of all tasks of a step.
+    fn step_acknowledged(&self, world: &World, key: StepKey) -> bool {
         let count = world.step(key).map_or(0, |s| s.count);
         (0..count).all(|index| {
-            let ends = self.done.get(&whole(world, TaskKey { step: key, index }));
+            let ends = self.done.get(&task_key(world, TaskKey { step: key, index }));
             ends.is_some_and(|e| e.iter().any(|r| r.2.is_some()))
         })
     }
 
-    /// Nothing is over its worker's size, nothing runs twice, nothing runs on when cancelled.
-    fn running(&self, world: &World) -> Verdict {
+    /// Checks that no worker runs more than its size allows, that no task runs twice at once
+    /// (except speculative copies), and that cancelled tasks stop in time.
+    fn check_running(&self, world: &World) -> Verdict {
         let mut runs = HashSet::new();
-        let overdue = CANCEL + world.bounds.stop;
+        let overdue = CANCEL_GRACE + world.bounds.stop;
         for (at, w) in world.workers.iter().enumerate() {
             let used = world.used(at);
             if !used.fits(&w.size) {
                 let text = format!("{} has {}, and {used} runs", world.id(at), w.size);
-                return self.broke(world.now, text);
+                return self.breach(world.now, text);
             }
             for run in &w.runs {
                 let task = run.start.task;
                 let copies = world.step(task.step).is_some_and(|s| s.copies);
                 if !runs.insert(task) && !copies {
-                    return self.broke(world.now, format!("{task} runs twice at once"));
+                    return self.breach(world.now, format!("{task} runs twice at once"));
                 }
                 let cancel = self.cancels.get(&task.step.job).filter(|_| self.timed);
                 let Some(cancel) = cancel else { continue };
                 let since = self.trouble.max(*cancel).max(run.since);
                 if world.now > since + overdue {
-                    return self.broke(world.now, format!("{task} runs on, cancelled at {cancel}"));
+                    return self
+                        .breach(world.now, format!("{task} runs on, cancelled at {cancel}"));
                 }
             }
         }
@@ -233,17 +241,17 @@
     ) -> Verdict {
         let task = start.task;
         let (Some(step), Some(queue)) = (world.step(task.step), world.queue(task.step.job)) else {
-            return self.broke(at, format!("{task} was asked for by nobody"));
+            return self.breach(at, format!("{task} was asked for by nobody"));
         };
         let (w, record) = (&world.workers[worker], &world.jobs[&task.step.job]);
-        let whole = whole(world, task);
+        let task_key = task_key(world, task);
         self.count += 1;
-        self.starts.insert(whole, at);
+        self.starts.insert(task_key, at);
         if *start.text != *record.job.text || task.index >= step.count {
-            return self.broke(at, format!("{task} was not asked for like this: {start:?}"));
+            return self.breach(at, format!("{task} was not asked for like this: {start:?}"));
         }
         if w.pool != queue.pool || step.needs.as_ref().is_some_and(|n| !w.labels.contains(n)) {
-            return self.broke(
+            return self.breach(
                 at,
                 format!("{task} started at {}, which is none of its", world.id(worker)),
             );
@@ -251,38 +259,40 @@
         let beside = w.runs.iter().filter(|r| r.start.task.step == task.step).count();
         if step.apart > 0 && beside > step.apart as usize {
             return self
-                .broke(at, format!("{beside} of {} run at {}", task.step, world.id(worker)));
+                .breach(at, format!("{beside} of {} run at {}", task.step, world.id(worker)));
         }
         if let Some(before) = step.after.iter().find(|a| !self.step_done(world, task.step, **a)) {
-            return self.broke(at, format!("{task} started before step {before} was done"));
+            return self.breach(at, format!("{task} started before step {before} was done"));
         }
-        if let Some(due) = due(record, task.step.time, self.unix).filter(|d| at + EARLY < *d) {
-            return self.broke(at, format!("{task} started before it was due at {due}"));
+        if let Some(due) =
+            due(record, task.step.time, self.unix).filter(|d| at + START_TOLERANCE < *d)
+        {
+            return self.breach(at, format!("{task} started before it was due at {due}"));
         }
         if self.refused.contains(&task.step.job) {
-            return self.broke(at, format!("{task} started, and its job was refused"));
+            return self.breach(at, format!("{task} started, and its job was refused"));
         }
-        self.crashes_on(world, at, task)?;
-        self.in_time(world, at, worker, task, late)?;
-        self.repeated(world, at, whole)
+        self.check_crash_limit(world, at, task)?;
+        self.check_start_times(world, at, worker, task, late)?;
+        self.check_repeats(world, at, task_key)
     }
 
-    /// A task that crashes its workers is not started on and on.
-    fn crashes_on(&mut self, world: &World, at: Time, task: TaskKey) -> Verdict {
+    /// Checks that a task that crashes its workers isn't started again without limit.
+    fn check_crash_limit(&mut self, world: &World, at: Time, task: TaskKey) -> Verdict {
         let crashes = self.crashes.get(&task).copied().unwrap_or(0);
-        if !world.poison.contains(&task) || crashes < CRASHES {
+        if !world.poison.contains(&task) || crashes < CRASH_LIMIT {
             return Ok(());
         }
         let more = self.more.entry(task).or_default();
         *more += 1;
-        if *more < MORE {
+        if *more < EXTRA_STARTS {
             return Ok(());
         }
-        self.broke(at, format!("{task} was started again, and {crashes} workers crashed under it"))
+        self.breach(at, format!("{task} was started again, and {crashes} workers crashed under it"))
     }
 
-    /// The rules that have a bound of time.
-    fn in_time(
+    /// Checks the rules for starts that have a time bound.
+    fn check_start_times(
         &self,
         world: &World,
         at: Time,
@@ -293,75 +303,77 @@
         if late || at < self.trouble || !self.timed {
             return Ok(());
         }
-        if let Some(c) = self.cancels.get(&task.step.job).filter(|c| at > **c + CANCEL) {
-            return self.broke(at, format!("{task} started, its job was cancelled at {c}"));
+        if let Some(c) = self.cancels.get(&task.step.job).filter(|c| at > **c + CANCEL_GRACE) {
+            return self.breach(at, format!("{task} started, its job was cancelled at {c}"));
         }
         let leaving = world.workers[worker].draining;
         if let Some(d) = leaving.filter(|d| at > *d + world.bounds.drain) {
             return self
-                .broke(at, format!("{task} started at {}, leaving at {d}", world.id(worker)));
+                .breach(at, format!("{task} started at {}, leaving at {d}", world.id(worker)));
         }
-        let noted = self.done.get(&whole(world, task)).and_then(|d| d.iter().find_map(|r| r.2));
+        let noted = self.done.get(&task_key(world, task)).and_then(|d| d.iter().find_map(|r| r.2));
         if noted.is_some_and(|n| at > n + Duration::from_secs(1)) {
-            return self.broke(at, format!("{task} started, it was noted as done before"));
+            return self.breach(at, format!("{task} started, it was noted as done before"));
         }
         Ok(())
     }
 
-    /// No start after an end as done, or after as many failures as may be, that are noted.
-    fn repeated(&self, world: &World, now: Time, whole: TaskKey) -> Verdict {
-        let Some(step) = world.step(whole.step).filter(|s| !s.copies) else { return Ok(()) };
-        let Some(&last) = self.starts.get(&whole) else { return Ok(()) };
-        let done = self.done.get(&whole).map(Vec::as_slice).unwrap_or_default();
+    /// Checks that no task starts after its acknowledged completion or after its last allowed
+    /// failure was acknowledged.
+    fn check_repeats(&self, world: &World, now: Time, task_key: TaskKey) -> Verdict {
+        let Some(step) = world.step(task_key.step).filter(|s| !s.copies) else { return Ok(()) };
+        let Some(&last) = self.starts.get(&task_key) else { return Ok(()) };
+        let done = self.done.get(&task_key).map(Vec::as_slice).unwrap_or_default();
         if done.iter().any(|(_, end, noted)| noted.is_some() && last > *end) {
-            return self.broke(now, format!("{whole} started at {last}, after it was done"));
+            return self.breach(now, format!("{task_key} started at {last}, after it was done"));
         }
-        let most = world.queue(whole.step.job).map_or(0, |q| q.attempts) as usize;
-        let failed = self.failed.get(&whole).map(Vec::as_slice).unwrap_or_default();
+        let most = world.queue(task_key.step.job).map_or(0, |q| q.attempts) as usize;
+        let failed = self.failed.get(&task_key).map(Vec::as_slice).unwrap_or_default();
         let before = failed.iter().filter(|f| f.2.is_some() && f.1 < last).count();
         if before >= most && !step.lasts {
-            return self.broke(now, format!("{whole} started at {last}, after {before} failures"));
+            return self
+                .breach(now, format!("{task_key} started at {last}, after {before} failures"));
         }
         Ok(())
     }
 
     fn end(&mut self, world: &World, at: Time, task: TaskKey, run: u32, how: How) -> Verdict {
-        let whole = whole(world, task);
+        let task_key = task_key(world, task);
         match how {
-            How::Done => self.done.entry(whole).or_default().push((run, at, None)),
-            How::Failed => self.failed.entry(whole).or_default().push((run, at, None)),
+            How::Done => self.done.entry(task_key).or_default().push((run, at, None)),
+            How::Failed => self.failed.entry(task_key).or_default().push((run, at, None)),
             How::Alone
                 if self.timed && !self.faults && !self.cancels.contains_key(&task.step.job) =>
             {
-                return self.broke(at, format!("{task} ended alone, and nothing was amiss"));
+                return self.breach(at, format!("{task} ended alone, and nothing was amiss"));
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn seen(&mut self, world: &World, task: TaskKey, run: u32, how: How) -> Verdict {
-        let (whole, now) = (whole(world, task), world.now);
+    fn acknowledge(&mut self, world: &World, task: TaskKey, run: u32, how: How) -> Verdict {
+        let (task_key, now) = (task_key(world, task), world.now);
         let ends = match how {
-            How::Done => self.done.entry(whole).or_default(),
-            How::Failed => self.failed.entry(whole).or_default(),
-            _ => return self.repeated(world, now, whole),
+            How::Done => self.done.entry(task_key).or_default(),
+            How::Failed => self.failed.entry(task_key).or_default(),
+            _ => return self.check_repeats(world, now, task_key),
         };
         if let Some(end) = ends.iter_mut().find(|e| e.0 == run) {
             end.2.get_or_insert(now);
         }
-        self.repeated(world, now, whole)
+        self.check_repeats(world, now, task_key)
     }
 
-    /// Whether all tasks of a step have ended as done.
+    /// Whether all tasks of a step have completed.
     fn step_done(&self, world: &World, of: StepKey, step: u16) -> bool {
         let key = StepKey { step, ..of };
         let count = world.step(key).map_or(0, |s| s.count);
-        let done = |index| self.done.contains_key(&whole(world, TaskKey { step: key, index }));
+        let done = |index| self.done.contains_key(&task_key(world, TaskKey { step: key, index }));
         (0..count).all(done)
     }
 
-    /// Whether all tasks of a job have ended as done.
+    /// Whether all tasks of a job have completed.
     pub fn job_done(&self, world: &World, job: JobNo) -> bool {
         let Some(record) = world.jobs.get(&job) else { return false };
         let times = record.job.times.map_or(1, |t| t.count);
@@ -370,7 +382,7 @@
         all.into_iter().all(|(time, step)| self.step_done(world, StepKey { job, time, step }, step))
     }
 
-    /// A job's state is shown or stored.
+    /// Checks a job's state that a caller received or that a member stored.
     pub fn shown(&self, world: &World, job: JobNo, state: State) -> Verdict {
         let most = world.queue(job).map_or(0, |q| q.attempts) as usize;
         let mine = self.failed.iter().filter(|(t, _)| t.step.job == job);
@@ -381,21 +393,23 @@
             State::Queued | State::Running => true,
         };
         if !right || !world.jobs.contains_key(&job) {
-            return self.broke(world.now, format!("job {job} is shown as {state} without cause"));
+            return self.breach(world.now, format!("job {job} is shown as {state} without cause"));
         }
         Ok(())
     }
 
-    /// Whether a task of a job may be given up for the workers that have crashed under it.
+    /// Whether the scheduler may fail a job because workers have crashed under one of its
+    /// tasks.
     fn given_up(&self, job: JobNo) -> bool {
-        self.crashes.iter().any(|(t, n)| t.step.job == job && *n >= MAY)
+        self.crashes.iter().any(|(t, n)| t.step.job == job && *n >= GIVE_UP_CRASHES)
     }
 
-    /// A caller is told a job's state: what is over stays as it is.
+    /// Checks a job's state that a caller received. A final state must not change.
     pub fn told(&mut self, world: &World, job: JobNo, state: State) -> Verdict {
         self.shown(world, job, state)?;
         if let Some(before) = self.over.get(&job).filter(|s| **s != state) {
-            return self.broke(world.now, format!("job {job} is {state}, and was {before} before"));
+            return self
+                .breach(world.now, format!("job {job} is {state}, and was {before} before"));
         }
         if state.over() {
             self.over.insert(job, state);
@@ -403,21 +417,23 @@
         Ok(())
     }
 
-    /// A job's progress is stored: nothing in it that no worker has said.
+    /// Checks the progress that a member stored for a job: it must not list a task as done that
+    /// no worker has reported as done.
     pub fn stored(&self, world: &World, job: JobNo, progress: &Progress) -> Verdict {
         self.shown(world, job, progress.state)?;
         for row in &progress.tasks {
             let step = StepKey { job, time: row.0, step: row.1 };
-            let whole = whole(world, TaskKey { step, index: row.2 });
-            if row.5 && !self.done.contains_key(&whole) {
-                return self.broke(world.now, format!("{whole} is stored as done, and it isn't"));
+            let task_key = task_key(world, TaskKey { step, index: row.2 });
+            if row.5 && !self.done.contains_key(&task_key) {
+                return self
+                    .breach(world.now, format!("{task_key} is stored as done, and it isn't"));
             }
         }
         Ok(())
     }
 
-    /// A task's end as done is noted, while the store has this of its job: what is noted is forgotten
-    /// at the worker, and must be known from the store.
+    /// Checks the acknowledgement of a task's completion against the job's stored progress. A
+    /// worker forgets an end once it is acknowledged, so the store must hold it by then.
     pub fn noted(&self, world: &World, task: TaskKey, stored: Option<&Progress>) -> Verdict {
         let Some(step) = world.step(task.step).filter(|s| !s.lasts) else { return Ok(()) };
         let mine = |r: &TaskRow| {
@@ -430,55 +446,58 @@
         if known {
             return Ok(());
         }
-        self.broke(world.now, format!("{task} is noted as done, and it isn't stored"))
+        self.breach(world.now, format!("{task} is noted as done, and it isn't stored"))
     }
 
-    /// A caller has handed a job in and was told so.
+    /// Records that a caller's submission was accepted.
     pub fn accepted(&mut self, at: Time, job: JobNo) -> Verdict {
         self.accepted.entry(job).or_insert(at);
         if self.refused.contains(&job) {
-            return self.broke(at, format!("job {job} was refused, and then accepted"));
+            return self.breach(at, format!("job {job} was refused, and then accepted"));
         }
         Ok(())
     }
 
-    /// Each time that a caller handed a job in it was told that it never runs.
+    /// Records that each submission of a job was refused with an answer that promises that the
+    /// job never runs.
     pub fn refused(&mut self, at: Time, job: JobNo) -> Verdict {
         self.refused.insert(job);
         match self.starts.keys().find(|t| t.step.job == job) {
-            Some(task) => self.broke(at, format!("job {job} was refused, and {task} had started")),
+            Some(task) => self.breach(at, format!("job {job} was refused, and {task} had started")),
             None => Ok(()),
         }
     }
 
-    /// A caller, who asked at `asked`, was told that there is no such job.
+    /// Checks the answer "no such job" to a request that a caller sent at `asked`.
     pub fn unknown(&self, asked: Time, job: JobNo) -> Verdict {
         match self.accepted.get(&job) {
-            Some(at) if asked > *at + VISIBLE && !self.cancels.contains_key(&job) => {
-                self.broke(asked, format!("job {job} isn't known, accepted at {at}"))
+            Some(at) if asked > *at + VISIBLE_WITHIN && !self.cancels.contains_key(&job) => {
+                self.breach(asked, format!("job {job} isn't known, accepted at {at}"))
             }
             _ => Ok(()),
         }
     }
 
-    /// An owner's row was written with this token.
+    /// Checks the token of an owner row that was written. A shard's tokens must not decrease.
     pub fn token(&mut self, at: Time, shard: ShardNo, token: u64) -> Verdict {
         let last = self.tokens.entry(shard).or_insert(token);
         let before = std::mem::replace(last, token);
         if token < before {
-            return self.broke(at, format!("shard {shard} has token {token} after {before}"));
+            return self.breach(at, format!("shard {shard} has token {token} after {before}"));
         }
         Ok(())
     }
 }
 
-/// The task that stands for all of its gang; any other stands for itself.
-fn whole(world: &World, task: TaskKey) -> TaskKey {
+/// The key under which a task is tracked: task 0 of the step for a gang, otherwise the task
+/// itself.
+fn task_key(world: &World, task: TaskKey) -> TaskKey {
     let gang = world.step(task.step).is_some_and(|s| s.gang);
     TaskKey { index: if gang { 0 } else { task.index }, ..task }
 }
 
-/// When an occurrence is due; the Unix clock read `unix` at [`Time::ZERO`].
+/// Due time of an occurrence of a timed job; `unix` is the Unix time at [`Time::ZERO`] in
+/// milliseconds.
 fn due(record: &JobRecord, time: u32, unix: u64) -> Option<Time> {
     let times = record.job.times?;
     Some(Time::from_millis((times.first + u64::from(time) * times.every).saturating_sub(unix)))
--- a/standin/src/site/mod.rs
+++ b/standin/src/site/mod.rs
@@ -1,5 +1,6 @@
-//! What a member of a site deals with, as state machines: the time is an argument, and nothing here
-//! does I/O. The yard of the tests drives them in virtual time, `standin soak` with real processes.
+//! The environment of a member as state machines: workers, store, advice service and the judge.
+//! The time is an argument, and nothing here does I/O. The simulated cluster in `tests/yard` drives
+//! them in virtual time, `standin soak` drives them against real processes.
 
 pub mod advice;
 pub mod judge;
--- a/standin/src/site/plan.rs
+++ b/standin/src/site/plan.rs
@@ -1,4 +1,4 @@
-//! What a soak plays: faults and jobs, drawn from a seed.
+//! The faults and jobs of a soak, drawn from a seed so that a run can be repeated.
 
 use {
     crate::site::setup::{job, step},
@@ -10,159 +10,161 @@
     std::time::Duration,
 };
 
-/// The longest time between the beginnings of two faults, in milliseconds.
-const GAP: u64 = 4_000;
-/// The time before the first fault, in milliseconds.
-const FIRST: u64 = 2_000;
+/// Maximum time between the starts of two faults.
+const MAX_GAP_MS: u64 = 4_000;
+/// Time before the first fault.
+const FIRST_FAULT_MS: u64 = 2_000;
 
-/// What goes wrong. Members and workers are named by their places.
+/// A kind of fault. Members and workers are given by index, milliseconds and rates by number.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
 pub enum Fault {
-    /// A member's process is killed, and begins anew.
+    /// A member's process is killed and restarted.
     #[display("member {_0} is killed")]
     Kill(usize),
-    /// All members are killed at once, and begin anew.
+    /// All members are killed at once and restarted.
     #[display("all members are killed")]
     KillAll,
-    /// The owner of the shard is killed, and begins anew.
+    /// The owner of the shard is killed and restarted.
     #[display("the owner is killed")]
     KillOwner,
-    /// The owner of the shard stands still.
+    /// The owner of the shard is suspended (`SIGSTOP`).
     #[display("the owner stands still")]
     FreezeOwner,
-    /// The owner of the shard has no connection to the store.
+    /// The owner of the shard is cut off from the store.
     #[display("the owner is cut off from the store")]
     CutOwner,
-    /// The owner of the shard has no connection to workers.
+    /// The owner of the shard is cut off from the workers.
     #[display("the owner is cut off from the workers")]
     OwnerApart,
-    /// All members stand still.
+    /// All members are suspended.
     #[display("all members stand still")]
     FreezeAll,
-    /// A member is told to read its settings again.
+    /// A member reloads its settings (`SIGHUP`).
     #[display("member {_0} reads its settings again")]
     Reload(usize),
-    /// A member is killed right after a new configuration.
+    /// A member is killed right after a new configuration is written.
     #[display("a new configuration, and member {_0} is killed")]
     ConfigKill(usize),
-    /// So many configurations come one after the other.
+    /// This number of configurations is written in quick succession.
     #[display("{_0} new configurations")]
     Storm(u32),
-    /// A member stands still.
+    /// A member is suspended (`SIGSTOP`).
     #[display("member {_0} stands still")]
     Freeze(usize),
-    /// A member is told to end, and begins anew.
+    /// A member is shut down (`SIGTERM`) and restarted.
     #[display("member {_0} is told to end")]
     Stop(usize),
-    /// A member is gone for good; another takes its place at other addresses.
+    /// A member is removed; a new member at other addresses replaces it.
     #[display("member {_0} is replaced")]
     Replace(usize),
-    /// A member has no connection to the store.
+    /// A member is cut off from the store.
     #[display("member {_0} is cut off from the store")]
     CutStore(usize),
-    /// A member's open connections to the store pass nothing any more.
+    /// A member's open connections to the store stay open but carry no more data.
     #[display("member {_0}'s connections to the store are silent")]
     SilentStore(usize),
-    /// A member has no connection to workers.
+    /// A member is cut off from the workers.
     #[display("member {_0} is cut off from the workers")]
     CutWorkers(usize),
-    /// Callers have no connection to a member.
+    /// A member is cut off from callers.
     #[display("member {_0} is cut off from callers")]
     CutCallers(usize),
-    /// The open connections of callers to a member pass nothing any more.
+    /// The callers' open connections to a member stay open but carry no more data.
     #[display("callers' connections to member {_0} are silent")]
     SilentCallers(usize),
-    /// The store does nothing.
+    /// The store executes no calls.
     #[display("the store is down")]
     Down,
-    /// One of so many answers of the store is lost.
+    /// One in this number of the store's answers is lost.
     #[display("one of {_0} answers of the store is lost")]
     Losing(u32),
-    /// The store refuses a member, and serves the others.
+    /// The store rejects the calls of one member and serves the others.
     #[display("the store refuses member {_0}")]
     Refusing(usize),
-    /// The store takes so many milliseconds more.
+    /// The store's answers take this many milliseconds longer.
     #[display("the store takes {_0} ms more")]
     Slow(u64),
-    /// The store forgets what has changed.
+    /// The store drops its history, so watches must reload.
     #[display("the store forgets its history")]
     Forget,
-    /// A worker's process ends, and begins anew.
+    /// A worker's process ends and is restarted.
     #[display("worker {_0} crashes")]
     Crash(usize),
-    /// A worker is cut off, and what is there runs on.
+    /// A worker is cut off; its runs continue.
     #[display("worker {_0} is cut off")]
     CutOff(usize),
-    /// The open connections to a worker pass nothing any more.
+    /// The open connections to a worker stay open but carry no more data.
     #[display("connections to worker {_0} are silent")]
     Silent(usize),
-    /// All that runs at a worker fails.
+    /// Every run on a worker fails.
     #[display("worker {_0} fails all that it starts")]
     Grey(usize),
     /// A worker refuses all calls.
     #[display("worker {_0} is unwell")]
     Unwell(usize),
-    /// A worker stands still.
+    /// A worker is unresponsive, and its runs make no progress.
     #[display("worker {_0} stands still")]
     Hung(usize),
-    /// A worker works at a fifth of its speed.
+    /// A worker runs at a fifth of its speed.
     #[display("worker {_0} is slow")]
     Lame(usize),
-    /// A worker leaves, and another comes.
+    /// A worker leaves, and another one replaces it.
     #[display("worker {_0} leaves")]
     Leave(usize),
-    /// One of so many orders is carried out seconds late.
+    /// One in this number of orders is executed seconds late.
     #[display("one of {_0} orders is carried out late")]
     Late(u32),
-    /// The advice service answers nothing.
+    /// The advice service answers no calls.
     #[display("no advice")]
     NoAdvice,
-    /// A version of the configuration comes.
+    /// A new version of the configuration is written.
     #[display("a new configuration")]
     Config,
-    /// Many jobs are cancelled.
+    /// About half of the open jobs are cancelled.
     #[display("a wave of cancels")]
     Cancels,
-    /// Many jobs come at once.
+    /// This number of jobs is submitted at once.
     #[display("a burst of {_0} jobs")]
     Burst(u32),
 }
 
-/// A fault, when it begins and how long it lasts.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, Display, PartialEq)]
 #[display("{:.1} s: {fault}, {:.1} s", at.as_secs_f64(), lasts.as_secs_f64())]
 pub struct Planned {
-    /// What.
+    /// The fault.
     pub fault: Fault,
-    /// When, from the start of the soak.
+    /// Start, as an offset from the start of the soak.
     pub at: Duration,
-    /// How long.
+    /// Duration of the fault.
     pub lasts: Duration,
 }
 
-/// The faults of a soak of this length. There are at least two of each kind in some eighty faults.
+/// Draws the faults of a soak of this length. The kinds come in shuffled rounds of all 37, so the
+/// first 74 faults include each kind twice.
 pub fn faults(seed: u64, length: Duration, members: usize, workers: usize) -> Vec<Planned> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut kinds: Vec<u8> = Vec::new();
-    let (mut all, mut at) = (Vec::new(), FIRST);
+    let (mut all, mut at) = (Vec::new(), FIRST_FAULT_MS);
     while u128::from(at) < length.as_millis() {
         if kinds.is_empty() {
-            kinds = (0..KINDS).collect();
+            kinds = (0..KIND_COUNT).collect();
             rng.shuffle(&mut kinds);
         }
         let kind = kinds.pop().unwrap_or_default();
         let (fault, shortest, longest) = fault(kind, &mut rng, members, workers);
         let lasts = Duration::from_millis(rng.u64(shortest..=longest));
         all.push(Planned { fault, at: Duration::from_millis(at), lasts });
-        at += rng.u64(0..GAP);
+        at += rng.u64(0..MAX_GAP_MS);
     }
     all
 }
 
-/// How many kinds of faults there are.
-const KINDS: u8 = 37;
+/// Number of kinds of faults that [`fault`] draws.
+const KIND_COUNT: u8 = 37;
 
-/// A fault of a kind, and the shortest and longest time that it lasts, in milliseconds.
+/// Draws a fault of a kind. Returns the fault and its minimum and maximum duration in
+/// milliseconds.
 fn fault(kind: u8, rng: &mut fastrand::Rng, members: usize, workers: usize) -> (Fault, u64, u64) {
     let (m, w) = (rng.usize(0..members), rng.usize(0..workers));
     match kind {
@@ -206,31 +208,31 @@
     }
 }
 
-/// A job as a caller means it.
+/// A drawn job and what its caller does with it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Drawn {
-    /// Its number.
+pub struct DrawnJob {
+    /// Number of the job.
     pub no: u64,
-    /// The name of its queue.
+    /// Name of the job's queue.
     pub queue: &'static str,
-    /// What it says.
+    /// Specification of the job.
     pub job: Job,
-    /// Whether the tasks of its last step always fail.
+    /// Whether the tasks of the last step always fail.
     pub hopeless: bool,
-    /// How long after its acceptance it is cancelled.
+    /// Time from the job's acceptance to its cancel.
     pub cancel: Option<Duration>,
-    /// Whether it is handed in again, seconds after it was accepted.
+    /// Whether the caller submits the job again some seconds after its acceptance.
     pub again: bool,
 }
 
-/// From how many workers on advice leaves each gang enough of them.
-const MANY: usize = 16;
+/// With at least this number of workers, advice leaves enough suitable workers for every gang.
+const GANG_ADVICE_WORKERS: usize = 16;
 
-/// Draws a job for so many workers; the Unix clock reads `unix`, in milliseconds.
-pub fn draw(rng: &mut fastrand::Rng, workers: usize, unix: u64) -> Drawn {
+/// Draws a job for a cluster of `workers` workers; `unix` is the Unix time in milliseconds.
+pub fn draw(rng: &mut fastrand::Rng, workers: usize, unix: u64) -> DrawnJob {
     let queue = ["plain", "urgent", "open", "advised"][rng.usize(0..4)];
-    let job = kind(rng, unix);
-    let large = workers < MANY && job.steps.iter().any(|s| s.gang);
+    let job = draw_spec(rng, unix);
+    let large = workers < GANG_ADVICE_WORKERS && job.steps.iter().any(|s| s.gang);
     let queue = if large && queue == "advised" { "open" } else { queue };
     let lasts = job.steps.iter().any(|s| s.lasts);
     let cancel = match rng.u32(0..100) {
@@ -239,7 +241,7 @@
         4..10 => Some(rng.u64(0..3_000)),
         _ => None,
     };
-    Drawn {
+    DrawnJob {
         no: rng.u64(..),
         queue,
         job,
@@ -249,7 +251,7 @@
     }
 }
 
-fn kind(rng: &mut fastrand::Rng, unix: u64) -> Job {
+fn draw_spec(rng: &mut fastrand::Rng, unix: u64) -> Job {
     let (few, ms) = (rng.u32(1..5), rng.u64(300..1_500));
     let saving = Step { saves: true, ..step(few, 2 * ms) };
     let gang = Step { gang: true, tight: rng.bool(), saves: rng.bool(), ..step(few + 1, 2 * ms) };
@@ -266,10 +268,10 @@
         16 => job([Step { copies: true, ..step(few, ms) }]),
         17 => Job { times, ..job([step(2, 300)]) },
         18 => job([Step { fills: true, image: "sift".into(), ..step(few, ms) }]),
-        _ => job([lasting(few.min(2))]),
+        _ => job([long_running(few.min(2))]),
     }
 }
 
-fn lasting(count: u32) -> Step {
+fn long_running(count: u32) -> Step {
     Step { lasts: true, target: 100, image: "web".into(), may_miss: Some(1), ..step(count, 1) }
 }
--- a/standin/src/site/setup.rs
+++ b/standin/src/site/setup.rs
@@ -1,4 +1,5 @@
-//! A site for tests and the soak: bounds, queues, workers, and the parts of jobs.
+//! The example cluster of the tests and the soak: time limits, queues, workers, and helpers
+//! that build jobs.
 
 use {
     crate::site::worker::Worker,
@@ -10,13 +11,13 @@
     std::{sync::Arc, time::Duration},
 };
 
-/// Bounds of orders for VMs.
+/// Limits of the orders to the platform's VM interface.
 pub fn fleet() -> Fleet {
     let ms = Duration::from_millis;
     Fleet { rate: 60.0, upkeep: ms(2_000), moved: ms(1_500), turn: ms(3_000) }
 }
 
-/// Bounds as a deployment has them.
+/// Time limits with the ratios of a real deployment.
 pub fn bounds() -> Bounds {
     let ms = Duration::from_millis;
     Bounds {
@@ -36,8 +37,8 @@
     }
 }
 
-/// Three queues: `plain` and `urgent` on the pool `guarded`, `open` on one that doesn't guard,
-/// and `advised`, whose steps need advice.
+/// Four queues: `plain` and `urgent` on the pool `guarded`, whose workers check their room, and
+/// `open` and `advised` on the pool `open`, whose workers don't. Steps of `advised` need advice.
 pub fn queues() -> Arc<Queues> {
     let queue = |name: &str, pool: &str, priority| Queue {
         name: name.into(),
@@ -66,7 +67,8 @@
     })
 }
 
-/// So many workers of 4 cores: of each four two guard, on two racks, one with the label `gpu`.
+/// Creates `count` workers of 4 cores on two racks. Of each four workers, two are in the pool
+/// `guarded`, and every second worker has the label `gpu`.
 pub fn workers(count: usize) -> Vec<Worker> {
     let one = |i: usize| {
         let pool = if i % 4 < 2 { "guarded" } else { "open" };
@@ -81,7 +83,7 @@
     (0..count).map(one).collect()
 }
 
-/// A step of so many tasks of one core, of so many milliseconds each.
+/// A step of `count` tasks of one core, with an estimate of `estimate` milliseconds each.
 pub fn step(count: u32, estimate: u64) -> Step {
     Step { count, estimate, size: Size::new(1, 512, 0), ..Step::default() }
 }
--- a/standin/src/site/stay.rs
+++ b/standin/src/site/stay.rs
@@ -1,7 +1,8 @@
-//! The rule on lasting tasks: one that does not run is at work again soon where there is room for it.
+//! The judge's rule for long-running tasks: one that isn't running must start again soon if
+//! there is room for it.
 
 use {
-    crate::site::{judge::CONTACT, worker::World},
+    crate::site::{judge::FAULT_GRACE, worker::World},
     dogwoodreach::{
         Time,
         units::Size,
@@ -13,33 +14,33 @@
     },
 };
 
-/// How long after its last run a task may be away, whatever there is room for.
-const AWAY: Duration = Duration::from_secs(6);
-/// How long there has to be room for it.
-pub const ROOM: Duration = Duration::from_secs(3);
-/// How long before that nothing may have been amiss.
-const CALM: Duration = Duration::from_secs(4);
-/// For how many such tasks there has to be room.
-pub const TWICE: u64 = 2;
-/// The pause between two looks.
-pub const LOOK: Duration = Duration::from_millis(100);
+/// A task may be down for this long after its last run, even if there is room for it.
+const MAX_ABSENCE: Duration = Duration::from_secs(6);
+/// The rule applies once there has been room for this long without a break.
+pub const ROOM_DURATION: Duration = Duration::from_secs(3);
+/// No fault may have been active for this long before the room appeared.
+const FAULT_FREE: Duration = Duration::from_secs(4);
+/// There must be room for this number of such tasks.
+pub const ROOM_FACTOR: u64 = 2;
+/// Interval between two checks.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The lasting tasks that do not run.
+/// Long-running tasks that aren't running.
 #[derive(Default)]
-pub struct Stays {
+pub struct Absences {
     next: Time,
-    away: BTreeMap<TaskKey, Absence>,
+    absences: BTreeMap<TaskKey, Absence>,
 }
 
-/// Since when a task does not run, and since when there is room for it.
+/// Since when a task has not run, and since when there has been room for it.
 struct Absence {
     since: Time,
     room: Option<Time>,
 }
 
-impl Stays {
-    /// A task that should be at work by now, in words; `trouble` is the end of the last fault's bounds,
-    /// and `owed` tells which jobs are to run.
+impl Absences {
+    /// Returns the text of the breach if a task should be running by now. `trouble` is the time
+    /// until which the rules are suspended, and `owed` selects the jobs that must run.
     pub fn overdue(
         &mut self,
         world: &World,
@@ -50,19 +51,20 @@
         if now < self.next {
             return None;
         }
-        self.next = now + LOOK;
+        self.next = now + CHECK_INTERVAL;
         let runs: HashSet<TaskKey> =
             world.workers.iter().flat_map(|w| &w.runs).map(|r| r.start.task).collect();
-        let all = world.jobs.keys().filter(|no| owed(**no)).flat_map(|no| world.lasting(*no));
+        let all = world.jobs.keys().filter(|no| owed(**no)).flat_map(|no| world.long_running(*no));
         let absent: Vec<TaskKey> = all.filter(|t| !runs.contains(t)).collect();
-        self.away.retain(|t, _| absent.binary_search(t).is_ok());
-        let calm = calm(trouble, now);
+        self.absences.retain(|t, _| absent.binary_search(t).is_ok());
+        let fault_free = fault_free(trouble, now);
         for task in absent {
-            let room = world.room_for(task) >= TWICE;
-            let absence = self.away.entry(task).or_insert(Absence { since: now, room: None });
+            let room = world.room_for(task) >= ROOM_FACTOR;
+            let absence = self.absences.entry(task).or_insert(Absence { since: now, room: None });
             absence.room = if room { absence.room.or(Some(now)) } else { None };
-            let (since, long) = (absence.since, absence.room.is_some_and(|r| r + ROOM <= now));
-            if calm && long && since + AWAY + ROOM <= now {
+            let (since, long) =
+                (absence.since, absence.room.is_some_and(|r| r + ROOM_DURATION <= now));
+            if fault_free && long && since + MAX_ABSENCE + ROOM_DURATION <= now {
                 return Some(format!("{task} lasts and has not run since {since}, beside room"));
             }
         }
@@ -70,16 +72,16 @@
     }
 }
 
-/// Whether nothing has been amiss for so long that there should have been room for long enough, where
-/// `trouble` is the end of the last fault's bounds.
-pub fn calm(trouble: Time, now: Time) -> bool {
-    // A fault counts for `CONTACT` from its last moment.
-    trouble + (CALM + ROOM).saturating_sub(CONTACT) <= now
+/// Whether the last fault is long enough ago for the rule to apply; `trouble` is the time until
+/// which the rules are suspended.
+pub fn fault_free(trouble: Time, now: Time) -> bool {
+    // `trouble` already includes `FAULT_GRACE` after the last moment of the fault.
+    trouble + (FAULT_FREE + ROOM_DURATION).saturating_sub(FAULT_GRACE) <= now
 }
 
 impl World {
-    /// The lasting tasks of a job, in order.
-    fn lasting(&self, no: JobNo) -> Vec<TaskKey> {
+    /// The long-running tasks of a job, in order.
+    fn long_running(&self, no: JobNo) -> Vec<TaskKey> {
         let Some(record) = self.jobs.get(&no) else { return vec![] };
         if self.poison.iter().any(|t| t.step.job == no) {
             return vec![];
@@ -93,12 +95,12 @@
         lasts.flat_map(tasks).collect()
     }
 
-    /// For how many tasks like this one sound workers that may run it have room.
+    /// Number of tasks like this one that fit on healthy workers that may run it.
     pub fn room_for(&self, task: TaskKey) -> u64 {
-        self.slots(task, TWICE)
+        self.slots(task, ROOM_FACTOR)
     }
 
-    /// As [`Self::room_for`], counted up to `wanted` at each worker.
+    /// Like [`Self::room_for`], but counts up to `wanted` tasks for each worker.
     pub fn slots(&self, task: TaskKey, wanted: u64) -> u64 {
         let (Some(step), Some(queue)) = (self.step(task.step), self.queue(task.step.job)) else {
             return 0;
--- a/standin/src/site/store.rs
+++ b/standin/src/site/store.rs
@@ -1,4 +1,5 @@
-//! The store: items with revisions, changed all or none.
+//! Simulated key-value store: items with revisions, atomic transactions, leases and watches,
+//! with faults that lose or delay answers.
 
 use {
     bytes::Bytes,
@@ -12,61 +13,62 @@
     },
 };
 
-/// How the store does.
+/// Health of the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Mode {
-    /// It does as it should.
+    /// Every call is executed and answered.
     Up,
-    /// It does nothing; some calls are refused, of the others nothing is heard.
+    /// No call is executed. Half of the calls are refused, the others get no answer.
     Down,
-    /// One of so many answers is lost; what was asked is done then, or seconds later.
+    /// One in this number of answers is lost. The call is executed, either at once or seconds
+    /// later.
     Losing(u32),
 }
 
-/// What becomes of a call.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fate {
-    /// It is done and answered.
+    /// The call is executed and answered.
     Answered,
-    /// It is refused, and nothing is done.
+    /// The call is refused and not executed.
     Refused,
-    /// Nothing is done, and nothing is heard.
+    /// The call is neither executed nor answered.
     Unheard,
-    /// Done after this time, and nothing is heard of it.
+    /// The call is executed after this delay, and its answer is lost.
     Lost(Duration),
 }
 
-/// How many changes are remembered.
-const HISTORY: usize = 20_000;
-/// The most items of a page.
-const PAGE: usize = 500;
+/// Maximum number of changes in the history.
+const HISTORY_ITEMS: usize = 20_000;
+/// Maximum number of items in a page.
+const PAGE_ITEMS: usize = 500;
 
-/// The items, and the transactions that were done.
+/// The items, their recent changes and the leases.
 pub struct Store {
-    /// The items.
+    /// Items by key, each with its revision.
     pub items: BTreeMap<Box<str>, (Rev, Bytes)>,
-    /// The number of the last change.
+    /// Revision of the latest change.
     pub rev: Rev,
-    /// How it does.
+    /// Present health.
     pub mode: Mode,
-    /// What was written since it was last asked for.
+    /// Items that transactions have written and the judge hasn't checked yet.
     pub written: Vec<(Box<str>, Bytes)>,
-    /// Which writes were made, for counting.
+    /// Number of transactions that were received.
     pub writes: u64,
-    /// Changes, oldest first.
+    /// History of changes, oldest first.
     log: VecDeque<Item>,
-    /// The last change that is forgotten.
+    /// Revision of the latest change that the history has dropped.
     forgotten: Rev,
-    /// Leases: when each ends, and how long it lasts from its renewal.
+    /// Leases: expiry and time to live from each renewal.
     leases: BTreeMap<u64, (Time, Duration)>,
-    last: u64,
-    /// Keys that end with a lease.
+    last_lease: u64,
+    /// Keys that are removed when their lease ends.
     leased: BTreeMap<Box<str>, u64>,
     rng: fastrand::Rng,
 }
 
 impl Store {
-    /// A store without items.
+    /// Creates an empty store; the seed determines delays and lost answers.
     pub fn new(seed: u64) -> Self {
         Store {
             items: BTreeMap::new(),
@@ -77,13 +79,13 @@
             log: VecDeque::new(),
             forgotten: 7,
             leases: BTreeMap::new(),
-            last: 0,
+            last_lease: 0,
             leased: BTreeMap::new(),
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// What becomes of a call that arrives now.
+    /// Draws the outcome of a call that arrives now.
     pub fn fate(&mut self) -> Fate {
         match self.mode {
             Mode::Up => Fate::Answered,
@@ -95,24 +97,25 @@
         }
     }
 
-    /// How long an answer takes.
+    /// Draws the latency of an answer.
     pub fn delay(&mut self) -> Duration {
         Duration::from_millis(self.rng.u64(2..15))
     }
 
-    /// One item.
+    /// Returns the item with this key.
     pub fn get(&self, key: &str) -> Option<Item> {
         let (rev, value) = self.items.get(key)?;
         Some(Item { key: key.into(), value: Some(value.clone()), rev: *rev })
     }
 
-    /// The items whose keys begin with this.
+    /// The items whose keys begin with `prefix`.
     pub fn range(&self, prefix: &str) -> Vec<(Box<str>, Bytes)> {
         let of = self.items.iter().filter(|(k, _)| k.starts_with(prefix));
         of.map(|(k, (_, v))| (k.clone(), v.clone())).collect()
     }
 
-    /// Changes items, all or none.
+    /// Executes a transaction: all of its changes, or none if an expected revision doesn't
+    /// match.
     pub fn txn(&mut self, txn: &Txn) -> StoreReply {
         let rows = txn.expect.len() + txn.puts.len() + txn.remove.len();
         assert!(rows <= ROWS, "a transaction of {rows} rows");
@@ -121,9 +124,9 @@
         let row = |(key, _): &(Box<str>, Rev)| {
             self.get(key).unwrap_or_else(|| Item { key: key.clone(), value: None, rev: 0 })
         };
-        let stand: Vec<Item> = txn.expect.iter().map(row).collect();
-        if stand.iter().zip(&txn.expect).any(|(item, (_, rev))| item.rev != *rev) {
-            return StoreReply::Conflict(stand);
+        let present: Vec<Item> = txn.expect.iter().map(row).collect();
+        if present.iter().zip(&txn.expect).any(|(item, (_, rev))| item.rev != *rev) {
+            return StoreReply::Conflict(present);
         }
         if txn.puts.iter().any(|p| p.lease != 0 && !self.leases.contains_key(&p.lease)) {
             return StoreReply::NoLease;
@@ -137,14 +140,14 @@
         StoreReply::Done(self.rev)
     }
 
-    /// Writes one item whatever it was, as a client's member does.
+    /// Writes one item without checking its revision, as the platform does.
     pub fn put(&mut self, key: Box<str>, value: Bytes) -> Rev {
         self.rev += 1;
         self.set(key, Some(value), 0);
         self.rev
     }
 
-    /// Removes one item whatever it was.
+    /// Removes one item without checking its revision.
     pub fn remove(&mut self, key: &str) {
         self.rev += 1;
         self.set(key.into(), None, 0);
@@ -160,19 +163,19 @@
             None => self.items.remove(&key),
         };
         self.log.push_back(Item { key, value, rev: self.rev });
-        if self.log.len() > HISTORY {
-            self.forget(HISTORY);
+        if self.log.len() > HISTORY_ITEMS {
+            self.forget(HISTORY_ITEMS);
         }
     }
 
-    /// Forgets all changes but the last `keep`.
+    /// Drops all changes from the history except the last `keep`.
     pub fn forget(&mut self, keep: usize) {
         while self.log.len() > keep {
             self.forgotten = self.log.pop_front().map_or(self.forgotten, |i| i.rev);
         }
     }
 
-    /// A call that arrives now; nothing where a watch has to wait.
+    /// Executes a call that arrives now. Returns `None` if a watch has to wait for a change.
     pub fn call(&mut self, call: &StoreCall, now: Time) -> Option<StoreReply> {
         self.lapse(now);
         Some(match call {
@@ -181,9 +184,9 @@
             StoreCall::Watch { prefix, after, .. } => return self.changes(prefix, *after),
             StoreCall::Txn(txn) => self.txn(txn),
             StoreCall::Lease { ttl } => {
-                self.last += 1;
-                self.leases.insert(self.last, (now + *ttl, *ttl));
-                StoreReply::Lease(self.last, *ttl)
+                self.last_lease += 1;
+                self.leases.insert(self.last_lease, (now + *ttl, *ttl));
+                StoreReply::Lease(self.last_lease, *ttl)
             }
             StoreCall::Keep { lease } => match self.leases.get_mut(lease) {
                 Some((until, ttl)) => {
@@ -204,10 +207,10 @@
 
     fn page(&self, prefix: &str, after: &str) -> StoreReply {
         let of = self.items.iter().filter(|(k, _)| k.starts_with(prefix) && ***k > *after);
-        let keys = of.take(PAGE + 1).map(|(key, _)| key);
+        let keys = of.take(PAGE_ITEMS + 1).map(|(key, _)| key);
         let mut items: Vec<Item> = keys.filter_map(|key| self.get(key)).collect();
-        let more = items.len() > PAGE;
-        items.truncate(PAGE);
+        let more = items.len() > PAGE_ITEMS;
+        items.truncate(PAGE_ITEMS);
         StoreReply::Page(items, more, self.rev)
     }
 
@@ -220,7 +223,7 @@
         (!new.is_empty()).then_some(StoreReply::Events(new, self.rev))
     }
 
-    /// Ends the leases whose time is over.
+    /// Ends the leases that have expired.
     pub fn lapse(&mut self, now: Time) {
         let over: Vec<u64> =
             self.leases.iter().filter(|(_, (until, _))| *until <= now).map(|l| *l.0).collect();
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Removes the keys of a lease.
+    /// Removes the keys that are attached to a lease.
     fn end(&mut self, lease: u64) {
         let keys: Vec<Box<str>> =
             self.leased.iter().filter(|(_, l)| **l == lease).map(|(k, _)| k.clone()).collect();
--- a/standin/src/site/wait.rs
+++ b/standin/src/site/wait.rs
@@ -1,8 +1,9 @@
-//! The rule on jobs: one of which nothing runs begins soon where there is room for it.
+//! The judge's rule for waiting jobs: a job without an active run must start soon if there is
+//! room for it.
 
 use {
     crate::site::{
-        stay::{LOOK, ROOM, TWICE, calm},
+        stay::{CHECK_INTERVAL, ROOM_DURATION, ROOM_FACTOR, fault_free},
         worker::World,
     },
     dogwoodreach::{
@@ -13,20 +14,21 @@
     std::collections::{BTreeMap, BTreeSet},
 };
 
-/// Under one part in so many of a pool is in use where its jobs may not wait.
-const IDLE: u64 = 2;
+/// A pool's jobs must not wait if less than 1/`IDLE_DIVISOR` of the pool is in use.
+const IDLE_DIVISOR: u64 = 2;
 
-/// The jobs of which nothing runs though the turn of a task has come.
+/// Jobs that have a task ready to start but no active run.
 #[derive(Default)]
 pub struct Waits {
     next: Time,
-    /// Since when there is room for it.
+    /// Since when there has been room for each job.
     room: BTreeMap<JobNo, Time>,
 }
 
 impl Waits {
-    /// A job of which something should run by now, in words; `trouble` is the end of the last fault's
-    /// bounds, and `open` names the tasks of a job whose turn has come, one of each step.
+    /// Returns the text of the breach if a job should be running by now. `trouble` is the time
+    /// until which the rules are suspended, and `open` returns the tasks of a job that are ready to
+    /// start, at most one for each step.
     pub fn overdue(
         &mut self,
         world: &World,
@@ -37,7 +39,7 @@
         if now < self.next {
             return None;
         }
-        self.next = now + LOOK;
+        self.next = now + CHECK_INTERVAL;
         let runs: BTreeSet<JobNo> =
             world.workers.iter().flat_map(|w| &w.runs).map(|r| r.start.task.step.job).collect();
         let mut room = BTreeMap::new();
@@ -45,7 +47,7 @@
             let Some(task) = open(*no).into_iter().find(|t| world.has_room(*t)) else { continue };
             let since = self.room.get(no).copied().unwrap_or(now);
             room.insert(*no, since);
-            if calm(trouble, now) && since + ROOM <= now {
+            if fault_free(trouble, now) && since + ROOM_DURATION <= now {
                 return Some(format!(
                     "{task} has had room since {since}, and nothing of its job runs"
                 ));
@@ -57,8 +59,8 @@
 }
 
 impl World {
-    /// Whether there is room for a task twice over, for one of a gang beside all others of it, in a pool
-    /// that is under half in use.
+    /// Whether a pool that is less than half in use has room for a task twice over (for a gang,
+    /// for all of its tasks twice over).
     fn has_room(&self, task: TaskKey) -> bool {
         let (Some(step), Some(queue)) = (self.step(task.step), self.queue(task.step.job)) else {
             return false;
@@ -67,11 +69,11 @@
         let used: Size = mine().map(|at| self.used(at)).sum();
         let total: Size =
             mine().filter(|at| self.workers[*at].up).map(|at| self.workers[at].size).sum();
-        let under = |used: u64, total: u64| used == 0 || used * IDLE < total;
+        let under = |used: u64, total: u64| used == 0 || used * IDLE_DIVISOR < total;
         let idle = under(used.cores.0, total.cores.0)
             && under(used.memory.0, total.memory.0)
             && under(used.accels.0, total.accels.0);
-        let wanted = TWICE * if step.gang { u64::from(step.count) } else { 1 };
+        let wanted = ROOM_FACTOR * if step.gang { u64::from(step.count) } else { 1 };
         idle && self.slots(task, wanted) >= wanted
     }
 }
--- a/standin/src/site/worker.rs
+++ b/standin/src/site/worker.rs
@@ -1,4 +1,5 @@
-//! Workers as the protocol has them, without a network: leases, fences, stops, ends and gangs.
+//! Simulated workers that follow the worker protocol without a network: leases, fencing tokens,
+//! stops, ends of runs and gangs. Every start and end is recorded as a [`Note`] for the judge.
 
 mod time;
 
@@ -21,141 +22,141 @@
     },
 };
 
-/// The grain of virtual time.
+/// Step by which virtual time advances.
 pub const GRAIN: Duration = Duration::from_millis(10);
 
-/// How long a worker stays that is leaving.
+/// Time between the announcement that a worker leaves and its departure.
 pub const NOTICE: Duration = Duration::from_secs(30);
 
 /// A task's run at a worker.
 pub struct Run {
-    /// The order.
+    /// The start order.
     pub start: Start,
-    /// When it began.
+    /// Time at which the run started.
     pub since: Time,
-    /// From when it works.
+    /// Time from which the run makes progress, after its checkpoint was restored.
     ready: Time,
-    /// Work done, in milliseconds.
+    /// Work done, in milliseconds at full speed.
     pub work: f64,
-    /// Work in the last checkpoint.
+    /// Work that the last checkpoint covers, in milliseconds.
     kept: f64,
-    /// When its stop is over.
+    /// Time at which a requested stop completes.
     pub stops: Option<Time>,
-    /// The share of its speed, in hundredths.
+    /// Throttle set by the owner, in percent of full speed.
     pub percent: u8,
-    /// Whether its gang has come together.
+    /// Whether all members of its gang have run at the same time.
     together: bool,
 }
 
-/// One worker, over its lives.
+/// A worker across restarts; each start of its process is an incarnation.
 pub struct Worker {
-    /// Counts its lives.
+    /// Number of the present incarnation, from 1.
     pub life: u32,
-    /// Its pool.
+    /// The worker's pool.
     pub pool: PoolId,
-    /// Its rack.
+    /// The worker's rack.
     pub rack: RackId,
-    /// What it has room for.
+    /// Total resources.
     pub size: Size,
-    /// Its labels.
+    /// Labels that steps can require.
     pub labels: Vec<Box<str>>,
-    /// The speed of its clock.
+    /// Rate of its clock relative to real time.
     pub rate: f64,
-    /// Its clock at the start of all, in milliseconds.
+    /// Reading of its clock at [`Time::ZERO`], in milliseconds.
     pub offset: u64,
-    /// Whether its process runs.
+    /// Whether the worker's process runs.
     pub up: bool,
-    /// Whether nothing reaches it; what runs there runs on.
+    /// Whether the worker is cut off from the network. Its runs continue.
     pub cut: bool,
-    /// Whether it stands still.
+    /// Whether the worker is unresponsive and its runs make no progress.
     pub hung: bool,
-    /// Whether it refuses all calls.
+    /// Whether the worker refuses all calls.
     pub unwell: bool,
-    /// Whether all that runs on it fails.
+    /// Whether every run on the worker fails shortly after its start.
     pub grey: bool,
-    /// The share of a sound worker's speed.
+    /// Speed relative to a healthy worker.
     pub speed: f64,
-    /// Since when it is leaving.
+    /// Time at which the worker announced that it leaves.
     pub draining: Option<Time>,
-    /// What runs there.
+    /// Active runs, including those that are being stopped.
     pub runs: Vec<Run>,
     token: u64,
     until: u64,
     lapsed: bool,
     barred: BTreeMap<TaskKey, u32>,
-    /// Ends, and whether the lease lapsed since.
+    /// Ends that aren't acknowledged, and whether the lease has lapsed since.
     ended: Vec<(End, bool)>,
     number: u64,
 }
 
-/// What the workers have seen.
+/// An event at a worker, recorded for the judge.
 #[derive(Debug)]
 pub enum Note {
-    /// A run began.
+    /// A run started.
     Start {
-        /// When.
+        /// Time of the event.
         at: Time,
-        /// The worker's place.
+        /// Index of the worker.
         worker: usize,
-        /// The order.
+        /// The start order.
         start: Start,
-        /// Whether the order was carried out late.
+        /// Whether a fault delayed the execution of the order.
         late: bool,
     },
     /// A run ended.
     End {
-        /// When.
+        /// Time of the event.
         at: Time,
-        /// The end.
+        /// The end of the run.
         end: End,
     },
-    /// A worker has crashed under a run.
+    /// A worker crashed while it ran this task.
     Crash {
         /// The task.
         task: TaskKey,
     },
-    /// An end was noted.
+    /// The owner acknowledged the end of a run.
     Seen {
         /// The task.
         task: TaskKey,
-        /// Its run.
+        /// Number of the run.
         run: u32,
-        /// How it ended.
+        /// Result of the run.
         how: How,
     },
-    /// Something that nobody asked for.
+    /// A violation that a worker detects by itself.
     Odd(String),
 }
 
-/// All workers, and what clients have asked for.
+/// All workers, the advice service and the jobs that callers have submitted.
 pub struct World {
-    /// The present time.
+    /// Current virtual time.
     pub now: Time,
-    /// The deployment's bounds.
+    /// Time limits of the deployment.
     pub bounds: Bounds,
-    /// The configuration.
+    /// The configuration of queues and pools.
     pub queues: Arc<Queues>,
-    /// What clients have asked for.
+    /// Submitted jobs.
     pub jobs: BTreeMap<JobNo, JobRecord>,
     /// Steps whose tasks always fail.
     pub hopeless: BTreeSet<(JobNo, u16)>,
-    /// Tasks that crash each worker that starts them.
+    /// Tasks that crash every worker that starts them.
     pub poison: BTreeSet<TaskKey>,
     /// The workers.
     pub workers: Vec<Worker>,
     /// The advice service.
     pub advice: Service,
-    /// What was seen and not judged yet.
+    /// Events that the judge hasn't checked yet.
     pub notes: Vec<Note>,
-    /// How far a task's work may be from its estimate, as a share.
+    /// Maximum relative deviation of a task's work from its estimate.
     pub spread: f64,
-    /// Checkpoints that were shown.
+    /// Checkpoints that workers have reported.
     saves: BTreeSet<Box<str>>,
     rng: fastrand::Rng,
 }
 
 impl Worker {
-    /// A worker in its first life.
+    /// Creates a worker in its first incarnation.
     pub fn new(pool: &str, rack: &str, size: Size) -> Self {
         Worker {
             life: 1,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Its steady clock, in milliseconds.
+    /// Reading of the worker's monotonic clock, in milliseconds.
     pub fn clock(&self, now: Time) -> u64 {
         self.offset + (now.0 as f64 / 1e3 * self.rate) as u64
     }
@@ -196,7 +197,7 @@
 }
 
 impl World {
-    /// A world at the start of all.
+    /// Creates a world at [`Time::ZERO`].
     pub fn new(seed: u64, bounds: Bounds, queues: Arc<Queues>, workers: Vec<Worker>) -> Self {
         World {
             now: Time::ZERO,
@@ -214,12 +215,12 @@
         }
     }
 
-    /// The id of a worker's present life.
+    /// Id of a worker's present incarnation.
     pub fn id(&self, at: usize) -> WorkerId {
         WorkerId(format!("w{at}-{}", self.workers[at].life).into())
     }
 
-    /// A worker's entry in the list.
+    /// A worker's entry in the worker list.
     pub fn listed(&self, at: usize) -> Listed {
         let w = &self.workers[at];
         Listed {
@@ -234,23 +235,23 @@
         }
     }
 
-    /// What a job says of a step.
+    /// Specification of a step.
     pub fn step(&self, key: StepKey) -> Option<&Step> {
         self.jobs.get(&key.job)?.job.steps.get(usize::from(key.step))
     }
 
-    /// The queue of a job.
+    /// Queue of a job.
     pub fn queue(&self, job: JobNo) -> Option<&Queue> {
         self.queues.named(&self.jobs.get(&job)?.queue)
     }
 
-    /// What runs at a worker, and what is being stopped.
+    /// Resources used by a worker's runs, including those that are being stopped.
     pub fn used(&self, at: usize) -> Size {
         let counted = |r: &Run| self.step(r.start.task.step).map(Step::counted).unwrap_or_default();
         self.workers[at].runs.iter().map(counted).sum()
     }
 
-    /// A call arrives; no reply where the worker gives none.
+    /// Handles a call. Returns `None` if the worker doesn't reply.
     pub fn call(
         &mut self,
         at: usize,
@@ -339,7 +340,7 @@
         Ok(())
     }
 
-    /// Whether a start's checkpoint was shown by its task, or by one of its gang.
+    /// Whether the task, or a member of its gang, has reported the checkpoint of a start.
     fn saved_by(&self, start: &Start, step: &Step) -> bool {
         let tail = format!("~{}", name(start.task, step));
         start.saved.ends_with(&tail) && self.saves.contains(&start.saved)
@@ -384,7 +385,7 @@
         Reply::Held(self.held(at))
     }
 
-    /// What a worker says of itself.
+    /// The worker's report: its clock, active runs and ends that aren't acknowledged.
     pub fn held(&mut self, at: usize) -> Held {
         let rows: Vec<Row> = (0..self.workers[at].runs.len()).map(|i| self.row(at, i)).collect();
         self.saves.extend(rows.iter().map(|r| r.saved.clone()));
@@ -394,17 +395,17 @@
         Held { clock: w.clock(self.now), running: rows, ended }
     }
 
-    /// Whether a worker has ends that aren't noted.
+    /// Whether a worker has ends that aren't acknowledged.
     pub fn has_ended(&self, at: usize) -> bool {
         !self.workers[at].ended.is_empty()
     }
 
-    /// Whether a worker lists this end.
+    /// Whether a worker still reports this end.
     pub fn lists(&self, at: usize, end: &End) -> bool {
         self.workers[at].ended.iter().any(|(e, _)| e == end)
     }
 
-    /// How many runs of a job are there.
+    /// Number of active runs of a job.
     pub fn running(&self, job: JobNo) -> usize {
         let runs = self.workers.iter().flat_map(|w| &w.runs);
         runs.filter(|r| r.start.task.step.job == job).count()
@@ -432,7 +433,7 @@
         }
     }
 
-    /// How much work a task is, in milliseconds.
+    /// Work that a task takes, in milliseconds at full speed.
     pub fn need(&self, task: TaskKey) -> f64 {
         let Some(step) = self.step(task.step) else { return 1.0 };
         let (key, index) = (task.step, if step.gang { 0 } else { task.index });
@@ -441,7 +442,7 @@
         step.estimate as f64 * (1.0 + self.spread * ((hash % 2001) as f64 / 1000.0 - 1.0))
     }
 
-    /// A worker's process ends with all that it knows.
+    /// Ends a worker's process; all its state is lost.
     pub fn crash(&mut self, at: usize) {
         let w = &mut self.workers[at];
         let fresh = Worker::new(w.pool.as_str(), w.rack.as_str(), w.size);
@@ -459,7 +460,7 @@
         }
     }
 
-    /// Ends a task's runs as failed.
+    /// Ends all runs of a task as failed.
     pub fn fail(&mut self, task: TaskKey) {
         for at in 0..self.workers.len() {
             self.end_where(at, How::Failed, |r| r.start.task == task);
@@ -467,7 +468,7 @@
     }
 }
 
-/// What a task's checkpoints are told by; a gang's members share them.
+/// Suffix that identifies a task's checkpoints. The members of a gang share their checkpoints.
 fn name(task: TaskKey, step: &Step) -> String {
     if step.gang { task.step.to_string() } else { task.to_string() }
 }
--- a/standin/src/site/worker/time.rs
+++ b/standin/src/site/worker/time.rs
@@ -1,4 +1,5 @@
-//! What time does at workers: leases end, work goes on, gangs come together.
+//! Progress of the simulated workers over time: leases lapse, runs advance and end, gangs
+//! assemble.
 
 use {
     super::{GRAIN, Note, Run, World, saved},
@@ -14,15 +15,15 @@
 };
 
 impl World {
-    /// Lets time pass.
+    /// Advances virtual time to `to`.
     pub fn advance(&mut self, to: Time) {
         while self.now < to {
             let next = to.min(self.now + GRAIN);
             let ms = next.since(self.now).as_secs_f64() * 1e3;
             self.now = next;
             (0..self.workers.len()).for_each(|at| self.expire(at));
-            self.work(ms);
-            self.gangs(ms);
+            self.advance_runs(ms);
+            self.advance_gangs(ms);
         }
     }
 
@@ -35,8 +36,10 @@
             self.end_where(at, How::Lapsed, |_| true);
         }
         self.end_where(at, How::Stopped, |r| r.stops.is_some_and(|s| s <= now));
-        let sick = Duration::from_millis(300);
-        self.end_where(at, How::Failed, |r| grey && r.stops.is_none() && now >= r.since + sick);
+        let fail_after = Duration::from_millis(300);
+        self.end_where(at, How::Failed, |r| {
+            grey && r.stops.is_none() && now >= r.since + fail_after
+        });
     }
 
     pub(super) fn end_where(&mut self, at: usize, how: How, which: impl Fn(&Run) -> bool) {
@@ -45,7 +48,8 @@
         }
     }
 
-    /// Ends a run, and with it the other members of its gang.
+    /// Ends a run. If a gang member's run ends in any other way than completion, the rest of its
+    /// gang ends as broken.
     fn end(&mut self, at: usize, i: usize, how: How) {
         let run = self.workers[at].runs.remove(i);
         let (task, number) = (run.start.task, run.start.run);
@@ -68,7 +72,7 @@
         (0..self.workers.len()).for_each(|at| self.end_where(at, How::Broken, of));
     }
 
-    /// The speed of a run, as a share of a sound worker's near its data.
+    /// Speed of a run relative to a healthy worker that is near the run's data.
     fn speed(&self, at: usize, run: &Run) -> f64 {
         let w = &self.workers[at];
         let Some(step) = self.step(run.start.task.step) else { return 0.0 };
@@ -86,7 +90,7 @@
         self.step(run.start.task.step).is_some_and(|s| s.gang)
     }
 
-    fn work(&mut self, ms: f64) {
+    fn advance_runs(&mut self, ms: f64) {
         for at in 0..self.workers.len() {
             for i in (0..self.workers[at].runs.len()).rev() {
                 let run = &self.workers[at].runs[i];
@@ -98,7 +102,7 @@
         }
     }
 
-    /// Adds work to a run, and ends it where that was its last.
+    /// Adds work to a run, and ends the run once its work is complete.
     fn gain(&mut self, at: usize, i: usize, gain: f64) {
         let save = self.bounds.save.as_secs_f64() * 1e3;
         let run = &mut self.workers[at].runs[i];
@@ -117,7 +121,7 @@
         self.end(at, i, if fails { How::Failed } else { How::Done });
     }
 
-    fn gangs(&mut self, ms: f64) {
+    fn advance_gangs(&mut self, ms: f64) {
         let mut all: BTreeMap<(StepKey, u32), Vec<(usize, TaskKey)>> = BTreeMap::new();
         for (at, w) in self.workers.iter().enumerate() {
             for r in w.runs.iter().filter(|r| self.is_gang(r)) {
@@ -126,24 +130,24 @@
             }
         }
         for ((step, run), members) in all {
-            self.gang(step, run, &members, ms);
+            self.advance_gang(step, run, &members, ms);
         }
     }
 
-    fn place(&self, at: usize, task: TaskKey, run: u32) -> Option<usize> {
+    fn run_index(&self, at: usize, task: TaskKey, run: u32) -> Option<usize> {
         self.workers[at].runs.iter().position(|r| r.start.task == task && r.start.run == run)
     }
 
-    fn gang(&mut self, key: StepKey, run: u32, members: &[(usize, TaskKey)], ms: f64) {
+    fn advance_gang(&mut self, key: StepKey, run: u32, members: &[(usize, TaskKey)], ms: f64) {
         let Some(step) = self.step(key).cloned() else { return };
         let names: BTreeSet<_> = members.iter().map(|m| m.1).collect();
         if names.len() < step.count as usize {
-            return self.alone(run, members);
+            return self.end_incomplete(run, members);
         }
         let racks: BTreeSet<_> = members.iter().map(|m| &self.workers[m.0].rack).collect();
         let apart = if step.tight && racks.len() > 1 { self.bounds.remote } else { 1.0 };
         let run_of = |m: &(usize, TaskKey)| {
-            self.place(m.0, m.1, run).map(|i| (m.0, &self.workers[m.0].runs[i]))
+            self.run_index(m.0, m.1, run).map(|i| (m.0, &self.workers[m.0].runs[i]))
         };
         let speeds = members.iter().filter_map(run_of).map(|(at, r)| self.speed(at, r));
         let gain = ms * speeds.fold(f64::MAX, f64::min) / apart;
@@ -153,17 +157,17 @@
             self.notes.push(Note::Odd(format!("{key} run {run}: checkpoints {saved:?}")));
         }
         for m in members {
-            let Some(i) = self.place(m.0, m.1, run) else { continue };
+            let Some(i) = self.run_index(m.0, m.1, run) else { continue };
             self.workers[m.0].runs[i].together = true;
             self.gain(m.0, i, gain);
         }
     }
 
-    fn alone(&mut self, run: u32, members: &[(usize, TaskKey)]) {
+    fn end_incomplete(&mut self, run: u32, members: &[(usize, TaskKey)]) {
         let (now, wait) = (self.now, self.bounds.gang);
         for m in members {
             let over = |r: &Run| !r.together && r.stops.is_none() && now >= r.since + wait;
-            let Some(i) = self.place(m.0, m.1, run) else { continue };
+            let Some(i) = self.run_index(m.0, m.1, run) else { continue };
             if over(&self.workers[m.0].runs[i]) {
                 self.end(m.0, i, How::Alone);
             }
--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -17,7 +17,7 @@
     http_body_util::Full,
     hyper::Request,
     platform_standin::jobs,
-    standin::site::plan::{self, Drawn},
+    standin::site::plan::{self, DrawnJob},
     std::{
         collections::BTreeMap,
         sync::{
@@ -135,7 +135,7 @@
     }
 
     /// One caller's job, from its coming until it is over.
-    async fn job(self, drawn: Drawn) {
+    async fn job(self, drawn: DrawnJob) {
         let no = JobNo(drawn.no);
         self.count(|c| c.asked += 1);
         self.stage.with(|s| {
@@ -177,7 +177,7 @@
     }
 
     /// Hands a job in, at other members where it isn't accepted.
-    async fn hand_in(&self, drawn: &Drawn) -> Taken {
+    async fn hand_in(&self, drawn: &DrawnJob) -> Taken {
         let mut taken = Taken::Refused;
         for _ in 0..TRIES {
             match self.send("POST", drawn, jobs::job(&drawn.job)).await {
@@ -204,7 +204,7 @@
     }
 
     /// Asks how an accepted job stands until it is over.
-    async fn follow(&self, drawn: &Drawn) {
+    async fn follow(&self, drawn: &DrawnJob) {
         let (no, begin) = (JobNo(drawn.no), Instant::now());
         let lasts = drawn.job.steps.iter().any(|s| s.lasts);
         let again = drawn.again.then(|| self.draw(|r| Duration::from_millis(r.u64(500..6_000))));
@@ -254,7 +254,7 @@
     }
 
     /// Cancels a job, until a member says that it is.
-    async fn cancel(&self, drawn: &Drawn, accepted: bool) {
+    async fn cancel(&self, drawn: &DrawnJob, accepted: bool) {
         let no = JobNo(drawn.no);
         self.stage.with(|s| *s.rules.cancels.entry(no).or_insert(Time::NEVER));
         while !self.stage.broken() {
@@ -273,7 +273,7 @@
     }
 
     /// Sends a call to a member that the balancer picks; nothing where no answer comes.
-    async fn send(&self, method: &str, drawn: &Drawn, body: Bytes) -> Option<(u16, Bytes)> {
+    async fn send(&self, method: &str, drawn: &DrawnJob, body: Bytes) -> Option<(u16, Bytes)> {
         let fronts = self.members.fronts();
         let to = fronts[self.draw(|r| r.usize(0..fronts.len()))];
         let path = format!("/{}/{}", drawn.queue, JobNo(drawn.no));
