--- a/standin/src/soak.rs
+++ b/standin/src/soak.rs
@@ -1,4 +1,5 @@
-//! A soak: members as real processes, all around them in this one, and faults drawn from a seed.
+//! Runs a soak: members as real processes, their environment simulated in this process, and faults
+//! drawn from a seed. The judge checks the scheduler's guarantees during the whole run.
 
 mod callers;
 mod member;
@@ -21,30 +22,30 @@
     tokio::signal::unix::{SignalKind, signal},
 };
 
-/// How long the end of all jobs is waited for.
-const SETTLE: Duration = Duration::from_secs(120);
-/// How often what is waited for is looked at.
-const LOOK: Duration = Duration::from_millis(50);
+/// Once no more faults come, all jobs must be over within this time.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
+/// Interval between checks of whether all jobs are over.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a soak is asked for.
+/// Options of a soak.
 pub struct Options {
-    /// The seed of faults, jobs and workers.
+    /// Seed of faults, jobs and workers.
     pub seed: u64,
-    /// How long faults and jobs come.
+    /// Time during which faults and jobs are injected.
     pub length: Duration,
-    /// How many members.
+    /// Number of members.
     pub members: usize,
-    /// How many workers.
+    /// Number of workers.
     pub workers: usize,
-    /// Whether the bounds of time are judged.
+    /// Whether the judge checks the rules with a time bound.
     pub timed: bool,
-    /// Where logs and settings go.
+    /// Directory for the members' logs and settings.
     pub dir: PathBuf,
-    /// The members' binary.
+    /// Path of the members' binary.
     pub binary: PathBuf,
 }
 
-/// What a soak has found.
+/// Result of a soak.
 #[derive(Serialize)]
 struct Report {
     seed: u64,
@@ -52,14 +53,14 @@
     skipped: u64,
     counts: Counts,
     starts: u64,
-    /// The first promise that was broken.
+    /// The first breach.
     breach: Option<String>,
-    /// What the workers have seen of it, and lines of the members' logs.
+    /// Recorded worker events and lines of the members' logs that concern the breach.
     lines: Vec<String>,
     logs: PathBuf,
 }
 
-/// `standin soak`.
+/// Runs `standin soak`; errs if a rule was violated.
 pub async fn command(mut args: lexopt::Parser) -> Result<()> {
     let here = std::env::current_exe()?;
     let near = here.parent().ok_or("no directory")?;
@@ -90,7 +91,7 @@
         }
     }
     options.dir.push(format!("seed-{}-{}", options.seed, std::process::id()));
-    // Told to end, it has to end its members as well.
+    // On a signal the soak must end its members too, so it drops them instead of exiting at once.
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let report = tokio::select! {
@@ -157,10 +158,10 @@
     })
 }
 
-/// Waits in the calm until every job is over, and nothing runs any more.
+/// Waits without faults until every job is over and no run is active.
 async fn finish(stage: &Stage, callers: &Callers) {
     callers.calm();
-    let end = Instant::now() + SETTLE;
+    let end = Instant::now() + SETTLE_TIMEOUT;
     let runs = |w: &World| w.workers.iter().map(|w| w.runs.len()).sum::<usize>();
     loop {
         let (open, runs) = (callers.open(), stage.with(|s| runs(&s.world)));
@@ -173,6 +174,6 @@
             ));
             return;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: they hand jobs in, ask how they stand, cancel some, and hold the members to what they
-//! are told.
+//! Simulated callers: they submit jobs, poll their states, cancel some, and pass every answer to
+//! the judge.
 
 use {
     crate::soak::{
@@ -29,45 +29,45 @@
     tokio::time::sleep,
 };
 
-/// How long a caller waits for an answer, in milliseconds.
-const DEADLINE: u64 = 3_000;
-/// How much longer the answer may be on its way.
-const SPARE: Duration = Duration::from_millis(300);
-/// How often a job is handed in that isn't accepted.
-const TRIES: usize = 5;
-/// How much later than its call a write may be carried out.
-const LATE: Duration = Duration::from_secs(8);
-/// Workers for each job a second.
-const SHARE: f64 = 3.5;
+/// Deadline of a call, in milliseconds.
+const DEADLINE_MS: u64 = 3_000;
+/// Additional time that the client waits for an answer after the deadline.
+const ANSWER_SLACK: Duration = Duration::from_millis(300);
+/// Maximum number of submissions of a job that isn't accepted.
+const MAX_SUBMITS: usize = 5;
+/// The store may execute a delayed write this long after its call.
+const MAX_WRITE_DELAY: Duration = Duration::from_secs(8);
+/// Number of workers for each job a second; it sets the rate of submissions.
+const WORKERS_PER_RATE: f64 = 3.5;
 
-/// All callers.
+/// All callers of a soak.
 #[derive(Clone)]
 pub struct Callers {
     stage: Stage,
     members: Members,
-    /// How many workers there are.
+    /// Number of workers.
     workers: usize,
     client: Client,
     counts: Arc<Mutex<Counts>>,
-    /// Jobs that aren't over, and what is waited for.
+    /// Jobs that aren't over, with a description of what each waits for.
     open: Arc<Mutex<BTreeMap<JobNo, String>>>,
-    /// Counts the waves of cancels.
+    /// Number of cancel waves so far.
     wave: Arc<AtomicU64>,
     calm: Arc<AtomicBool>,
     rng: Arc<Mutex<fastrand::Rng>>,
 }
 
-/// What came of handing a job in.
+/// Result of submitting a job.
 #[derive(Clone, Copy, PartialEq)]
-enum Taken {
+enum Submission {
     Accepted,
-    /// Each time it was told that the job never runs.
+    /// Every answer promised that the job never runs.
     Refused,
     Unclear,
 }
 
 impl Callers {
-    /// Callers that have asked for nothing yet.
+    /// Creates the callers without any jobs.
     pub fn new(stage: &Stage, members: &Members, options: &Options) -> Self {
         Callers {
             stage: stage.clone(),
@@ -90,24 +90,24 @@
         what(&mut self.counts.lock().expect("no holder panics"));
     }
 
-    /// What was counted.
+    /// Returns the counters.
     pub fn counts(&self) -> Counts {
         *self.counts.lock().expect("no holder panics")
     }
 
-    /// Jobs that aren't over, and what is waited for.
+    /// Jobs that aren't over, with a description of what each waits for.
     pub fn open(&self) -> Vec<(JobNo, String)> {
         let open = self.open.lock().expect("no holder panics");
         open.iter().map(|(job, what)| (*job, what.clone())).collect()
     }
 
-    fn waits(&self, job: JobNo, what: String) {
+    fn set_waiting(&self, job: JobNo, what: String) {
         self.open.lock().expect("no holder panics").insert(job, what);
     }
 
-    /// Jobs come until a time.
+    /// Submits jobs at random intervals until a time.
     pub async fn come(&self, until: Instant) {
-        let mean = 1e3 * SHARE / self.workers as f64;
+        let mean = 1e3 * WORKERS_PER_RATE / self.workers as f64;
         while Instant::now() < until {
             let gap = self.draw(|r| r.f64()) * 2.0 * mean;
             sleep(Duration::from_millis(gap as u64)).await;
@@ -115,26 +115,27 @@
         }
     }
 
-    /// So many jobs come at once.
+    /// Submits `count` jobs at once.
     pub fn burst(&self, count: u32) {
         for _ in 0..count {
             let drawn = self.draw(|r| plan::draw(r, self.workers, unix()));
-            self.waits(JobNo(drawn.no), "its acceptance".into());
+            self.set_waiting(JobNo(drawn.no), "its acceptance".into());
             tokio::spawn(self.clone().job(drawn));
         }
     }
 
-    /// Half of the jobs are cancelled.
+    /// Starts a cancel wave: each open job is cancelled with a probability of one half.
     pub fn cancels(&self) {
         self.wave.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// From now on nothing is amiss; what lasts is cancelled.
+    /// Records that no more faults come. Jobs with long-running tasks are cancelled then, since
+    /// they would never end.
     pub fn calm(&self) {
         self.calm.store(true, Ordering::Relaxed);
     }
 
-    /// One caller's job, from its coming until it is over.
+    /// Handles one job from its submission until it is over.
     async fn job(self, drawn: DrawnJob) {
         let no = JobNo(drawn.no);
         self.count(|c| c.asked += 1);
@@ -145,20 +146,20 @@
                 s.world.hopeless.insert((no, drawn.job.steps.len() as u16 - 1));
             }
         });
-        match self.hand_in(&drawn).await {
-            Taken::Accepted => {
+        match self.submit(&drawn).await {
+            Submission::Accepted => {
                 self.count(|c| c.accepted += 1);
                 self.follow(&drawn).await;
             }
-            Taken::Refused => {
+            Submission::Refused => {
                 self.count(|c| c.refused += 1);
                 self.judge(|s| s.rules.refused(s.world.now, no));
             }
-            Taken::Unclear => {
+            Submission::Unclear => {
                 self.count(|c| c.unclear += 1);
-                self.waits(no, "a cancel, its acceptance is unclear".into());
+                self.set_waiting(no, "a cancel, its acceptance is unclear".into());
                 self.cancel(&drawn, false).await;
-                sleep(LATE).await;
+                sleep(MAX_WRITE_DELAY).await;
                 self.cancel(&drawn, false).await;
             }
         }
@@ -176,14 +177,14 @@
         });
     }
 
-    /// Hands a job in, at other members where it isn't accepted.
-    async fn hand_in(&self, drawn: &DrawnJob) -> Taken {
-        let mut taken = Taken::Refused;
-        for _ in 0..TRIES {
+    /// Submits a job, at several members if it isn't accepted.
+    async fn submit(&self, drawn: &DrawnJob) -> Submission {
+        let mut submission = Submission::Refused;
+        for _ in 0..MAX_SUBMITS {
             match self.send("POST", drawn, jobs::job(&drawn.job)).await {
                 Some((200..=299, _)) => {
                     self.judge(|s| s.rules.accepted(s.world.now, JobNo(drawn.no)));
-                    return Taken::Accepted;
+                    return Submission::Accepted;
                 }
                 Some((429 | 503, _)) => {}
                 Some((404, _)) => {
@@ -191,11 +192,11 @@
                     self.stage
                         .broke(format!("job {no}: no queue {}, and it is there", drawn.queue));
                 }
-                _ => taken = Taken::Unclear,
+                _ => submission = Submission::Unclear,
             }
             self.pause(100, 700).await;
         }
-        taken
+        submission
     }
 
     async fn pause(&self, least: u64, most: u64) {
@@ -203,7 +204,7 @@
         sleep(Duration::from_millis(ms)).await;
     }
 
-    /// Asks how an accepted job stands until it is over.
+    /// Polls the state of an accepted job until it is over.
     async fn follow(&self, drawn: &DrawnJob) {
         let (no, begin) = (JobNo(drawn.no), Instant::now());
         let lasts = drawn.job.steps.iter().any(|s| s.lasts);
@@ -212,12 +213,12 @@
         let (mut cancelled, mut state) = (false, None);
         loop {
             let calm = self.calm.load(Ordering::Relaxed);
-            let newest = self.wave.load(Ordering::Relaxed);
-            let swept = std::mem::replace(&mut wave, newest) != newest && self.draw(|r| r.bool());
+            let latest = self.wave.load(Ordering::Relaxed);
+            let in_wave = std::mem::replace(&mut wave, latest) != latest && self.draw(|r| r.bool());
             let due = drawn.cancel.is_some_and(|c| begin.elapsed() >= c);
-            if !cancelled && (due || swept || (calm && lasts)) {
+            if !cancelled && (due || in_wave || (calm && lasts)) {
                 cancelled = true;
-                self.waits(no, "its cancel".into());
+                self.set_waiting(no, "its cancel".into());
                 self.cancel(drawn, true).await;
             }
             if again.is_some_and(|a| begin.elapsed() >= a) {
@@ -238,7 +239,10 @@
             }
             let (queue, steps) = (drawn.queue, &drawn.job.steps);
             let last = state.map_or("nothing".into(), |s| s.to_string());
-            self.waits(no, format!("{queue}, cancelled: {cancelled}, told: {last}, {steps:?}"));
+            self.set_waiting(
+                no,
+                format!("{queue}, cancelled: {cancelled}, told: {last}, {steps:?}"),
+            );
             if let Some(state) = state.filter(|s| s.over() && again.is_none()) {
                 return self.count(|c| match state {
                     State::Done => c.done += 1,
@@ -253,7 +257,7 @@
         }
     }
 
-    /// Cancels a job, until a member says that it is.
+    /// Sends cancels of a job until a member confirms one.
     async fn cancel(&self, drawn: &DrawnJob, accepted: bool) {
         let no = JobNo(drawn.no);
         self.stage.with(|s| *s.rules.cancels.entry(no).or_insert(Time::NEVER));
@@ -272,7 +276,7 @@
         }
     }
 
-    /// Sends a call to a member that the balancer picks; nothing where no answer comes.
+    /// Sends a call to a member that the balancer selects. Returns `None` if no answer arrives.
     async fn send(&self, method: &str, drawn: &DrawnJob, body: Bytes) -> Option<(u16, Bytes)> {
         let fronts = self.members.fronts();
         let to = fronts[self.draw(|r| r.usize(0..fronts.len()))];
@@ -281,11 +285,11 @@
             .method(method)
             .uri(uri(to, &path))
             .header("content-type", "application/json")
-            .header(jobs::DEADLINE, DEADLINE.to_string())
+            .header(jobs::DEADLINE, DEADLINE_MS.to_string())
             .body(Full::new(body))
             .ok()?;
         self.count(|c| c.calls += 1);
-        match self.client.send(ask, Duration::from_millis(DEADLINE) + SPARE).await {
+        match self.client.send(ask, Duration::from_millis(DEADLINE_MS) + ANSWER_SLACK).await {
             Ok((head, body)) => Some((head.status.as_u16(), body)),
             Err(_) => {
                 self.count(|c| c.unanswered += 1);
--- a/standin/src/soak/member.rs
+++ b/standin/src/soak/member.rs
@@ -1,4 +1,6 @@
-//! The members: real processes of the shipped binary, each with links to the store and from callers.
+//! The members: real processes of the shipped binary, each with a controllable link to the store
+//! and with_member from the callers. Also simulates the load balancer that selects members by their
+//! readiness.
 
 use {
     crate::{
@@ -26,33 +28,33 @@
     tokio::time::sleep,
 };
 
-/// How often the balancer asks whether members are ready.
-const ASK: Duration = Duration::from_millis(500);
-/// How long it waits.
-const WAIT: Duration = Duration::from_millis(900);
-/// How long the first start may take.
-const START: Duration = Duration::from_secs(60);
-/// How much longer than the grace a stop may take here.
-const SPARE: Duration = Duration::from_secs(2);
-/// The most lines of a log that are shown.
-const LINES: usize = 40;
+/// Interval between the balancer's readiness checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Time-out of a readiness check.
+const POLL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time within which all members must become ready at first.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// Additional time that a stop may take beyond the grace period, for a busy machine.
+const STOP_SLACK: Duration = Duration::from_secs(2);
+/// Maximum number of lines of a member's log in the report.
+const MAX_LOG_LINES: usize = 40;
 
-/// One member.
+/// A member process and its links.
 struct Member {
     child: Option<Child>,
-    /// Whether it is meant to run.
+    /// Whether the process should be running.
     wanted: bool,
-    /// Whether a fault plays with it.
+    /// Whether a fault controls the process now.
     busy: bool,
     ready: bool,
     site: Site,
     store: Link,
     callers: Link,
-    /// Where callers come in, through the link.
+    /// Address at which callers reach the member, through the link.
     front: SocketAddr,
 }
 
-/// All members.
+/// All members of a soak.
 #[derive(Clone)]
 pub struct Members {
     all: Arc<Mutex<Vec<Member>>>,
@@ -60,21 +62,22 @@
     dir: Arc<Path>,
 }
 
-/// The address of a member: outgoing connections of this machine come from another one, and so
-/// can't take a member's port while it is down. Soaks that run side by side have their own.
+/// The loopback address of a member. It differs from the source address of this machine's outgoing
+/// connections, so these can't take a member's port while the member is down. It depends on the
+/// process id, so soaks that run side by side use different addresses.
 fn ip(member: usize) -> IpAddr {
     let part = |n: u32| u8::try_from(n % 250).unwrap_or_default() + 1;
     let (id, last) = (process::id(), u8::try_from(member + 1).unwrap_or(u8::MAX));
     IpAddr::V4(Ipv4Addr::new(127, part(id), part(id / 250), last))
 }
 
-/// The member that has this address.
+/// The index of the member with this address.
 pub fn place(ip: IpAddr) -> Option<usize> {
     let IpAddr::V4(ip) = ip else { return None };
     usize::from(ip.octets()[3]).checked_sub(1)
 }
 
-/// Four free ports of an address, rising.
+/// Finds four free ports at an address, in ascending order.
 fn free(ip: IpAddr) -> Result<Vec<SocketAddr>> {
     let bound: Vec<TcpListener> =
         (0..4).map(|_| TcpListener::bind((ip, 0))).collect::<std::io::Result<_>>()?;
@@ -85,7 +88,7 @@
 }
 
 impl Members {
-    /// Starts all, and waits until they are ready.
+    /// Starts all members and waits until they are ready. Errs if they don't become ready in time.
     pub async fn start(options: &Options, stage: &Stage, serving: &Serving) -> Result<Self> {
         let mut all = Vec::new();
         for no in 0..options.members {
@@ -120,18 +123,18 @@
             members.begin(no)?;
         }
         tokio::spawn(members.clone().watch(stage.clone()));
-        let end = Instant::now() + START;
+        let end = Instant::now() + START_TIMEOUT;
         while members.ready().len() < options.members {
             if Instant::now() > end || stage.broken() {
                 return Err("the members don't get ready".into());
             }
-            sleep(ASK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(members)
     }
 
-    fn one<T>(&self, no: usize, deed: impl FnOnce(&mut Member) -> T) -> T {
-        deed(&mut self.all.lock().expect("no holder panics")[no])
+    fn with_member<T>(&self, no: usize, f: impl FnOnce(&mut Member) -> T) -> T {
+        f(&mut self.all.lock().expect("no holder panics")[no])
     }
 
     fn log(&self, no: usize) -> PathBuf {
@@ -142,7 +145,7 @@
     pub fn begin(&self, no: usize) -> Result<()> {
         let path = self.dir.join(format!("member-{no}.conf"));
         let log = OpenOptions::new().create(true).append(true).open(self.log(no))?;
-        self.one(no, |m| {
+        self.with_member(no, |m| {
             fs::write(&path, settings::write(&m.site))?;
             let child = Command::new(&*self.binary)
                 .arg("serve")
@@ -156,19 +159,20 @@
         })
     }
 
-    /// Takes a member for a fault; only one plays with it at a time.
+    /// Acquires a member's process for a fault; only with_member fault at a time may control it. Returns
+    /// whether it was free.
     pub fn take(&self, no: usize) -> bool {
-        self.one(no, |m| !std::mem::replace(&mut m.busy, true))
+        self.with_member(no, |m| !std::mem::replace(&mut m.busy, true))
     }
 
-    /// Gives it back.
+    /// Releases a member that was acquired with [`Members::take`].
     pub fn give(&self, no: usize) {
-        self.one(no, |m| m.busy = false);
+        self.with_member(no, |m| m.busy = false);
     }
 
     /// Kills a member's process.
     pub fn kill(&self, no: usize) {
-        self.one(no, |m| {
+        self.with_member(no, |m| {
             m.wanted = false;
             m.ready = false;
             if let Some(mut child) = m.child.take() {
@@ -177,19 +181,19 @@
         });
     }
 
-    /// Sends a signal, like `STOP`.
+    /// Sends a signal, such as `STOP`, to a member's process.
     pub fn signal(&self, no: usize, name: &str) {
-        let Some(id) = self.one(no, |m| m.child.as_ref().map(Child::id)) else { return };
+        let Some(id) = self.with_member(no, |m| m.child.as_ref().map(Child::id)) else { return };
         let _ = Command::new("kill").args([&format!("-{name}"), &id.to_string()]).status();
     }
 
-    /// Tells a member to end, and waits for it.
+    /// Shuts a member down with `TERM` and waits for its end. A failure or a time-out is a breach.
     pub async fn stop(&self, no: usize, stage: &Stage) {
-        self.one(no, |m| m.wanted = false);
+        self.with_member(no, |m| m.wanted = false);
         self.signal(no, "TERM");
-        let end = Instant::now() + setup::bounds().grace + SPARE;
+        let end = Instant::now() + setup::bounds().grace + STOP_SLACK;
         loop {
-            let ended = self.one(no, |m| match m.child.as_mut().map(Child::try_wait) {
+            let ended = self.with_member(no, |m| match m.child.as_mut().map(Child::try_wait) {
                 None => Some(None),
                 Some(Ok(Some(status))) => Some(Some(status)),
                 Some(_) => None,
@@ -212,12 +216,12 @@
         self.kill(no);
     }
 
-    /// Gives a member other addresses.
+    /// Assigns new addresses to a member.
     pub async fn renew(&self, no: usize) -> Result<()> {
         let at = free(ip(no))?;
         let callers = Link::new(at[0]);
         let front = callers.listen().await?;
-        self.one(no, |m| {
+        self.with_member(no, |m| {
             (m.site.callers, m.site.ready) = (at[0], at[1]);
             (m.site.control, m.site.metrics) = (at[2], [at[3]].into());
             m.callers.set(Mode::Cut);
@@ -226,46 +230,47 @@
         Ok(())
     }
 
-    /// Sets what becomes of a member's connections to the store.
+    /// Sets the mode of a member's link to the store.
     pub fn link_store(&self, no: usize, mode: Mode) {
-        self.one(no, |m| m.store.set(mode));
+        self.with_member(no, |m| m.store.set(mode));
     }
 
-    /// Sets what becomes of callers' connections to a member.
+    /// Sets the mode of the callers' link to a member.
     pub fn link_callers(&self, no: usize, mode: Mode) {
-        self.one(no, |m| m.callers.set(mode));
+        self.with_member(no, |m| m.callers.set(mode));
     }
 
-    /// Where callers come in at members that are ready.
+    /// Caller addresses of the members that are ready.
     pub fn ready(&self) -> Vec<SocketAddr> {
         let all = self.all.lock().expect("no holder panics");
         all.iter().filter(|m| m.ready).map(|m| m.front).collect()
     }
 
-    /// Where the balancer sends callers: fewer than half ready, and it takes all.
+    /// Addresses among which the balancer selects: those of the ready members, or of all members if
+    /// fewer than half are ready.
     pub fn fronts(&self) -> Vec<SocketAddr> {
         let ready = self.ready();
         let all = self.all.lock().expect("no holder panics");
         if ready.len() * 2 < all.len() { all.iter().map(|m| m.front).collect() } else { ready }
     }
 
-    /// Asks whether members are ready, and sees those that end by themselves.
+    /// Polls the readiness of all members, and reports a breach if a process ends that should run.
     async fn watch(self, stage: Stage) {
         let (client, count) = (Client::new(2), self.all.lock().expect("no holder panics").len());
-        let mut misses = vec![0; count];
+        let mut failures = vec![0; count];
         loop {
-            for (no, missed) in misses.iter_mut().enumerate() {
-                let at = self.one(no, |m| m.site.ready);
+            for (no, failed) in failures.iter_mut().enumerate() {
+                let at = self.with_member(no, |m| m.site.ready);
                 let ask = Request::get(uri(at, jobs::READY)).body(Full::default());
                 let answer = match ask {
-                    Ok(ask) => client.send(ask, WAIT).await.ok(),
+                    Ok(ask) => client.send(ask, POLL_TIMEOUT).await.ok(),
                     Err(_) => None,
                 };
                 let ready = answer.is_some_and(|(head, _)| head.status == 200);
-                *missed = if ready { 0 } else { *missed + 1 };
-                let (out, back) = (*missed >= 2, ready);
-                let ended = self.one(no, |m| {
-                    m.ready = back || (m.ready && !out);
+                *failed = if ready { 0 } else { *failed + 1 };
+                let (unready, ready_again) = (*failed >= 2, ready);
+                let ended = self.with_member(no, |m| {
+                    m.ready = ready_again || (m.ready && !unready);
                     let ended = m.child.as_mut().and_then(|c| c.try_wait().ok()).flatten();
                     ended.filter(|_| m.wanted)
                 });
@@ -274,11 +279,11 @@
                     return;
                 }
             }
-            sleep(ASK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Tells all to end.
+    /// Shuts all members down, or kills them after a breach.
     pub async fn end(&self, stage: &Stage) {
         let count = self.all.lock().expect("no holder panics").len();
         for no in 0..count {
@@ -287,7 +292,7 @@
         }
     }
 
-    /// Lines of the logs that name the job that a text names.
+    /// Log lines that contain the job number in `text`.
     pub fn lines(&self, text: &str) -> Vec<String> {
         let words = text.split(|c: char| !c.is_ascii_hexdigit());
         let Some(job) = words.into_iter().find(|w| w.len() == 16) else { return Vec::new() };
@@ -295,7 +300,7 @@
         let of = |no: usize| {
             let log = fs::read_to_string(self.log(no)).unwrap_or_default();
             let named = log.lines().filter(|l| l.contains(job));
-            named.take(LINES).map(|l| format!("{no} {l}")).collect::<Vec<_>>()
+            named.take(MAX_LOG_LINES).map(|l| format!("{no} {l}")).collect::<Vec<_>>()
         };
         (0..count).flat_map(of).collect()
     }
--- a/standin/src/soak/play.rs
+++ b/standin/src/soak/play.rs
@@ -1,4 +1,4 @@
-//! Plays the faults of a plan.
+//! Injects the planned faults at their times and ends each after its duration.
 
 use {
     crate::{
@@ -29,12 +29,12 @@
     },
 };
 
-/// How long a worker's address stands empty after one has left.
-const EMPTY: Duration = Duration::from_millis(700);
-/// The time between two configurations of a storm.
-const STORM: Duration = Duration::from_millis(60);
+/// Time between a worker's departure and the start of its replacement at the same address.
+const REPLACE_DELAY: Duration = Duration::from_millis(700);
+/// Time between two configurations of [`Fault::Storm`].
+const STORM_INTERVAL: Duration = Duration::from_millis(60);
 
-/// What faults are played with.
+/// The parts of the soak that faults act on.
 #[derive(Clone)]
 pub struct Play {
     stage: Stage,
@@ -45,7 +45,7 @@
 }
 
 impl Play {
-    /// Nothing is amiss yet.
+    /// Creates a player without active faults.
     pub fn new(stage: &Stage, members: &Members, serving: Serving, callers: &Callers) -> Self {
         Play {
             stage: stage.clone(),
@@ -56,12 +56,12 @@
         }
     }
 
-    /// How many faults could not be played, as another one played with the same member.
+    /// Number of faults that were skipped because another fault controlled the same member.
     pub fn skipped(&self) -> u64 {
         self.skipped.load(Ordering::Relaxed)
     }
 
-    /// Plays all faults in their time; all are over at `end`.
+    /// Spawns a task for each fault. All faults are over at `end`.
     pub fn start(&self, faults: &[Planned], begin: Instant, end: Instant) -> JoinSet<()> {
         let mut all = JoinSet::new();
         for planned in faults.iter().copied() {
@@ -77,8 +77,8 @@
         all
     }
 
-    fn set(&self, deed: impl FnOnce(&mut State)) {
-        self.stage.with(deed);
+    fn set(&self, f: impl FnOnce(&mut State)) {
+        self.stage.with(f);
     }
 
     async fn one(&self, fault: Fault, until: Instant) {
@@ -104,24 +104,24 @@
                 }
             }
             Fault::KillAll => {
-                let mine = self.take_all();
-                mine.iter().for_each(|m| self.members.kill(*m));
+                let members = self.take_all();
+                members.iter().for_each(|m| self.members.kill(*m));
                 sleep_until(until.into()).await;
-                mine.iter().for_each(|m| self.begin(*m));
-                mine.iter().for_each(|m| self.members.give(*m));
+                members.iter().for_each(|m| self.begin(*m));
+                members.iter().for_each(|m| self.members.give(*m));
             }
             Fault::FreezeAll => {
-                let mine = self.take_all();
-                mine.iter().for_each(|m| self.members.signal(*m, "STOP"));
+                let members = self.take_all();
+                members.iter().for_each(|m| self.members.signal(*m, "STOP"));
                 sleep_until(until.into()).await;
-                mine.iter().for_each(|m| self.members.signal(*m, "CONT"));
-                mine.iter().for_each(|m| self.members.give(*m));
+                members.iter().for_each(|m| self.members.signal(*m, "CONT"));
+                members.iter().for_each(|m| self.members.give(*m));
             }
             Fault::Reload(m) => self.members.signal(m, "HUP"),
             Fault::Storm(count) => {
                 for _ in 0..count {
                     self.configure();
-                    sleep(STORM).await;
+                    sleep(STORM_INTERVAL).await;
                 }
             }
             Fault::Config => self.configure(),
@@ -137,12 +137,12 @@
         }
     }
 
-    /// Takes all members with which no other fault plays.
+    /// Acquires all members that no other fault controls.
     fn take_all(&self) -> Vec<usize> {
         (0..self.serving.stores.len()).filter(|m| self.members.take(*m)).collect()
     }
 
-    /// A member's process ends or stands still.
+    /// Kills, stops, suspends or replaces a member's process.
     async fn process(&self, fault: Fault, m: usize, until: Instant) {
         match fault {
             Fault::Freeze(_) => {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// What begins and ends by setting something.
+    /// Begins or ends a fault that is a mode of a link or of the simulated environment.
     fn toggle(&self, fault: Fault, on: bool) {
         let cut = if on { LinkMode::Cut } else { LinkMode::Open };
         let silent = if on { LinkMode::Silent } else { LinkMode::Open };
@@ -182,7 +182,7 @@
         }
     }
 
-    /// The next version of the configuration, with a little more time for each job.
+    /// Writes the next version of the configuration, which gives each queue a little more slack.
     fn configure(&self) {
         self.set(|s| {
             let mut queues = (*s.world.queues).clone();
@@ -204,7 +204,8 @@
         self.set(|s| s.world.workers[w].up = true);
     }
 
-    /// A worker says that it leaves, goes after its time, and another comes at its address.
+    /// A worker announces that it leaves and departs after its notice; another one replaces it at
+    /// its address.
     async fn leave(&self, w: usize, until: Instant) {
         let id = self.stage.with(|s| {
             s.world.workers[w].draining = Some(s.world.now);
@@ -220,14 +221,14 @@
             s.world.crash(w);
             s.store.remove(&lists::key(&gone));
         });
-        sleep(EMPTY).await;
+        sleep(REPLACE_DELAY).await;
         self.serving.links[w].set(LinkMode::Open);
         self.set(|s| s.world.workers[w].up = true);
     }
 }
 
 impl State {
-    /// Begins or ends a fault of the store, the advice or a worker.
+    /// Begins or ends a fault of the store, the advice service or a worker.
     fn toggle(&mut self, fault: Fault, on: bool) {
         match fault {
             Fault::CutWorkers(m) => switch(&mut self.apart, m, on),
--- a/standin/src/soak/serve.rs
+++ b/standin/src/soak/serve.rs
@@ -1,5 +1,5 @@
-//! The servers around the members: the store and the advice with a listener for each member, the
-//! workers with a link before each, and the list of VMs.
+//! The simulated servers that members call: the store and the advice service with a listener for
+//! each member, the workers with a link in front of each, and the VM list.
 
 use {
     crate::{
@@ -27,22 +27,22 @@
     tokio::time::{sleep, timeout},
 };
 
-/// How often workers report themselves.
-const BEAT: Duration = Duration::from_millis(500);
-/// How long a silent worker stays in the list.
-const SILENT: Duration = Duration::from_millis(1_500);
-/// How often a hold looks for an end.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between a worker's heartbeats in the store.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// A worker without a heartbeat for this long is removed from the list.
+const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
+/// Interval at which a pending hold call checks for ended runs.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Where the members find what is around them.
+/// Addresses and links of the servers.
 pub struct Serving {
-    /// The store, for each member.
+    /// Address of the store for each member.
     pub stores: Vec<SocketAddr>,
-    /// The advice, for each member.
+    /// Address of the advice service for each member.
     pub advice: Vec<SocketAddr>,
-    /// The list of VMs.
+    /// Address of the VM list.
     pub vms: SocketAddr,
-    /// What lies before each worker.
+    /// The link in front of each worker.
     pub links: Vec<Link>,
 }
 
@@ -99,9 +99,9 @@
     answer(status, body)
 }
 
-/// The workers report themselves.
+/// Writes the workers' heartbeats and removes the entries of silent workers.
 async fn beat(stage: Stage, addrs: Vec<SocketAddr>) {
-    let mut heard: BTreeMap<WorkerId, Instant> = BTreeMap::new();
+    let mut last_heartbeats: BTreeMap<WorkerId, Instant> = BTreeMap::new();
     for count in 1.. {
         stage.with(|s| {
             for (at, addr) in addrs.iter().enumerate() {
@@ -111,17 +111,17 @@
                 }
                 let mut listed = s.world.listed(at);
                 listed.addr = *addr;
-                heard.insert(listed.id.clone(), Instant::now());
+                last_heartbeats.insert(listed.id.clone(), Instant::now());
                 s.store.put(lists::key(&listed.id), lists::listed(&listed, count));
             }
-            let silent = |seen: &Instant| seen.elapsed() > SILENT;
-            heard
+            let silent = |seen: &Instant| seen.elapsed() > SILENCE_LIMIT;
+            last_heartbeats
                 .iter()
                 .filter(|(_, t)| silent(t))
                 .for_each(|(w, _)| s.store.remove(&lists::key(w)));
-            heard.retain(|_, t| !silent(t));
+            last_heartbeats.retain(|_, t| !silent(t));
         });
-        sleep(BEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
@@ -152,14 +152,14 @@
     };
     loop {
         let moved = stage.moved.notified();
-        let (told, rev, dead) = stage.with(|s| {
-            let dead = s.store.mode == Mode::Down || s.refusing.contains(&member);
-            let told = if dead { None } else { s.store.call(&call, s.world.now) };
-            (told, s.store.rev, dead)
+        let (reply, rev, unserved) = stage.with(|s| {
+            let unserved = s.store.mode == Mode::Down || s.refusing.contains(&member);
+            let reply = if unserved { None } else { s.store.call(&call, s.world.now) };
+            (reply, s.store.rev, unserved)
         });
-        match told {
-            _ if dead => return pending().await,
-            Some(told) => return told,
+        match reply {
+            _ if unserved => return pending().await,
+            Some(reply) => return reply,
             None if Instant::now() >= end => return StoreReply::Events(Vec::new(), rev),
             None => {}
         }
@@ -186,8 +186,8 @@
 }
 
 async fn ask_worker(stage: &Stage, at: usize, head: &Parts, body: &Bytes) -> Answer {
-    let life = head.headers.get(worker::LIFE).and_then(|v| v.to_str().ok()).unwrap_or("");
-    let life = WorkerId::from(life);
+    let incarnation = head.headers.get(worker::LIFE).and_then(|v| v.to_str().ok()).unwrap_or("");
+    let incarnation = WorkerId::from(incarnation);
     let Some(call) = worker::call(head.uri.path(), body) else { return BAD };
     let token = match &call {
         WorkerCall::Start(start) => start.token,
@@ -206,37 +206,38 @@
         let stage = stage.clone();
         tokio::spawn(async move {
             sleep(wait).await;
-            stage.with(|s| s.world.call(at, &life, &call, true));
+            stage.with(|s| s.world.call(at, &incarnation, &call, true));
         });
         return pending().await;
     }
-    let Some(reply) = stage.with(|s| s.world.call(at, &life, &call, false)) else {
+    let Some(reply) = stage.with(|s| s.world.call(at, &incarnation, &call, false)) else {
         return pending().await;
     };
     match (&call, &reply) {
         (WorkerCall::Hold { wait, .. }, WorkerReply::Held(held)) if held.ended.is_empty() => {
-            worker::answer(&hold(stage, at, &life, token, *wait).await)
+            worker::answer(&hold(stage, at, &incarnation, token, *wait).await)
         }
         _ => worker::answer(&reply),
     }
 }
 
-/// A hold waits for an end.
+/// Waits until a run ends at the worker or `wait` is over, and answers the hold call.
 async fn hold(
     stage: &Stage,
     at: usize,
-    life: &WorkerId,
+    incarnation: &WorkerId,
     token: u64,
     wait: Duration,
 ) -> WorkerReply {
     let end = Instant::now() + wait;
     while Instant::now() < end && !stage.look(|s| s.world.has_ended(at)) {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     let held = stage.with(|s| {
         let w = &s.world.workers[at];
-        let heard = w.up && !w.cut && !w.hung && s.world.id(at) == *life && !s.is_apart(token);
-        heard.then(|| s.world.held(at))
+        let reachable =
+            w.up && !w.cut && !w.hung && s.world.id(at) == *incarnation && !s.is_apart(token);
+        reachable.then(|| s.world.held(at))
     });
     match held {
         Some(held) => WorkerReply::Held(held),
--- a/standin/src/soak/stage.rs
+++ b/standin/src/soak/stage.rs
@@ -1,4 +1,6 @@
-//! What all around the members share: workers, store, advice and the judge, under one lock.
+//! The state that all simulated servers and callers share: workers, store, advice service and the
+//! judge, under one lock. Each access first advances the time and is followed by the judge's
+//! checks.
 
 use {
     crate::soak::Options,
@@ -26,16 +28,16 @@
     tokio::sync::Notify,
 };
 
-/// The shard; so few workers have one.
+/// The only shard: a soak has too few workers for more.
 const SHARD: ShardNo = ShardNo(0);
-/// How much of what workers have seen is remembered.
-const SEEN: usize = 20_000;
-/// The share of workers that advice allows, in hundredths; each gang finds enough of them.
-const GOOD: u64 = 80;
-/// How often the workers' time goes on.
+/// Maximum number of recorded events.
+const MAX_EVENTS: usize = 20_000;
+/// Percentage of workers that the advice service allows for a step; enough for every gang.
+const ADVISED_PERCENT: u64 = 80;
+/// Interval at which the workers' time advances.
 const TICK: Duration = Duration::from_millis(10);
 
-/// How jobs ended.
+/// Counters of jobs and calls.
 #[derive(Clone, Copy, Debug, Default, Display, Serialize)]
 #[display(
     "{asked} jobs: {accepted} accepted, {refused} refused, {unclear} unclear; {done} done, {failed} failed, {cancelled} cancelled; {calls} calls, {unanswered} without an answer"
@@ -52,47 +54,47 @@
     pub unanswered: u64,
 }
 
-/// What the members deal with.
+/// The simulated environment of the members.
 pub struct State {
     pub world: World,
     pub store: Store,
     pub rules: Rules,
-    /// The first promise that was broken.
+    /// The first breach.
     pub breach: Option<Breach>,
-    /// Of so many orders one is carried out late; 0 is none.
+    /// One in this number of orders is executed late; 0 means none.
     pub late: u32,
-    /// Members that the store refuses.
+    /// Members whose calls the store refuses.
     pub refusing: BTreeSet<usize>,
-    /// Members that are cut off from workers.
+    /// Members that are cut off from the workers.
     pub apart: BTreeSet<usize>,
-    /// How much longer the store takes.
+    /// Additional latency of the store.
     pub slow: Duration,
-    /// Faults that go on now.
+    /// Number of active faults.
     pub faults: usize,
     pub rng: fastrand::Rng,
-    /// What workers have seen, with the job that it is about.
+    /// Recorded events of workers, each with its job.
     seen: VecDeque<(JobNo, String)>,
-    /// Which member took over with which token.
+    /// The member that took over the shard with each token.
     owners: BTreeMap<u64, usize>,
 }
 
-/// The state, and who waits for its changes.
+/// Handle to the shared state, with a notification for changes of the store.
 #[derive(Clone)]
 pub struct Stage {
     begin: Instant,
     state: Arc<Mutex<State>>,
-    /// Told at each change of the store.
+    /// Notified at each change of the store.
     pub moved: Arc<Notify>,
 }
 
 impl Stage {
-    /// A stage before the first member.
+    /// Creates the state and spawns the task that advances the workers' time.
     pub fn new(options: &Options) -> Self {
         let (seed, queues) = (options.seed, setup::queues());
         let workers = setup::workers(options.workers);
         let mut world = World::new(seed, setup::bounds(), queues, workers);
         world.spread = 0.2;
-        world.advice.share = GOOD;
+        world.advice.share = ADVISED_PERCENT;
         let mut rules = Rules::new(seed);
         rules.timed = options.timed;
         rules.unix = unix();
@@ -126,20 +128,20 @@
         stage
     }
 
-    /// The present time.
+    /// Time since the start of the soak.
     pub fn now(&self) -> Time {
         Time(u64::try_from(self.begin.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Does something at the present time, and judges what followed.
-    pub fn with<T>(&self, deed: impl FnOnce(&mut State) -> T) -> T {
+    /// Advances the state to the present time, calls `f` and runs the judge's checks.
+    pub fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state.lock().expect("no holder panics");
         let rev = state.store.rev;
         let now = self.now();
         state.world.advance(now);
         let now = state.world.now;
         state.store.lapse(now);
-        let done = deed(&mut state);
+        let done = f(&mut state);
         state.judge();
         let moved = state.store.rev != rev;
         drop(state);
@@ -149,17 +151,17 @@
         done
     }
 
-    /// Looks at something as it was last.
-    pub fn look<T>(&self, deed: impl FnOnce(&State) -> T) -> T {
-        deed(&self.state.lock().expect("no holder panics"))
+    /// Reads the state as of the last update, without advancing the time.
+    pub fn look<T>(&self, f: impl FnOnce(&State) -> T) -> T {
+        f(&self.state.lock().expect("no holder panics"))
     }
 
-    /// Whether a promise was broken.
+    /// Whether there was a breach.
     pub fn broken(&self) -> bool {
         self.look(|s| s.breach.is_some())
     }
 
-    /// A promise was broken that the rules don't know.
+    /// Records a breach that [`Rules`] can't detect.
     pub fn broke(&self, text: String) {
         self.with(|s| {
             let breach = Breach { seed: s.rules.seed, at: s.world.now, text: text.into() };
@@ -167,7 +169,7 @@
         });
     }
 
-    /// Waits for something, or until a promise is broken.
+    /// Waits until `what` completes or there is a breach.
     pub async fn until_broken(&self, what: impl Future<Output = ()>) {
         let broken = async {
             while !self.broken() {
@@ -183,7 +185,7 @@
 
 impl State {
     fn judge(&mut self) {
-        self.remember();
+        self.record_events();
         if let Err(breach) = self.noted() {
             self.keep(breach);
         }
@@ -197,8 +199,8 @@
         }
     }
 
-    /// Remembers what was seen just now.
-    fn remember(&mut self) {
+    /// Records the new events of workers for the report.
+    fn record_events(&mut self) {
         for note in &self.world.notes {
             let (job, line) = match note {
                 Note::Start { at, worker, start, late } => {
@@ -228,19 +230,19 @@
             };
             self.seen.push_back((job, line));
         }
-        while self.seen.len() > SEEN {
+        while self.seen.len() > MAX_EVENTS {
             self.seen.pop_front();
         }
     }
 
-    /// Where a run has ended.
+    /// The worker at which a run ended.
     fn ended_at(&self, end: &End) -> WorkerId {
         let all = 0..self.world.workers.len();
         let there = all.into_iter().find(|at| self.world.lists(*at, end));
         there.map_or(WorkerId::from("a worker that is gone"), |at| self.world.id(at))
     }
 
-    /// What workers have seen of the job that a text names, or at the worker that it begins with.
+    /// Recorded events of the job that `text` contains, or of the worker that `text` begins with.
     pub fn seen_of(&self, text: &str) -> Vec<String> {
         let worker = text.split(' ').next().filter(|w| w.starts_with('w'));
         let of = |(job, line): &&(JobNo, String)| {
@@ -249,7 +251,7 @@
         self.seen.iter().filter(of).map(|(_, line)| line.clone()).collect()
     }
 
-    /// Ends that were noted just now are in the store.
+    /// Checks that the ends that were acknowledged just now are in the store.
     fn noted(&self) -> Verdict {
         for note in &self.world.notes {
             let Note::Seen { task, how: How::Done, .. } = note else { continue };
@@ -260,12 +262,12 @@
         Ok(())
     }
 
-    /// Keeps the first breach.
+    /// Keeps the first breach; later ones are dropped.
     pub fn keep(&mut self, breach: Breach) {
         self.breach.get_or_insert(breach);
     }
 
-    /// A member has written an item.
+    /// Checks an item that a member has written.
     fn written(&mut self, key: &str, value: &[u8]) -> Verdict {
         let now = self.world.now;
         if let Some(shard) = key.strip_prefix(OWNERS).and_then(|s| s.parse().ok()).map(ShardNo) {
@@ -283,17 +285,17 @@
         self.rules.stored(&self.world, job, &progress)
     }
 
-    /// Whether the owner with this token is cut off from workers.
+    /// Whether the owner with this token is cut off from the workers.
     pub fn is_apart(&self, token: u64) -> bool {
         self.owners.get(&token).is_some_and(|m| self.apart.contains(m))
     }
 
-    /// The member that took over last; the first where none has.
+    /// The member that took over last, or member 0 if there was no takeover.
     pub fn owner(&self) -> usize {
         self.owners.last_key_value().map_or(0, |(_, member)| *member)
     }
 
-    /// What becomes of a member's call of the store.
+    /// Draws the outcome of a member's call to the store.
     pub fn fate(&mut self, member: usize) -> Fate {
         if self.store.mode != Mode::Down && self.refusing.contains(&member) {
             return if self.rng.bool() { Fate::Refused } else { Fate::Unheard };
@@ -302,7 +304,7 @@
     }
 }
 
-/// The Unix clock, in milliseconds.
+/// Unix time in milliseconds.
 pub fn unix() -> u64 {
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
