--- a/standin/src/site/stay.rs
+++ b/standin/src/site/stay.rs
@@ -39,12 +39,12 @@
 }
 
 impl Absences {
-    /// Returns the text of the breach if a task should be running by now. `trouble` is the time
+    /// Returns the text of the breach if a task should be running by now. `suspended_until` is the time
     /// until which the rules are suspended, and `owed` selects the jobs that must run.
     pub fn overdue(
         &mut self,
         world: &World,
-        trouble: Time,
+        suspended_until: Time,
         owed: impl Fn(JobNo) -> bool,
     ) -> Option<String> {
         let now = world.now;
@@ -57,7 +57,7 @@
         let all = world.jobs.keys().filter(|no| owed(**no)).flat_map(|no| world.long_running(*no));
         let absent: Vec<TaskKey> = all.filter(|t| !runs.contains(t)).collect();
         self.absences.retain(|t, _| absent.binary_search(t).is_ok());
-        let fault_free = fault_free(trouble, now);
+        let fault_free = fault_free(suspended_until, now);
         for task in absent {
             let room = world.room_for(task) >= ROOM_FACTOR;
             let absence = self.absences.entry(task).or_insert(Absence { since: now, room: None });
@@ -72,11 +72,11 @@
     }
 }
 
-/// Whether the last fault is long enough ago for the rule to apply; `trouble` is the time until
+/// Whether the last fault is long enough ago for the rule to apply; `suspended_until` is the time until
 /// which the rules are suspended.
-pub fn fault_free(trouble: Time, now: Time) -> bool {
-    // `trouble` already includes `FAULT_GRACE` after the last moment of the fault.
-    trouble + (FAULT_FREE + ROOM_DURATION).saturating_sub(FAULT_GRACE) <= now
+pub fn fault_free(suspended_until: Time, now: Time) -> bool {
+    // `suspended_until` already includes `FAULT_GRACE` after the last moment of the fault.
+    suspended_until + (FAULT_FREE + ROOM_DURATION).saturating_sub(FAULT_GRACE) <= now
 }
 
 impl World {
--- a/standin/src/site/wait.rs
+++ b/standin/src/site/wait.rs
@@ -26,13 +26,13 @@
 }
 
 impl Waits {
-    /// Returns the text of the breach if a job should be running by now. `trouble` is the time
+    /// Returns the text of the breach if a job should be running by now. `suspended_until` is the time
     /// until which the rules are suspended, and `open` returns the tasks of a job that are ready to
     /// start, at most one for each step.
     pub fn overdue(
         &mut self,
         world: &World,
-        trouble: Time,
+        suspended_until: Time,
         open: impl Fn(JobNo) -> Vec<TaskKey>,
     ) -> Option<String> {
         let now = world.now;
@@ -47,7 +47,7 @@
             let Some(task) = open(*no).into_iter().find(|t| world.has_room(*t)) else { continue };
             let since = self.room.get(no).copied().unwrap_or(now);
             room.insert(*no, since);
-            if fault_free(trouble, now) && since + ROOM_DURATION <= now {
+            if fault_free(suspended_until, now) && since + ROOM_DURATION <= now {
                 return Some(format!(
                     "{task} has had room since {since}, and nothing of its job runs"
                 ));
--- a/standin/src/soak.rs
+++ b/standin/src/soak.rs
@@ -138,13 +138,13 @@
     let playing = play::Play::new(&stage, &members, serving, &callers);
     let mut all = playing.start(&faults, begin, begin + options.length);
     let load = callers.come(begin + options.length);
-    stage.until_broken(load).await;
+    stage.until_breach(load).await;
     let calm = async { while all.join_next().await.is_some() {} };
-    stage.until_broken(calm).await;
+    stage.until_breach(calm).await;
     finish(&stage, &callers).await;
     members.end(&stage).await;
-    let (breach, starts) = stage.with(|s| (s.breach.clone(), s.rules.count));
-    let told = |b: &Breach| [stage.look(|s| s.seen_of(&b.text)), members.lines(&b.text)].concat();
+    let (breach, starts) = stage.update(|s| (s.breach.clone(), s.rules.count));
+    let told = |b: &Breach| [stage.read(|s| s.events_of(&b.text)), members.lines(&b.text)].concat();
     let lines = breach.as_ref().map(told).unwrap_or_default();
     Ok(Report {
         seed: options.seed,
@@ -164,12 +164,12 @@
     let end = Instant::now() + SETTLE_TIMEOUT;
     let runs = |w: &World| w.workers.iter().map(|w| w.runs.len()).sum::<usize>();
     loop {
-        let (open, runs) = (callers.open(), stage.with(|s| runs(&s.world)));
-        if stage.broken() || (open.is_empty() && runs == 0) {
+        let (open, runs) = (callers.open(), stage.update(|s| runs(&s.world)));
+        if stage.has_breach() || (open.is_empty() && runs == 0) {
             return;
         }
         if Instant::now() > end {
-            stage.broke(format!(
+            stage.report_breach(format!(
                 "in the end {runs} tasks run, and these jobs aren't over: {open:?}"
             ));
             return;
--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -1,5 +1,5 @@
-//! Simulated callers: they submit jobs, poll their states, cancel some, and pass every answer to
-//! the judge.
+//! Simulated callers: they submit jobs, poll their states, cancel some, and pass the answers to the
+//! judge.
 
 use {
     crate::soak::{
@@ -35,7 +35,7 @@
 const ANSWER_SLACK: Duration = Duration::from_millis(300);
 /// Maximum number of submissions of a job that isn't accepted.
 const MAX_SUBMITS: usize = 5;
-/// The store may execute a delayed write this long after its call.
+/// The store may execute a delayed write at most this long after its call.
 const MAX_WRITE_DELAY: Duration = Duration::from_secs(8);
 /// Number of workers for each job a second; it sets the rate of submissions.
 const WORKERS_PER_RATE: f64 = 3.5;
@@ -139,7 +139,7 @@
     async fn job(self, drawn: DrawnJob) {
         let no = JobNo(drawn.no);
         self.count(|c| c.asked += 1);
-        self.stage.with(|s| {
+        self.stage.update(|s| {
             let (queue, job) = (drawn.queue.into(), drawn.job.clone());
             s.world.jobs.insert(no, JobRecord { queue, came: unix(), job, terms: None });
             if drawn.hopeless {
@@ -170,7 +170,7 @@
         &self,
         rule: impl FnOnce(&mut crate::soak::stage::State) -> Result<(), standin::site::judge::Breach>,
     ) {
-        self.stage.with(|s| {
+        self.stage.update(|s| {
             if let Err(breach) = rule(s) {
                 s.keep(breach);
             }
@@ -189,8 +189,10 @@
                 Some((429 | 503, _)) => {}
                 Some((404, _)) => {
                     let no = JobNo(drawn.no);
-                    self.stage
-                        .broke(format!("job {no}: no queue {}, and it is there", drawn.queue));
+                    self.stage.report_breach(format!(
+                        "job {no}: no queue {}, and it is there",
+                        drawn.queue
+                    ));
                 }
                 _ => submission = Submission::Unclear,
             }
@@ -232,7 +234,9 @@
                         state = Some(told);
                         self.judge(|s| s.rules.told(&s.world, no, told));
                     }
-                    None => self.stage.broke(format!("job {no}: a state that can't be read")),
+                    None => {
+                        self.stage.report_breach(format!("job {no}: a state that can't be read"))
+                    }
                 },
                 Some((410, _)) => self.judge(|s| s.rules.unknown(asked, no)),
                 _ => {}
@@ -250,7 +254,7 @@
                     _ => c.cancelled += 1,
                 });
             }
-            if self.stage.broken() {
+            if self.stage.has_breach() {
                 return;
             }
             self.pause(200, 1_200).await;
@@ -260,12 +264,12 @@
     /// Sends cancels of a job until a member confirms one.
     async fn cancel(&self, drawn: &DrawnJob, accepted: bool) {
         let no = JobNo(drawn.no);
-        self.stage.with(|s| *s.rules.cancels.entry(no).or_insert(Time::NEVER));
-        while !self.stage.broken() {
+        self.stage.update(|s| *s.rules.cancels.entry(no).or_insert(Time::NEVER));
+        while !self.stage.has_breach() {
             match self.send("DELETE", drawn, Bytes::new()).await {
                 Some((200..=299, _)) => {
                     if accepted {
-                        self.stage.with(|s| s.rules.cancels.insert(no, s.world.now));
+                        self.stage.update(|s| s.rules.cancels.insert(no, s.world.now));
                     }
                     return;
                 }
@@ -278,8 +282,8 @@
 
     /// Sends a call to a member that the balancer selects. Returns `None` if no answer arrives.
     async fn send(&self, method: &str, drawn: &DrawnJob, body: Bytes) -> Option<(u16, Bytes)> {
-        let fronts = self.members.fronts();
-        let to = fronts[self.draw(|r| r.usize(0..fronts.len()))];
+        let targets = self.members.targets();
+        let to = targets[self.draw(|r| r.usize(0..targets.len()))];
         let path = format!("/{}/{}", drawn.queue, JobNo(drawn.no));
         let ask = Request::builder()
             .method(method)
--- a/standin/src/soak/member.rs
+++ b/standin/src/soak/member.rs
@@ -1,5 +1,5 @@
 //! The members: real processes of the shipped binary, each with a controllable link to the store
-//! and with_member from the callers. Also simulates the load balancer that selects members by their
+//! and one from the callers. Also simulates the load balancer that selects members by their
 //! readiness.
 
 use {
@@ -65,7 +65,7 @@
 /// The loopback address of a member. It differs from the source address of this machine's outgoing
 /// connections, so these can't take a member's port while the member is down. It depends on the
 /// process id, so soaks that run side by side use different addresses.
-fn ip(member: usize) -> IpAddr {
+fn member_ip(member: usize) -> IpAddr {
     let part = |n: u32| u8::try_from(n % 250).unwrap_or_default() + 1;
     let (id, last) = (process::id(), u8::try_from(member + 1).unwrap_or(u8::MAX));
     IpAddr::V4(Ipv4Addr::new(127, part(id), part(id / 250), last))
@@ -78,7 +78,7 @@
 }
 
 /// Finds four free ports at an address, in ascending order.
-fn free(ip: IpAddr) -> Result<Vec<SocketAddr>> {
+fn free_ports(ip: IpAddr) -> Result<Vec<SocketAddr>> {
     let bound: Vec<TcpListener> =
         (0..4).map(|_| TcpListener::bind((ip, 0))).collect::<std::io::Result<_>>()?;
     let mut all: Vec<SocketAddr> =
@@ -93,7 +93,7 @@
         let mut all = Vec::new();
         for no in 0..options.members {
             let store = Link::new(serving.stores[no]);
-            let at = free(ip(no))?;
+            let at = free_ports(member_ip(no))?;
             let site = Site {
                 node: format!("member-{no}").into(),
                 zone: Zone::from("z1"),
@@ -125,7 +125,7 @@
         tokio::spawn(members.clone().watch(stage.clone()));
         let end = Instant::now() + START_TIMEOUT;
         while members.ready().len() < options.members {
-            if Instant::now() > end || stage.broken() {
+            if Instant::now() > end || stage.has_breach() {
                 return Err("the members don't get ready".into());
             }
             sleep(POLL_INTERVAL).await;
@@ -159,7 +159,7 @@
         })
     }
 
-    /// Acquires a member's process for a fault; only with_member fault at a time may control it. Returns
+    /// Acquires a member's process for a fault; only one fault at a time may control it. Returns
     /// whether it was free.
     pub fn take(&self, no: usize) -> bool {
         self.with_member(no, |m| !std::mem::replace(&mut m.busy, true))
@@ -200,13 +200,15 @@
             });
             match ended {
                 Some(Some(status)) if !status.success() => {
-                    stage.broke(format!("member {no} was told to end, and ended with {status}"));
+                    stage.report_breach(format!(
+                        "member {no} was told to end, and ended with {status}"
+                    ));
                     break;
                 }
                 Some(_) => break,
                 None if Instant::now() > end => {
-                    if stage.look(|s| s.rules.timed) {
-                        stage.broke(format!("member {no} was told to end, and runs on"));
+                    if stage.read(|s| s.rules.timed) {
+                        stage.report_breach(format!("member {no} was told to end, and runs on"));
                     }
                     break;
                 }
@@ -218,7 +220,7 @@
 
     /// Assigns new addresses to a member.
     pub async fn renew(&self, no: usize) -> Result<()> {
-        let at = free(ip(no))?;
+        let at = free_ports(member_ip(no))?;
         let callers = Link::new(at[0]);
         let front = callers.listen().await?;
         self.with_member(no, |m| {
@@ -248,7 +250,7 @@
 
     /// Addresses among which the balancer selects: those of the ready members, or of all members if
     /// fewer than half are ready.
-    pub fn fronts(&self) -> Vec<SocketAddr> {
+    pub fn targets(&self) -> Vec<SocketAddr> {
         let ready = self.ready();
         let all = self.all.lock().expect("no holder panics");
         if ready.len() * 2 < all.len() { all.iter().map(|m| m.front).collect() } else { ready }
@@ -275,7 +277,7 @@
                     ended.filter(|_| m.wanted)
                 });
                 if let Some(status) = ended {
-                    stage.broke(format!("member {no} has ended by itself with {status}"));
+                    stage.report_breach(format!("member {no} has ended by itself with {status}"));
                     return;
                 }
             }
@@ -288,7 +290,7 @@
         let count = self.all.lock().expect("no holder panics").len();
         for no in 0..count {
             self.signal(no, "CONT");
-            if stage.broken() { self.kill(no) } else { self.stop(no, stage).await }
+            if stage.has_breach() { self.kill(no) } else { self.stop(no, stage).await }
         }
     }
 
--- a/standin/src/soak/play.rs
+++ b/standin/src/soak/play.rs
@@ -69,20 +69,20 @@
             all.spawn(async move {
                 sleep_until((begin + planned.at).into()).await;
                 log::info!("{planned}");
-                play.stage.with(|s| s.faults += 1);
+                play.stage.update(|s| s.faults += 1);
                 play.one(planned.fault, (begin + planned.at + planned.lasts).min(end)).await;
-                play.stage.with(|s| s.faults -= 1);
+                play.stage.update(|s| s.faults -= 1);
             });
         }
         all
     }
 
     fn set(&self, f: impl FnOnce(&mut State)) {
-        self.stage.with(f);
+        self.stage.update(f);
     }
 
     async fn one(&self, fault: Fault, until: Instant) {
-        let owner = || self.stage.look(State::owner);
+        let owner = || self.stage.read(State::owner);
         let fault = match fault {
             Fault::KillOwner => Fault::Kill(owner()),
             Fault::FreezeOwner => Fault::Freeze(owner()),
@@ -156,7 +156,7 @@
         if matches!(fault, Fault::Replace(_))
             && let Err(e) = self.members.renew(m).await
         {
-            self.stage.broke(format!("member {m} can't get other addresses: {e}"));
+            self.stage.report_breach(format!("member {m} can't get other addresses: {e}"));
         }
         sleep_until(until.into()).await;
         self.begin(m);
@@ -164,7 +164,7 @@
 
     fn begin(&self, m: usize) {
         if let Err(e) = self.members.begin(m) {
-            self.stage.broke(format!("member {m} doesn't begin: {e}"));
+            self.stage.report_breach(format!("member {m} doesn't begin: {e}"));
         }
     }
 
@@ -194,7 +194,7 @@
     }
 
     async fn crash(&self, w: usize, until: Instant) {
-        if !self.stage.look(|s| s.world.workers[w].up) {
+        if !self.stage.read(|s| s.world.workers[w].up) {
             return;
         }
         self.serving.links[w].set(LinkMode::Cut);
@@ -207,12 +207,12 @@
     /// A worker announces that it leaves and departs after its notice; another one replaces it at
     /// its address.
     async fn leave(&self, w: usize, until: Instant) {
-        let id = self.stage.with(|s| {
+        let id = self.stage.update(|s| {
             s.world.workers[w].draining = Some(s.world.now);
             s.world.id(w)
         });
         sleep_until(until.into()).await;
-        if self.stage.look(|s| s.world.id(w)) != id {
+        if self.stage.read(|s| s.world.id(w)) != id {
             return;
         }
         let gone: WorkerId = id;
--- a/standin/src/soak/serve.rs
+++ b/standin/src/soak/serve.rs
@@ -77,7 +77,7 @@
     }
     let s = stage.clone();
     let vms = listen(any, move |_, _| {
-        let all = s.look(|s| {
+        let all = s.read(|s| {
             let up = |at: &usize| s.world.workers[*at].up;
             let vm = |at: usize| Vm {
                 id: format!("v{at}").as_str().into(),
@@ -90,7 +90,7 @@
         async move { reply(lists::vms(&all)) }
     });
     let vms = vms.await?;
-    stage.with(|s| s.store.put(lists::CONFIG.into(), lists::queues(&s.world.queues)));
+    stage.update(|s| s.store.put(lists::CONFIG.into(), lists::queues(&s.world.queues)));
     tokio::spawn(beat(stage.clone(), addrs));
     Ok(Serving { stores, advice: advices, vms, links })
 }
@@ -103,7 +103,7 @@
 async fn beat(stage: Stage, addrs: Vec<SocketAddr>) {
     let mut last_heartbeats: BTreeMap<WorkerId, Instant> = BTreeMap::new();
     for count in 1.. {
-        stage.with(|s| {
+        stage.update(|s| {
             for (at, addr) in addrs.iter().enumerate() {
                 let w = &s.world.workers[at];
                 if !w.up || w.cut || w.hung || s.store.mode == Mode::Down {
@@ -128,7 +128,7 @@
 async fn ask_store(stage: &Stage, member: usize, head: &Parts, body: &Bytes) -> Answer {
     let (path, query) = (head.uri.path(), head.uri.query().unwrap_or(""));
     let Some(call) = store::call(head.method.as_str(), path, query, body) else { return BAD };
-    let (fate, delay) = stage.with(|s| (s.fate(member), s.store.delay() + s.slow));
+    let (fate, delay) = stage.update(|s| (s.fate(member), s.store.delay() + s.slow));
     sleep(delay).await;
     match fate {
         Fate::Answered => store::answer(&serve_store(stage, member, call).await),
@@ -138,7 +138,7 @@
             let stage = stage.clone();
             tokio::spawn(async move {
                 sleep(wait).await;
-                stage.with(|s| s.store.call(&call, s.world.now));
+                stage.update(|s| s.store.call(&call, s.world.now));
             });
             pending().await
         }
@@ -152,7 +152,7 @@
     };
     loop {
         let moved = stage.moved.notified();
-        let (reply, rev, unserved) = stage.with(|s| {
+        let (reply, rev, unserved) = stage.update(|s| {
             let unserved = s.store.mode == Mode::Down || s.refusing.contains(&member);
             let reply = if unserved { None } else { s.store.call(&call, s.world.now) };
             (reply, s.store.rev, unserved)
@@ -169,7 +169,7 @@
 
 async fn ask_advice(stage: &Stage, member: usize, head: &Parts, body: &Bytes) -> Answer {
     let Some(call) = advice::call(head.uri.path(), body) else { return BAD };
-    let asked = stage.with(|s| {
+    let asked = stage.update(|s| {
         let cost = s.world.queue(call.step.job)?.advice?;
         let (now, via) = (s.world.now, Incarnation(member as u64 + 1));
         Some((s.world.advice.ask(via, &call, cost, now), cost.valid, now))
@@ -178,7 +178,7 @@
         None => BAD,
         Some((Ok(at), valid, now)) => {
             sleep(at.since(now)).await;
-            stage.with(|s| advice::answer(&s.world.advice.answer(&call, valid, s.world.now)))
+            stage.update(|s| advice::answer(&s.world.advice.answer(&call, valid, s.world.now)))
         }
         Some((Err(dogwoodreach::ports::Fault::Refused), ..)) => advice::BUSY,
         Some((Err(_), ..)) => pending().await,
@@ -195,9 +195,9 @@
         | WorkerCall::Pace { token, .. }
         | WorkerCall::Hold { token, .. } => *token,
     };
-    let (apart, late) = stage.with(|s| {
+    let (apart, late) = stage.update(|s| {
         let late = s.late > 0 && s.rng.u32(0..s.late) == 0;
-        (s.is_apart(token), late.then(|| Duration::from_millis(s.rng.u64(2_000..12_000))))
+        (s.is_cut_off(token), late.then(|| Duration::from_millis(s.rng.u64(2_000..12_000))))
     });
     if apart {
         return pending().await;
@@ -206,11 +206,11 @@
         let stage = stage.clone();
         tokio::spawn(async move {
             sleep(wait).await;
-            stage.with(|s| s.world.call(at, &incarnation, &call, true));
+            stage.update(|s| s.world.call(at, &incarnation, &call, true));
         });
         return pending().await;
     }
-    let Some(reply) = stage.with(|s| s.world.call(at, &incarnation, &call, false)) else {
+    let Some(reply) = stage.update(|s| s.world.call(at, &incarnation, &call, false)) else {
         return pending().await;
     };
     match (&call, &reply) {
@@ -230,13 +230,13 @@
     wait: Duration,
 ) -> WorkerReply {
     let end = Instant::now() + wait;
-    while Instant::now() < end && !stage.look(|s| s.world.has_ended(at)) {
+    while Instant::now() < end && !stage.read(|s| s.world.has_ended(at)) {
         sleep(POLL_INTERVAL).await;
     }
-    let held = stage.with(|s| {
+    let held = stage.update(|s| {
         let w = &s.world.workers[at];
         let reachable =
-            w.up && !w.cut && !w.hung && s.world.id(at) == *incarnation && !s.is_apart(token);
+            w.up && !w.cut && !w.hung && s.world.id(at) == *incarnation && !s.is_cut_off(token);
         reachable.then(|| s.world.held(at))
     });
     match held {
--- a/standin/src/soak/stage.rs
+++ b/standin/src/soak/stage.rs
@@ -118,7 +118,7 @@
         tokio::spawn(async move {
             loop {
                 tokio::time::sleep(TICK).await;
-                ticking.with(|s| {
+                ticking.update(|s| {
                     if s.faults > 0 {
                         s.rules.fault(s.world.now);
                     }
@@ -134,7 +134,7 @@
     }
 
     /// Advances the state to the present time, calls `f` and runs the judge's checks.
-    pub fn with<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
+    pub fn update<T>(&self, f: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.state.lock().expect("no holder panics");
         let rev = state.store.rev;
         let now = self.now();
@@ -152,27 +152,27 @@
     }
 
     /// Reads the state as of the last update, without advancing the time.
-    pub fn look<T>(&self, f: impl FnOnce(&State) -> T) -> T {
+    pub fn read<T>(&self, f: impl FnOnce(&State) -> T) -> T {
         f(&self.state.lock().expect("no holder panics"))
     }
 
     /// Whether there was a breach.
-    pub fn broken(&self) -> bool {
-        self.look(|s| s.breach.is_some())
+    pub fn has_breach(&self) -> bool {
+        self.read(|s| s.breach.is_some())
     }
 
     /// Records a breach that [`Rules`] can't detect.
-    pub fn broke(&self, text: String) {
-        self.with(|s| {
+    pub fn report_breach(&self, text: String) {
+        self.update(|s| {
             let breach = Breach { seed: s.rules.seed, at: s.world.now, text: text.into() };
             s.breach.get_or_insert(breach);
         });
     }
 
     /// Waits until `what` completes or there is a breach.
-    pub async fn until_broken(&self, what: impl Future<Output = ()>) {
+    pub async fn until_breach(&self, what: impl Future<Output = ()>) {
         let broken = async {
-            while !self.broken() {
+            while !self.has_breach() {
                 tokio::time::sleep(TICK).await;
             }
         };
@@ -243,7 +243,7 @@
     }
 
     /// Recorded events of the job that `text` contains, or of the worker that `text` begins with.
-    pub fn seen_of(&self, text: &str) -> Vec<String> {
+    pub fn events_of(&self, text: &str) -> Vec<String> {
         let worker = text.split(' ').next().filter(|w| w.starts_with('w'));
         let of = |(job, line): &&(JobNo, String)| {
             text.contains(&job.to_string()) || worker.is_some_and(|w| line.contains(w))
@@ -286,7 +286,7 @@
     }
 
     /// Whether the owner with this token is cut off from the workers.
-    pub fn is_apart(&self, token: u64) -> bool {
+    pub fn is_cut_off(&self, token: u64) -> bool {
         self.owners.get(&token).is_some_and(|m| self.apart.contains(m))
     }
 
