--- a/standin/src/worker.rs
+++ b/standin/src/worker.rs
@@ -1,5 +1,5 @@
 //! Stand-in for a worker. It also counts violations of the scheduler's guarantees, such as a task
-//! that runs in two runs at once.
+//! that runs in two places at once.
 
 use {
     crate::web::{Reply, header, json},
@@ -51,7 +51,7 @@
     pub starts: u64,
     /// Number of tasks that ran to their end.
     pub ended: u64,
-    /// Number of times that a request or task ran in two runs at once.
+    /// Number of times that a request or task ran in two places at once.
     pub doubled: u64,
     /// Number of repeated runs of non-idempotent requests with the same key.
     pub repeated: u64,
