--- a/standin/src/soak/serve.rs
+++ b/standin/src/soak/serve.rs
@@ -1,5 +1,5 @@
-//! The servers around the members: the store and the advice with a listener for each member, the
-//! workers with a link before each, and the list of VMs.
+//! The simulated servers that members call: the store and the advice service with a listener for
+//! each member, the workers with a link in front of each, and the VM list.
 
 use {
     crate::{
@@ -27,22 +27,22 @@
     tokio::time::{sleep, timeout},
 };
 
-/// How often workers report themselves.
-const BEAT: Duration = Duration::from_millis(500);
-/// How long a silent worker stays in the list.
-const SILENT: Duration = Duration::from_millis(1_500);
-/// How often a hold looks for an end.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between a worker's heartbeats in the store.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// A worker without a heartbeat for this long is removed from the list.
+const SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
+/// Interval at which a pending hold call checks for ended runs.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Where the members find what is around them.
+/// Addresses and links of the servers.
 pub struct Serving {
-    /// The store, for each member.
+    /// Address of the store for each member.
     pub stores: Vec<SocketAddr>,
-    /// The advice, for each member.
+    /// Address of the advice service for each member.
     pub advice: Vec<SocketAddr>,
-    /// The list of VMs.
+    /// Address of the VM list.
     pub vms: SocketAddr,
-    /// What lies before each worker.
+    /// The link in front of each worker.
     pub links: Vec<Link>,
 }
 
@@ -77,7 +77,7 @@
     }
     let s = stage.clone();
     let vms = listen(any, move |_, _| {
-        let all = s.look(|s| {
+        let all = s.read(|s| {
             let up = |at: &usize| s.world.workers[*at].up;
             let vm = |at: usize| Vm {
                 id: format!("v{at}").as_str().into(),
@@ -90,7 +90,7 @@
         async move { reply(lists::vms(&all)) }
     });
     let vms = vms.await?;
-    stage.with(|s| s.store.put(lists::CONFIG.into(), lists::queues(&s.world.queues)));
+    stage.update(|s| s.store.put(lists::CONFIG.into(), lists::queues(&s.world.queues)));
     tokio::spawn(beat(stage.clone(), addrs));
     Ok(Serving { stores, advice: advices, vms, links })
 }
@@ -99,11 +99,11 @@
     answer(status, body)
 }
 
-/// The workers report themselves.
+/// Writes the workers' heartbeats and removes the entries of silent workers.
 async fn beat(stage: Stage, addrs: Vec<SocketAddr>) {
-    let mut heard: BTreeMap<WorkerId, Instant> = BTreeMap::new();
+    let mut last_heartbeats: BTreeMap<WorkerId, Instant> = BTreeMap::new();
     for count in 1.. {
-        stage.with(|s| {
+        stage.update(|s| {
             for (at, addr) in addrs.iter().enumerate() {
                 let w = &s.world.workers[at];
                 if !w.up || w.cut || w.hung || s.store.mode == Mode::Down {
@@ -111,24 +111,24 @@
                 }
                 let mut listed = s.world.listed(at);
                 listed.addr = *addr;
-                heard.insert(listed.id.clone(), Instant::now());
+                last_heartbeats.insert(listed.id.clone(), Instant::now());
                 s.store.put(lists::key(&listed.id), lists::listed(&listed, count));
             }
-            let silent = |seen: &Instant| seen.elapsed() > SILENT;
-            heard
+            let silent = |seen: &Instant| seen.elapsed() > SILENCE_LIMIT;
+            last_heartbeats
                 .iter()
                 .filter(|(_, t)| silent(t))
                 .for_each(|(w, _)| s.store.remove(&lists::key(w)));
-            heard.retain(|_, t| !silent(t));
+            last_heartbeats.retain(|_, t| !silent(t));
         });
-        sleep(BEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
 async fn ask_store(stage: &Stage, member: usize, head: &Parts, body: &Bytes) -> Answer {
     let (path, query) = (head.uri.path(), head.uri.query().unwrap_or(""));
     let Some(call) = store::call(head.method.as_str(), path, query, body) else { return BAD };
-    let (fate, delay) = stage.with(|s| (s.fate(member), s.store.delay() + s.slow));
+    let (fate, delay) = stage.update(|s| (s.fate(member), s.store.delay() + s.slow));
     sleep(delay).await;
     match fate {
         Fate::Answered => store::answer(&serve_store(stage, member, call).await),
@@ -138,7 +138,7 @@
             let stage = stage.clone();
             tokio::spawn(async move {
                 sleep(wait).await;
-                stage.with(|s| s.store.call(&call, s.world.now));
+                stage.update(|s| s.store.call(&call, s.world.now));
             });
             pending().await
         }
@@ -152,14 +152,14 @@
     };
     loop {
         let moved = stage.moved.notified();
-        let (told, rev, dead) = stage.with(|s| {
-            let dead = s.store.mode == Mode::Down || s.refusing.contains(&member);
-            let told = if dead { None } else { s.store.call(&call, s.world.now) };
-            (told, s.store.rev, dead)
+        let (reply, rev, unserved) = stage.update(|s| {
+            let unserved = s.store.mode == Mode::Down || s.refusing.contains(&member);
+            let reply = if unserved { None } else { s.store.call(&call, s.world.now) };
+            (reply, s.store.rev, unserved)
         });
-        match told {
-            _ if dead => return pending().await,
-            Some(told) => return told,
+        match reply {
+            _ if unserved => return pending().await,
+            Some(reply) => return reply,
             None if Instant::now() >= end => return StoreReply::Events(Vec::new(), rev),
             None => {}
         }
@@ -169,7 +169,7 @@
 
 async fn ask_advice(stage: &Stage, member: usize, head: &Parts, body: &Bytes) -> Answer {
     let Some(call) = advice::call(head.uri.path(), body) else { return BAD };
-    let asked = stage.with(|s| {
+    let asked = stage.update(|s| {
         let cost = s.world.queue(call.step.job)?.advice?;
         let (now, via) = (s.world.now, Incarnation(member as u64 + 1));
         Some((s.world.advice.ask(via, &call, cost, now), cost.valid, now))
@@ -178,7 +178,7 @@
         None => BAD,
         Some((Ok(at), valid, now)) => {
             sleep(at.since(now)).await;
-            stage.with(|s| advice::answer(&s.world.advice.answer(&call, valid, s.world.now)))
+            stage.update(|s| advice::answer(&s.world.advice.answer(&call, valid, s.world.now)))
         }
         Some((Err(dogwoodreach::ports::Fault::Refused), ..)) => advice::BUSY,
         Some((Err(_), ..)) => pending().await,
@@ -186,8 +186,8 @@
 }
 
 async fn ask_worker(stage: &Stage, at: usize, head: &Parts, body: &Bytes) -> Answer {
-    let life = head.headers.get(worker::LIFE).and_then(|v| v.to_str().ok()).unwrap_or("");
-    let life = WorkerId::from(life);
+    let incarnation = head.headers.get(worker::LIFE).and_then(|v| v.to_str().ok()).unwrap_or("");
+    let incarnation = WorkerId::from(incarnation);
     let Some(call) = worker::call(head.uri.path(), body) else { return BAD };
     let token = match &call {
         WorkerCall::Start(start) => start.token,
@@ -195,9 +195,9 @@
         | WorkerCall::Pace { token, .. }
         | WorkerCall::Hold { token, .. } => *token,
     };
-    let (apart, late) = stage.with(|s| {
+    let (apart, late) = stage.update(|s| {
         let late = s.late > 0 && s.rng.u32(0..s.late) == 0;
-        (s.is_apart(token), late.then(|| Duration::from_millis(s.rng.u64(2_000..12_000))))
+        (s.is_cut_off(token), late.then(|| Duration::from_millis(s.rng.u64(2_000..12_000))))
     });
     if apart {
         return pending().await;
@@ -206,37 +206,38 @@
         let stage = stage.clone();
         tokio::spawn(async move {
             sleep(wait).await;
-            stage.with(|s| s.world.call(at, &life, &call, true));
+            stage.update(|s| s.world.call(at, &incarnation, &call, true));
         });
         return pending().await;
     }
-    let Some(reply) = stage.with(|s| s.world.call(at, &life, &call, false)) else {
+    let Some(reply) = stage.update(|s| s.world.call(at, &incarnation, &call, false)) else {
         return pending().await;
     };
     match (&call, &reply) {
         (WorkerCall::Hold { wait, .. }, WorkerReply::Held(held)) if held.ended.is_empty() => {
-            worker::answer(&hold(stage, at, &life, token, *wait).await)
+            worker::answer(&hold(stage, at, &incarnation, token, *wait).await)
         }
         _ => worker::answer(&reply),
     }
 }
 
-/// A hold waits for an end.
+/// Waits until a run ends at the worker or `wait` is over, and answers the hold call.
 async fn hold(
     stage: &Stage,
     at: usize,
-    life: &WorkerId,
+    incarnation: &WorkerId,
     token: u64,
     wait: Duration,
 ) -> WorkerReply {
     let end = Instant::now() + wait;
-    while Instant::now() < end && !stage.look(|s| s.world.has_ended(at)) {
-        sleep(LOOK).await;
+    while Instant::now() < end && !stage.read(|s| s.world.has_ended(at)) {
+        sleep(POLL_INTERVAL).await;
     }
-    let held = stage.with(|s| {
+    let held = stage.update(|s| {
         let w = &s.world.workers[at];
-        let heard = w.up && !w.cut && !w.hung && s.world.id(at) == *life && !s.is_apart(token);
-        heard.then(|| s.world.held(at))
+        let reachable =
+            w.up && !w.cut && !w.hung && s.world.id(at) == *incarnation && !s.is_cut_off(token);
+        reachable.then(|| s.world.held(at))
     });
     match held {
         Some(held) => WorkerReply::Held(held),
