--- a/standin/src/experiment/cell.rs
+++ b/standin/src/experiment/cell.rs
@@ -1,4 +1,5 @@
-//! A cell of processes on this machine: the platform, workers, members. It ends them by their ids.
+//! Starts a cell of processes on this machine (the platform, workers and members) and ends exactly
+//! these processes, by their ids.
 
 use {
     crate::Result,
@@ -23,52 +24,52 @@
     tokio::time::sleep,
 };
 
-/// What members and operators show; the cell listens on loopback only.
+/// The shared secret of members and operators; the cell listens on loopback only.
 const SECRET: &str = "secret-of-an-experiment";
-/// How long a cell may take to be ready.
-const READY: Duration = Duration::from_secs(60);
-/// The pause between two looks at a state that is waited for.
-pub const LOOK: Duration = Duration::from_millis(20);
-/// The deadline of a stand-in's call.
-const CALL: Duration = Duration::from_secs(5);
-/// Today's availability zones of Tausi.
+/// The time-out until a cell is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// The interval at which a state is polled while waiting for it.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The time-out of a call to a stand-in.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// The availability zones of Tausi.
 pub const ZONES: [&str; 3] = ["upper-hill", "westlands", "embakasi"];
 
-/// A process that said that it is ready; dropped, it is killed and waited for.
+/// A child process that has printed its ready line. It is killed and reaped when it is dropped.
 pub struct Process {
     child: Child,
-    words: BTreeMap<Box<str>, Box<str>>,
+    values: BTreeMap<Box<str>, Box<str>>,
 }
 
-/// Workers of one process.
+/// Workers that one process simulates.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// Their pool.
+    /// The pool of the workers.
     pub pool: &'static str,
-    /// Their availability zone.
+    /// The availability zone of the workers.
     pub zone: &'static str,
-    /// How many racks.
+    /// The number of racks.
     pub racks: u32,
-    /// How many workers a rack has.
+    /// The number of workers in each rack.
     pub each: u32,
-    /// Processors of each.
+    /// Cores of each worker.
     pub cores: u32,
-    /// Memory of each, in GB.
+    /// Memory of each worker, in GB.
     pub memory: u32,
-    /// Accelerators of each.
+    /// Accelerators of each worker.
     pub accels: u32,
 }
 
 /// A running cell.
 pub struct Cell {
-    /// The members, all alike.
+    /// The members, which all have the same settings except for the zone.
     pub members: Vec<Process>,
-    /// The processes of workers.
+    /// The processes that simulate workers.
     pub fleets: Vec<Process>,
     platform: Process,
     client: Client,
     dir: PathBuf,
-    /// The version in force, as far as this tool submitted it.
+    /// The latest version of the configuration text that this tool knows of.
     pub version: Version,
 }
 
@@ -81,19 +82,19 @@
             .stderr(fs::File::create(log)?)
             .spawn()?;
         let mut lines = BufReader::new(child.stdout.take().ok_or("no output")?).lines();
-        let mut process = Process { child, words: BTreeMap::new() };
+        let mut process = Process { child, values: BTreeMap::new() };
         let Some(line) = lines.find(|l| l.as_ref().is_ok_and(|l| l.starts_with("ready"))) else {
             return Err(format!("not ready: {}", fs::read_to_string(log)?).into());
         };
         let line = line?;
-        let words = line.split(' ').filter_map(|w| w.split_once('='));
-        process.words = words.map(|(k, v)| (k.into(), v.into())).collect();
+        let values = line.split(' ').filter_map(|w| w.split_once('='));
+        process.values = values.map(|(k, v)| (k.into(), v.into())).collect();
         Ok(process)
     }
 
-    /// The address that the process said under a name.
+    /// The address that the ready line of the process gives for a name.
     pub fn addr(&self, name: &str) -> Result<SocketAddr> {
-        Ok(self.words.get(name).ok_or_else(|| format!("no {name} was said"))?.parse()?)
+        Ok(self.values.get(name).ok_or_else(|| format!("no {name} was said"))?.parse()?)
     }
 
     /// The process's id.
@@ -124,8 +125,8 @@
 }
 
 impl Cell {
-    /// Starts the platform, the workers and the members, puts a text in force, and waits until
-    /// every worker is ready at its owner.
+    /// Starts the platform, the workers and the members, submits a configuration text, and waits
+    /// until every worker is ready at its owner.
     pub async fn start(members: usize, fleets: &[Fleet], text: &str) -> Result<Self> {
         let me = env::current_exe()?;
         let name = format!("dwr-experiment-{}-{}", std::process::id(), fastrand::u32(..));
@@ -152,7 +153,7 @@
         if members > 0 {
             cell.submit(text).await?;
             let count: u32 = fleets.iter().map(|f| f.racks * f.each).sum();
-            cell.placed(count as usize, READY).await?;
+            cell.placed(count as usize, READY_TIMEOUT).await?;
         }
         Ok(cell)
     }
@@ -173,11 +174,11 @@
         Process::start(&me.with_file_name("dogwoodreach"), &args, &log)
     }
 
-    /// Puts a text in force through the first member, and returns once it is accepted.
+    /// Submits a configuration text through the first member and returns once it is accepted.
     pub async fn submit(&mut self, text: &str) -> Result<()> {
-        let until = Instant::now() + READY;
+        let until = Instant::now() + READY_TIMEOUT;
         loop {
-            let reply = self.offer(text).await;
+            let reply = self.try_submit(text).await;
             match reply {
                 Ok(reply) if reply.accepted => {
                     self.version = reply.version;
@@ -188,19 +189,20 @@
                 }
                 Ok(reply) => self.version = reply.version,
                 Err(e) if Instant::now() > until => return Err(e),
-                Err(_) => sleep(LOOK).await,
+                Err(_) => sleep(POLL_INTERVAL).await,
             }
         }
     }
 
-    async fn offer(&self, text: &str) -> Result<SubmitReply> {
+    async fn try_submit(&self, text: &str) -> Result<SubmitReply> {
         let submission = SubmissionId(fastrand::u64(1..));
         let ask =
             Submit { submission, base: self.version, by: "experiment".into(), text: text.into() };
         Ok(operators::submit(self.members[0].addr("operators")?, SECRET, &ask).await?)
     }
 
-    /// Waits until members own and have made ready this many workers; returns how long it took.
+    /// Waits until the members own `count` ready workers and all members are ready; returns the
+    /// duration of the wait.
     pub async fn placed(&self, count: usize, limit: Duration) -> Result<Duration> {
         let begun = Instant::now();
         loop {
@@ -215,7 +217,7 @@
             if begun.elapsed() > limit {
                 return Err(format!("{ready} of {count} workers are ready").into());
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -224,7 +226,7 @@
             let Ok(addr) = member.addr("metrics") else { return false };
             let ask = Request::get(uri(addr, "/ready")).body(Full::default());
             let Ok(ask) = ask else { return false };
-            let page = self.client.send(ask, CALL).await;
+            let page = self.client.send(ask, CALL_TIMEOUT).await;
             if !page.is_ok_and(|(head, _)| head.status.is_success()) {
                 return false;
             }
@@ -232,12 +234,12 @@
         true
     }
 
-    /// What a member shows its operators.
+    /// The state that a member shows its operators.
     pub async fn show(&self, n: usize) -> Result<Show> {
         Ok(operators::show(self.members[n].addr("operators")?, SECRET).await?)
     }
 
-    /// The members' addresses for callers.
+    /// The addresses of the members for callers.
     pub fn callers(&self) -> Result<Vec<SocketAddr>> {
         self.members.iter().map(|m| m.addr("callers")).collect()
     }
@@ -258,33 +260,33 @@
         self.put(self.platform.addr("vms")?, "/mark", &mark).await
     }
 
-    /// Makes the list of VMs lag.
+    /// Makes the platform's list of VMs lag behind by `lag`.
     pub async fn list_lag(&self, lag: Duration) -> Result<()> {
         let fault = serde_json::json!({"lag": lag.as_millis() as u64});
         self.put(self.platform.addr("vms")?, "/fault", &fault).await
     }
 
-    /// Makes the key-value service play a fault.
+    /// Injects a fault into the store.
     pub async fn kv_fault(&self, fault: serde_json::Value) -> Result<()> {
         self.put(self.platform.addr("kv")?, "/fault", &fault).await
     }
 
-    /// Makes one worker play a fault.
+    /// Injects a fault into one worker.
     pub async fn worker_fault(&self, worker: SocketAddr, fault: serde_json::Value) -> Result<()> {
         self.put(worker, "/fault", &fault).await
     }
 
-    /// The calls that the key-value service has had, by kind.
+    /// The number of calls that the store has received, by kind.
     pub async fn kv_calls(&self) -> Result<BTreeMap<Box<str>, u64>> {
         self.get(self.platform.addr("kv")?, "/calls").await
     }
 
-    /// The writes that the key-value service has had.
+    /// The number of writes that the store has received.
     pub async fn writes(&self) -> Result<f64> {
         Ok(self.kv_calls().await?.get("PUT /v1/kv").copied().unwrap_or(0) as f64)
     }
 
-    /// A count that the workers witnessed, over all of them.
+    /// The sum of a counter over all workers.
     pub async fn witness(&self, name: &str) -> Result<u64> {
         let mut sum = 0;
         for fleet in &self.fleets {
@@ -294,7 +296,8 @@
         Ok(sum)
     }
 
-    /// What must never happen and was witnessed: doubled, repeated and oversized work.
+    /// The number of violations that workers recorded: tasks that ran in two places at once, attempts
+    /// or keys that ran again, and work beyond a worker's size.
     pub async fn violations(&self) -> Result<u64> {
         let mut sum = 0;
         for name in ["doubled", "repeated", "over"] {
@@ -304,14 +307,14 @@
     }
 
     async fn get<R: serde::de::DeserializeOwned>(&self, at: SocketAddr, path: &str) -> Result<R> {
-        let got = self.client.json("GET", &uri(at, path), &(), CALL).await;
+        let got = self.client.json("GET", &uri(at, path), &(), CALL_TIMEOUT).await;
         got.map_err(|e| format!("{at}{path}: {e:?}").into())
     }
 
     async fn put(&self, at: SocketAddr, path: &str, value: &impl Serialize) -> Result<()> {
         // The stand-ins answer with an empty object.
         let put: std::result::Result<serde_json::Value, _> =
-            self.client.json("PUT", &uri(at, path), value, CALL).await;
+            self.client.json("PUT", &uri(at, path), value, CALL_TIMEOUT).await;
         put.map(drop).map_err(|e| format!("{at}{path}: {e:?}").into())
     }
 }
--- a/standin/src/experiment/config.rs
+++ b/standin/src/experiment/config.rs
@@ -1,21 +1,22 @@
-//! The time from an accepted text to in force on every member.
+//! Measures the time from the acceptance of a configuration text until it is in force on every
+//! member.
 
 use {
-    super::{Args, TODAY, cell::Cell, today, usage::spread},
+    super::{Args, TODAY, cell::Cell, today, usage::min_median_max},
     crate::Result,
     serde_json::json,
     std::time::{Duration, Instant},
     tokio::time::sleep,
 };
 
-/// How many changes are made under each condition.
+/// The number of changes under each condition.
 const CHANGES: usize = 50;
-/// The pause between two looks at a member's version.
-const LOOK: Duration = Duration::from_millis(2);
-/// How long a change may take to be in force.
-const LIMIT: Duration = Duration::from_secs(20);
-/// The bytes of a large text; a megabyte is the most.
-const LARGE: usize = 900_000;
+/// The interval at which a member's version is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// The time-out until a change is in force.
+const FORCE_TIMEOUT: Duration = Duration::from_secs(20);
+/// The size of a large text in bytes; the limit is one megabyte.
+const LARGE_TEXT_BYTES: usize = 900_000;
 
 /// Prints the table.
 pub async fn run(args: &Args) -> Result<()> {
@@ -35,7 +36,7 @@
     ];
     for (name, slow, large) in cases {
         cell.kv_fault(json!({"slow": slow})).await?;
-        let (mut accepted, mut force) = (vec![], vec![]);
+        let (mut accepted, mut in_force) = (vec![], vec![]);
         for n in 0..CHANGES {
             let text =
                 if large { large_text(n) } else { format!("{TODAY}\n; change {name} {n}\n") };
@@ -43,41 +44,41 @@
             cell.submit(&text).await?;
             accepted.push(millis(begun));
             let begun = Instant::now();
-            everywhere(&cell).await?;
-            force.push(millis(begun));
+            wait_in_force(&cell).await?;
+            in_force.push(millis(begun));
         }
-        force.sort_by(f64::total_cmp);
-        let median = force[force.len() / 2];
+        in_force.sort_by(f64::total_cmp);
+        let median = in_force[in_force.len() / 2];
         let base = *base.get_or_insert(median);
         println!(
             "| {name} | {} | {} | {:.2} |",
-            spread(accepted, 1),
-            spread(force, 1),
+            min_median_max(accepted, 1),
+            min_median_max(in_force, 1),
             median / base
         );
     }
     Ok(())
 }
 
-async fn everywhere(cell: &Cell) -> Result<()> {
+async fn wait_in_force(cell: &Cell) -> Result<()> {
     let begun = Instant::now();
     for n in 0..cell.members.len() {
         while cell.show(n).await.map_or(true, |s| s.version < cell.version) {
-            if begun.elapsed() > LIMIT {
+            if begun.elapsed() > FORCE_TIMEOUT {
                 return Err(format!("member {n} does not have version {}", cell.version).into());
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
     Ok(())
 }
 
-/// A text of many small batches, as a year of jobs would make.
+/// A configuration text with many small batch jobs, as it would be after a year of use.
 pub fn large_text(n: usize) -> String {
     let mut text = format!("{TODAY}\n; change {n}\n");
     let mut job = 0;
-    while text.len() < LARGE {
-        // One task each, of a size that leaves most of them waiting or done.
+    while text.len() < LARGE_TEXT_BYTES {
+        // Each job has one small task, so that most jobs are waiting or done.
         text += &format!(
             "\n[batch job-{job}]\nteam = underwriting\npool = quoting\ntasks = 1\ncores = 10m\n\
              memory = 16MB\nrun = 1s\n"
--- a/standin/src/experiment/control.rs
+++ b/standin/src/experiment/control.rs
@@ -1,4 +1,4 @@
-//! What control costs: processor time, memory, bytes and calls of the key-value service.
+//! Measures the cost of control: processor time, memory, bytes and store calls of the members.
 
 use {
     super::{
@@ -6,9 +6,9 @@
         cell::{Cell, Fleet, ZONES},
         config::large_text,
         path::quotes,
-        starts::{SPREAD, teams_of},
+        starts::{TEAM_COUNT, teams_of},
         today,
-        usage::{self, Usage, line, spread},
+        usage::{self, Usage, fit_line, min_median_max},
     },
     crate::{Result, load},
     std::{
@@ -18,14 +18,14 @@
     tokio::time::sleep,
 };
 
-/// How long a cell is left alone before it is watched.
-const SETTLE: Duration = Duration::from_secs(3);
-/// How long tasks may take to start.
-const STARTS: Duration = Duration::from_secs(60);
-/// The pause between two changes of the text, where changes are made: 8,640 a day.
-const CHANGE: Duration = Duration::from_secs(10);
+/// How long a cell settles before it is measured.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// The time-out until all tasks have started.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+/// The interval between two changes of the text, which makes 8,640 changes a day.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// One condition under which a cell is watched; `x` is what varies.
+/// One condition under which a cell is measured; `x` is the value of the varied quantity.
 struct Case {
     x: f64,
     name: String,
@@ -47,14 +47,14 @@
 /// Prints the tables, or one of them.
 pub async fn run(args: &Args) -> Result<()> {
     let parts: [(&str, &str, Vec<Case>); 7] = [
-        ("workers", "worker", [48, 200, 800].map(|n| sized(3, n, n)).into()),
-        ("members", "member", [3, 9, 18].map(|n| sized(n as usize, 48, n)).into()),
-        // Tells what each member pays for all workers from what it pays for its own.
-        ("wide", "member", [3, 9, 18].map(|n| sized(n as usize, 800, n)).into()),
-        ("tasks", "task", [0, 1000, 4000].map(tasks).into()),
-        ("teams", "team", [1, 100, 310].map(teams).into()),
-        ("text", "KB of text", vec![sized(3, 48, 0), text()]),
-        ("load", "request/s", [0.0, 0.25, 0.5].map(loaded).into()),
+        ("workers", "worker", [48, 200, 800].map(|n| case_of_size(3, n, n)).into()),
+        ("members", "member", [3, 9, 18].map(|n| case_of_size(n as usize, 48, n)).into()),
+        // Separates a member's cost for all workers from its cost for the workers that it owns.
+        ("wide", "member", [3, 9, 18].map(|n| case_of_size(n as usize, 800, n)).into()),
+        ("tasks", "task", [0, 1000, 4000].map(with_tasks).into()),
+        ("teams", "team", [1, 100, 310].map(with_teams).into()),
+        ("text", "KB of text", vec![case_of_size(3, 48, 0), with_large_text()]),
+        ("load", "request/s", [0.0, 0.25, 0.5].map(with_load).into()),
     ];
     for (part, unit, cases) in parts {
         if &*args.part == "all" || &*args.part == part {
@@ -81,20 +81,20 @@
         println!(
             "| {} | {} | {} | {} | {} | {} | {} |",
             case.name,
-            spread(each(|u| u.cpu), 2),
-            spread(each(|u| u.memory), 1),
-            spread(each(|u| u.sent), 1),
-            spread(each(|u| u.received), 1),
-            spread(each(|u| u.list), 1),
+            min_median_max(each(|u| u.cpu), 2),
+            min_median_max(each(|u| u.memory), 1),
+            min_median_max(each(|u| u.sent), 1),
+            min_median_max(each(|u| u.received), 1),
+            min_median_max(each(|u| u.list), 1),
             calls.join(", ")
         );
         rows.push(row);
     }
     let slope = |f: fn(&Row) -> f64| {
         let points: Vec<(f64, f64)> = rows.iter().map(|r| (r.x, f(r))).collect();
-        line(&points)
+        fit_line(&points)
     };
-    // Summed over members, as the work is shared by them, but for a member's own share.
+    // Sums over the members, because they share the work; each also has a fixed cost of its own.
     let figures: [(&str, Figure); 6] = [
         ("cpu, ms/s", |r| r.members.iter().map(|u| u.cpu * 10.0).sum()),
         ("memory, KB", |r| r.members.iter().map(|u| u.memory * 1024.0).sum()),
@@ -116,19 +116,23 @@
     let mut cell = Cell::start(case.members, &fleets, &case.text).await?;
     let begun = Instant::now();
     while cell.witness("starts").await? < u64::from(case.tasks) {
-        if begun.elapsed() > STARTS {
+        if begun.elapsed() > START_TIMEOUT {
             let n = cell.witness("starts").await?;
-            println!("(only {n} of {} tasks started within {} s)", case.tasks, STARTS.as_secs());
+            println!(
+                "(only {n} of {} tasks started within {} s)",
+                case.tasks,
+                START_TIMEOUT.as_secs()
+            );
             break;
         }
         sleep(Duration::from_millis(50)).await;
     }
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let ids: Vec<u32> = cell.members.iter().map(|m| m.id()).collect();
-    let load = quotes(cell.callers()?, false, case.load, time + CHANGE);
+    let load = quotes(cell.callers()?, false, case.load, time + CHANGE_INTERVAL);
     let load = (case.load > 0.0).then(|| tokio::spawn(load::run(load)));
     if load.is_some() {
-        sleep(SETTLE).await;
+        sleep(SETTLE_TIME).await;
     }
     let before = cell.kv_calls().await?;
     let members = usage::watch(&ids, cell.list()?, time).await;
@@ -146,20 +150,20 @@
     Ok(Row { x: case.x, members, calls })
 }
 
-fn sized(members: usize, workers: u32, x: u32) -> Case {
+fn case_of_size(members: usize, workers: u32, x: u32) -> Case {
     let name = format!("{members} members, {workers} workers");
     let text = TODAY.replace("workers = 35", &format!("workers = {workers}"));
     Case { x: f64::from(x), name, members, workers, text, tasks: 0, load: 0.0 }
 }
 
-fn tasks(n: u32) -> Case {
-    let mut case = sized(3, 48, n);
-    case.name = format!("{n} replicas run, in jobs of 20, of {SPREAD} teams");
+fn with_tasks(n: u32) -> Case {
+    let mut case = case_of_size(3, 48, n);
+    case.name = format!("{n} replicas run, in jobs of 20, of {TEAM_COUNT} teams");
     case.tasks = n;
-    case.text += &teams_of(SPREAD);
+    case.text += &teams_of(TEAM_COUNT);
     case.text += &(0..n / 20)
         .map(|n| {
-            let team = n % SPREAD;
+            let team = n % TEAM_COUNT;
             format!(
                 "\n[replicas feed-{n}]\nteam = t{team}\npool = quoting\ntasks = 20\n\
                  cores = 100m\nmemory = 64MB\n"
@@ -169,30 +173,30 @@
     case
 }
 
-fn teams(n: u32) -> Case {
-    let mut case = sized(3, 48, n);
+fn with_teams(n: u32) -> Case {
+    let mut case = case_of_size(3, 48, n);
     case.name = format!("{n} teams");
     case.text += &teams_of(n - 1);
     case
 }
 
-fn text() -> Case {
-    let mut case = sized(3, 48, 900);
+fn with_large_text() -> Case {
+    let mut case = case_of_size(3, 48, 900);
     case.name = "a text of 900 KB, its jobs ended".into();
     case.text = large_text(0);
     case.tasks = u32::try_from(case.text.matches("[batch").count()).unwrap_or(0);
     case
 }
 
-fn loaded(share: f64) -> Case {
-    let mut case = sized(3, 48, 0);
+fn with_load(share: f64) -> Case {
+    let mut case = case_of_size(3, 48, 0);
     case.x = 2800.0 * share;
     case.name = format!("{:.0} requests/s", 2800.0 * share);
     case.load = share;
     case
 }
 
-/// Workers of one pool, five to a rack, evenly over the availability zones.
+/// Workers of one pool, five per rack, spread evenly over the availability zones.
 fn fleets(workers: u32) -> Vec<Fleet> {
     let racks = workers / 5;
     let share = |n: u32| (racks + n) / 3;
--- a/standin/src/experiment/faults.rs
+++ b/standin/src/experiment/faults.rs
@@ -1,12 +1,12 @@
-//! The load through faults: an outage of the key-value service, a member killed, a slow worker.
+//! Measures a load during faults: an outage of the store, a killed member and a slow worker.
 
 use {
     super::{
         Args, TODAY,
-        cell::{Cell, LOOK},
+        cell::{Cell, POLL_INTERVAL},
         path::{quotes, workers},
         today,
-        usage::spread,
+        usage::min_median_max,
     },
     crate::{
         Result,
@@ -17,18 +17,19 @@
     tokio::time::sleep,
 };
 
-/// When a fault begins, counted from the load's begin.
-const BEGIN: Duration = Duration::from_secs(4);
-/// How long the key-value service is down.
+/// The time from the start of the load to the start of the fault.
+const FAULT_DELAY: Duration = Duration::from_secs(4);
+/// The duration of the store's outage.
 const OUTAGE: Duration = Duration::from_secs(30);
-/// How long the load goes on after a fault has ended, or after one that stays has begun.
-const AFTER: Duration = Duration::from_secs(14);
-/// How much longer requests run at the slow worker: ten times as long as elsewhere.
-const SLOW_MS: u64 = 900;
-/// How long racks may take to be placed again.
-const PLACED: Duration = Duration::from_secs(30);
-/// A second is whole when at least this share of its requests was answered well.
-const WHOLE: f64 = 0.99;
+/// The duration of the load after the end of a fault, or after the start of a permanent fault.
+const TIME_AFTER_FAULT: Duration = Duration::from_secs(14);
+/// The extra run time of a request at the slow worker, which makes it ten times as long as at the
+/// others.
+const SLOWDOWN_MS: u64 = 900;
+/// The time-out until all racks have an owner again.
+const PLACEMENT_TIMEOUT: Duration = Duration::from_secs(30);
+/// The smallest share of good answers at which a second counts as good.
+const GOOD_SHARE: f64 = 0.99;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Fault {
@@ -61,7 +62,7 @@
         }
         let mut rows = vec![];
         for _ in 0..args.runs {
-            let (outcome, placed, bad) = one(fault, members).await?;
+            let (outcome, placed, bad) = measure(fault, members).await?;
             wrong += outcome.wrong;
             if bad > 0 {
                 reasons.push(format!("{name}: {bad} violations witnessed"));
@@ -81,11 +82,13 @@
     Ok(())
 }
 
-async fn one(fault: Fault, members: usize) -> Result<(Outcome, Option<f64>, u64)> {
+async fn measure(fault: Fault, members: usize) -> Result<(Outcome, Option<f64>, u64)> {
     let mut cell = Cell::start(members, &today(), TODAY).await?;
-    let time = BEGIN + AFTER + if fault == Fault::Outage { OUTAGE } else { Duration::ZERO };
+    let time = FAULT_DELAY
+        + TIME_AFTER_FAULT
+        + if fault == Fault::Outage { OUTAGE } else { Duration::ZERO };
     let load = tokio::spawn(load::run(quotes(cell.callers()?, false, 0.5, time)));
-    sleep(BEGIN).await;
+    sleep(FAULT_DELAY).await;
     let mut placed = None;
     match fault {
         Fault::None => {}
@@ -93,31 +96,31 @@
             cell.kv_fault(json!({"outage": true})).await?;
             sleep(OUTAGE).await;
             cell.kv_fault(json!({})).await?;
-            placed = again(&cell, members).await;
+            placed = takeover_time(&cell, members).await;
         }
         Fault::Killed => {
-            // Not the first: the cell submits through it.
+            // The first member stays because the cell submits through it.
             let mut victim = cell.members.remove(1);
             victim.kill();
-            placed = again(&cell, members).await;
+            placed = takeover_time(&cell, members).await;
         }
         Fault::Slow => {
             let all = workers(&cell).await?;
             let slow = all.first().ok_or("no workers")?;
-            cell.worker_fault(*slow, json!({"slow": SLOW_MS})).await?;
+            cell.worker_fault(*slow, json!({"slow": SLOWDOWN_MS})).await?;
         }
     }
     let outcome = load.await?;
     Ok((outcome, placed, cell.violations().await?))
 }
 
-/// How long it takes until the members left own all workers and have them ready.
-async fn again(cell: &Cell, members: usize) -> Option<f64> {
+/// The time in seconds until the remaining members own all workers and have them ready.
+async fn takeover_time(cell: &Cell, members: usize) -> Option<f64> {
     let begun = Instant::now();
-    // What the dead member owned is still counted as owned by nobody: wait for all 48.
+    // Workers of the dead member count as not owned until a takeover, so this waits for all 48.
     let count = cell.vms().await.ok()?.vms.len();
-    while begun.elapsed() < PLACED {
-        if cell.placed(count, LOOK).await.is_ok() {
+    while begun.elapsed() < PLACEMENT_TIMEOUT {
+        if cell.placed(count, POLL_INTERVAL).await.is_ok() {
             return Some(begun.elapsed().as_secs_f64());
         }
     }
@@ -131,22 +134,22 @@
 
 fn print(name: &str, rows: &[(Outcome, Option<f64>)], base: &[f64]) {
     let each = |f: &dyn Fn(&Outcome) -> f64| rows.iter().map(|(o, _)| f(o)).collect::<Vec<_>>();
-    let broken = |o: &Outcome| {
-        let whole = |(good, bad): &&(u64, u64)| *good as f64 >= WHOLE * (good + bad) as f64;
-        o.seconds.iter().filter(|s| !whole(s)).count() as f64
+    let bad_seconds = |o: &Outcome| {
+        let is_good = |(good, bad): &&(u64, u64)| *good as f64 >= GOOD_SHARE * (good + bad) as f64;
+        o.seconds.iter().filter(|s| !is_good(s)).count() as f64
     };
     let ratio = rows.iter().zip(base).map(|((o, _), b)| good(o) / b);
     println!(
         "| {name} | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
-        spread(each(&|o| o.due as f64), 0),
-        spread(each(&good), 2),
-        spread(ratio, 4),
-        spread(each(&broken), 0),
-        spread(each(&|o| o.latency[0]), 1),
-        spread(each(&|o| o.latency[2]), 1),
-        spread(each(&|o| o.latency[4]), 1),
-        spread(rows.iter().filter_map(|(_, p)| *p), 2),
-        spread(each(&|o| o.not_run as f64), 0),
-        spread(each(&|o| o.unknown as f64), 0),
+        min_median_max(each(&|o| o.due as f64), 0),
+        min_median_max(each(&good), 2),
+        min_median_max(ratio, 4),
+        min_median_max(each(&bad_seconds), 0),
+        min_median_max(each(&|o| o.latency[0]), 1),
+        min_median_max(each(&|o| o.latency[2]), 1),
+        min_median_max(each(&|o| o.latency[4]), 1),
+        min_median_max(rows.iter().filter_map(|(_, p)| *p), 2),
+        min_median_max(each(&|o| o.not_run as f64), 0),
+        min_median_max(each(&|o| o.unknown as f64), 0),
     );
 }
--- a/standin/src/experiment/path.rs
+++ b/standin/src/experiment/path.rs
@@ -1,11 +1,12 @@
-//! The whole path against the same load sent straight to the workers.
+//! Compares a load through the members with the same load sent directly to the workers, and
+//! requests with keys with the same requests without keys.
 
 use {
     super::{
         Args, TODAY,
         cell::Cell,
         today,
-        usage::{self, spread},
+        usage::{self, min_median_max},
     },
     crate::{
         Result,
@@ -15,22 +16,22 @@
     std::{net::SocketAddr, time::Duration},
 };
 
-/// The slots of the quoting workers: 35 with 8 each.
+/// The slots of all quoting workers: 35 workers with 8 slots each.
 pub const SLOTS: f64 = 280.0;
-/// How long a request runs; 280 slots then carry 2,800 a second.
-pub const RUN: Duration = Duration::from_millis(100);
-/// The shares of the slots' capacity that are offered.
-const SHARES: [f64; 4] = [0.5, 0.8, 0.95, 1.3];
+/// The run time of a request; 280 slots then serve 2,800 requests per second.
+pub const RUN_TIME: Duration = Duration::from_millis(100);
+/// The offered loads, as shares of the slots' capacity.
+const LOAD_SHARES: [f64; 4] = [0.5, 0.8, 0.95, 1.3];
 
-/// A load of quotes at a share of the slots' capacity.
+/// A load of quoting requests at a share of the slots' capacity.
 pub fn quotes(to: Vec<SocketAddr>, direct: bool, share: f64, time: Duration) -> Load {
     Load {
         to,
         direct,
         service: "quoting".into(),
-        rate: share * SLOTS / RUN.as_secs_f64(),
+        rate: share * SLOTS / RUN_TIME.as_secs_f64(),
         time,
-        run: RUN,
+        run: RUN_TIME,
         callers: 40,
         deadline: Duration::from_secs(2),
         keys: 0.0,
@@ -43,22 +44,22 @@
     Ok(vms.into_iter().filter(|v| v.pool.as_str() == "quoting").map(|v| v.addr).collect())
 }
 
-/// How much later the key-value service answers with `slow-keys`: it is said to take milliseconds.
-const SLOW_MS: u64 = 5;
-/// Requests a second with keys; each is claimed in the key-value service before it runs.
-const KEYED: [f64; 3] = [100.0, 400.0, 1200.0];
+/// The extra latency of the store with `slow-keys`; a real store takes a few milliseconds.
+const KV_DELAY_MS: u64 = 5;
+/// Requests per second with keys; each request is claimed in the store before it runs.
+const KEYED_RATES: [f64; 3] = [100.0, 400.0, 1200.0];
 
-/// Prints the table of the whole path, or with `keys` or `slow-keys` that of claims.
+/// Prints the table of the whole path, or the table of claims with `keys` or `slow-keys`.
 pub async fn run(args: &Args) -> Result<()> {
     match &*args.part {
-        "keys" => keys(args, 0).await,
-        "slow-keys" => keys(args, SLOW_MS).await,
-        _ => whole(args).await,
+        "keys" => compare_keys(args, 0).await,
+        "slow-keys" => compare_keys(args, KV_DELAY_MS).await,
+        _ => whole_path(args).await,
     }
 }
 
-/// Requests with keys beside the same without.
-async fn keys(args: &Args, slow: u64) -> Result<()> {
+/// Compares requests with keys with the same requests without keys.
+async fn compare_keys(args: &Args, slow: u64) -> Result<()> {
     let members = args.members.first().copied().unwrap_or(3);
     println!(
         "\n{members} members; least / median / greatest of {} runs of {} s.\n",
@@ -70,12 +71,12 @@
          KV writes/s | members' cpu us/request | reasons |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|");
-    for rate in KEYED {
+    for rate in KEYED_RATES {
         let mut base = vec![];
         for share in [0.0, 1.0] {
             let mut rows = vec![];
             for _ in 0..args.runs {
-                // A cell of its own: claims stay in the records for a day.
+                // Each run has its own cell because claims stay in the store for a day.
                 let cell = Cell::start(members, &today(), TODAY).await?;
                 cell.kv_fault(json!({"slow": slow})).await?;
                 let ids: Vec<u32> = cell.members.iter().map(|m| m.id()).collect();
@@ -85,8 +86,8 @@
                 (load.rate, load.keys) = (rate, share);
                 let o = load::run(load).await;
                 let writes = (cell.writes().await? - writes) / args.time.as_secs_f64();
-                let micros = 1e6 * (used() - cpu) / o.due as f64;
-                rows.push((o, writes, micros));
+                let cpu_micros = 1e6 * (used() - cpu) / o.due as f64;
+                rows.push((o, writes, cpu_micros));
             }
             if share == 0.0 {
                 base = rows.iter().map(|(o, ..)| o.latency[0]).collect();
@@ -97,13 +98,13 @@
             println!(
                 "| {rate} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
                 if share == 0.0 { "none" } else { "each" },
-                spread(each(&|o| o.goodput), 0),
-                spread(each(&|o| o.latency[0]), 1),
-                spread(each(&|o| o.latency[2]), 1),
-                spread(each(&|o| o.latency[0]).iter().zip(&base).map(|(a, b)| a / b), 2),
-                spread(each(&|o| 100.0 * (o.due - o.good) as f64 / o.due as f64), 2),
-                spread(rows.iter().map(|r| r.1), 0),
-                spread(rows.iter().map(|r| r.2), 0),
+                min_median_max(each(&|o| o.goodput), 0),
+                min_median_max(each(&|o| o.latency[0]), 1),
+                min_median_max(each(&|o| o.latency[2]), 1),
+                min_median_max(each(&|o| o.latency[0]).iter().zip(&base).map(|(a, b)| a / b), 2),
+                min_median_max(each(&|o| 100.0 * (o.due - o.good) as f64 / o.due as f64), 2),
+                min_median_max(rows.iter().map(|r| r.1), 0),
+                min_median_max(rows.iter().map(|r| r.2), 0),
                 reasons.join("; ")
             );
         }
@@ -111,10 +112,10 @@
     Ok(())
 }
 
-async fn whole(args: &Args) -> Result<()> {
+async fn whole_path(args: &Args) -> Result<()> {
     let sizes = if args.members.is_empty() { vec![3, 9] } else { args.members.clone() };
-    let bare = Cell::start(0, &today(), TODAY).await?;
-    let straight = workers(&bare).await?;
+    let platform_cell = Cell::start(0, &today(), TODAY).await?;
+    let straight = workers(&platform_cell).await?;
     let mut cells = vec![];
     for size in &sizes {
         cells.push(Cell::start(*size, &today(), TODAY).await?);
@@ -126,7 +127,7 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|");
     let (mut reasons, mut wrong) = (vec![], 0);
-    for share in SHARES {
+    for share in LOAD_SHARES {
         let mut rows: Vec<Vec<(Outcome, f64)>> = vec![vec![]; cells.len() + 1];
         for _ in 0..args.runs {
             let load = quotes(straight.clone(), true, share, args.time);
@@ -136,8 +137,8 @@
                 let used = || ids.iter().filter_map(|id| usage::cpu(*id)).sum::<f64>();
                 let before = used();
                 let outcome = load::run(quotes(cell.callers()?, false, share, args.time)).await;
-                let micros = 1e6 * (used() - before) / outcome.due as f64;
-                row.push((outcome, micros));
+                let cpu_micros = 1e6 * (used() - before) / outcome.due as f64;
+                row.push((outcome, cpu_micros));
             }
         }
         for (n, row) in rows.iter().enumerate() {
@@ -160,18 +161,22 @@
 fn print(share: f64, name: &str, row: &[(Outcome, f64)], base: &[(Outcome, f64)]) {
     let each = |f: &dyn Fn(&Outcome) -> f64| row.iter().map(|(o, _)| f(o)).collect::<Vec<_>>();
     let ratio = row.iter().zip(base).map(|((o, _), (b, _))| o.goodput / b.goodput);
-    let beyond = each(&|o| o.latency[0] - RUN.as_secs_f64() * 1000.0);
+    let beyond = each(&|o| o.latency[0] - RUN_TIME.as_secs_f64() * 1000.0);
     println!(
         "| {:.0}% | {name} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
         100.0 * share,
-        spread(each(&|o| o.goodput), 0),
-        spread(ratio, 3),
-        spread(each(&|o| o.latency[0]), 1),
-        spread(each(&|o| o.latency[2]), 1),
-        spread(each(&|o| o.latency[3]), 1),
-        spread(each(&|o| o.latency[4]), 1),
-        spread(beyond, 2),
-        spread(each(&|o| 100.0 * (o.due - o.good) as f64 / o.due as f64), 2),
-        if name == "straight" { "-".into() } else { spread(row.iter().map(|(_, c)| *c), 0) },
+        min_median_max(each(&|o| o.goodput), 0),
+        min_median_max(ratio, 3),
+        min_median_max(each(&|o| o.latency[0]), 1),
+        min_median_max(each(&|o| o.latency[2]), 1),
+        min_median_max(each(&|o| o.latency[3]), 1),
+        min_median_max(each(&|o| o.latency[4]), 1),
+        min_median_max(beyond, 2),
+        min_median_max(each(&|o| 100.0 * (o.due - o.good) as f64 / o.due as f64), 2),
+        if name == "straight" {
+            "-".into()
+        } else {
+            min_median_max(row.iter().map(|(_, c)| *c), 0)
+        },
     );
 }
--- a/standin/src/experiment/usage.rs
+++ b/standin/src/experiment/usage.rs
@@ -1,4 +1,4 @@
-//! What a process uses: processor time, memory, and bytes over its connections.
+//! Measures the processor time, the memory and the network traffic of processes.
 
 use {
     std::{
@@ -11,32 +11,32 @@
     tokio::time::sleep,
 };
 
-/// The kernel's clock ticks a second, as `/proc` counts processor time on Linux.
-const TICKS: f64 = 100.0;
-/// How often the connections are looked at.
-const LOOK: Duration = Duration::from_millis(500);
+/// The unit of processor time in `/proc` on Linux, in clock ticks per second.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// The interval at which the connections are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a process used a second, over a while.
+/// The resources that a process used, as averages over the measured time where not said otherwise.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Percent of one core.
+    /// Processor time in percent of one core.
     pub cpu: f64,
-    /// Megabytes in memory at the end.
+    /// Resident memory in megabytes at the end of the measurement.
     pub memory: f64,
-    /// Kilobytes sent a second, over connections that were seen.
+    /// Kilobytes sent per second over the observed connections.
     pub sent: f64,
-    /// Kilobytes received a second, likewise.
+    /// Kilobytes received per second over the observed connections.
     pub received: f64,
-    /// What of it is the platform's list of VMs.
+    /// The part of `received` that comes from the platform's list of VMs.
     pub list: f64,
 }
 
-/// The processor time that a process has used, in seconds; none where it has ended.
+/// The processor time that a process has used, in seconds; `None` if the process has ended.
 pub fn cpu(id: u32) -> Option<f64> {
     let stat = fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
     let rest = stat.rsplit_once(')')?.1;
     let field = |n: usize| rest.split_whitespace().nth(n)?.parse::<f64>().ok();
-    Some((field(11)? + field(12)?) / TICKS)
+    Some((field(11)? + field(12)?) / TICKS_PER_SECOND)
 }
 
 fn memory(id: u32) -> Option<f64> {
@@ -45,10 +45,10 @@
     Some(line.trim().trim_end_matches(" kB").parse::<f64>().ok()? / 1024.0)
 }
 
-/// Bytes sent and received by process and connection, as `ss` shows them.
+/// The bytes sent and received by process and connection, as reported by `ss`.
 fn connections() -> BTreeMap<(u32, Box<str>), (u64, u64)> {
-    let shown = Command::new("ss").args(["-tinpHO", "state", "established"]).output();
-    let text = shown.map(|o| String::from_utf8_lossy(&o.stdout).into_owned()).unwrap_or_default();
+    let output = Command::new("ss").args(["-tinpHO", "state", "established"]).output();
+    let text = output.map(|o| String::from_utf8_lossy(&o.stdout).into_owned()).unwrap_or_default();
     let rows = text.lines().filter_map(|line| {
         let id = line.split_once("pid=")?.1.split(',').next()?.parse().ok()?;
         let number = |name: &str| {
@@ -61,12 +61,12 @@
     rows.collect()
 }
 
-/// Watches processes for a while.
+/// Measures the processes for the given time.
 ///
-/// Bytes are those of connections seen at both ends of a look; what a connection carried before
-/// its first look or after its last is missed, so they are a lower bound.
+/// Bytes that a connection carries after the last poll that shows it are missed, so the figures
+/// are a lower bound.
 ///
-/// `vms` is the address of the platform's list.
+/// `vms` is the address of the platform's list of VMs.
 pub async fn watch(ids: &[u32], vms: SocketAddr, time: Duration) -> Vec<Usage> {
     let vms = vms.to_string();
     let begun = Instant::now();
@@ -74,7 +74,7 @@
     let mut bytes: BTreeMap<u32, [u64; 3]> = BTreeMap::new();
     let mut last = connections();
     while begun.elapsed() < time {
-        sleep(LOOK.min(time - begun.elapsed().min(time))).await;
+        sleep(POLL_INTERVAL.min(time - begun.elapsed().min(time))).await;
         let next = connections();
         for (at, (sent, received)) in &next {
             let old = last.get(at).copied().unwrap_or((0, 0));
@@ -103,8 +103,8 @@
     each.collect()
 }
 
-/// The least, median and greatest of some figures, with a number of decimals.
-pub fn spread(figures: impl IntoIterator<Item = f64>, decimals: usize) -> String {
+/// Formats the minimum, median and maximum of some figures with a number of decimals.
+pub fn min_median_max(figures: impl IntoIterator<Item = f64>, decimals: usize) -> String {
     let mut f: Vec<f64> = figures.into_iter().collect();
     f.sort_by(f64::total_cmp);
     let (Some(least), Some(greatest)) = (f.first(), f.last()) else { return "-".into() };
@@ -112,8 +112,8 @@
     format!("{least:.decimals$} / {median:.decimals$} / {greatest:.decimals$}")
 }
 
-/// The slope and the intercept of the least-squares line through points.
-pub fn line(points: &[(f64, f64)]) -> (f64, f64) {
+/// The slope and the intercept of the least-squares line through the points.
+pub fn fit_line(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let (x, y) = points.iter().fold((0.0, 0.0), |(x, y), p| (x + p.0 / n, y + p.1 / n));
     let above: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
--- a/standin/src/measure_order/jobs.rs
+++ b/standin/src/measure_order/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs that the orders are compared on.
+//! Generates the jobs on which the scheduling orders are compared.
 
 use {
     super::{LARGE, Options, USERS},
@@ -9,14 +9,16 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Load {
-    /// All users alike, 10 to 30 tasks a job.
+    /// All users have the same load, with 10 to 30 tasks per job.
     Uniform,
-    /// All users alike, tasks by a bounded Pareto distribution (1.1, from 4 to 4,000).
+    /// All users have the same load; the tasks per job follow a bounded Pareto distribution (shape
+    /// 1.1, from 4 to 4,000).
     Heavy,
-    /// All users alike, 10 to 100 tasks; a third of the jobs are due after twice the time that they
-    /// need in their user's part of the slots, the others have no deadline.
+    /// All users have the same load, with 10 to 100 tasks per job. A third of the jobs are due after
+    /// twice the time that they need in their user's share of the slots; the others have no deadline.
     Dated,
-    /// Three users bring half of the work in jobs of 500 to 1,500 tasks, the others 2 to 10.
+    /// Three users submit half of the work in jobs of 500 to 1,500 tasks; the jobs of the others have
+    /// 2 to 10 tasks.
     Unlike,
 }
 
@@ -26,27 +28,27 @@
     pub(super) arrival: Time,
     pub(super) tasks: u32,
     pub(super) run: Duration,
-    /// What the operator says of `run`, off by up to a factor of two either way.
+    /// The operator's estimate of `run`, wrong by up to a factor of two in either direction.
     pub(super) declared: Duration,
     pub(super) deadline: Time,
 }
 
-/// Jobs of each user at random times until its part of the work is reached.
+/// Generates jobs of each user at random times until the user's share of the work is reached.
 pub(super) fn generate(o: &Options, load: Load, seed: u64) -> Vec<Work> {
     let mut rng = Rng::with_seed(seed);
     let horizon = o.hours * 3600;
     let total = o.load * o.slots as f64 * horizon as f64;
     let mut work = Vec::new();
     for user in 0..USERS {
-        let part = match load {
+        let share = match load {
             Load::Unlike if user < LARGE => 0.5 / LARGE as f64,
             Load::Unlike => 0.5 / (USERS - LARGE) as f64,
             Load::Uniform | Load::Heavy | Load::Dated => 1.0 / USERS as f64,
         };
-        let mut left = total * part;
-        while left > 0.0 {
+        let mut remaining = total * share;
+        while remaining > 0.0 {
             let w = draw(&mut rng, load, user, horizon, o.slots);
-            left -= f64::from(w.tasks) * w.run.as_secs_f64();
+            remaining -= f64::from(w.tasks) * w.run.as_secs_f64();
             work.push(w);
         }
     }
--- a/tests/scenario/load.rs
+++ b/tests/scenario/load.rs
@@ -1,4 +1,5 @@
-//! Callers behind a balancer, who check that each answer is the whole answer to their own request.
+//! Callers that send requests through a simulated load balancer and check that every answer is
+//! complete and belongs to their own request.
 
 use {
     bytes::Bytes,
@@ -16,12 +17,12 @@
     tokio::time::{Interval, interval},
 };
 
-/// How often a balancer looks at the members' readiness pages.
-const LOOK: Duration = Duration::from_millis(50);
-/// How long a caller waits for an answer; beyond every deadline of the scenarios.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// The interval at which the balancer polls the members' readiness pages.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The time-out of a call; longer than every deadline in the scenarios.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What is sent.
+/// A request to a service. Optional fields become headers when they are set.
 #[derive(Clone, Default)]
 pub struct Call {
     pub service: String,
@@ -32,50 +33,50 @@
     pub caller: Option<String>,
 }
 
-/// What came of a call.
+/// The result of a call as its caller sees it.
 #[derive(Clone, Debug)]
-pub struct Fate {
-    /// The status; none where no whole answer came.
+pub struct CallResult {
+    /// The HTTP status; `None` if no complete answer arrived.
     pub status: Option<u16>,
     pub body: String,
     pub id: String,
     pub ran: String,
-    /// The label of the refusal, or how the call failed.
+    /// The label of the refusal, or the kind of transport failure.
     pub reason: String,
-    /// When to come back, in milliseconds.
-    pub back: bool,
+    /// Whether the answer has a `retry-after` header.
+    pub retry_after: bool,
 }
 
 /// Sends one request to a member.
-pub async fn send(client: &Client, addr: &str, call: &Call) -> Fate {
+pub async fn send(client: &Client, addr: &str, call: &Call) -> CallResult {
     let mut b = Request::builder().method("POST").uri(format!("http://{addr}/{}/do", call.service));
-    let named =
+    let headers =
         [(KEY, &call.key), (DEADLINE, &call.deadline), (RUN, &call.run), (CALLER, &call.caller)];
-    for (name, value) in named {
+    for (name, value) in headers {
         if let Some(value) = value {
             b = b.header(name, value);
         }
     }
     let body = Full::new(Bytes::from(call.body.clone()));
-    let sent = client.send(b.body(body).expect("a request"), PATIENCE).await;
-    let failed = |why: &str| Fate {
+    let sent = client.send(b.body(body).expect("a request"), CALL_TIMEOUT).await;
+    let failed = |reason: &str| CallResult {
         status: None,
         body: "".into(),
         id: "".into(),
         ran: "unknown".into(),
-        reason: why.into(),
-        back: false,
+        reason: reason.into(),
+        retry_after: false,
     };
     match sent {
         Ok((head, body)) => {
             let text = |name| head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
-            Fate {
+            CallResult {
                 status: Some(head.status.as_u16()),
                 body: String::from_utf8_lossy(&body).into(),
                 id: text(REQUEST).into(),
                 ran: text(RAN).into(),
                 reason: text(REASON).into(),
-                back: head.headers.contains_key("retry-after"),
+                retry_after: head.headers.contains_key("retry-after"),
             }
         }
         Err(Failure::Unsent) => failed("unsent"),
@@ -84,34 +85,34 @@
     }
 }
 
-/// A load: its callers go on until `total` calls are made or it is told to end.
+/// A group of callers that send requests until `total` calls are made or the load is ended.
 pub struct Load {
     /// The members behind the balancer.
     pub members: Arc<Mutex<Vec<Member>>>,
     pub answered: Arc<AtomicU64>,
     end: Arc<AtomicBool>,
-    seen: Arc<Mutex<Seen>>,
+    tally: Arc<Mutex<Tally>>,
     callers: Vec<tokio::task::JoinHandle<()>>,
 }
 
-/// What the callers of a load have seen.
+/// Results that the callers of a load have collected.
 #[derive(Default)]
-pub struct Seen {
+pub struct Tally {
     pub reasons: BTreeMap<String, u64>,
     pub wrong: Vec<String>,
-    /// Ids of what was said not to have run.
-    pub refused: BTreeSet<String>,
-    /// Keys of the same.
-    pub keys: BTreeSet<String>,
-    /// Keys that were answered.
-    pub done: BTreeSet<String>,
+    /// Ids of requests that were reported as not run.
+    pub refused_ids: BTreeSet<String>,
+    /// Keys of requests that were reported as not run.
+    pub refused_keys: BTreeSet<String>,
+    /// Keys of requests that were answered.
+    pub answered_keys: BTreeSet<String>,
 }
 
-/// A member as the balancer knows it: callers' address, metrics' address.
+/// The addresses of a member that the balancer uses: for callers and for metrics.
 pub type Member = (String, String);
 
 impl Load {
-    /// Starts callers; must be called within a runtime.
+    /// Starts `parallel` callers; must be called within a Tokio runtime.
     ///
     /// With `twice`, each call is sent to two members at once.
     pub fn start(
@@ -126,15 +127,15 @@
             members: Arc::new(Mutex::new(members.to_vec())),
             answered: Arc::default(),
             end: Arc::default(),
-            seen: Arc::default(),
+            tally: Arc::default(),
             callers: vec![],
         };
         let ready = Arc::new(Mutex::new(vec![]));
-        tokio::spawn(look(load.members.clone(), ready.clone(), load.end.clone()));
+        tokio::spawn(poll_readiness(load.members.clone(), ready.clone(), load.end.clone()));
         let next = Arc::new(AtomicU64::new(0));
         let client = Client::new(64);
         let callers = (0..parallel).map(|n| {
-            // Each broker is a caller of his own, with a share of his own in the queues.
+            // Each connection uses its own caller name, so that it has its own share in the queues.
             let call = Call { caller: Some(format!("{name}-{n}")), ..call.clone() };
             let caller = Caller {
                 ready: ready.clone(),
@@ -144,7 +145,7 @@
                 name: name.into(),
                 answered: load.answered.clone(),
                 end: load.end.clone(),
-                seen: load.seen.clone(),
+                tally: load.tally.clone(),
                 twice,
             };
             tokio::spawn(caller.run(total))
@@ -153,35 +154,42 @@
         Load { callers, ..load }
     }
 
-    /// Lets the callers get their last answers and returns what they saw.
-    pub async fn end(self, now: bool) -> (u64, Seen) {
-        if now {
+    /// Waits for the callers' last answers and returns the number of good answers and the results.
+    ///
+    /// With `stop_now`, the callers make no further calls; otherwise they first make all `total`
+    /// calls.
+    pub async fn end(self, stop_now: bool) -> (u64, Tally) {
+        if stop_now {
             self.end.store(true, Ordering::Relaxed);
         }
         for caller in self.callers {
             caller.await.expect("a caller ends by itself");
         }
         self.end.store(true, Ordering::Relaxed);
-        let seen = std::mem::take(&mut *self.seen.lock().expect("no holder panics"));
-        (self.answered.load(Ordering::Relaxed), seen)
+        let tally = std::mem::take(&mut *self.tally.lock().expect("no holder panics"));
+        (self.answered.load(Ordering::Relaxed), tally)
     }
 }
 
-/// Keeps the list of ready members, as a balancer does.
-async fn look(
+/// Polls the readiness pages and keeps the list of ready members up to date.
+async fn poll_readiness(
     members: Arc<Mutex<Vec<Member>>>,
     ready: Arc<Mutex<Vec<String>>>,
     end: Arc<AtomicBool>,
 ) {
     let client = Client::new(0);
-    let mut ticks: Interval = interval(LOOK);
+    let mut ticks: Interval = interval(POLL_INTERVAL);
     while !end.load(Ordering::Relaxed) {
         let mut found = vec![];
         let members = members.lock().expect("no holder panics").clone();
         for (callers, metrics) in &members {
             let page = Request::builder().uri(format!("http://{metrics}/ready"));
             let page = page.body(Full::default()).expect("a request");
-            if client.send(page, LOOK * 4).await.is_ok_and(|(head, _)| head.status.is_success()) {
+            if client
+                .send(page, POLL_INTERVAL * 4)
+                .await
+                .is_ok_and(|(head, _)| head.status.is_success())
+            {
                 found.push(callers.clone());
             }
         }
@@ -198,7 +206,7 @@
     name: String,
     answered: Arc<AtomicU64>,
     end: Arc<AtomicBool>,
-    seen: Arc<Mutex<Seen>>,
+    tally: Arc<Mutex<Tally>>,
     twice: bool,
 }
 
@@ -213,54 +221,54 @@
             call.body = format!("{}-{n} {}", self.name, call.body);
             call.key = call.key.map(|k| format!("{k}-{}-{n}", self.name));
             if self.twice {
-                let both = tokio::join!(
-                    self.balance(n as usize, &call),
-                    self.balance(n as usize + 1, &call)
+                let results = tokio::join!(
+                    self.send_balanced(n as usize, &call),
+                    self.send_balanced(n as usize + 1, &call)
                 );
-                self.note(&call, both.0);
-                self.note(&call, both.1);
+                self.record(&call, results.0);
+                self.record(&call, results.1);
             } else {
-                let fate = self.balance(n as usize, &call).await;
-                self.note(&call, fate);
+                let result = self.send_balanced(n as usize, &call).await;
+                self.record(&call, result);
             }
         }
     }
 
-    /// Sends a call to the n-th ready member; one that can't be reached is passed over, as a
-    /// balancer does.
-    async fn balance(&self, n: usize, call: &Call) -> Fate {
-        let mut ticks = interval(LOOK / 5);
+    /// Sends a call to the n-th ready member, and tries again if the request could not be sent, as
+    /// a load balancer does.
+    async fn send_balanced(&self, n: usize, call: &Call) -> CallResult {
+        let mut ticks = interval(POLL_INTERVAL / 5);
         loop {
             let ready = self.ready.lock().expect("no holder panics").clone();
             if let Some(addr) = ready.get(n % ready.len().max(1)) {
-                let fate = send(&self.client, addr, call).await;
-                if fate.reason != "unsent" {
-                    return fate;
+                let result = send(&self.client, addr, call).await;
+                if result.reason != "unsent" {
+                    return result;
                 }
             }
             ticks.tick().await;
         }
     }
 
-    fn note(&self, call: &Call, fate: Fate) {
-        let mut seen = self.seen.lock().expect("no holder panics");
-        match fate.status {
-            Some(200) if fate.body == call.body => {
+    fn record(&self, call: &Call, result: CallResult) {
+        let mut tally = self.tally.lock().expect("no holder panics");
+        match result.status {
+            Some(200) if result.body == call.body => {
                 self.answered.fetch_add(1, Ordering::Relaxed);
-                seen.done.extend(call.key.clone());
+                tally.answered_keys.extend(call.key.clone());
                 return;
             }
-            Some(200) => seen.wrong.push(format!("{:?} got {:?}", call.body, fate.body)),
+            Some(200) => tally.wrong.push(format!("{:?} got {:?}", call.body, result.body)),
             _ => {}
         }
-        if fate.ran == "no" {
-            seen.refused.insert(fate.id);
-            seen.keys.extend(call.key.clone());
+        if result.ran == "no" {
+            tally.refused_ids.insert(result.id);
+            tally.refused_keys.extend(call.key.clone());
         }
-        let reason = match fate.status {
-            Some(status) if fate.reason.is_empty() => status.to_string(),
-            _ => fate.reason,
+        let reason = match result.status {
+            Some(status) if result.reason.is_empty() => status.to_string(),
+            _ => result.reason,
         };
-        *seen.reasons.entry(reason).or_default() += 1;
+        *tally.reasons.entry(reason).or_default() += 1;
     }
 }
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -1,7 +1,8 @@
-//! The language of the scenarios: each command starts, disturbs, asks or awaits something.
+//! Runs the commands of scenario files against processes of the scheduler and its stand-ins.
 //!
-//! A scenario is a file of commands, each followed by `----` and what it prints. See README.md
-//! beside the scenarios for the commands.
+//! A scenario is a file of commands, each followed by `----` and the expected output. A command
+//! starts a process, injects a fault, sends a request or waits for a condition. README.md beside
+//! the scenarios describes the commands.
 
 mod load;
 mod process;
@@ -12,7 +13,7 @@
     dogwoodreach::http::Client,
     http_body_util::Full,
     hyper::Request,
-    load::{Call, Fate, Load, Member},
+    load::{Call, CallResult, Load, Member},
     process::Process,
     serde_json::Value,
     std::{
@@ -30,10 +31,10 @@
 
 const DAEMON: &str = env!("CARGO_BIN_EXE_dogwoodreach");
 const SECRET: &str = "a-secret-of-the-scenarios";
-/// The deadline of a call to a page or a stand-in's control.
-const CALL: Duration = Duration::from_secs(2);
+/// The time-out of a call to a member's page or to the control address of a stand-in.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs the scenario in a file.
+/// Runs the scenario in the file of this name.
 pub fn run(name: &str) {
     let mut cell = Cell::new(name);
     let path = format!("{}/tests/scenarios/{name}.txt", env!("CARGO_MANIFEST_DIR"));
@@ -41,7 +42,7 @@
     datadriven::walk(&path, |file| file.run(|case| cell.command(case)));
 }
 
-/// What runs in a scenario.
+/// The processes, loads and pending requests of a running scenario.
 pub struct Cell {
     dir: PathBuf,
     runtime: Runtime,
@@ -49,10 +50,10 @@
     processes: BTreeMap<String, Process>,
     members: BTreeSet<String>,
     loads: BTreeMap<String, Load>,
-    requests: BTreeMap<String, JoinHandle<Fate>>,
-    marked: Option<Instant>,
-    found: BTreeMap<String, String>,
-    gained: BTreeMap<String, usize>,
+    requests: BTreeMap<String, JoinHandle<CallResult>>,
+    marked_at: Option<Instant>,
+    aliases: BTreeMap<String, String>,
+    gain_marks: BTreeMap<String, usize>,
 }
 
 impl Cell {
@@ -70,15 +71,15 @@
             members: BTreeSet::new(),
             loads: BTreeMap::new(),
             requests: BTreeMap::new(),
-            marked: None,
-            found: BTreeMap::new(),
-            gained: BTreeMap::new(),
+            marked_at: None,
+            aliases: BTreeMap::new(),
+            gain_marks: BTreeMap::new(),
         }
     }
 
     fn command(&mut self, case: &TestCase) -> String {
-        let mut args = Args::of(case, &self.found);
-        let said = match case.directive.as_str() {
+        let mut args = Args::new(case, &self.aliases);
+        let output = match case.directive.as_str() {
             "platform" => self.start("platform", standin(), &["platform"]),
             "workers" => self.workers(&mut args),
             "member" => self.member(&mut args),
@@ -86,8 +87,8 @@
             "race" => self.race(&mut args, &case.input),
             "request" => self.request(&mut args),
             "result" => {
-                let waiting = self.requests.remove(&args.name()).expect("a request of this name");
-                told(&self.runtime.block_on(waiting).expect("a request ends by itself"))
+                let pending = self.requests.remove(&args.name()).expect("a request of this name");
+                describe(&self.runtime.block_on(pending).expect("a request ends by itself"))
             }
             "load" => self.load(&mut args),
             "load-end" => self.load_end(&mut args),
@@ -105,22 +106,22 @@
             "await" => self.wait(&mut args),
             "find" => self.find(&mut args),
             "mark-gained" => {
-                let rack = args.need("rack");
+                let rack = args.required("rack");
                 let times = self.gained(&rack);
-                self.gained.insert(rack, times);
+                self.gain_marks.insert(rack, times);
                 "".into()
             }
             "gained" => {
-                let rack = args.need("rack");
-                let before = self.gained.get(&rack).copied().unwrap_or(0);
+                let rack = args.required("rack");
+                let before = self.gain_marks.get(&rack).copied().unwrap_or(0);
                 (self.gained(&rack) - before).to_string()
             }
             "same-text" => self.same_text(&mut args),
             "witness" => self.witness(),
             other => panic!("no command {other}"),
         };
-        args.all_taken();
-        if said.is_empty() { said } else { said.trim_end().to_owned() + "\n" }
+        args.assert_all_used();
+        if output.is_empty() { output } else { output.trim_end().to_owned() + "\n" }
     }
 
     fn start(&mut self, name: &str, program: PathBuf, line: &[&str]) -> String {
@@ -130,26 +131,26 @@
     }
 
     fn workers(&mut self, args: &mut Args) -> String {
-        let (pool, zones) = (args.need("pool"), args.list("zone").join(","));
-        let vms = self.process("platform").word("vms").to_owned();
+        let (pool, zones) = (args.required("pool"), args.list("zone").join(","));
+        let vms = self.process("platform").value("vms").to_owned();
         let mut line = vec!["workers", "--vms", &vms, "--pool", &pool, "--zone", &zones];
-        let (racks, each) = (args.need("racks"), args.need("per-rack"));
+        let (racks, each) = (args.required("racks"), args.required("per-rack"));
         line.extend(["--racks", &racks, "--per-rack", &each]);
         if args.flag("through-link") {
             line.push("--through-link");
         }
         self.start(&pool, standin(), &line);
-        format!("{} workers", self.process(&pool).word("workers"))
+        format!("{} workers", self.process(&pool).value("workers"))
     }
 
     fn member(&mut self, args: &mut Args) -> String {
-        let (zone, linked, name) = (args.need("zone"), args.flag("through-link"), args.name());
-        let mut kv = self.process("platform").word("kv").to_owned();
-        let vms = self.process("platform").word("vms").to_owned();
+        let (zone, linked, name) = (args.required("zone"), args.flag("through-link"), args.name());
+        let mut kv = self.process("platform").value("kv").to_owned();
+        let vms = self.process("platform").value("vms").to_owned();
         if linked {
             let link = format!("{name}-kv");
             self.start(&link, standin(), &["link", "--to", &kv]);
-            kv = self.process(&link).word("link").to_owned();
+            kv = self.process(&link).value("link").to_owned();
         }
         let ports = ["callers", "operators", "control", "bodies", "metrics"];
         let ports: String = ports.iter().map(|p| format!("{p} = 127.0.0.1:0\n")).collect();
@@ -161,9 +162,9 @@
         let settings = settings.to_string_lossy().into_owned();
         self.members.insert(name.clone());
         self.start(&name, DAEMON.into(), &["serve", "--settings", &settings]);
-        let doors = self.doors(&name);
+        let addresses = self.addresses(&name);
         for load in self.loads.values() {
-            load.members.lock().expect("no holder panics").push(doors.clone());
+            load.members.lock().expect("no holder panics").push(addresses.clone());
         }
         "".into()
     }
@@ -172,33 +173,35 @@
         let file = self.dir.join("text.ini");
         fs::write(&file, text).expect("a file");
         let mut line = vec!["submit".into(), file.to_string_lossy().into_owned()];
-        if let Some(base) = args.take("base") {
+        if let Some(base) = args.optional("base") {
             line.extend(["--base".into(), base]);
         }
-        let via = args.need("via");
-        let out = self.ask(&via, &line);
-        let said = String::from_utf8_lossy(&out.stdout).into_owned();
+        let via = args.required("via");
+        let out = self.operator_output(&via, &line);
+        let output = String::from_utf8_lossy(&out.stdout).into_owned();
         let failed = String::from_utf8_lossy(&out.stderr).into_owned();
         match out.status.code() {
-            Some(0) => said,
-            code => format!("{said}{failed}exit code {}", code.unwrap_or(-1)),
+            Some(0) => output,
+            code => format!("{output}{failed}exit code {}", code.unwrap_or(-1)),
         }
     }
 
-    /// Two operators submit at once, each through a member; the order of the two is left open.
+    /// Submits two texts at once, each through its own member.
+    ///
+    /// Either submission may win, so the output is sorted.
     fn race(&mut self, args: &mut Args, texts: &str) -> String {
-        let base = args.need("base");
+        let base = args.required("base");
         let mut children = vec![];
         for (n, (via, text)) in args.list("via").iter().zip(texts.split("\n==\n")).enumerate() {
             let file = self.dir.join(format!("race-{n}.ini"));
             fs::write(&file, text).expect("a file");
             let file = file.to_string_lossy().into_owned();
-            let mut line = self.line(via, &["submit".into(), file]);
+            let mut line = self.operator_command(via, &["submit".into(), file]);
             let child = line.args(["--base", &base]).stdout(std::process::Stdio::piped()).spawn();
             children.push(child.expect("the command starts"));
         }
-        let ends = children.into_iter().map(|c| c.wait_with_output().expect("it ends"));
-        let mut said: Vec<String> = ends
+        let outputs = children.into_iter().map(|c| c.wait_with_output().expect("it ends"));
+        let mut output: Vec<String> = outputs
             .map(|out| match out.status.code() {
                 Some(0) => String::from_utf8_lossy(&out.stdout).trim_end().into(),
                 Some(4) if out.stdout.iter().filter(|b| **b == b'\n').count() > 1 => {
@@ -207,71 +210,74 @@
                 code => format!("{code:?}: {}", String::from_utf8_lossy(&out.stdout)),
             })
             .collect();
-        said.sort();
-        said.join("\n")
+        output.sort();
+        output.join("\n")
     }
 
     fn request(&mut self, args: &mut Args) -> String {
-        let (via, call) = (args.need("via"), args.call());
-        let Some(name) = args.take("as") else { return told(&self.send(&via, &call)) };
-        let (addr, client) = (self.doors(&via).0, self.client.clone());
+        let (via, call) = (args.required("via"), args.call());
+        let Some(name) = args.optional("as") else { return describe(&self.send(&via, &call)) };
+        let (addr, client) = (self.addresses(&via).0, self.client.clone());
         let sent = async move { load::send(&client, &addr, &call).await };
         self.requests.insert(name, self.runtime.spawn(sent));
         "".into()
     }
 
-    fn send(&mut self, via: &str, call: &Call) -> Fate {
-        let addr = self.doors(via).0;
+    fn send(&mut self, via: &str, call: &Call) -> CallResult {
+        let addr = self.addresses(via).0;
         self.runtime.block_on(load::send(&self.client, &addr, call))
     }
 
     fn load(&mut self, args: &mut Args) -> String {
         let via = args.list("via");
-        let members: Vec<Member> = via.iter().map(|m| self.doors(m)).collect();
-        let parallel = args.need("parallel").parse().expect("a number");
-        let (total, name) = (args.take("n"), args.take("as"));
+        let members: Vec<Member> = via.iter().map(|m| self.addresses(m)).collect();
+        let parallel = args.required("parallel").parse().expect("a number");
+        let (total, name) = (args.optional("n"), args.optional("as"));
         let count = total.as_ref().map_or(u64::MAX, |n| n.parse().expect("a number"));
         let (call, twice) = (args.call(), args.flag("twice"));
-        let own = name.clone().unwrap_or_else(|| "load".into());
-        let entered = self.runtime.enter();
-        let load = Load::start(&members, &call, &own, parallel, count, twice);
-        drop(entered);
+        let load_name = name.clone().unwrap_or_else(|| "load".into());
+        let guard = self.runtime.enter();
+        let load = Load::start(&members, &call, &load_name, parallel, count, twice);
+        drop(guard);
         match name {
             Some(name) => {
                 self.loads.insert(name, load);
                 "".into()
             }
-            None => self.seen(load, false, &args.list("allow")),
+            None => self.summarize(load, false, &args.list("allow")),
         }
     }
 
     fn load_end(&mut self, args: &mut Args) -> String {
         let allowed = args.list("allow");
         let load = self.loads.remove(&args.name()).expect("a load of this name");
-        self.seen(load, true, &allowed)
-    }
-
-    /// Ends a load and tells what its callers saw; counts only where every run has the same.
-    fn seen(&mut self, load: Load, now: bool, allowed: &[String]) -> String {
-        let (answered, mut seen) = self.runtime.block_on(load.end(now));
-        let ran: BTreeSet<String> = self.ran();
-        // With `twice`, the other call with the key may have been answered.
-        let refused = seen.refused.iter().chain(seen.keys.difference(&seen.done));
-        let lies: Vec<&String> = refused.filter(|id| ran.contains(*id)).collect();
+        self.summarize(load, true, &allowed)
+    }
+
+    /// Ends a load and describes its results.
+    ///
+    /// The number of answers is printed only if it is the same in every run of the scenario.
+    fn summarize(&mut self, load: Load, stop_now: bool, allowed: &[String]) -> String {
+        let (answered, mut tally) = self.runtime.block_on(load.end(stop_now));
+        let ran: BTreeSet<String> = self.ran_ids();
+        // With `twice`, one call with a key may be refused while the other is answered.
+        let refused =
+            tally.refused_ids.iter().chain(tally.refused_keys.difference(&tally.answered_keys));
+        let contradictions: Vec<&String> = refused.filter(|id| ran.contains(*id)).collect();
         let answered =
-            if now || !allowed.is_empty() { "many".into() } else { answered.to_string() };
-        seen.reasons.retain(|reason, _| !allowed.contains(reason));
-        let errors: Vec<String> = seen.reasons.iter().map(|(r, n)| format!("{r} {n}")).collect();
+            if stop_now || !allowed.is_empty() { "many".into() } else { answered.to_string() };
+        tally.reasons.retain(|reason, _| !allowed.contains(reason));
+        let errors: Vec<String> = tally.reasons.iter().map(|(r, n)| format!("{r} {n}")).collect();
         let errors = if errors.is_empty() { "none".into() } else { errors.join(", ") };
-        let wrong = seen.wrong.join("; ");
-        let mut said = format!("answered: {answered}\nother errors: {errors}");
-        if !seen.wrong.is_empty() {
-            said += &format!("\nwrong answers: {wrong}");
+        let wrong = tally.wrong.join("; ");
+        let mut output = format!("answered: {answered}\nother errors: {errors}");
+        if !tally.wrong.is_empty() {
+            output += &format!("\nwrong answers: {wrong}");
         }
-        if !lies.is_empty() {
-            said += &format!("\nran although refused as not run: {lies:?}");
+        if !contradictions.is_empty() {
+            output += &format!("\nran although refused as not run: {contradictions:?}");
         }
-        said
+        output
     }
 
     fn signal(&mut self, args: &mut Args, name: &str) -> String {
@@ -279,9 +285,10 @@
         "".into()
     }
 
-    /// Sets a fault of `kv`, `list`, a pool, or the link `NAME-kv` before a member's KV.
+    /// Sets a fault of the store (`kv`), of the VM list (`list`), of the workers of a pool, or of the
+    /// link `NAME-kv` between a member and the store.
     fn fault(&mut self, args: &mut Args, path: &str) -> String {
-        let worker = args.take("worker").unwrap_or_default();
+        let worker = args.optional("worker").unwrap_or_default();
         let name = args.name();
         let fields = args.0.drain().map(|(k, v)| {
             let v = v.into_iter().next().unwrap_or_default();
@@ -289,47 +296,47 @@
         });
         let body = Value::Object(fields.collect());
         let to = match name.as_str() {
-            "kv" => format!("{}/fault", self.process("platform").word("kv")),
-            "list" => format!("{}/fault", self.process("platform").word("vms")),
+            "kv" => format!("{}/fault", self.process("platform").value("kv")),
+            "list" => format!("{}/fault", self.process("platform").value("vms")),
             link if link.ends_with("-kv") => {
-                format!("{}/fault", self.process(link).word("control"))
+                format!("{}/fault", self.process(link).value("control"))
             }
-            pool => format!("{}{path}?worker={worker}", self.process(pool).word("control")),
+            pool => format!("{}{path}?worker={worker}", self.process(pool).value("control")),
         };
         self.put(&to, &body);
         "".into()
     }
 
     fn mark(&mut self, args: &mut Args) -> String {
-        let (worker, state) = (args.need("worker"), args.need("state"));
-        let to = format!("{}/mark", self.process("platform").word("vms"));
+        let (worker, state) = (args.required("worker"), args.required("state"));
+        let to = format!("{}/mark", self.process("platform").value("vms"));
         self.put(&to, &serde_json::json!({ "worker": worker, "state": state }));
-        self.marked = Some(Instant::now());
+        self.marked_at = Some(Instant::now());
         "".into()
     }
 
-    /// Whether a worker's last new work came within a bound after it was marked.
+    /// Checks that a worker received its last new work within a bound after it was marked.
     fn last_work(&mut self, args: &mut Args) -> String {
-        let (worker, pool) = (args.need("worker"), args.need("pool"));
-        let bound: u64 = args.need("within").parse().expect("milliseconds");
-        let to = format!("{}/last?worker={worker}", self.process(&pool).word("control"));
+        let (worker, pool) = (args.required("worker"), args.required("pool"));
+        let bound: u64 = args.required("within").parse().expect("milliseconds");
+        let to = format!("{}/last?worker={worker}", self.process(&pool).value("control"));
         let age = self.get(&to).and_then(|v| v.as_u64()).expect("the worker's last work");
-        let marked = self.marked.expect("a mark").elapsed().as_millis() as u64;
+        let marked = self.marked_at.expect("a mark").elapsed().as_millis() as u64;
         let after = marked.saturating_sub(age);
         if after <= bound { "in time".into() } else { format!("{after} ms after the mark") }
     }
 
-    /// Gives the worker of a job's first task a name, which later commands may use.
+    /// Defines an alias for the worker of a job's first task, for use in later commands.
     fn find(&mut self, args: &mut Args) -> String {
-        let (job, name) = (args.need("worker-of"), args.need("as"));
-        let tasks = self.all_shown("tasks");
+        let (job, name) = (args.required("worker-of"), args.required("as"));
+        let tasks = self.all_rows("tasks");
         let first = |t: &&Value| t["task"]["job"] == *job && t["task"]["index"] == 0;
         let worker = tasks.iter().find(first).and_then(|t| t["worker"].as_str());
-        self.found.insert(name, worker.expect("the task runs somewhere").into());
+        self.aliases.insert(name, worker.expect("the task runs somewhere").into());
         "".into()
     }
 
-    /// How often a rack got an owner, by the members' logs.
+    /// Counts how often a rack got an owner, according to the members' logs.
     fn gained(&self, rack: &str) -> usize {
         let line = format!("Gained rack:{rack} ");
         let logs = self.members.iter().map(|m| self.dir.join(format!("{m}.log")));
@@ -343,22 +350,22 @@
         format!("{} text in force", texts.len())
     }
 
-    /// What the workers witnessed that must never happen.
+    /// The counts of violations that the workers recorded, and their notes.
     fn witness(&mut self) -> String {
-        let mut said = vec![];
-        for pool in self.pools() {
+        let mut output = vec![];
+        for pool in self.pool_controls() {
             let w = self.get(&format!("{pool}/witness")).expect("a witness");
             let count = |what: &str| format!("{what} {}", w[what]);
-            said.push([count("doubled"), count("repeated"), count("over")].join(", "));
-            said.extend(w["notes"].as_array().into_iter().flatten().map(Value::to_string));
+            output.push([count("doubled"), count("repeated"), count("over")].join(", "));
+            output.extend(w["notes"].as_array().into_iter().flatten().map(Value::to_string));
         }
-        said.join("\n")
+        output.join("\n")
     }
 
-    /// The ids and keys of all that ran.
-    fn ran(&mut self) -> BTreeSet<String> {
+    /// The ids and keys of all requests that ran.
+    fn ran_ids(&mut self) -> BTreeSet<String> {
         let mut all = BTreeSet::new();
-        for pool in self.pools() {
+        for pool in self.pool_controls() {
             let ran = self.get(&format!("{pool}/witness/ran")).expect("a witness");
             for list in ["ids", "keys"] {
                 let names = ran[list].as_array().into_iter().flatten();
@@ -368,34 +375,34 @@
         all
     }
 
-    fn pools(&self) -> Vec<String> {
-        let pools = self.processes.values().filter(|p| p.has("pool"));
-        pools.map(|p| p.word("control").into()).collect()
+    fn pool_controls(&self) -> Vec<String> {
+        let pools = self.processes.values().filter(|p| p.has_value("pool"));
+        pools.map(|p| p.value("control").into()).collect()
     }
 
     fn process(&mut self, name: &str) -> &mut Process {
-        self.processes.get_mut(name).unwrap_or_else(|| panic!("nothing is called {name}"))
+        self.processes.get_mut(name).unwrap_or_else(|| panic!("no process is named {name}"))
     }
 
-    fn doors(&mut self, name: &str) -> Member {
+    fn addresses(&mut self, name: &str) -> Member {
         let member = self.process(name);
-        (member.word("callers").into(), member.word("metrics").into())
+        (member.value("callers").into(), member.value("metrics").into())
     }
 
-    fn line(&mut self, via: &str, words: &[String]) -> Command {
-        let to = self.process(via).word("operators").to_owned();
+    fn operator_command(&mut self, via: &str, words: &[String]) -> Command {
+        let to = self.process(via).value("operators").to_owned();
         let mut line = Command::new(DAEMON);
         line.args(words).args(["--to", &to, "--secret-file"]).arg(self.dir.join("secret"));
         line
     }
 
-    fn ask(&mut self, via: &str, words: &[String]) -> Output {
-        self.line(via, words).output().expect("the command runs")
+    fn operator_output(&mut self, via: &str, words: &[String]) -> Output {
+        self.operator_command(via, words).output().expect("the command runs")
     }
 
-    /// What a member shows, if it answers.
+    /// The output of `show --json` at a member, or `None` if the member does not answer.
     fn show(&mut self, member: &str) -> Option<Value> {
-        let out = self.ask(member, &["show".into(), "--json".into()]);
+        let out = self.operator_output(member, &["show".into(), "--json".into()]);
         serde_json::from_slice(&out.stdout).ok().filter(|s: &Value| s.get("version").is_some())
     }
 
@@ -405,58 +412,58 @@
 
     fn page(&self, at: &str) -> Option<String> {
         let ask = Request::builder().uri(format!("http://{at}")).body(Full::default());
-        let sent = self.client.send(ask.expect("a request"), CALL);
+        let sent = self.client.send(ask.expect("a request"), CALL_TIMEOUT);
         let (head, body) = self.runtime.block_on(sent).ok()?;
         head.status.is_success().then(|| String::from_utf8_lossy(&body).into())
     }
 
     fn put(&self, at: &str, body: &Value) {
         let sent = async {
-            self.client.json::<_, Value>("PUT", &format!("http://{at}"), body, CALL).await
+            self.client.json::<_, Value>("PUT", &format!("http://{at}"), body, CALL_TIMEOUT).await
         };
         let done = self.runtime.block_on(sent);
         assert!(done.is_ok(), "{at} refused {body}: {done:?}");
     }
 }
 
-/// The stand-ins' program, which `cargo build --workspace` puts beside the daemon's.
+/// The path of the stand-ins' program, which `cargo build --workspace` puts beside the daemon's.
 fn standin() -> PathBuf {
     Path::new(DAEMON).with_file_name("standin")
 }
 
-/// What a caller is told.
-fn told(fate: &Fate) -> String {
-    match fate.status {
-        None => fate.reason.clone(),
-        Some(status) if fate.reason.is_empty() => format!("{status} {}", fate.body),
+/// Describes a call's result in the format of the scenario files.
+fn describe(result: &CallResult) -> String {
+    match result.status {
+        None => result.reason.clone(),
+        Some(status) if result.reason.is_empty() => format!("{status} {}", result.body),
         Some(status) => {
-            let back = if fate.back { ", come back" } else { "" };
-            format!("{status} {}, ran: {}{back}", fate.reason, fate.ran)
+            let retry = if result.retry_after { ", come back" } else { "" };
+            format!("{status} {}, ran: {}{retry}", result.reason, result.ran)
         }
     }
 }
 
-/// The arguments of a command: the one without a value is the name of what it is about.
+/// The arguments of a command. The argument without a value names the command's subject.
 pub struct Args(std::collections::HashMap<String, Vec<String>>);
 
 impl Args {
-    /// The arguments, with what was found in the places of the names that it got.
-    fn of(case: &TestCase, found: &BTreeMap<String, String>) -> Self {
+    /// Takes the arguments of a command and replaces each alias by the name it stands for.
+    fn new(case: &TestCase, aliases: &BTreeMap<String, String>) -> Self {
         let mut args = case.args.clone();
         for value in args.values_mut().flatten() {
-            if let Some(real) = found.get(value) {
-                value.clone_from(real);
+            if let Some(target) = aliases.get(value) {
+                value.clone_from(target);
             }
         }
         Args(args)
     }
 
-    fn take(&mut self, name: &str) -> Option<String> {
+    fn optional(&mut self, name: &str) -> Option<String> {
         self.0.remove(name)?.into_iter().next()
     }
 
-    fn need(&mut self, name: &str) -> String {
-        self.take(name).unwrap_or_else(|| panic!("{name}= is missing"))
+    fn required(&mut self, name: &str) -> String {
+        self.optional(name).unwrap_or_else(|| panic!("{name}= is missing"))
     }
 
     fn list(&mut self, name: &str) -> Vec<String> {
@@ -469,23 +476,23 @@
 
     fn name(&mut self) -> String {
         let name = self.0.iter().find(|(_, v)| v.is_empty()).map(|(k, _)| k.clone());
-        let name = name.expect("the command names what it is about");
+        let name = name.expect("the command needs a name without a value");
         self.0.remove(&name);
         name
     }
 
     fn call(&mut self) -> Call {
         Call {
-            service: self.need("service"),
-            body: self.take("body").unwrap_or_default(),
-            key: self.take("key"),
-            deadline: self.take("deadline"),
-            run: self.take("run"),
+            service: self.required("service"),
+            body: self.optional("body").unwrap_or_default(),
+            key: self.optional("key"),
+            deadline: self.optional("deadline"),
+            run: self.optional("run"),
             caller: None,
         }
     }
 
-    fn all_taken(&self) {
-        assert!(self.0.is_empty(), "the command knows nothing of {:?}", self.0.keys());
+    fn assert_all_used(&self) {
+        assert!(self.0.is_empty(), "the command has unknown arguments {:?}", self.0.keys());
     }
 }
--- a/tests/scenario/process.rs
+++ b/tests/scenario/process.rs
@@ -1,4 +1,4 @@
-//! One process of a scenario: started, signalled, and ended with the test.
+//! A child process of a scenario, which is killed when it is dropped.
 
 use std::{
     collections::BTreeMap,
@@ -8,16 +8,17 @@
     process::{Child, ChildStdout, Command, ExitStatus, Stdio},
 };
 
-/// A running process and the words of its ready line.
+/// A child process and the values of its ready line.
 pub struct Process {
     child: Child,
-    words: BTreeMap<String, String>,
+    values: BTreeMap<String, String>,
     paused: bool,
     _out: BufReader<ChildStdout>,
 }
 
 impl Process {
-    /// Starts a program and waits for its line `ready NAME=VALUE ...`; its log goes to `log`.
+    /// Starts a program and waits for its line `ready NAME=VALUE ...`; its standard error goes to
+    /// the file `log`.
     pub fn start(program: &Path, args: &[&str], log: &Path) -> Self {
         assert!(program.exists(), "{program:?} is missing: cargo build --workspace makes it");
         let log_file = File::create(log).expect("a log file");
@@ -27,26 +28,26 @@
         let mut out = BufReader::new(child.stdout.take().expect("a pipe"));
         let mut line = String::new();
         let _ = out.read_line(&mut line);
-        let Some(words) = line.strip_prefix("ready ") else {
+        let Some(values) = line.strip_prefix("ready ") else {
             let (_, _) = (child.kill(), child.wait());
             panic!("{program:?} {args:?} did not get ready; its log is {log:?}");
         };
-        let pairs = words.split_whitespace().filter_map(|w| w.split_once('='));
-        let words = pairs.map(|(k, v)| (k.into(), v.into())).collect();
-        Process { child, words, paused: false, _out: out }
+        let pairs = values.split_whitespace().filter_map(|w| w.split_once('='));
+        let values = pairs.map(|(k, v)| (k.into(), v.into())).collect();
+        Process { child, values, paused: false, _out: out }
     }
 
-    /// A word of the ready line.
-    pub fn word(&self, name: &str) -> &str {
-        &self.words[name]
+    /// The value of a name in the ready line; panics if the name is missing.
+    pub fn value(&self, name: &str) -> &str {
+        &self.values[name]
     }
 
-    /// Whether the ready line has a word.
-    pub fn has(&self, name: &str) -> bool {
-        self.words.contains_key(name)
+    /// Whether the ready line has a value for the name.
+    pub fn has_value(&self, name: &str) -> bool {
+        self.values.contains_key(name)
     }
 
-    /// Sends a signal, like `STOP`.
+    /// Sends a signal, given by its name without `SIG`, such as `STOP`.
     pub fn signal(&mut self, name: &str) {
         self.paused = name == "STOP";
         let line = format!("kill -{name} {}", self.child.id());
@@ -54,19 +55,19 @@
         assert!(sent.is_ok_and(|s| s.success()), "no signal {name}");
     }
 
-    /// Ends it as a crash would.
+    /// Kills the process with `SIGKILL`, as in a crash, and waits for its end.
     pub fn kill(&mut self) {
         self.child.kill().expect("a child of ours");
         self.child.wait().expect("a child of ours");
     }
 
-    /// Whether it runs and is not paused.
-    pub fn awake(&mut self) -> bool {
-        !self.paused && self.ended().is_none()
+    /// Whether the process has neither ended nor been paused.
+    pub fn is_running(&mut self) -> bool {
+        !self.paused && self.exit_status().is_none()
     }
 
-    /// How it ended, if it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// The exit status, if the process has ended.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("a child of ours")
     }
 }
--- a/tests/scenario/wait.rs
+++ b/tests/scenario/wait.rs
@@ -1,4 +1,5 @@
-//! Conditions that a scenario waits for, by what members, workers and callers show.
+//! Conditions that a scenario waits for, checked against the state that members, workers and
+//! callers report.
 
 use {
     super::{Args, Cell},
@@ -10,49 +11,52 @@
     tokio::time::interval,
 };
 
-/// How long a condition may take; the longest that is waited for takes some fifteen seconds.
-const BOUND: Duration = Duration::from_secs(60);
-/// How often it is looked at.
-const LOOK: Duration = Duration::from_millis(50);
+/// The time-out of a condition; the slowest condition in the scenarios takes about 15 s.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
+/// The interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether a condition holds now, and what was seen.
-type Look = Box<dyn FnMut(&mut Cell) -> (bool, String)>;
+/// A check of a condition: whether the condition holds now, and the state that was observed.
+type Check = Box<dyn FnMut(&mut Cell) -> (bool, String)>;
 
 impl Cell {
-    /// Waits until a condition holds; fails with what was last seen.
+    /// Waits until a condition holds; panics with the last observed state after the time-out.
     pub(super) fn wait(&mut self, args: &mut Args) -> String {
-        let mut look = condition(args);
+        let mut check = condition(args);
         let begun = Instant::now();
-        let entered = self.runtime.enter();
-        let mut ticks = interval(LOOK);
-        drop(entered);
+        let guard = self.runtime.enter();
+        let mut ticks = interval(POLL_INTERVAL);
+        drop(guard);
         loop {
-            let (holds, seen) = look(self);
+            let (holds, observed) = check(self);
             if holds {
                 return "".into();
             }
             let dir = &self.dir;
-            assert!(begun.elapsed() < BOUND, "never held; last seen: {seen}; logs in {dir:?}");
+            assert!(
+                begun.elapsed() < CONDITION_TIMEOUT,
+                "never held; last seen: {observed}; logs in {dir:?}"
+            );
             self.runtime.block_on(ticks.tick());
         }
     }
 
-    /// The members that show a worker of a rack as theirs.
+    /// The running members that list a worker of the rack among their own.
     fn owners(&mut self, rack: &str) -> Vec<String> {
         let owns = |show: &Value| rows(show, "workers").any(|w| w["rack"] == *rack);
-        let awake = self.awake();
-        awake.into_iter().filter(|m| self.show(m).is_some_and(|s| owns(&s))).collect()
+        let running = self.running_members();
+        running.into_iter().filter(|m| self.show(m).is_some_and(|s| owns(&s))).collect()
     }
 
-    pub(super) fn all_shown(&mut self, what: &str) -> Vec<Value> {
-        let awake = self.awake();
-        let shows = awake.iter().filter_map(|m| self.show(m));
+    pub(super) fn all_rows(&mut self, what: &str) -> Vec<Value> {
+        let running = self.running_members();
+        let shows = running.iter().filter_map(|m| self.show(m));
         shows.flat_map(|s| rows(&s, what).cloned().collect::<Vec<_>>()).collect()
     }
 
-    fn awake(&mut self) -> Vec<String> {
+    fn running_members(&mut self) -> Vec<String> {
         let members: Vec<String> = self.members.iter().cloned().collect();
-        members.into_iter().filter(|m| self.process(m).awake()).collect()
+        members.into_iter().filter(|m| self.process(m).is_running()).collect()
     }
 }
 
@@ -60,49 +64,49 @@
     show[what].as_array().into_iter().flatten()
 }
 
-fn condition(args: &mut Args) -> Look {
-    let count: u64 = args.take("count").map_or(1, |n| n.parse().expect("a number"));
+fn condition(args: &mut Args) -> Check {
+    let count: u64 = args.optional("count").map_or(1, |n| n.parse().expect("a number"));
     let at = args.list("at");
     if args.0.contains_key("ready") {
-        return ready(args.list("ready"));
+        return members_ready(args.list("ready"));
     }
-    if let Some(version) = args.take("version").map(|v| v.parse::<u64>().expect("a number")) {
-        return each(at, move |s| s["version"].as_u64() == Some(version));
+    if let Some(version) = args.optional("version").map(|v| v.parse::<u64>().expect("a number")) {
+        return each_shows(at, move |s| s["version"].as_u64() == Some(version));
     }
-    if let Some(members) = args.take("members").map(|v| v.parse::<usize>().expect("a number")) {
-        return each(at, move |s| rows(s, "members").count() == members);
+    if let Some(members) = args.optional("members").map(|v| v.parse::<usize>().expect("a number")) {
+        return each_shows(at, move |s| rows(s, "members").count() == members);
     }
-    if let Some(job) = args.take("job") {
-        return tasks(job, args.need("state"), args.take("reason"), count);
+    if let Some(job) = args.optional("job") {
+        return tasks(job, args.required("state"), args.optional("reason"), count);
     }
-    if let Some(workers) = args.take("workers").map(|v| v.parse::<usize>().expect("a number")) {
+    if let Some(workers) = args.optional("workers").map(|v| v.parse::<usize>().expect("a number")) {
         return Box::new(move |cell| {
-            let shown = cell.all_shown("workers");
+            let shown = cell.all_rows("workers");
             (
                 shown.iter().filter(|w| w["state"] == "ready").count() == workers,
                 format!("{shown:?}"),
             )
         });
     }
-    if let Some(job) = args.take("elsewhere") {
-        let worker = args.need("worker");
+    if let Some(job) = args.optional("elsewhere") {
+        let worker = args.required("worker");
         return Box::new(move |cell| {
-            let all = cell.all_shown("tasks");
+            let all = cell.all_rows("tasks");
             let runs = |t: &&Value| t["state"] == "running" && t["worker"] != *worker;
-            let own = all.iter().filter(|t| t["task"]["job"] == *job).filter(runs);
-            (own.count() as u64 == count, format!("{all:?}"))
+            let matching = all.iter().filter(|t| t["task"]["job"] == *job).filter(runs);
+            (matching.count() as u64 == count, format!("{all:?}"))
         });
     }
-    if let Some(worker) = args.take("worker") {
-        let state = args.need("state");
+    if let Some(worker) = args.optional("worker") {
+        let state = args.required("state");
         return Box::new(move |cell| {
-            let workers = cell.all_shown("workers");
-            let mut own = workers.iter().filter(|w| w["worker"] == *worker);
-            (own.any(|w| w["state"] == *state), format!("{workers:?}"))
+            let workers = cell.all_rows("workers");
+            let mut matching = workers.iter().filter(|w| w["worker"] == *worker);
+            (matching.any(|w| w["state"] == *state), format!("{workers:?}"))
         });
     }
-    if let Some(rack) = args.take("rack") {
-        let (is, not) = (args.take("owner"), args.take("owner-not"));
+    if let Some(rack) = args.optional("rack") {
+        let (is, not) = (args.optional("owner"), args.optional("owner-not"));
         return Box::new(move |cell| {
             let owners = cell.owners(&rack);
             let one = owners.len() == 1;
@@ -111,64 +115,64 @@
             (one && right && !wrong, format!("{owners:?}"))
         });
     }
-    if let Some(call) = args.take("kv-failed") {
+    if let Some(call) = args.optional("kv-failed") {
         return kv_failed(call, at, count);
     }
-    if let Some(load) = args.take("answered") {
-        let mut from = None;
+    if let Some(load) = args.optional("answered") {
+        let mut base = None;
         return Box::new(move |cell| {
             let n = cell.loads[&load].answered.load(Ordering::Relaxed);
-            let from = *from.get_or_insert(n);
-            (n - from >= count, format!("{} more answers", n - from))
+            let base = *base.get_or_insert(n);
+            (n - base >= count, format!("{} more answers", n - base))
         });
     }
-    if let Some(key) = args.take("ran") {
-        return Box::new(move |cell| (cell.ran().contains(&key), "not yet run".into()));
+    if let Some(key) = args.optional("ran") {
+        return Box::new(move |cell| (cell.ran_ids().contains(&key), "not yet run".into()));
     }
-    if let Some(reason) = args.take("reply") {
-        let (via, call) = (args.need("via"), args.call());
+    if let Some(reason) = args.optional("reply") {
+        let (via, call) = (args.required("via"), args.call());
         return Box::new(move |cell| {
-            let fate = cell.send(&via, &call);
-            let whole = fate.status == Some(200) && fate.body == call.body;
-            let answered = if whole { "answered" } else { &fate.reason };
-            (answered == reason, format!("{fate:?}"))
+            let result = cell.send(&via, &call);
+            let correct = result.status == Some(200) && result.body == call.body;
+            let answered = if correct { "answered" } else { &result.reason };
+            (answered == reason, format!("{result:?}"))
         });
     }
     if args.flag("idle") {
         return Box::new(move |cell| {
-            let pools = cell.pools();
+            let pools = cell.pool_controls();
             let counts = pools.iter().map(|p| cell.get(&format!("{p}/running")));
             let counts: Vec<Option<Value>> = counts.collect();
             (counts.iter().all(|n| *n == Some(0.into())), format!("{counts:?} tasks"))
         });
     }
-    if let Some(what) = args.take("witness") {
+    if let Some(what) = args.optional("witness") {
         return Box::new(move |cell| {
-            let pools = cell.pools();
+            let pools = cell.pool_controls();
             let counts = pools.iter().filter_map(|p| cell.get(&format!("{p}/witness")));
             let n: u64 = counts.filter_map(|w| w[&what].as_u64()).sum();
             (n >= count, n.to_string())
         });
     }
-    if let Some(name) = args.take("gone") {
+    if let Some(name) = args.optional("gone") {
         return Box::new(move |cell| {
-            let ended = cell.process(&name).ended();
-            (ended.is_some_and(|s| s.success()), format!("{ended:?}"))
+            let exit = cell.process(&name).exit_status();
+            (exit.is_some_and(|s| s.success()), format!("{exit:?}"))
         });
     }
     panic!("no condition in {:?}", args.0);
 }
 
-fn ready(members: Vec<String>) -> Look {
+fn members_ready(members: Vec<String>) -> Check {
     Box::new(move |cell| {
-        let pages = members.iter().map(|m| format!("{}/ready", cell.process(m).word("metrics")));
+        let pages = members.iter().map(|m| format!("{}/ready", cell.process(m).value("metrics")));
         let pages: Vec<String> = pages.collect();
         let ready: Vec<bool> = pages.iter().map(|p| cell.page(p).is_some()).collect();
         (ready.iter().all(|r| *r), format!("{ready:?}"))
     })
 }
 
-fn each(members: Vec<String>, holds: impl Fn(&Value) -> bool + 'static) -> Look {
+fn each_shows(members: Vec<String>, holds: impl Fn(&Value) -> bool + 'static) -> Check {
     Box::new(move |cell| {
         let shows: Vec<Option<Value>> = members.iter().map(|m| cell.show(m)).collect();
         let all = shows.iter().all(|s| s.as_ref().is_some_and(&holds));
@@ -176,25 +180,25 @@
     })
 }
 
-fn tasks(job: String, state: String, reason: Option<String>, count: u64) -> Look {
+fn tasks(job: String, state: String, reason: Option<String>, count: u64) -> Check {
     Box::new(move |cell| {
-        let all = cell.all_shown("tasks");
-        let own: Vec<&Value> = all.iter().filter(|t| t["task"]["job"] == *job).collect();
-        let fits = |t: &&&Value| {
+        let all = cell.all_rows("tasks");
+        let matching: Vec<&Value> = all.iter().filter(|t| t["task"]["job"] == *job).collect();
+        let matches = |t: &&&Value| {
             let why = t["reason"].as_str().unwrap_or("");
             t["state"] == *state && reason.as_ref().is_none_or(|r| why.contains(&**r))
         };
-        (own.iter().filter(fits).count() as u64 == count, format!("{own:?}"))
+        (matching.iter().filter(matches).count() as u64 == count, format!("{matching:?}"))
     })
 }
 
-/// Calls of the key-value service that have failed at each member since its start.
-fn kv_failed(call: String, members: Vec<String>, count: u64) -> Look {
+/// Checks that at least `count` store calls of a kind have failed at each member since it started.
+fn kv_failed(call: String, members: Vec<String>, count: u64) -> Check {
     let line = format!("dwr_kv_calls_total{{call=\"{call}_failed\"}}");
     Box::new(move |cell| {
         let mut failed: Vec<u64> = vec![];
         for member in &members {
-            let page = format!("{}/metrics", cell.process(member).word("metrics"));
+            let page = format!("{}/metrics", cell.process(member).value("metrics"));
             let page = cell.page(&page).unwrap_or_default();
             let found = page.lines().find_map(|l| l.strip_prefix(&line)?.trim().parse().ok());
             failed.push(found.unwrap_or(0));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios of failures, played with processes: members, and stand-ins of all around them.
+//! Failure scenarios that run members and stand-ins of the surrounding services as processes.
 
 mod scenario;
 
