--- a/standin/src/experiment/cell.rs
+++ b/standin/src/experiment/cell.rs
@@ -296,8 +296,8 @@
         Ok(sum)
     }
 
-    /// The number of violations that workers recorded: tasks that ran in two places at once, attempts
-    /// or keys that ran again, and work beyond a worker's size.
+    /// The number of violations that workers recorded: requests or tasks that ran in two places at
+    /// once, keys of non-idempotent requests that ran again, and starts beyond a worker's resources.
     pub async fn violations(&self) -> Result<u64> {
         let mut sum = 0;
         for name in ["doubled", "repeated", "over"] {
--- a/tests/cell/floor.rs
+++ b/tests/cell/floor.rs
@@ -1,4 +1,5 @@
-//! A fake owner of all racks: room, reservations, what runs, and word of its end until it is taken.
+//! A fake owner of all racks. It keeps free resources, reservations and running tasks, and repeats
+//! the report of each end until it is acknowledged.
 
 use {
     dogwoodreach::{
@@ -18,21 +19,21 @@
 
 const WORKERS: [(&str, &str); 4] = [("w0", "r0"), ("w1", "r0"), ("w2", "r1"), ("w3", "r1")];
 
-/// How long a reservation lasts.
-const RESERVE: Duration = Duration::from_secs(5);
+/// The time after which an unused reservation lapses.
+const RESERVATION_TTL: Duration = Duration::from_secs(5);
 
-type Key = (TaskId, Attempt);
+type AttemptKey = (TaskId, Attempt);
 
-/// What all workers hold.
+/// The free resources, the reservations and the running tasks of all workers.
 #[derive(Default)]
 pub struct Floor {
     pub free: BTreeMap<WorkerId, Size>,
-    pub rooms: BTreeMap<Key, (WorkerId, Size, Time)>,
-    pub runs: BTreeMap<Key, StartItem>,
-    /// Every attempt that has started.
-    pub starts: Vec<Key>,
-    over: BTreeMap<Key, (Bucket, EndItem)>,
-    refused: BTreeSet<Key>,
+    pub reservations: BTreeMap<AttemptKey, (WorkerId, Size, Time)>,
+    pub runs: BTreeMap<AttemptKey, StartItem>,
+    /// Every attempt that has started, in order.
+    pub starts: Vec<AttemptKey>,
+    unacknowledged: BTreeMap<AttemptKey, (Bucket, EndItem)>,
+    stopped: BTreeSet<AttemptKey>,
 }
 
 impl Floor {
@@ -70,11 +71,15 @@
         vec![load("r0"), load("r1")]
     }
 
-    /// Drops the reservations that have lapsed.
+    /// Releases the reservations that have lapsed.
     pub fn lapse(&mut self, now: Time) {
-        let late: Vec<Key> =
-            self.rooms.iter().filter(|(_, r)| r.2 <= now).map(|(key, _)| key.clone()).collect();
-        late.iter().for_each(|key| self.drop_room(key));
+        let lapsed: Vec<AttemptKey> = self
+            .reservations
+            .iter()
+            .filter(|(_, r)| r.2 <= now)
+            .map(|(key, _)| key.clone())
+            .collect();
+        lapsed.iter().for_each(|key| self.drop_reservation(key));
     }
 
     pub fn reserve(&mut self, ask: &ReserveAsk, now: Time) -> ReserveReply {
@@ -92,9 +97,9 @@
             let Some((worker, _)) = found else { continue };
             let worker = worker.clone();
             let key = (item.task.clone(), item.attempt);
-            self.drop_room(&key);
-            self.take(&worker, item.size);
-            self.rooms.insert(key, (worker.clone(), item.size, now + RESERVE));
+            self.drop_reservation(&key);
+            self.allocate(&worker, item.size);
+            self.reservations.insert(key, (worker.clone(), item.size, now + RESERVATION_TTL));
             rows.push(ReserveRow {
                 attempt: item.attempt,
                 epoch: Epoch(1),
@@ -112,11 +117,11 @@
 
     pub fn release(&mut self, reply: &ReserveReply) {
         for row in &reply.rows {
-            self.drop_room(&(row.task.clone(), row.attempt));
+            self.drop_reservation(&(row.task.clone(), row.attempt));
         }
     }
 
-    /// Starts and stops; returns what was refused.
+    /// Starts and stops tasks; returns the starts that were refused.
     pub fn start(&mut self, ask: &StartAsk) -> Vec<EndItem> {
         let mut refused = vec![];
         for item in &ask.start {
@@ -124,73 +129,76 @@
             if self.runs.contains_key(&key) {
                 continue;
             }
-            let room =
-                self.rooms.get(&key).is_some_and(|(w, s, _)| *w == item.worker && *s == item.size);
-            if !room || self.refused.contains(&key) {
-                refused.push(word(item, TaskState::Lost));
+            let room = self
+                .reservations
+                .get(&key)
+                .is_some_and(|(w, s, _)| *w == item.worker && *s == item.size);
+            if !room || self.stopped.contains(&key) {
+                refused.push(end_item(item, TaskState::Lost));
                 continue;
             }
-            self.rooms.remove(&key);
-            let twin = self.runs.keys().find(|(t, _)| *t == item.task);
-            assert!(twin.is_none(), "OneAttempt: {key:?} beside {twin:?}");
+            self.reservations.remove(&key);
+            let other = self.runs.keys().find(|(t, _)| *t == item.task);
+            assert!(other.is_none(), "OneAttempt: {key:?} beside {other:?}");
             self.starts.push(key.clone());
-            self.over.insert(key.clone(), (item.bucket, word(item, TaskState::Running)));
+            self.unacknowledged
+                .insert(key.clone(), (item.bucket, end_item(item, TaskState::Running)));
             self.runs.insert(key, item.clone());
         }
         for item in &ask.stop {
             let key = (item.task.clone(), item.attempt);
-            self.refused.insert(key.clone());
+            self.stopped.insert(key.clone());
             let state = match self.runs.contains_key(&key) {
                 true => TaskState::Checkpointed,
                 false => TaskState::Lost,
             };
-            match self.over.get(&key) {
+            match self.unacknowledged.get(&key) {
                 Some((_, e)) if e.state != TaskState::Running => {}
-                _ => self.close(item, state),
+                _ => self.end_run(item, state),
             }
         }
         refused
     }
 
-    /// Ends what runs of a task.
+    /// Ends the running attempt of a task with this state.
     pub fn end(&mut self, task: &TaskId, state: TaskState) {
         let run = self.runs.iter().find(|((t, _), _)| t == task).map(|(_, r)| r.clone());
         if let Some(run) = run {
-            self.close(&run, state);
+            self.end_run(&run, state);
         }
     }
 
-    /// Ends what runs of a task, with no word of it.
+    /// Ends the running attempt of a task without reporting the end.
     pub fn vanish(&mut self, task: &TaskId) {
         self.end(task, TaskState::Lost);
-        self.over.retain(|(t, _), _| t != task);
+        self.unacknowledged.retain(|(t, _), _| t != task);
     }
 
     pub fn end_all(&mut self) {
         let runs: Vec<StartItem> = self.runs.values().cloned().collect();
-        runs.iter().for_each(|run| self.close(run, TaskState::Ended));
+        runs.iter().for_each(|run| self.end_run(run, TaskState::Ended));
     }
 
-    fn close(&mut self, item: &StartItem, state: TaskState) {
+    fn end_run(&mut self, item: &StartItem, state: TaskState) {
         let key = (item.task.clone(), item.attempt);
-        self.drop_room(&key);
+        self.drop_reservation(&key);
         if self.runs.remove(&key).is_some() {
             let free = self.free.get_mut(&item.worker).expect("a worker");
             *free += item.size;
         }
-        self.over.insert(key, (item.bucket, word(item, state)));
+        self.unacknowledged.insert(key, (item.bucket, end_item(item, state)));
     }
 
-    /// Word of what has become of attempts, repeated until it is taken.
+    /// The states of attempts that the bucket's owner has not acknowledged yet.
     pub fn tells(&self) -> Vec<(Bucket, EndItem)> {
-        self.over.values().cloned().collect()
+        self.unacknowledged.values().cloned().collect()
     }
 
     pub fn told(&mut self, items: &[EndItem]) {
         for item in items {
             let key = (item.task.clone(), item.attempt);
-            if self.over.get(&key).is_some_and(|(_, e)| e.state == item.state) {
-                self.over.remove(&key);
+            if self.unacknowledged.get(&key).is_some_and(|(_, e)| e.state == item.state) {
+                self.unacknowledged.remove(&key);
             }
         }
     }
@@ -210,19 +218,19 @@
         ProbeReply { rows: workers.into_iter().map(row).collect() }
     }
 
-    fn drop_room(&mut self, key: &Key) {
-        if let Some((worker, size, _)) = self.rooms.remove(key) {
+    fn drop_reservation(&mut self, key: &AttemptKey) {
+        if let Some((worker, size, _)) = self.reservations.remove(key) {
             *self.free.get_mut(&worker).expect("a worker") += size;
         }
     }
 
-    fn take(&mut self, worker: &WorkerId, size: Size) {
+    fn allocate(&mut self, worker: &WorkerId, size: Size) {
         let free = self.free.get_mut(worker).expect("a worker");
         *free = free.checked_sub(&size).expect("NoOvercommit");
     }
 }
 
-fn word(item: &StartItem, state: TaskState) -> EndItem {
+fn end_item(item: &StartItem, state: TaskState) -> EndItem {
     EndItem {
         attempt: item.attempt,
         state,
--- a/tests/cell/mod.rs
+++ b/tests/cell/mod.rs
@@ -1,4 +1,5 @@
-//! Owners of buckets over a fake record store and a fake owner of all racks.
+//! Runs owners of buckets in virtual time against a fake record store and a fake owner of all
+//! racks.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -22,48 +23,49 @@
     std::{collections::BTreeMap, rc::Rc, time::Duration},
 };
 
-/// The Unix clock at [`Time::ZERO`].
-const UNIX: u64 = 1_700_000_000;
-/// How long a step of virtual time is.
+/// The Unix time in seconds at [`Time::ZERO`].
+const UNIX_START_S: u64 = 1_700_000_000;
+/// The length of a step of virtual time.
 pub const STEP: Duration = Duration::from_millis(50);
 
-type At = (Bucket, Epoch, u64);
+type WriteId = (Bucket, Epoch, u64);
 
-/// What is on its way, with the owner that it comes from or goes to.
-pub enum Mail {
-    Get(At, Box<str>),
-    Put(At, Box<str>, KvPut),
-    Got(At, Option<KvEntry>),
-    Done(At, Option<KvPutReply>),
+/// A message in transit from or to an owner of buckets.
+pub enum Message {
+    Get(WriteId, Box<str>),
+    Put(WriteId, Box<str>, KvPut),
+    Got(WriteId, Option<KvEntry>),
+    Done(WriteId, Option<KvPutReply>),
     Want(Want),
-    /// Starts and stops, and the time after which a start has no effect.
+    /// Starts and stops, with the time after which a start has no effect.
     Start(StartAsk, Time),
     Reserved(ReserveAsk, Option<ReserveReply>),
-    /// What ran at that time.
+    /// The reply to a probe, with the time at which it was taken.
     Probed(ProbeAsk, ProbeReply, Time),
     Heard(Bucket, Vec<EndItem>),
 }
 
-/// Owners that take turns, the record store, the racks, and what is on its way between them.
+/// Successive owners of the buckets, the record store, the racks, and the messages in transit
+/// between them.
 pub struct Cell {
     pub now: Time,
     pub owners: Vec<Jobs>,
     pub floor: Floor,
     pub plan: Rc<Plan>,
-    /// Each key's revision and text.
+    /// The revision and the text of each key.
     pub store: BTreeMap<Box<str>, (u64, Box<str>)>,
-    pub mail: Vec<(usize, Mail)>,
-    /// The owner of all buckets.
+    pub mail: Vec<(usize, Message)>,
+    /// The index of the present owner of all buckets.
     pub owner: usize,
     epoch: u64,
     vms: Vec<Vm>,
 }
 
-/// The pool and two teams, the first with a quota; jobs follow.
+/// The head of a configuration text: the pool and two teams with quotas. Jobs follow it.
 pub const HEAD: &str = "[pool p]\ncores = 4\nmemory = 16GB\nworkers = 4\n\
     [team quoting]\ncores = 8\nmemory = 32GB\n[team audit]\ncores = 8\nmemory = 32GB\n";
 
-/// A job of the first team with tasks of one core.
+/// The section of a job of the first team, with tasks of one core each.
 pub fn job(kind: &str, name: &str, tasks: u32, more: &str) -> String {
     let run = if kind == "replicas" { "" } else { "run = 10s\n" };
     format!(
@@ -76,7 +78,7 @@
 }
 
 impl Cell {
-    /// One owner of all buckets, and a text of [`HEAD`] and these jobs.
+    /// Creates a cell with one owner of all buckets and a text made of [`HEAD`] and these jobs.
     pub fn new(jobs: &str) -> Self {
         let floor = Floor::new();
         let vms = floor.vms();
@@ -96,35 +98,35 @@
         cell
     }
 
-    /// Puts a text of [`HEAD`] and these jobs in force.
+    /// Puts a text made of [`HEAD`] and these jobs in force at all owners.
     pub fn submit(&mut self, jobs: &str) {
         self.put(&format!("{HEAD}{jobs}"));
     }
 
-    /// Puts a text in force.
+    /// Puts a text in force at all owners.
     pub fn put(&mut self, text: &str) {
         self.plan = Rc::new(Plan::read(text).expect("the text is sound"));
         self.owners.iter_mut().for_each(|o| o.planned(&self.plan));
     }
 
-    /// Lets a new member own all buckets; the one before hears of it.
+    /// Gives all buckets to a new member; the former owner is notified of the loss.
     pub fn takeover(&mut self) {
         let id = Incarnation(self.owners.len() as u64 + 1);
-        let mut jobs = Jobs::new(id, UNIX);
+        let mut jobs = Jobs::new(id, UNIX_START_S);
         jobs.workers(self.vms.iter());
         jobs.planned(&self.plan);
         self.owners.push(jobs);
         self.pass_to(self.owners.len() - 1);
     }
 
-    /// The same with a member that has no text yet.
+    /// Gives all buckets to a new member that has no configuration text yet.
     pub fn takeover_unplanned(&mut self) {
         let id = Incarnation(self.owners.len() as u64 + 1);
-        self.owners.push(Jobs::new(id, UNIX));
+        self.owners.push(Jobs::new(id, UNIX_START_S));
         self.pass_to(self.owners.len() - 1);
     }
 
-    /// Gives all buckets to an owner, which may have had them before.
+    /// Gives all buckets to an owner, which may have owned them before.
     pub fn pass_to(&mut self, owner: usize) {
         let before = std::mem::replace(&mut self.owner, owner);
         self.epoch += 1;
@@ -140,7 +142,7 @@
         &mut self.owners[self.owner]
     }
 
-    /// Lets every owner do what is due.
+    /// Runs a tick of every owner and queues the resulting messages.
     pub fn tick(&mut self) {
         self.floor.lapse(self.now);
         let racks = self.floor.loads();
@@ -152,29 +154,30 @@
                 let mail = match want {
                     Want::Start(ask) => {
                         let until = self.now + Duration::from_millis(ask.left);
-                        Mail::Start(ask, until)
+                        Message::Start(ask, until)
                     }
-                    want => Mail::Want(want),
+                    want => Message::Want(want),
                 };
                 self.mail.push((i, mail));
             }
             for order in out {
                 let mail = match order {
-                    Order::Get(Purpose::Bucket(b, e, c), key) => Mail::Get((b, e, c), key),
+                    Order::Get(Purpose::Bucket(b, e, c), key) => Message::Get((b, e, c), key),
                     Order::Put(Purpose::Bucket(b, e, c), key, put) => {
-                        Mail::Put((b, e, c), key, put)
+                        Message::Put((b, e, c), key, put)
                     }
                     other => panic!("{other:?}"),
                 };
                 self.mail.push((i, mail));
             }
         }
-        let heard = self.mail.iter().any(|(_, m)| matches!(m, Mail::Heard(..)));
-        let tells = if heard { vec![] } else { self.floor.tells() };
-        self.mail.extend(tells.into_iter().map(|(b, e)| (self.owner, Mail::Heard(b, vec![e]))));
+        let unread_ends = self.mail.iter().any(|(_, m)| matches!(m, Message::Heard(..)));
+        let ends = if unread_ends { vec![] } else { self.floor.tells() };
+        self.mail.extend(ends.into_iter().map(|(b, e)| (self.owner, Message::Heard(b, vec![e]))));
     }
 
-    /// `Listed`: no start of what the text does not list; `Whole`: all of a gang's starts at once.
+    /// Checks two invariants. `Listed`: only tasks that the text lists are started. `Whole`: all tasks
+    /// of a gang are started at once.
     fn check_starts(&self, wants: &[Want]) {
         let mut gangs: BTreeMap<&JobId, u32> = BTreeMap::new();
         for want in wants {
@@ -193,65 +196,65 @@
         }
     }
 
-    /// Delivers one mail; `lose` loses it, or the answer that it brings about.
+    /// Delivers one message; with `lose`, the message or the answer to it is lost.
     pub fn deliver(&mut self, at: usize, lose: bool) {
         let (i, mail) = self.mail.remove(at);
         let now = self.now;
         let owner = &mut self.owners[i];
-        let back = match mail {
-            Mail::Get(at, key) => {
+        let response = match mail {
+            Message::Get(at, key) => {
                 let (revision, value) = self.store.get(&key).cloned().unwrap_or_default();
                 let entry = KvEntry { key, revision: Revision(revision), value };
-                Some(Mail::Got(at, (!lose).then_some(entry)))
+                Some(Message::Got(at, (!lose).then_some(entry)))
             }
-            Mail::Put(at, key, put) => {
+            Message::Put(at, key, put) => {
                 let reply = self.write(key, put);
-                Some(Mail::Done(at, (!lose).then_some(reply)))
+                Some(Message::Done(at, (!lose).then_some(reply)))
             }
-            Mail::Got(at, entry) => {
+            Message::Got(at, entry) => {
                 owner.got(at, entry.ok_or(Failure::Timeout), now);
                 None
             }
-            Mail::Done(at, reply) => {
+            Message::Done(at, reply) => {
                 owner.put(at, reply.ok_or(Failure::Timeout), now);
                 None
             }
-            Mail::Want(Want::Reserve(ask)) => {
+            Message::Want(Want::Reserve(ask)) => {
                 let reply = self.floor.reserve(&ask, now);
-                Some(Mail::Reserved(ask, (!lose).then_some(reply)))
+                Some(Message::Reserved(ask, (!lose).then_some(reply)))
             }
-            Mail::Want(Want::Release(_, rows)) => {
+            Message::Want(Want::Release(_, rows)) => {
                 self.floor.release(&rows);
                 None
             }
-            Mail::Start(ask, until) if !lose && (ask.start.is_empty() || now <= until) => {
+            Message::Start(ask, until) if !lose && (ask.start.is_empty() || now <= until) => {
                 let refused = self.floor.start(&ask);
-                ask.start.first().map(|s| Mail::Heard(s.bucket, refused))
+                ask.start.first().map(|s| Message::Heard(s.bucket, refused))
             }
-            Mail::Want(Want::Probe(ask)) if !lose => {
+            Message::Want(Want::Probe(ask)) if !lose => {
                 let reply = self.floor.probe(&ask);
-                Some(Mail::Probed(ask, reply, now))
+                Some(Message::Probed(ask, reply, now))
             }
-            Mail::Want(_) | Mail::Start(..) => None,
-            Mail::Reserved(ask, reply) => {
+            Message::Want(_) | Message::Start(..) => None,
+            Message::Reserved(ask, reply) => {
                 let wants = owner.reserved(&ask, reply, now);
-                self.mail.extend(wants.into_iter().map(|w| (i, Mail::Want(w))));
+                self.mail.extend(wants.into_iter().map(|w| (i, Message::Want(w))));
                 None
             }
-            Mail::Probed(ask, mut reply, taken) => {
+            Message::Probed(ask, mut reply, taken) => {
                 let age = u64::try_from((now - taken).as_millis()).ok();
                 reply.rows.iter_mut().for_each(|r| r.age = age);
                 owner.probed(&ask, reply, now);
                 None
             }
-            Mail::Heard(bucket, items) => {
+            Message::Heard(bucket, items) => {
                 if !lose && owner.heard(bucket, &items, now) {
                     self.floor.told(&items);
                 }
                 None
             }
         };
-        self.mail.extend(back.map(|b| (i, b)));
+        self.mail.extend(response.map(|b| (i, b)));
     }
 
     fn write(&mut self, key: Box<str>, put: KvPut) -> KvPutReply {
@@ -263,7 +266,7 @@
         KvPutReply { done, revision: Revision(entry.0) }
     }
 
-    /// Passes time with all mail delivered.
+    /// Advances the time and delivers all messages after each step.
     pub fn pass(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -279,7 +282,7 @@
         self.pass(Duration::from_secs(n));
     }
 
-    /// Lets one mail come, get lost, or time pass.
+    /// Takes one random step: delivers or loses a message, runs a tick, or advances the time.
     pub fn turn(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         match u.int_in_range(0..=9)? {
             0 | 1 => self.tick(),
@@ -288,9 +291,10 @@
                 self.tick();
             }
             n if !self.mail.is_empty() => {
-                // Mostly in turn: of what waits long, little would ever come to its end.
-                let far = if n == 4 { self.mail.len() } else { self.mail.len().min(2) };
-                let at = u.choose_index(far)?;
+                // Mostly delivers one of the two oldest messages: with a free choice, messages would wait so
+                // long that few exchanges would ever complete.
+                let limit = if n == 4 { self.mail.len() } else { self.mail.len().min(2) };
+                let at = u.choose_index(limit)?;
                 self.deliver(at, n == 3 && u.ratio(1, 2)?);
             }
             _ => {}
@@ -298,12 +302,12 @@
         Ok(())
     }
 
-    /// Ends what runs of a task in this way.
+    /// Ends the running attempt of a task with this state.
     pub fn end(&mut self, task: &TaskId, state: TaskState) {
         self.floor.end(task, state);
     }
 
-    /// Ends all that runs well, until nothing runs or so many seconds have passed.
+    /// Ends all running tasks successfully once a second, for `secs` seconds.
     pub fn finish(&mut self, secs: u64) {
         for _ in 0..secs {
             self.floor.end_all();
@@ -311,23 +315,23 @@
         }
     }
 
-    /// Ends all that runs of the jobs whose names begin so.
+    /// Ends all running tasks of the jobs whose names start with `prefix`.
     pub fn end_all(&mut self, prefix: &str, state: TaskState) {
         let runs: Vec<TaskId> = self.floor.runs.keys().map(|(t, _)| t.clone()).collect();
         let runs = runs.iter().filter(|t| t.job.as_str().starts_with(prefix));
         runs.for_each(|t| self.floor.end(t, state));
     }
 
-    /// The jobs of the urgent wishes that are on their way.
+    /// The jobs of the urgent requests for room that are in transit.
     pub fn urgent_asks(&self) -> Vec<JobId> {
         let asks = self.mail.iter().filter_map(|(_, m)| match m {
-            Mail::Want(Want::Reserve(ask)) => Some(&ask.items),
+            Message::Want(Want::Reserve(ask)) => Some(&ask.items),
             _ => None,
         });
         asks.flatten().filter(|i| i.urgent).map(|i| i.task.job.clone()).collect()
     }
 
-    /// How many tasks of a job run.
+    /// The number of running tasks of a job.
     pub fn running(&self, job: &str) -> usize {
         self.floor.runs.keys().filter(|(t, _)| t.job.as_str() == job).count()
     }
@@ -337,7 +341,7 @@
     }
 }
 
-/// Runs `property` from fixed seeds, each with so many bytes of choices.
+/// Runs `property` with `count` fixed seeds, each with `size` bytes of random choices.
 pub fn runs(count: u64, size: u64, property: impl Fn(&mut Unstructured<'_>) -> Result<()>) {
     for seed in 0..count {
         let mixed = (seed + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -1,4 +1,4 @@
-//! Events in virtual time, and a service's slots.
+//! A queue of events in virtual time, and a simulation of a service's slots.
 
 #![allow(dead_code)] // each test file uses a part
 
@@ -9,7 +9,7 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Events by time, then by entry.
+/// A queue of events, ordered by time and then by insertion.
 pub struct Agenda<E> {
     events: BTreeMap<(Time, u64), E>,
     seq: u64,
@@ -34,7 +34,7 @@
     Duration::from_millis(n)
 }
 
-/// An exponentially distributed duration.
+/// Draws an exponentially distributed duration.
 pub fn exp(rng: &mut fastrand::Rng, mean: Duration) -> Duration {
     mean.mul_f64(-(1.0 - rng.f64()).ln())
 }
--- a/tests/fake/slots.rs
+++ b/tests/fake/slots.rs
@@ -1,4 +1,4 @@
-//! A service's slots in virtual time, and arrivals for them.
+//! Simulates the slots of a service and the arrivals of requests in virtual time.
 
 use {
     super::{Agenda, exp, ms},
@@ -13,22 +13,22 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// A request that really runs for `real`.
+/// A request and its actual run time `real`, which may differ from the expected one.
 #[derive(Clone)]
 pub struct Ask {
     pub item: Item,
     pub real: Duration,
 }
 
-/// A request of this caller, alone in its team, that runs as expected.
+/// A request of a caller that is alone in its team; the request runs as long as expected.
 pub fn ask(caller: &str, born: Time, left: Duration, run: Duration) -> Ask {
     let (caller, team) = (caller.into(), caller.into());
     let item = Item { id: RequestId(0), caller, team, born, deadline: born + left, run };
     Ask { item, real: run }
 }
 
-/// Poisson arrivals of one caller at `rate` a second from 0 to `until`, runs distributed
-/// exponentially round `run`.
+/// Poisson arrivals of one caller at `rate` per second from 0 to `until`, with exponentially
+/// distributed run times of mean `run` in milliseconds.
 pub fn stream(seed: u64, caller: &str, rate: f64, until: Time, left: u64, run: u64) -> Vec<Ask> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let (mut now, mut asks) = (Time::ZERO, Vec::new());
@@ -42,7 +42,7 @@
     }
 }
 
-/// What a caller got.
+/// The end of a request as its caller sees it.
 #[derive(Debug)]
 pub enum Fate {
     Answered { wait: Duration, end: Time },
@@ -56,20 +56,20 @@
 }
 
 impl Outcome {
-    /// Whether the whole answer came by the deadline.
+    /// Whether the complete answer arrived by the deadline.
     pub fn good(&self) -> bool {
         matches!(self.fate, Fate::Answered { end, .. } if end <= self.item.deadline)
     }
 
-    /// The wait of a request that ran.
+    /// The time that a request waited before it ran; `None` if it did not run.
     pub fn wait(&self) -> Option<Duration> {
         if let Fate::Answered { wait, .. } = self.fate { Some(wait) } else { None }
     }
 }
 
-/// How requests are let in and put in order.
+/// How requests are admitted and ordered.
 pub enum Door {
-    /// First come, first served, without bound.
+    /// First come, first served, with no bound on the queue.
     Plain(VecDeque<Item>),
     Fair(Queue),
     Gate(Box<Gate>, Queue),
@@ -101,16 +101,16 @@
     }
 }
 
-/// Plays arrivals against `slots` slots until all have ended.
+/// Simulates the arrivals with `slots` slots until all requests have ended.
 pub fn play(asks: impl IntoIterator<Item = Ask>, slots: u32, mut door: Door) -> Vec<Outcome> {
-    let (mut agenda, mut reals, mut outcomes) = (Agenda::new(), Vec::new(), Vec::new());
+    let (mut events, mut run_times, mut outcomes) = (Agenda::new(), Vec::new(), Vec::new());
     for ask in asks {
-        let id = RequestId(reals.len() as u128);
-        reals.push(ask.real);
-        agenda.add(ask.item.born, (Item { id, ..ask.item }, None));
+        let id = RequestId(run_times.len() as u128);
+        run_times.push(ask.real);
+        events.add(ask.item.born, (Item { id, ..ask.item }, None));
     }
     let mut free = slots;
-    while let Some((now, (item, started))) = agenda.next() {
+    while let Some((now, (item, started))) = events.next() {
         if let Some(start) = started {
             free += 1;
             let wait = now.since(item.born) - now.since(start);
@@ -129,7 +129,7 @@
             && let Some(item) = door.pop(now)
         {
             free -= 1;
-            agenda.add(now + reals[item.id.0 as usize], (item, Some(now)));
+            events.add(now + run_times[item.id.0 as usize], (item, Some(now)));
         }
     }
     outcomes
--- a/tests/racks/bench.rs
+++ b/tests/racks/bench.rs
@@ -1,4 +1,4 @@
-//! Members and fake workers on one virtual clock, and what is on its way between them.
+//! Runs members and fake workers on one virtual clock, with the messages in transit between them.
 
 use {
     super::fake::{CALL, Fake, TICK, rack, vm, worker},
@@ -13,17 +13,17 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// What is on its way.
-enum Wire {
+/// A message in transit.
+enum Message {
     Order(usize, Order, Time),
-    /// What a worker gets long after its sender gave up.
+    /// An order that reaches its worker long after the sender has given up.
     Late(Order, Time),
     Fenced(usize, WorkerId, Epoch, Result<Epoch, Failure>),
     Report(usize, WorkerId, Result<Report, Failure>),
     Ordered(usize, WorkerId, Box<WorkerAsk>, Time, Result<WorkerReply, Failure>),
 }
 
-/// Members that may own the rack, and the workers of it.
+/// The members that may own the rack, and the workers of the rack.
 pub struct Bench {
     pub now: Time,
     pub members: Vec<Racks>,
@@ -31,14 +31,14 @@
     pub workers: BTreeMap<WorkerId, Fake>,
     pub vms: BTreeMap<WorkerId, Vm>,
     pub orders: u64,
-    /// The time an order takes to a worker.
+    /// The time that an order takes to reach a worker.
     pub flight: Duration,
-    wire: BTreeMap<(Time, u64), Wire>,
-    next: u64,
+    in_transit: BTreeMap<(Time, u64), Message>,
+    next_seq: u64,
 }
 
 impl Bench {
-    /// `count` workers, owned by the first of two members with epoch 1.
+    /// Creates a bench with `count` workers, which the first of two members owns with epoch 1.
     pub fn new(count: usize) -> Self {
         let now = Time::from_millis(1000);
         let vms: BTreeMap<_, _> = (0..count).map(|n| (worker(n), vm(n))).collect();
@@ -46,14 +46,24 @@
         let members = vec![Racks::new(1), Racks::new(2)];
         let leased = vec![true; 2];
         let flight = Duration::from_millis(1);
-        let wire = BTreeMap::new();
-        let mut b = Bench { now, members, leased, workers, vms, orders: 0, flight, wire, next: 0 };
-        b.list();
-        b.members[0].gained(&rack(), Epoch(1), now);
-        b
+        let in_transit = BTreeMap::new();
+        let mut bench = Bench {
+            now,
+            members,
+            leased,
+            workers,
+            vms,
+            orders: 0,
+            flight,
+            in_transit,
+            next_seq: 0,
+        };
+        bench.list();
+        bench.members[0].gained(&rack(), Epoch(1), now);
+        bench
     }
 
-    /// The platform's list comes in.
+    /// Gives the platform's list of VMs to all members.
     pub fn list(&mut self) {
         for m in &mut self.members {
             m.listed(self.vms.clone(), self.now);
@@ -64,7 +74,7 @@
         self.workers.get_mut(&worker(n)).expect("a worker of the bench")
     }
 
-    /// Lets time pass.
+    /// Advances the time by `ms` milliseconds, tick by tick.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while self.now < end {
@@ -73,83 +83,83 @@
         }
     }
 
-    /// One tick of all.
+    /// Runs one tick of all workers and members, and delivers the messages that are due.
     pub fn step(&mut self) {
         let now = self.now;
         self.workers.values_mut().for_each(|w| w.tick(now));
-        while let Some(entry) = self.wire.first_entry()
+        while let Some(entry) = self.in_transit.first_entry()
             && entry.key().0 <= now
         {
-            let wire = entry.remove();
-            self.deliver(wire);
+            let message = entry.remove();
+            self.deliver(message);
         }
         for n in 0..self.members.len() {
             let mut out = vec![];
             self.members[n].tick(now, self.leased[n], &mut out);
             self.orders += out.len() as u64;
             for order in out {
-                self.send(now + self.flight, Wire::Order(n, order, now));
+                self.send(now + self.flight, Message::Order(n, order, now));
             }
         }
     }
 
-    fn send(&mut self, at: Time, wire: Wire) {
-        self.next += 1;
-        self.wire.insert((at, self.next), wire);
+    fn send(&mut self, at: Time, message: Message) {
+        self.next_seq += 1;
+        self.in_transit.insert((at, self.next_seq), message);
     }
 
-    fn deliver(&mut self, wire: Wire) {
+    fn deliver(&mut self, message: Message) {
         let now = self.now;
-        match wire {
-            Wire::Order(n, order, sent) => self.arrive(n, order, sent),
-            Wire::Late(order, sent) => _ = self.answer(0, order, sent, false),
-            Wire::Fenced(n, w, epoch, reply) => self.members[n].fenced(&w, epoch, reply, now),
-            Wire::Report(n, w, report) => self.members[n].reported(&w, report, now),
-            Wire::Ordered(n, w, ask, sent, reply) => {
+        match message {
+            Message::Order(n, order, sent) => self.deliver_order(n, order, sent),
+            Message::Late(order, sent) => _ = self.apply(0, order, sent, false),
+            Message::Fenced(n, w, epoch, reply) => self.members[n].fenced(&w, epoch, reply, now),
+            Message::Report(n, w, report) => self.members[n].reported(&w, report, now),
+            Message::Ordered(n, w, ask, sent, reply) => {
                 self.members[n].ordered(&w, &ask, sent, reply, now)
             }
         }
     }
 
-    /// An order reaches its worker, and its answer, or the lack of one, goes back.
-    fn arrive(&mut self, n: usize, order: Order, sent: Time) {
+    /// Delivers an order to its worker and sends the answer, or a time-out, to the member.
+    fn deliver_order(&mut self, n: usize, order: Order, sent: Time) {
         let w = &self.workers[target(&order)];
-        let (cut, paused, mute) = (w.cut, w.paused, w.mute);
-        let late = !cut && paused > self.now;
+        let (cut, paused_until, mute) = (w.cut, w.paused_until, w.mute);
+        let late = !cut && paused_until > self.now;
         let ok = !cut && !late && !mute && self.now < sent + CALL;
         let at = if ok { self.now + Duration::from_millis(1) } else { sent + CALL };
-        let back = match cut || late {
-            true => failed(n, copy(&order), sent),
-            false => self.answer(n, copy(&order), sent, ok),
+        let response = match cut || late {
+            true => time_out(n, clone_order(&order), sent),
+            false => self.apply(n, clone_order(&order), sent, ok),
         };
-        self.send(at.max(self.now), back);
+        self.send(at.max(self.now), response);
         if late {
-            self.send(paused, Wire::Late(order, sent));
+            self.send(paused_until, Message::Late(order, sent));
         }
     }
 
-    /// An order takes effect.
-    fn answer(&mut self, n: usize, order: Order, sent: Time, ok: bool) -> Wire {
+    /// Applies an order at its worker; the member gets a time-out unless `ok`.
+    fn apply(&mut self, n: usize, order: Order, sent: Time, ok: bool) -> Message {
         let w = self.workers.get_mut(target(&order)).expect("a worker of the bench");
         match order {
             Order::Fence(id, _, epoch) => {
                 w.epoch = w.epoch.max(epoch);
-                Wire::Fenced(n, id, epoch, ok.then_some(w.epoch).ok_or(Failure::Timeout))
+                Message::Fenced(n, id, epoch, ok.then_some(w.epoch).ok_or(Failure::Timeout))
             }
             Order::Report(id, _) => {
                 let report = ok.then(|| w.report(self.now));
-                Wire::Report(n, id, report.ok_or(Failure::Timeout))
+                Message::Report(n, id, report.ok_or(Failure::Timeout))
             }
             Order::Worker(id, _, ask, _) => {
                 let reply = w.orders(&ask, sent, self.now);
-                Wire::Ordered(n, id, ask, sent, ok.then_some(reply).ok_or(Failure::Timeout))
+                Message::Ordered(n, id, ask, sent, ok.then_some(reply).ok_or(Failure::Timeout))
             }
             _ => unreachable!("racks order only workers"),
         }
     }
 }
 
-/// The worker that an order is for.
+/// The worker to which an order is addressed.
 fn target(order: &Order) -> &WorkerId {
     let (Order::Fence(w, ..) | Order::Report(w, _) | Order::Worker(w, ..)) = order else {
         unreachable!("racks order only workers")
@@ -157,8 +167,8 @@
     w
 }
 
-/// An order once more.
-fn copy(order: &Order) -> Order {
+/// Copies an order, which does not implement `Clone`.
+fn clone_order(order: &Order) -> Order {
     match order {
         Order::Fence(w, addr, epoch) => Order::Fence(w.clone(), *addr, *epoch),
         Order::Report(w, addr) => Order::Report(w.clone(), *addr),
@@ -167,12 +177,12 @@
     }
 }
 
-/// No answer to an order.
-fn failed(n: usize, order: Order, sent: Time) -> Wire {
+/// The time-out of an order that got no answer.
+fn time_out(n: usize, order: Order, sent: Time) -> Message {
     match order {
-        Order::Fence(id, _, epoch) => Wire::Fenced(n, id, epoch, Err(Failure::Timeout)),
-        Order::Report(id, _) => Wire::Report(n, id, Err(Failure::Timeout)),
-        Order::Worker(id, _, ask, _) => Wire::Ordered(n, id, ask, sent, Err(Failure::Timeout)),
+        Order::Fence(id, _, epoch) => Message::Fenced(n, id, epoch, Err(Failure::Timeout)),
+        Order::Report(id, _) => Message::Report(n, id, Err(Failure::Timeout)),
+        Order::Worker(id, _, ask, _) => Message::Ordered(n, id, ask, sent, Err(Failure::Timeout)),
         _ => unreachable!("racks order only workers"),
     }
 }
--- a/tests/racks/fake.rs
+++ b/tests/racks/fake.rs
@@ -1,4 +1,5 @@
-//! Fake workers on a virtual clock: fenced, lagging, paused, cut off, or losing answers.
+//! Fake workers on a virtual clock. They check epochs, and they can lag, pause, be cut off, or lose
+//! their answers.
 
 use {
     dogwoodreach::{
@@ -85,42 +86,42 @@
     StartAsk { epoch: row.epoch, left: 0, rack: rack(), start: vec![], stop }
 }
 
-/// What runs on a worker.
+/// A task that runs on a worker.
 pub struct Run {
     pub size: Size,
     pub used: Size,
     pub lease: Time,
 }
 
-/// A worker as its owner sees it.
+/// A simulated worker with its tasks, its requests and its faults.
 #[derive(Default)]
 pub struct Fake {
     pub epoch: Epoch,
     pub runs: BTreeMap<(TaskId, Attempt), Run>,
-    /// What was started and stopped, or lapsed, newest state.
-    pub over: BTreeMap<(TaskId, Attempt), TaskState>,
+    /// The last state of each attempt that was stopped or whose lease lapsed.
+    pub ended: BTreeMap<(TaskId, Attempt), TaskState>,
     pub starts: BTreeMap<(TaskId, Attempt), u32>,
     pub lag: Duration,
     pub history: Vec<(Time, Report)>,
-    /// Nothing reaches it.
+    /// Whether the worker is cut off, so that no order reaches it.
     pub cut: bool,
-    /// It hears, and its answers are lost.
+    /// Whether the worker's answers are lost, although orders reach it.
     pub mute: bool,
-    /// It does nothing before this.
-    pub paused: Time,
-    /// The requests that run, and until when.
+    /// The time before which the worker handles no order.
+    pub paused_until: Time,
+    /// The running requests, with the time at which each ends.
     pub requests: BTreeMap<RequestId, Time>,
-    /// It confirms stops only of what it knows.
+    /// Whether the worker confirms only the stops of attempts that it knows.
     pub strict: bool,
 }
 
 impl Fake {
     pub fn tick(&mut self, now: Time) {
-        let dead: Vec<_> = self.runs.extract_if(.., |_, r| r.lease <= now).collect();
-        self.over.extend(dead.into_iter().map(|(k, _)| (k, TaskState::Lost)));
+        let lapsed: Vec<_> = self.runs.extract_if(.., |_, r| r.lease <= now).collect();
+        self.ended.extend(lapsed.into_iter().map(|(k, _)| (k, TaskState::Lost)));
         let runs = self.runs.iter().map(|(k, r)| (k, TaskState::Running, r.used));
-        let over = self.over.iter().map(|(k, s)| (k, *s, Size::default()));
-        let tasks = runs.chain(over).map(|((task, attempt), state, used)| TaskReport {
+        let ended = self.ended.iter().map(|(k, s)| (k, *s, Size::default()));
+        let tasks = runs.chain(ended).map(|((task, attempt), state, used)| TaskReport {
             task: task.clone(),
             attempt: *attempt,
             state,
@@ -133,8 +134,8 @@
     }
 
     pub fn report(&self, now: Time) -> Report {
-        let found = self.history.iter().rev().find(|(at, _)| now - *at >= self.lag);
-        let (at, report) = found.unwrap_or(&self.history[0]);
+        let entry = self.history.iter().rev().find(|(at, _)| now - *at >= self.lag);
+        let (at, report) = entry.unwrap_or(&self.history[0]);
         Report { age: (now - *at).as_millis() as u64 + 1, ..report.clone() }
     }
 
@@ -154,7 +155,7 @@
         for o in &ask.stop {
             let key = (o.task.clone(), o.attempt);
             if self.runs.remove(&key).is_some() {
-                self.over.insert(key, TaskState::Checkpointed);
+                self.ended.insert(key, TaskState::Checkpointed);
             } else if self.strict {
                 continue;
             }
@@ -166,7 +167,7 @@
 
     fn start(&mut self, o: &TaskOrder, lease: Time) {
         let key = (o.task.clone(), o.attempt);
-        if !self.runs.contains_key(&key) && !self.over.contains_key(&key) {
+        if !self.runs.contains_key(&key) && !self.ended.contains_key(&key) {
             *self.starts.entry(key.clone()).or_default() += 1;
             self.runs.insert(key, Run { size: o.size, used: o.size, lease });
             let sum: Size = self.runs.values().map(|r| r.size).sum();
--- a/tests/racks/marks.rs
+++ b/tests/racks/marks.rs
@@ -1,4 +1,4 @@
-//! Room that is made for urgent work.
+//! Tests of the room that is freed for urgent work by preemption.
 
 use {
     super::{
@@ -8,46 +8,47 @@
     dogwoodreach::{ids::Attempt, messages::ReserveAsk},
 };
 
-/// A bench whose only worker was full, and on which room was made for task 1.
-fn made() -> (Bench, ReserveAsk) {
-    let mut b = Bench::new(1);
-    b.run(1000);
-    let now = b.now;
-    let row = b.members[0].reserve(&wish(0, 1, 16), now).rows.pop().expect("room");
-    b.members[0].start(start(&row, 16), now);
-    b.run(1000);
+/// Creates a bench whose only worker was full and on which a task was preempted for task 1.
+fn preempted_bench() -> (Bench, ReserveAsk) {
+    let mut bench = Bench::new(1);
+    bench.run(1000);
+    let now = bench.now;
+    let row = bench.members[0].reserve(&wish(0, 1, 16), now).rows.pop().expect("room");
+    bench.members[0].start(start(&row, 16), now);
+    bench.run(1000);
     let mut urgent = wish(1, 1, 4);
     urgent.items[0].urgent = true;
-    // What has just been started can't be stopped yet: the stop would wait behind its start, and the
-    // urgent work with it, while others could be stopped at once.
-    let now = b.now;
-    assert!(!b.members[0].preempt(&urgent, now));
-    b.run(300);
-    let now = b.now;
-    assert!(b.members[0].preempt(&urgent, now));
-    b.run(1000);
-    assert!(!b.fake(0).runs.contains_key(&(row.task, Attempt(1))));
-    (b, urgent)
+    // A task that has just been started is not preempted: the stop would wait for the start, and so
+    // would the urgent work, although other tasks could be stopped at once.
+    let now = bench.now;
+    assert!(!bench.members[0].preempt(&urgent, now));
+    bench.run(300);
+    let now = bench.now;
+    assert!(bench.members[0].preempt(&urgent, now));
+    bench.run(1000);
+    assert!(!bench.fake(0).runs.contains_key(&(row.task, Attempt(1))));
+    (bench, urgent)
 }
 
-fn room(b: &mut Bench, ask: &ReserveAsk) -> bool {
-    let now = b.now;
-    !b.members[0].reserve(ask, now).rows.is_empty()
+fn has_room(bench: &mut Bench, ask: &ReserveAsk) -> bool {
+    let now = bench.now;
+    !bench.members[0].reserve(ask, now).rows.is_empty()
 }
 
 #[test]
 fn made_room_is_not_for_others() {
-    // A task was pushed aside for urgent work. Batch work that waited would take its room first, and
-    // the next task would be pushed aside, and so on.
-    let (mut b, urgent) = made();
-    assert!(!room(&mut b, &wish(2, 1, 1)));
-    assert!(room(&mut b, &urgent));
+    // Guards against waiting batch work that takes the room of a preempted task before the urgent
+    // work does, which would cause one preemption after another.
+    let (mut bench, urgent) = preempted_bench();
+    assert!(!has_room(&mut bench, &wish(2, 1, 1)));
+    assert!(has_room(&mut bench, &urgent));
 }
 
 #[test]
 fn made_room_is_kept_for_a_while_only() {
-    // The urgent work is cancelled, or finds room elsewhere. The worker would stay empty for good.
-    let (mut b, _) = made();
-    b.run(5000);
-    assert!(room(&mut b, &wish(2, 1, 1)));
+    // Guards against a worker that stays empty forever because the urgent work was cancelled or
+    // found room elsewhere.
+    let (mut bench, _) = preempted_bench();
+    bench.run(5000);
+    assert!(has_room(&mut bench, &wish(2, 1, 1)));
 }
