--- a/standin/src/experiment/cell.rs
+++ b/standin/src/experiment/cell.rs
@@ -94,7 +94,11 @@
 
     /// The address that the ready line of the process gives for a name.
     pub fn addr(&self, name: &str) -> Result<SocketAddr> {
-        Ok(self.values.get(name).ok_or_else(|| format!("no {name} was said"))?.parse()?)
+        Ok(self
+            .values
+            .get(name)
+            .ok_or_else(|| format!("the ready line has no value for {name}"))?
+            .parse()?)
     }
 
     /// The process's id.
@@ -153,7 +157,7 @@
         if members > 0 {
             cell.submit(text).await?;
             let count: u32 = fleets.iter().map(|f| f.racks * f.each).sum();
-            cell.placed(count as usize, READY_TIMEOUT).await?;
+            cell.wait_ready(count as usize, READY_TIMEOUT).await?;
         }
         Ok(cell)
     }
@@ -203,7 +207,7 @@
 
     /// Waits until the members own `count` ready workers and all members are ready; returns the
     /// duration of the wait.
-    pub async fn placed(&self, count: usize, limit: Duration) -> Result<Duration> {
+    pub async fn wait_ready(&self, count: usize, limit: Duration) -> Result<Duration> {
         let begun = Instant::now();
         loop {
             let mut ready = 0;
@@ -211,7 +215,7 @@
                 let show = self.show(n).await.map_or(vec![], |s| s.workers);
                 ready += show.iter().filter(|w| &*w.state == "ready").count();
             }
-            if ready >= count && self.all_ready().await {
+            if ready >= count && self.members_ready().await {
                 return Ok(begun.elapsed());
             }
             if begun.elapsed() > limit {
@@ -221,7 +225,7 @@
         }
     }
 
-    async fn all_ready(&self) -> bool {
+    async fn members_ready(&self) -> bool {
         for member in &self.members {
             let Ok(addr) = member.addr("metrics") else { return false };
             let ask = Request::get(uri(addr, "/ready")).body(Full::default());
@@ -245,23 +249,23 @@
     }
 
     /// The address of the platform's list of VMs.
-    pub fn list(&self) -> Result<SocketAddr> {
+    pub fn vm_list_addr(&self) -> Result<SocketAddr> {
         self.platform.addr("vms")
     }
 
     /// The platform's list of VMs.
     pub async fn vms(&self) -> Result<VmList> {
-        self.get(self.list()?, "/v1/vms").await
+        self.get(self.vm_list_addr()?, "/v1/vms").await
     }
 
     /// Marks a VM as leaving.
-    pub async fn leaving(&self, worker: &WorkerId) -> Result<()> {
+    pub async fn mark_leaving(&self, worker: &WorkerId) -> Result<()> {
         let mark = serde_json::json!({"worker": worker, "state": "leaving"});
         self.put(self.platform.addr("vms")?, "/mark", &mark).await
     }
 
     /// Makes the platform's list of VMs lag behind by `lag`.
-    pub async fn list_lag(&self, lag: Duration) -> Result<()> {
+    pub async fn set_list_lag(&self, lag: Duration) -> Result<()> {
         let fault = serde_json::json!({"lag": lag.as_millis() as u64});
         self.put(self.platform.addr("vms")?, "/fault", &fault).await
     }
--- a/standin/src/experiment/control.rs
+++ b/standin/src/experiment/control.rs
@@ -5,7 +5,7 @@
         Args, TODAY,
         cell::{Cell, Fleet, ZONES},
         config::large_text,
-        path::quotes,
+        path::quoting_load,
         starts::{TEAM_COUNT, teams_of},
         today,
         usage::{self, Usage, fit_line, min_median_max},
@@ -129,13 +129,13 @@
     }
     sleep(SETTLE_TIME).await;
     let ids: Vec<u32> = cell.members.iter().map(|m| m.id()).collect();
-    let load = quotes(cell.callers()?, false, case.load, time + CHANGE_INTERVAL);
+    let load = quoting_load(cell.callers()?, false, case.load, time + CHANGE_INTERVAL);
     let load = (case.load > 0.0).then(|| tokio::spawn(load::run(load)));
     if load.is_some() {
         sleep(SETTLE_TIME).await;
     }
     let before = cell.kv_calls().await?;
-    let members = usage::watch(&ids, cell.list()?, time).await;
+    let members = usage::watch(&ids, cell.vm_list_addr()?, time).await;
     let after = cell.kv_calls().await?;
     let seconds = time.as_secs_f64();
     let mut calls = after;
--- a/standin/src/experiment/faults.rs
+++ b/standin/src/experiment/faults.rs
@@ -4,7 +4,7 @@
     super::{
         Args, TODAY,
         cell::{Cell, POLL_INTERVAL},
-        path::{quotes, workers},
+        path::{quoting_load, workers},
         today,
         usage::min_median_max,
     },
@@ -87,7 +87,7 @@
     let time = FAULT_DELAY
         + TIME_AFTER_FAULT
         + if fault == Fault::Outage { OUTAGE } else { Duration::ZERO };
-    let load = tokio::spawn(load::run(quotes(cell.callers()?, false, 0.5, time)));
+    let load = tokio::spawn(load::run(quoting_load(cell.callers()?, false, 0.5, time)));
     sleep(FAULT_DELAY).await;
     let mut placed = None;
     match fault {
@@ -120,7 +120,7 @@
     // Workers of the dead member count as not owned until a takeover, so this waits for all 48.
     let count = cell.vms().await.ok()?.vms.len();
     while begun.elapsed() < PLACEMENT_TIMEOUT {
-        if cell.placed(count, POLL_INTERVAL).await.is_ok() {
+        if cell.wait_ready(count, POLL_INTERVAL).await.is_ok() {
             return Some(begun.elapsed().as_secs_f64());
         }
     }
--- a/standin/src/experiment/leaving.rs
+++ b/standin/src/experiment/leaving.rs
@@ -1,7 +1,7 @@
 //! Measures the time from the moment a worker is marked as leaving to its last new request.
 
 use {
-    super::{Args, TODAY, cell::Cell, path::quotes, today, usage::min_median_max},
+    super::{Args, TODAY, cell::Cell, path::quoting_load, today, usage::min_median_max},
     crate::{Result, load},
     dogwoodreach::{
         http::{Client, uri},
@@ -38,16 +38,16 @@
         let list = cell.vms().await?.vms;
         // Waits for one lag, because an older list would be empty: the workers had not entered yet.
         sleep(Duration::from_secs(lag)).await;
-        cell.list_lag(Duration::from_secs(lag)).await?;
+        cell.set_list_lag(Duration::from_secs(lag)).await?;
         let quoting: Vec<_> = list.iter().filter(|v| v.pool.as_str() == "quoting").collect();
         let (mut last, mut after, mut unmarked, mut good) = (vec![], vec![], vec![], vec![]);
         for n in 0..args.runs {
             let time = WATCH_TIME + 2 * LOAD_MARGIN;
-            let load = tokio::spawn(load::run(quotes(cell.callers()?, false, 0.5, time)));
+            let load = tokio::spawn(load::run(quoting_load(cell.callers()?, false, 0.5, time)));
             sleep(LOAD_MARGIN).await;
             // Takes the marked worker from the front and the other from the back, so that they differ.
             let (vm, other) = (quoting[n], quoting[quoting.len() - 1 - n]);
-            cell.leaving(&vm.worker).await?;
+            cell.mark_leaving(&vm.worker).await?;
             let (one, two) = tokio::join!(watch(vm.addr), watch(other.addr));
             last.push(one.0.as_secs_f64());
             after.push(one.1 as f64);
--- a/standin/src/experiment/path.rs
+++ b/standin/src/experiment/path.rs
@@ -24,7 +24,7 @@
 const LOAD_SHARES: [f64; 4] = [0.5, 0.8, 0.95, 1.3];
 
 /// A load of quoting requests at a share of the slots' capacity.
-pub fn quotes(to: Vec<SocketAddr>, direct: bool, share: f64, time: Duration) -> Load {
+pub fn quoting_load(to: Vec<SocketAddr>, direct: bool, share: f64, time: Duration) -> Load {
     Load {
         to,
         direct,
@@ -82,7 +82,7 @@
                 let ids: Vec<u32> = cell.members.iter().map(|m| m.id()).collect();
                 let used = || ids.iter().filter_map(|id| usage::cpu(*id)).sum::<f64>();
                 let (cpu, writes) = (used(), cell.writes().await?);
-                let mut load = quotes(cell.callers()?, false, 1.0, args.time);
+                let mut load = quoting_load(cell.callers()?, false, 1.0, args.time);
                 (load.rate, load.keys) = (rate, share);
                 let o = load::run(load).await;
                 let writes = (cell.writes().await? - writes) / args.time.as_secs_f64();
@@ -130,13 +130,14 @@
     for share in LOAD_SHARES {
         let mut rows: Vec<Vec<(Outcome, f64)>> = vec![vec![]; cells.len() + 1];
         for _ in 0..args.runs {
-            let load = quotes(straight.clone(), true, share, args.time);
+            let load = quoting_load(straight.clone(), true, share, args.time);
             rows[0].push((load::run(load).await, 0.0));
             for (cell, row) in cells.iter().zip(&mut rows[1..]) {
                 let ids: Vec<u32> = cell.members.iter().map(|m| m.id()).collect();
                 let used = || ids.iter().filter_map(|id| usage::cpu(*id)).sum::<f64>();
                 let before = used();
-                let outcome = load::run(quotes(cell.callers()?, false, share, args.time)).await;
+                let outcome =
+                    load::run(quoting_load(cell.callers()?, false, share, args.time)).await;
                 let cpu_micros = 1e6 * (used() - before) / outcome.due as f64;
                 row.push((outcome, cpu_micros));
             }
