--- a/tests/cell/mod.rs
+++ b/tests/cell/mod.rs
@@ -176,8 +176,8 @@
         self.mail.extend(ends.into_iter().map(|(b, e)| (self.owner, Message::Heard(b, vec![e]))));
     }
 
-    /// Checks two invariants. `Listed`: only tasks that the text lists are started. `Whole`: all tasks
-    /// of a gang are started at once.
+    /// Checks two invariants. `Listed`: only tasks that the text lists are started. `Whole`: all
+    /// tasks of a gang are started at once.
     fn check_starts(&self, wants: &[Want]) {
         let mut gangs: BTreeMap<&JobId, u32> = BTreeMap::new();
         for want in wants {
@@ -291,8 +291,8 @@
                 self.tick();
             }
             n if !self.mail.is_empty() => {
-                // Mostly delivers one of the two oldest messages: with a free choice, messages would wait so
-                // long that few exchanges would ever complete.
+                // Mostly delivers one of the two oldest messages: with a free choice, messages
+                // would wait so long that few exchanges would ever complete.
                 let limit = if n == 4 { self.mail.len() } else { self.mail.len().min(2) };
                 let at = u.choose_index(limit)?;
                 self.deliver(at, n == 3 && u.ratio(1, 2)?);
