--- a/examples/buckets.rs
+++ b/examples/buckets.rs
@@ -9,7 +9,7 @@
         Time,
         event::{Order, Purpose},
         ids::{Bucket, Epoch, Incarnation, Revision, team_bucket},
-        jobs::{Jobs, Want},
+        jobs::{JobRequest, Jobs},
         messages::{EndItem, KvEntry, KvPutReply, RackLoad, ReserveReply, ReserveRow, TaskState},
         text::Plan,
         units::Size,
@@ -61,11 +61,11 @@
             running: vec![],
             spent: Duration::ZERO,
         };
-        bench.jobs.planned(&Rc::new(plan));
+        bench.jobs.set_plan(&Rc::new(plan));
         for t in 0..TEAMS {
             let bucket = team_bucket(&format!("t{t}").as_str().into());
             if !bench.jobs.owns(bucket) {
-                bench.jobs.gained(bucket, Epoch(1));
+                bench.jobs.add_bucket(bucket, Epoch(1));
             }
         }
         bench
@@ -89,22 +89,22 @@
                 Order::Get(Purpose::Bucket(b, e, c), key) => {
                     let (revision, value) = self.store.get(&key).cloned().unwrap_or_default();
                     let entry = KvEntry { key, revision: Revision(revision), value };
-                    self.time(|jobs, now| jobs.got((b, e, c), Ok(entry), now));
+                    self.time(|jobs, now| jobs.record_read((b, e, c), Ok(entry), now));
                 }
                 Order::Put(Purpose::Bucket(b, e, c), key, put) => {
                     let entry = self.store.entry(key).or_default();
                     *entry = (entry.0 + 1, put.value.unwrap_or_default());
                     let reply = KvPutReply { done: true, revision: Revision(entry.0) };
-                    self.time(|jobs, now| jobs.put((b, e, c), Ok(reply), now));
+                    self.time(|jobs, now| jobs.record_written((b, e, c), Ok(reply), now));
                 }
                 _ => {}
             }
         }
     }
 
-    fn execute(&mut self, want: Want) {
+    fn execute(&mut self, want: JobRequest) {
         match want {
-            Want::Reserve(ask) => {
+            JobRequest::Reserve(ask) => {
                 let row = |(n, i): (usize, &dogwoodreach::messages::ReserveItem)| ReserveRow {
                     attempt: i.attempt,
                     epoch: Epoch(1),
@@ -117,7 +117,7 @@
                 let wants = self.time(|jobs, now| jobs.reserved(&ask, reply, now));
                 wants.into_iter().for_each(|want| self.execute(want));
             }
-            Want::Start(ask) => {
+            JobRequest::Start(ask) => {
                 let running_item = |s: dogwoodreach::messages::StartItem| {
                     let (attempt, task, worker) = (s.attempt, s.task, s.worker);
                     let state = TaskState::Running;
@@ -148,7 +148,7 @@
     let items: Vec<_> = bench.running.iter().cycle().take(4000).cloned().collect();
     let count = items.len() as u32;
     for (bucket, item) in items {
-        bench.time(|jobs, now| jobs.heard(bucket, &[item], now));
+        bench.time(|jobs, now| jobs.update_attempts(bucket, &[item], now));
         bench.tick();
         bench.now = bench.now + Duration::from_millis(1);
     }
--- a/src/attempts.rs
+++ b/src/attempts.rs
@@ -11,7 +11,7 @@
 //! The next attempt of a task waits until the previous one has ended, was stopped with
 //! confirmation, was shown by a report not to run, or its lease has expired. A report that omits an
 //! attempt proves nothing about a start that may still have been in transit when the report was
-//! taken; see [`FLIGHT`].
+//! taken; see [`MAX_TRANSIT`].
 
 use {
     crate::{
@@ -30,21 +30,21 @@
 
 /// The longest transit time of a start from this owner to the worker by way of the rack's owner.
 /// The start carries its latest valid time; whoever receives it later drops it.
-pub const FLIGHT: Duration = Duration::from_secs(1);
+pub const MAX_TRANSIT: Duration = Duration::from_secs(1);
 
 /// How long a worker runs a task without a renewal of its lease.
 pub const LEASE: Duration = Duration::from_secs(20);
 
 /// Allowance for the drift between two clocks during a lease: about 1 % of the lease, ten times the drift
 /// of a bad clock (0.1 %).
-pub const DRIFT: Duration = Duration::from_millis(250);
+pub const CLOCK_DRIFT: Duration = Duration::from_millis(250);
 
 /// How long an intent waits for its commit. Equals the lifetime of a reservation at the rack's
 /// owner.
-pub const COMMIT_WAIT: Duration = Duration::from_secs(5);
+pub const COMMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Space for all tasks in the record, in bytes. Claims have the other half.
-pub const ROOM: usize = 400_000;
+pub const MAX_TASK_BYTES: usize = 400_000;
 
 /// By how much a row can grow when its state changes, in bytes.
 const ROW_GROWTH_BYTES: usize = 96;
@@ -139,10 +139,10 @@
             task: place.task,
             worker: Some(place.worker),
         };
-        if self.bytes - last.map_or(0, |e| row_bytes(&e.row)) + row_bytes(&row) > ROOM {
+        if self.bytes - last.map_or(0, |e| row_bytes(&e.row)) + row_bytes(&row) > MAX_TASK_BYTES {
             return Err(Refused::Full);
         }
-        self.pending.push_back((now + COMMIT_WAIT, row.task.clone(), attempt));
+        self.pending.push_back((now + COMMIT_TIMEOUT, row.task.clone(), attempt));
         self.insert(row, Some(commit.touch()), now);
         Ok(attempt)
     }
@@ -169,17 +169,17 @@
             // owner could read a worker's report that is newer than any start it knows of, and this
             // start would arrive afterwards. A start is therefore sent only if the lease outlasts
             // its transit time.
-            if now + FLIGHT > lease_end {
+            if now + MAX_TRANSIT > lease_end {
                 self.withdraw(&task, "the owner's lease was ending", commit);
                 continue;
             }
             entry.ticket = None;
-            entry.settled_at = now + FLIGHT + DRIFT;
-            out.push(Order::Start { row: entry.row.clone(), until: now + FLIGHT });
+            entry.settled_at = now + MAX_TRANSIT + CLOCK_DRIFT;
+            out.push(Order::Start { row: entry.row.clone(), until: now + MAX_TRANSIT });
         }
     }
 
-    /// Requests that an attempt be stopped; [`Attempts::heard`] takes the confirmation.
+    /// Requests that an attempt be stopped; [`Attempts::update`] takes the confirmation.
     pub fn stop(&mut self, task: &TaskId, commit: &mut Commit, out: &mut Vec<Order>) {
         let Some(entry) = self.rows.get_mut(task) else { return };
         if entry.ticket.is_some() {
@@ -195,7 +195,7 @@
     /// Applies a state that the rack's owner reports for an attempt.
     ///
     /// `lost` from the rack's owner means that the attempt does not run and never will.
-    pub fn heard(
+    pub fn update(
         &mut self,
         task: &TaskId,
         attempt: Attempt,
@@ -243,19 +243,20 @@
             .collect();
         for (task, attempt, settled) in running {
             match tasks.iter().find(|t| t.task == task && t.attempt == attempt) {
-                Some(found) => self.heard(&task, attempt, found.state, commit),
-                None if settled => self.heard(&task, attempt, TaskState::Lost, commit),
+                Some(found) => self.update(&task, attempt, found.state, commit),
+                None if settled => self.update(&task, attempt, TaskState::Lost, commit),
                 None => {}
             }
         }
     }
 
     /// Records that the rack's owner will not renew the attempt's lease beyond `until`.
-    pub fn cut(&mut self, task: &TaskId, attempt: Attempt, until: Time) {
+    pub fn cap_lease(&mut self, task: &TaskId, attempt: Attempt, until: Time) {
         let Some(entry) = self.rows.get_mut(task) else { return };
         if entry.row.attempt == attempt && may_run(entry.row.state) && entry.ticket.is_none() {
             // A start still in transit opens a lease of its own.
-            entry.lapses_at = Some((until + DRIFT).max(entry.settled_at + LEASE + DRIFT));
+            entry.lapses_at =
+                Some((until + CLOCK_DRIFT).max(entry.settled_at + LEASE + CLOCK_DRIFT));
         }
     }
 
@@ -278,7 +279,7 @@
 
     /// Replaces all rows by those of the previous owner. Each attempt without a recorded end may be
     /// running.
-    pub fn adopt(&mut self, rows: Vec<TaskRow>, now: Time) {
+    pub fn restore(&mut self, rows: Vec<TaskRow>, now: Time) {
         *self = Attempts::default();
         for row in rows {
             self.insert(row, None, now);
@@ -286,7 +287,7 @@
     }
 
     /// Removes a task whose attempt can't be running; errs otherwise.
-    pub fn forget(&mut self, task: &TaskId, commit: &mut Commit) -> Result<(), Refused> {
+    pub fn remove(&mut self, task: &TaskId, commit: &mut Commit) -> Result<(), Refused> {
         let Some(entry) = self.rows.get(task) else { return Ok(()) };
         if may_run(entry.row.state) {
             return Err(Refused::Live);
@@ -313,7 +314,8 @@
 
     fn insert(&mut self, row: TaskRow, ticket: Option<Ticket>, now: Time) {
         self.bytes += row_bytes(&row);
-        let entry = Entry { ticket, settled_at: now + FLIGHT + DRIFT, lapses_at: None, row };
+        let entry =
+            Entry { ticket, settled_at: now + MAX_TRANSIT + CLOCK_DRIFT, lapses_at: None, row };
         if let Some(old) = self.rows.insert(entry.row.task.clone(), entry) {
             self.bytes -= row_bytes(&old.row);
         }
@@ -336,7 +338,7 @@
 /// Upper bound of the bytes that a row takes in the record, in any state.
 fn row_bytes(row: &TaskRow) -> usize {
     let fixed = TaskRow { reason: None, state: TaskState::Intent, tries: None, ..row.clone() };
-    serde_json::to_string(&fixed).map_or(ROOM, |text| text.len())
+    serde_json::to_string(&fixed).map_or(MAX_TASK_BYTES, |text| text.len())
         + ROW_GROWTH_BYTES
         + REASON_MAX_BYTES
 }
--- a/src/bucket.rs
+++ b/src/bucket.rs
@@ -3,11 +3,10 @@
 //! Owns the bucket's record. Calls [`claims`](crate::claims), [`attempts`](crate::attempts) and
 //! [`commit`](crate::commit); called by [`jobs`](crate::jobs).
 
-mod past;
+mod history;
 
-pub use {self::past::Past, crate::effect::Order};
 use {
-    self::past::Pasts,
+    self::history::JobHistories,
     crate::{
         Time,
         attempts::{Attempts, Place, Refused},
@@ -17,13 +16,14 @@
         messages::{BucketRecord, ClaimAsk, ClaimEnd, EndItem, KvPutReply, TaskReport, TaskState},
     },
 };
+pub use {self::history::JobHistory, crate::effect::Order};
 
 /// The state of a bucket at its owner.
 pub struct Bucket {
     commit: Commit,
     claims: Claims,
     attempts: Attempts,
-    pasts: Pasts,
+    histories: JobHistories,
     lease_end: Time,
     out: Vec<Order>,
 }
@@ -35,7 +35,7 @@
             commit: Commit::new(epoch, owner),
             claims: Claims::new(unix),
             attempts: Attempts::default(),
-            pasts: Pasts::default(),
+            histories: JobHistories::default(),
             lease_end: Time::ZERO,
             out: Vec::new(),
         }
@@ -52,12 +52,12 @@
     }
 
     /// Whether changes wait for the write budget.
-    pub fn waits(&self) -> bool {
+    pub fn write_pending(&self) -> bool {
         self.commit.waits()
     }
 
     /// Whether a claim request awaits its verdict.
-    pub fn pending(&self) -> bool {
+    pub fn claim_pending(&self) -> bool {
         self.claims.pending()
     }
 
@@ -67,13 +67,13 @@
     }
 
     /// Decides on a claim request.
-    pub fn ask(&mut self, ask: ClaimAsk, now: Time) {
+    pub fn claim(&mut self, ask: ClaimAsk, now: Time) {
         self.claims.ask(ask, now, &mut self.commit, &mut self.out);
     }
 
-    /// Records how a claimed request ended. The sender repeats the notice until [`Order::Kept`]
+    /// Records how a claimed request ended. The sender repeats the notice until [`Order::EndCommitted`]
     /// confirms it.
-    pub fn end(&mut self, end: ClaimEnd, call: u64) {
+    pub fn end_claim(&mut self, end: ClaimEnd, call: u64) {
         self.claims.end(end, call, &mut self.commit, &mut self.out);
     }
 
@@ -88,8 +88,8 @@
     }
 
     /// Applies the reported state of an attempt.
-    pub fn heard(&mut self, item: &EndItem) {
-        self.attempts.heard(&item.task, item.attempt, item.state, &mut self.commit);
+    pub fn update_attempt(&mut self, item: &EndItem) {
+        self.attempts.update(&item.task, item.attempt, item.state, &mut self.commit);
     }
 
     /// Applies a worker's report that was true at `taken`.
@@ -98,63 +98,63 @@
     }
 
     /// Records that an attempt's lease will not be renewed beyond `until`.
-    pub fn cut(&mut self, task: &TaskId, attempt: Attempt, until: Time) {
-        self.attempts.cut(task, attempt, until);
+    pub fn cap_lease(&mut self, task: &TaskId, attempt: Attempt, until: Time) {
+        self.attempts.cap_lease(task, attempt, until);
     }
 
     /// The stored data of a job besides its attempts.
-    pub fn past(&self, job: &JobId) -> Option<&Past> {
-        self.pasts.get(job)
+    pub fn history(&self, job: &JobId) -> Option<&JobHistory> {
+        self.histories.get(job)
     }
 
     /// The jobs with stored data besides their attempts.
     pub fn jobs(&self) -> impl Iterator<Item = &JobId> {
-        self.pasts.names()
+        self.histories.names()
     }
 
     /// Adds a job with this Unix time as its start, unless it is known.
-    pub fn begin(&mut self, job: &JobId, unix: u64) {
-        if self.pasts.begin(job, unix) {
+    pub fn add_job(&mut self, job: &JobId, unix: u64) {
+        if self.histories.add(job, unix) {
             self.commit.touch();
         }
     }
 
     /// Records a task that has ended successfully by index only; it will not be started again.
-    pub fn finish(&mut self, task: &TaskId) {
+    pub fn mark_ended(&mut self, task: &TaskId) {
         let ended = self.attempts.get(task).is_some_and(|r| r.state == TaskState::Ended);
-        if ended && self.pasts.finish(task) {
-            let _ = self.attempts.forget(task, &mut self.commit);
+        if ended && self.histories.mark_ended(task) {
+            let _ = self.attempts.remove(task, &mut self.commit);
         }
     }
 
     /// Drops the ended tasks of a gang unless all of its tasks have ended.
-    pub fn keep_whole(&mut self, job: &JobId, tasks: u32) {
-        if self.pasts.keep_whole(job, tasks) {
+    pub fn drop_partial_gang(&mut self, job: &JobId, tasks: u32) {
+        if self.histories.drop_partial_gang(job, tasks) {
             self.commit.touch();
         }
     }
 
     /// Stores the reason why a job was given up.
-    pub fn give_up(&mut self, job: &JobId, fault: &str) {
-        if self.pasts.give_up(job, fault) {
+    pub fn set_fault(&mut self, job: &JobId, fault: &str) {
+        if self.histories.set_fault(job, fault) {
             self.commit.touch();
         }
     }
 
     /// Removes the stored data of a job besides its attempts.
-    pub fn forget_job(&mut self, job: &JobId) {
-        if self.pasts.forget(job) {
+    pub fn remove_job(&mut self, job: &JobId) {
+        if self.histories.remove(job) {
             self.commit.touch();
         }
     }
 
     /// Removes a task; errs if an attempt may be running.
-    pub fn forget(&mut self, task: &TaskId) -> Result<(), Refused> {
-        self.attempts.forget(task, &mut self.commit)
+    pub fn remove_task(&mut self, task: &TaskId) -> Result<(), Refused> {
+        self.attempts.remove(task, &mut self.commit)
     }
 
     /// Handles the reply to a write; `None` if there was none in time.
-    pub fn wrote(&mut self, call: u64, reply: Option<&KvPutReply>, now: Time) {
+    pub fn written(&mut self, call: u64, reply: Option<&KvPutReply>, now: Time) {
         let step = self.commit.wrote(call, reply);
         self.step(step, now);
     }
@@ -181,7 +181,7 @@
         let call = self.commit.next(now, |record| {
             record.claims.extend(self.claims.rows().cloned());
             record.tasks.extend(self.attempts.rows().cloned());
-            record.jobs.extend(self.pasts.rows());
+            record.jobs.extend(self.histories.rows());
         });
         self.out.extend(call.map(Order::Kv));
         std::mem::take(&mut self.out)
@@ -198,8 +198,8 @@
                 let (claims, tasks, jobs) =
                     record.map_or_else(Default::default, |r| (r.claims, r.tasks, r.jobs));
                 self.claims.adopt(claims, now);
-                self.attempts.adopt(tasks, now);
-                self.pasts = Pasts::adopt(jobs);
+                self.attempts.restore(tasks, now);
+                self.histories = JobHistories::restore(jobs);
             }
             Step::Lost => {
                 self.claims.lost(&mut self.out);
--- a/src/bucket/past.rs
+++ b/src/bucket/history.rs
@@ -20,13 +20,13 @@
 
 /// The stored data of the jobs of one bucket.
 #[derive(Default)]
-pub struct Pasts {
-    jobs: BTreeMap<JobId, Past>,
+pub struct JobHistories {
+    jobs: BTreeMap<JobId, JobHistory>,
     bounds: usize,
 }
 
 /// The stored data of one job.
-pub struct Past {
+pub struct JobHistory {
     /// When the job was first taken in, in Unix seconds.
     pub since: u64,
     /// The tasks that have ended successfully and have no row.
@@ -35,14 +35,14 @@
     pub fault: Option<Box<str>>,
 }
 
-impl Pasts {
+impl JobHistories {
     /// Restores the jobs that the previous owner recorded.
-    pub fn adopt(rows: Vec<JobRow>) -> Self {
-        let mut pasts = Pasts::default();
+    pub fn restore(rows: Vec<JobRow>) -> Self {
+        let mut pasts = JobHistories::default();
         for row in rows {
             let done = Ranges::from_bounds(&row.done);
             pasts.bounds += row.done.len();
-            pasts.jobs.insert(row.job, Past { since: row.since, done, fault: row.fault });
+            pasts.jobs.insert(row.job, JobHistory { since: row.since, done, fault: row.fault });
         }
         pasts
     }
@@ -58,7 +58,7 @@
     }
 
     /// The stored data of a job.
-    pub fn get(&self, job: &JobId) -> Option<&Past> {
+    pub fn get(&self, job: &JobId) -> Option<&JobHistory> {
         self.jobs.get(job)
     }
 
@@ -68,17 +68,17 @@
     }
 
     /// Adds a job unless it is known; returns whether it is new.
-    pub fn begin(&mut self, job: &JobId, unix: u64) -> bool {
+    pub fn add(&mut self, job: &JobId, unix: u64) -> bool {
         let new = !self.jobs.contains_key(job);
         if new {
-            let past = Past { since: unix, done: Ranges::default(), fault: None };
+            let past = JobHistory { since: unix, done: Ranges::default(), fault: None };
             self.jobs.insert(job.clone(), past);
         }
         new
     }
 
     /// Records a task as successfully ended; returns false if there is no space.
-    pub fn finish(&mut self, task: &TaskId) -> bool {
+    pub fn mark_ended(&mut self, task: &TaskId) -> bool {
         let Some(past) = self.jobs.get_mut(&task.job).filter(|_| self.bounds + 2 <= MAX_BOUNDS)
         else {
             return false;
@@ -91,7 +91,7 @@
 
     /// Drops the ended tasks of a job unless all its tasks have ended; returns whether any were
     /// dropped.
-    pub fn keep_whole(&mut self, job: &JobId, tasks: u32) -> bool {
+    pub fn drop_partial_gang(&mut self, job: &JobId, tasks: u32) -> bool {
         let past = self.jobs.get_mut(job);
         let Some(past) = past.filter(|p| (1..tasks).contains(&p.done.len())) else { return false };
         self.bounds -= past.done.bounds_len();
@@ -100,14 +100,14 @@
     }
 
     /// Stores why a job was given up; returns whether the reason is new.
-    pub fn give_up(&mut self, job: &JobId, fault: &str) -> bool {
+    pub fn set_fault(&mut self, job: &JobId, fault: &str) -> bool {
         let Some(past) = self.jobs.get_mut(job).filter(|p| p.fault.is_none()) else { return false };
         past.fault = Some(fault.into());
         true
     }
 
     /// Removes a job; returns whether it was known.
-    pub fn forget(&mut self, job: &JobId) -> bool {
+    pub fn remove(&mut self, job: &JobId) -> bool {
         let Some(past) = self.jobs.remove(job) else { return false };
         self.bounds -= past.done.bounds_len();
         true
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -4,9 +4,12 @@
     crate::{
         clock::Clock,
         error::{Error, Kind},
-        event::{Ask, Event, Inbox, Load, Ticket, Verdict},
+        event::{ClientRequest, Event, Inbox, Payload, Ticket, Verdict},
         gate::Gate,
-        http::{CALLER, DEADLINE, HOPS, KEY, Limits, REQUEST, RUN, SECRET, answer, refusal, serve},
+        http::{
+            CALLER, DEADLINE, HOPS, KEY, Limits, REQUEST, RUN, SECRET, answer, error_response,
+            serve,
+        },
         ids::{CallerId, Incarnation, Key, RequestId, ServiceId},
         metrics::Metrics,
     },
@@ -119,18 +122,18 @@
         };
         let (id, verdict) = match asked {
             Err(e) => {
-                self.metrics.refused(e.kind());
+                self.metrics.count_refusal(e.kind());
                 (None, Err(e))
             }
             Ok(ask) => (Some(ask.id), self.decide(ask).await),
         };
-        self.metrics.took(self.clock.now() - begun);
+        self.metrics.observe_request(self.clock.now() - begun);
         let mut response = match verdict {
-            Err(e) => refusal(&e),
+            Err(e) => error_response(&e),
             Ok(a) => {
                 let mut r = answer(a.status, a.body);
-                if !a.kind.is_empty()
-                    && let Ok(kind) = HeaderValue::from_str(&a.kind)
+                if !a.content_type.is_empty()
+                    && let Ok(kind) = HeaderValue::from_str(&a.content_type)
                 {
                     r.headers_mut().insert(CONTENT_TYPE, kind);
                 }
@@ -142,7 +145,7 @@
         {
             response.headers_mut().insert(REQUEST, id);
         }
-        if self.clock.draining() {
+        if self.clock.is_draining() {
             // A caller that keeps its connection would otherwise send its next request to a stopped
             // member.
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -150,7 +153,7 @@
         response
     }
 
-    async fn decide(&self, ask: Ask) -> Verdict {
+    async fn decide(&self, ask: ClientRequest) -> Verdict {
         let ticket = ask.ticket;
         let (to, from) = oneshot::channel();
         self.waiting.lock().expect("no holder panics").insert(ticket, to);
@@ -160,7 +163,7 @@
             Err(TrySendError::Full(_) | TrySendError::Closed(_)) => {
                 guard.done = true;
                 self.waiting.lock().expect("no holder panics").remove(&ticket);
-                self.metrics.refused(Kind::RingFull);
+                self.metrics.count_refusal(Kind::RingFull);
                 return Err(Kind::RingFull.into());
             }
         }
@@ -169,7 +172,7 @@
         verdict.unwrap_or_else(|_| Err(Kind::OutcomeUnknown.into()))
     }
 
-    fn read(&self, head: &Parts, body: Bytes, forwarded: bool) -> Result<Ask, Error> {
+    fn read(&self, head: &Parts, body: Bytes, forwarded: bool) -> Result<ClientRequest, Error> {
         let h = &head.headers;
         let path = head.uri.path_and_query().map_or("/", |p| p.as_str());
         let path = path.strip_prefix('/').unwrap_or(path);
@@ -192,7 +195,7 @@
         };
         let ticket = self.next.fetch_add(1, Ordering::Relaxed);
         let now = self.clock.now();
-        Ok(Ask {
+        Ok(ClientRequest {
             ticket,
             id,
             service: ServiceId::from(service),
@@ -202,10 +205,14 @@
             deadline: deadline.map(|d| now + d.min(DEADLINE_MAX)),
             run,
             hops,
-            load: Load {
+            load: Payload {
                 method: head.method.as_str().into(),
                 path: rest.into(),
-                kind: h.get(CONTENT_TYPE).and_then(|v| v.to_str().ok()).unwrap_or("").into(),
+                content_type: h
+                    .get(CONTENT_TYPE)
+                    .and_then(|v| v.to_str().ok())
+                    .unwrap_or("")
+                    .into(),
                 key: key.into(),
                 body,
             },
@@ -224,7 +231,7 @@
     fn drop(&mut self) {
         if !self.done {
             self.shared.waiting.lock().expect("no holder panics").remove(&self.ticket);
-            let _ = self.shared.inbox.try_send(Event::Gone(self.ticket));
+            let _ = self.shared.inbox.try_send(Event::HungUp(self.ticket));
         }
     }
 }
--- a/src/claims.rs
+++ b/src/claims.rs
@@ -28,7 +28,7 @@
 
 /// How long an ask waits for its commit: a tenth of the default deadline, so that the caller learns
 /// of a KV outage while it can still act on it.
-pub const KV_WAIT: Duration = Duration::from_secs(1);
+pub const COMMIT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long a claim stays running if its end is not reported: more than the longest deadline of a
 /// service plus the message delay and the clock drift. After that it is unknown. This is safe at any
@@ -37,14 +37,14 @@
 pub const LEASE: Duration = Duration::from_secs(300);
 
 /// How long a claim that is not running is kept, in seconds: a caller may repeat a request for a day.
-pub const RETENTION: u64 = 24 * 60 * 60;
+pub const RETENTION_S: u64 = 24 * 60 * 60;
 
 /// The longest answer that is stored, in bytes: a confirmation fits, a document does not.
 pub const ANSWER_MAX: usize = 2 * 1024;
 
 /// The maximum size of all claims in the record, in bytes: half of the KV's megabyte; the rest is
 /// for tasks.
-pub const ROOM: usize = 500_000;
+pub const ROWS_MAX_BYTES: usize = 500_000;
 
 /// How much a row may grow when its state changes, in bytes; a stored answer is counted separately.
 const ROW_GROWTH: usize = 64;
@@ -127,14 +127,14 @@
             state: ClaimState::Running,
             status: None,
         };
-        if self.bytes + cost(&row) > ROOM {
+        if self.bytes + cost(&row) > ROWS_MAX_BYTES {
             return out.push(verdict(row.request, ClaimVerdict::Full));
         }
-        self.waits.push_back((now + KV_WAIT, row.key.clone(), row.request));
+        self.waits.push_back((now + COMMIT_TIMEOUT, row.key.clone(), row.request));
         self.insert(row, Some(commit.touch()), now);
     }
 
-    /// Records how a request ended; [`Order::Kept`] follows once that is committed.
+    /// Records how a request ended; [`Order::EndCommitted`] follows once that is committed.
     ///
     /// The sender repeats the end, to the bucket's current owner, until it is acknowledged. If it
     /// were acknowledged before its commit, the next owner would find the claim running, and the
@@ -149,7 +149,7 @@
             commit.touch_later();
         }
         match commit.last() {
-            ticket if ticket <= commit.done() => out.push(Order::Kept { call }),
+            ticket if ticket <= commit.done() => out.push(Order::EndCommitted { call }),
             ticket => self.ends.push_back((ticket, call)),
         }
     }
@@ -159,7 +159,7 @@
             return self.remove(&end.key);
         }
         let Some(entry) = self.rows.get_mut(&end.key) else { return };
-        let fits = |a: &str| a.len() <= ANSWER_MAX && self.bytes + length(a) <= ROOM;
+        let fits = |a: &str| a.len() <= ANSWER_MAX && self.bytes + length(a) <= ROWS_MAX_BYTES;
         let answer = end.answer.filter(|a| end.fate == ClaimFate::Answered && fits(a));
         let state = if answer.is_some() { ClaimState::Answered } else { ClaimState::Unknown };
         self.bytes -= cost(&entry.row);
@@ -197,7 +197,7 @@
             }
         }
         while let Some((_, call)) = self.ends.pop_front_if(|(ticket, _)| *ticket <= commit.done()) {
-            out.push(Order::Kept { call });
+            out.push(Order::EndCommitted { call });
         }
         while commit.ready() {
             let Some((since, ask)) = self.deferred.pop_front() else { break };
@@ -220,7 +220,8 @@
 
     /// Runs the timers: refuses asks that waited too long, ends leases, removes old claims.
     pub fn tick(&mut self, now: Time, commit: &mut Commit, out: &mut Vec<Order>) {
-        while let Some((_, ask)) = self.deferred.pop_front_if(|(since, _)| now >= *since + KV_WAIT)
+        while let Some((_, ask)) =
+            self.deferred.pop_front_if(|(since, _)| now >= *since + COMMIT_TIMEOUT)
         {
             self.refuse(ask.request, now, out);
         }
@@ -258,7 +259,7 @@
         while let Some((born, key, request)) = self.by_age.pop_front() {
             let current = self.rows.get(&key).filter(|e| e.row.request == request);
             let running = current.is_some_and(|e| e.row.state == ClaimState::Running);
-            if running || unix < born + RETENTION {
+            if running || unix < born + RETENTION_S {
                 return self.by_age.push_front((born, key, request));
             }
             if current.is_some() {
@@ -324,9 +325,9 @@
 
 /// The maximum size of a row in the record, in bytes, without an answer that may be added later.
 fn cost(row: &ClaimRow) -> usize {
-    serde_json::to_string(row).map_or(ROOM, |text| text.len()) + ROW_GROWTH
+    serde_json::to_string(row).map_or(ROWS_MAX_BYTES, |text| text.len()) + ROW_GROWTH
 }
 
 fn length(answer: &str) -> usize {
-    serde_json::to_string(answer).map_or(ROOM, |text| text.len())
+    serde_json::to_string(answer).map_or(ROWS_MAX_BYTES, |text| text.len())
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -31,17 +31,17 @@
     }
 
     /// Whether the member is stopping.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         DRAINING.load(Ordering::Relaxed)
     }
 
     /// Marks the member as stopping, for all clocks of this process.
-    pub fn drain(&self) {
+    pub fn start_draining(&self) {
         DRAINING.store(true, Ordering::Relaxed);
     }
 }
 
 /// The Unix time; zero if the machine's clock is set to before 1970.
-pub(crate) fn unix() -> Duration {
+pub(crate) fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -18,7 +18,7 @@
 /// The record's key.
 pub const KEY: &str = "shared/config";
 /// How long a submission may stay undecided before its outcome is reported as unknown.
-pub const SETTLE: Duration = Duration::from_secs(5);
+pub const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a write may stay unanswered. A call's answer or failure arrives in under a second, so
 /// this is exceeded only if the event was dropped inside the member.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -162,7 +162,7 @@
     /// If the write's answer was lost, a version later than the write's own does not show its outcome:
     /// the write may have taken effect and been replaced since, by an operator who saw it. If it were
     /// reported as a conflict, it would be submitted again and undo the later changes. So the
-    /// submission stays open until [`SETTLE`] is over, unless its record is seen meanwhile.
+    /// submission stays open until [`SUBMIT_TIMEOUT`] is over, unless its record is seen meanwhile.
     pub fn read(&mut self, entry: Option<KvEntry>, now: Time) -> Option<Step> {
         let entry = entry.and_then(|e| {
             let record: ConfigRecord = serde_json::from_str(&e.value).ok()?;
@@ -197,7 +197,7 @@
             let p = self.pending.take()?;
             return Some(Step::Answer(p.ticket, Some(self.reply(true))));
         }
-        if now - p.since > SETTLE {
+        if now - p.since > SUBMIT_TIMEOUT {
             let p = self.pending.take()?;
             return Some(Step::Answer(p.ticket, None));
         }
--- a/src/core.rs
+++ b/src/core.rs
@@ -6,10 +6,10 @@
 
 mod calls;
 mod claims;
+mod liveness;
 mod operate;
 mod owners;
 mod requests;
-mod touch;
 mod work;
 
 use {
@@ -23,8 +23,8 @@
         ownership::{Ownership, Swap},
         racks::Racks,
         requests::Requests,
-        roll::Roll,
         time::Time,
+        vm_cache::VmCache,
     },
     rustc_hash::FxHashMap,
     std::{collections::BTreeMap, mem, sync::Arc, time::Duration},
@@ -95,7 +95,7 @@
     fetching: bool,
     fetched_at: Time,
     urgent: Vec<Urgent>,
-    vm_cache: Roll,
+    vm_cache: VmCache,
     unreached: Vec<(Incarnation, Call)>,
     /// Whether the log already says that requests are refused because the configuration may be old.
     stale_logged: bool,
@@ -132,45 +132,47 @@
             fetching: false,
             fetched_at: Time::ZERO,
             urgent: vec![],
-            vm_cache: Roll::default(),
+            vm_cache: VmCache::default(),
             unreached: vec![],
             stale_logged: false,
         }
     }
 
     /// Handles one event and returns the resulting orders.
-    pub fn on(&mut self, event: Event, now: Time) -> Vec<Order> {
+    pub fn handle(&mut self, event: Event, now: Time) -> Vec<Order> {
         match event {
             Event::Ask(ask) => self.ask(*ask, now),
-            Event::Gone(ticket) => self.gone(ticket, now),
-            Event::Ran { request, worker, outcome } => self.ran(request, &worker, outcome, now),
+            Event::HungUp(ticket) => self.hung_up(ticket, now),
+            Event::DispatchEnded { request, worker, outcome } => {
+                self.dispatch_ended(request, &worker, outcome, now)
+            }
             Event::Forwarded { request, to, outcome } => self.forwarded(request, to, outcome, now),
             Event::Reported { worker, report } => {
                 self.racks.reported(&worker, report, now);
                 self.pump(now);
             }
-            Event::Ordered { worker, ask, sent, reply } => {
+            Event::WorkerReplied { worker, ask, sent, reply } => {
                 self.racks.ordered(&worker, &ask, sent, reply, now);
                 self.answer_urgent(now);
             }
             Event::Fenced { worker, epoch, reply } => {
                 self.racks.fenced(&worker, epoch, reply, now);
             }
-            Event::Called { to, call, back } => self.called(to, *call, back, now),
-            Event::Asked(ticket, call) => self.asked(ticket, call, now),
+            Event::PeerReplied { to, call, back } => self.on_reply(to, *call, back, now),
+            Event::PeerCalled(ticket, call) => self.on_call(ticket, call, now),
             Event::Operator(ticket, ask) => self.operate(ticket, ask, now),
-            Event::Vms(list) => self.listed(list, now),
-            Event::Watched(list) => self.watched(list, now),
+            Event::Vms(list) => self.update_vms(list, now),
+            Event::Watched(list) => self.apply_changes(list, now),
             Event::Renewed(sent) => {
                 self.ownership.answered(now);
                 self.ownership.renewed(sent);
             }
-            Event::Got(purpose, entry) => self.got(purpose, entry, now),
-            Event::Put(purpose, reply) => self.put(purpose, reply, now),
-            Event::Drain => self.leave(now),
+            Event::RecordRead(purpose, entry) => self.record_read(purpose, entry, now),
+            Event::RecordWritten(purpose, reply) => self.record_written(purpose, reply, now),
+            Event::Drain => self.start_drain(now),
             Event::Tick => self.tick(now),
         }
-        self.work(now);
+        self.run_jobs(now);
         mem::take(&mut self.out)
     }
 
@@ -195,7 +197,7 @@
 
     fn tick(&mut self, now: Time) {
         for (to, call) in mem::take(&mut self.unreached) {
-            self.lost_call(to, call, now);
+            self.call_failed(to, call, now);
         }
         self.expire(now);
         self.answer_urgent(now);
@@ -214,7 +216,7 @@
         let may = self.may_dispatch(now);
         self.racks.tick(now, may, &mut self.out);
         self.beats(now);
-        self.tell(now);
+        self.report_attempts(now);
         if let Some(step) = self.config.tick(now) {
             self.config_step(step);
         }
@@ -222,7 +224,7 @@
         self.stop_when_idle(now);
         self.stale_logged &= !self.current(now);
         self.warm_up(now);
-        self.metrics.state(
+        self.metrics.set_levels(
             self.racks.count(),
             self.jobs.count(),
             self.config.version().0,
--- a/src/core/calls.rs
+++ b/src/core/calls.rs
@@ -3,7 +3,7 @@
 use {
     super::Core,
     crate::{
-        event::{Back, Call, Order, Ticket},
+        event::{Call, CallReply, Order, Ticket},
         http::Failure,
         ids::{Incarnation, bucket_of},
         messages::{ClaimReply, ClaimVerdict},
@@ -23,12 +23,12 @@
     }
 
     /// Replies to a peer's call, at once or when its claim is decided.
-    pub(super) fn asked(&mut self, ticket: Ticket, call: Call, now: Time) {
+    pub(super) fn on_call(&mut self, ticket: Ticket, call: Call, now: Time) {
         if let Call::Claim(ask) = call {
             if !self.jobs.owns(bucket_of(ask.key.as_str())) {
                 let reply =
                     ClaimReply { verdict: ClaimVerdict::Unowned, status: None, answer: None };
-                self.out.push(Order::Back(ticket, Back::Claim(reply)));
+                self.out.push(Order::ReplyPeer(ticket, CallReply::Claim(reply)));
                 return;
             }
             self.claims.insert(ask.request, ticket);
@@ -37,47 +37,49 @@
         if let Call::ClaimEnd(end) = call {
             return match self.jobs.owns(bucket_of(end.key.as_str())) {
                 true => self.jobs.claim_end(end, ticket),
-                false => self.out.push(Order::Back(ticket, Back::Unowned)),
+                false => self.out.push(Order::ReplyPeer(ticket, CallReply::Unowned)),
             };
         }
         if let Call::Reserve(ask) = call {
             return self.reserve_here(Some(ticket), ask, now);
         }
-        let back = self.serve(call, now).unwrap_or(Back::Unowned);
-        self.out.push(Order::Back(ticket, back));
+        let back = self.serve(call, now).unwrap_or(CallReply::Unowned);
+        self.out.push(Order::ReplyPeer(ticket, back));
     }
 
     /// Serves a call. Returns `None` if this member does not own the call's subject.
-    pub(super) fn serve(&mut self, call: Call, now: Time) -> Option<Back> {
+    pub(super) fn serve(&mut self, call: Call, now: Time) -> Option<CallReply> {
         match call {
-            Call::Beat(beat) => Some(Back::Beat(self.heard(beat, now))),
+            Call::Beat(beat) => Some(CallReply::Beat(self.on_beat(beat, now))),
             Call::Claim(_) | Call::ClaimEnd(_) => None,
-            Call::Reserve(ask) => Some(Back::Reserve(self.racks.reserve(&ask, now))),
+            Call::Reserve(ask) => Some(CallReply::Reserve(self.racks.reserve(&ask, now))),
             Call::Release(rows) => {
                 self.racks.release(&rows.rows, now);
-                Some(Back::Done)
+                Some(CallReply::Done)
             }
-            Call::Start(ask) => self.racks.start(ask, now).map(Back::Start),
-            Call::End(word) => self.jobs.heard(word.bucket, &word.items, now).then_some(Back::Done),
-            Call::Probe(ask) => self.racks.probe(&ask, now).map(Back::Probe),
+            Call::Start(ask) => self.racks.start(ask, now).map(CallReply::Start),
+            Call::End(word) => {
+                self.jobs.update_attempts(word.bucket, &word.items, now).then_some(CallReply::Done)
+            }
+            Call::Probe(ask) => self.racks.probe(&ask, now).map(CallReply::Probe),
             Call::Handover(over) => {
                 if !self.racks.handover(&over, now) {
                     self.early_handovers.push((over, now));
                 }
-                Some(Back::Done)
+                Some(CallReply::Done)
             }
             Call::Config() => {
-                Some(Back::Config(self.config.record().map(|(rev, r)| (rev, r.clone()))))
+                Some(CallReply::Config(self.config.record().map(|(rev, r)| (rev, r.clone()))))
             }
         }
     }
 
     /// Handles a peer's reply.
-    pub(super) fn called(
+    pub(super) fn on_reply(
         &mut self,
         to: Incarnation,
         call: Call,
-        back: Result<Back, Failure>,
+        back: Result<CallReply, Failure>,
         now: Time,
     ) {
         if let Some(peer) = self.peers.get_mut(&to)
@@ -86,41 +88,45 @@
             peer.last_heard = now;
         }
         match (call, back) {
-            (Call::Beat(_), Ok(Back::Beat(reply))) => {
+            (Call::Beat(_), Ok(CallReply::Beat(reply))) => {
                 if let Some(peer) = self.peers.get_mut(&to) {
                     peer.in_flight = false;
                     peer.kv_contact = peer.kv_contact.max(now - Duration::from_millis(reply.kv));
                 }
-                self.newer(to, reply.version, now);
+                self.fetch_newer(to, reply.version, now);
             }
-            (Call::Claim(ask), Ok(Back::Claim(reply))) => {
+            (Call::Claim(ask), Ok(CallReply::Claim(reply))) => {
                 self.claimed(ask.request, Some(reply), now);
             }
-            (Call::ClaimEnd(end), back) => self.claim_told(&end, matches!(back, Ok(Back::Done))),
-            (Call::Reserve(ask), Ok(Back::Reserve(reply))) => self.asked_of(to, ask, reply, now),
-            (Call::Start(ask), Ok(Back::Start(reply))) => {
+            (Call::ClaimEnd(end), back) => {
+                self.end_replied(&end, matches!(back, Ok(CallReply::Done)))
+            }
+            (Call::Reserve(ask), Ok(CallReply::Reserve(reply))) => {
+                self.on_reserve_reply(to, ask, reply, now)
+            }
+            (Call::Start(ask), Ok(CallReply::Start(reply))) => {
                 if let Some(first) = ask.start.first() {
-                    self.jobs.heard(first.bucket, &reply.refused, now);
+                    self.jobs.update_attempts(first.bucket, &reply.refused, now);
                 }
             }
-            (Call::End(word), Ok(Back::Done)) => self.racks.told(&word.items),
-            (Call::Probe(ask), Ok(Back::Probe(reply))) => self.jobs.probed(&ask, reply, now),
+            (Call::End(word), Ok(CallReply::Done)) => self.racks.acknowledge(&word.items),
+            (Call::Probe(ask), Ok(CallReply::Probe(reply))) => self.jobs.probed(&ask, reply, now),
             (Call::Handover(over), Ok(_)) => {
                 self.handovers
                     .retain(|p| p.handover.rack != over.rack || p.handover.epoch != over.epoch);
             }
             (Call::Config(), back) => {
                 self.fetching = false;
-                if let Ok(Back::Config(Some((revision, record)))) = back {
+                if let Ok(CallReply::Config(Some((revision, record)))) = back {
                     self.take_config(revision, record);
                 }
             }
-            (call, _) => self.lost_call(to, call, now),
+            (call, _) => self.call_failed(to, call, now),
         }
     }
 
     /// Handles a call that got no reply.
-    pub(super) fn lost_call(&mut self, to: Incarnation, call: Call, now: Time) {
+    pub(super) fn call_failed(&mut self, to: Incarnation, call: Call, now: Time) {
         match call {
             Call::Beat(_) => {
                 if let Some(peer) = self.peers.get_mut(&to) {
--- a/src/core/claims.rs
+++ b/src/core/claims.rs
@@ -8,7 +8,7 @@
         event::{Call, Ticket, Verdict},
         ids::{RequestId, bucket_of},
         messages::{ClaimAsk, ClaimEnd, ClaimReply, ClaimVerdict},
-        requests::{AGAIN, ANEW, Claim, OWN_END, Stage, digest, end, kept},
+        requests::{Claim, END_RETRY, OWN_END_MARK, REASK_MARK, Stage, digest, end, stored_answer},
         time::Time,
     },
     std::time::Duration,
@@ -24,7 +24,7 @@
         let Some(claim) = &p.claim else { return };
         let ask =
             ClaimAsk { key: claim.key.clone(), digest: digest(&p.ask).into(), request: claim.ask };
-        self.requests.keys.limits.insert((p.deadline, request));
+        self.requests.keys.deadlines.insert((p.deadline, request));
         match self.bucket_owner(bucket_of(ask.key.as_str())) {
             Some(owner) if owner == self.me() => self.jobs.claim(ask, now),
             Some(owner) => self.call(owner, Call::Claim(ask)),
@@ -49,7 +49,7 @@
             ClaimVerdict::Granted => return self.route(request, now),
             ClaimVerdict::Answered => {
                 p.claim = None;
-                let verdict = reply.map_or_else(|| Err(Kind::KeyUnknown.into()), kept);
+                let verdict = reply.map_or_else(|| Err(Kind::KeyUnknown.into()), stored_answer);
                 return self.finish(request, verdict, now);
             }
             ClaimVerdict::Running => Kind::KeyRunning,
@@ -58,9 +58,9 @@
             ClaimVerdict::Unowned => Kind::KeyUnowned,
             ClaimVerdict::KvDown | ClaimVerdict::Full => Kind::KvDown,
         };
-        let mine = kind == Kind::KeyRunning && self.requests.keys.doubtful(&claim.key);
-        if (kind == Kind::KeyUnowned || mine) && p.patient(now) {
-            return self.ask_anew(request, kind == Kind::KeyUnowned, now);
+        let mine = kind == Kind::KeyRunning && self.requests.keys.maybe_claimed(&claim.key);
+        if (kind == Kind::KeyUnowned || mine) && p.may_retry(now) {
+            return self.retry_claim(request, kind == Kind::KeyUnowned, now);
         }
         if !matches!(kind, Kind::KeyUnowned | Kind::KvDown) {
             p.claim = None;
@@ -69,15 +69,15 @@
     }
 
     /// Handles the reply to the notice of a claim's end.
-    pub(crate) fn claim_told(&mut self, end: &ClaimEnd, taken: bool) {
+    pub(crate) fn end_replied(&mut self, end: &ClaimEnd, taken: bool) {
         if taken {
             self.requests.keys.ends.remove(&(end.key.clone(), end.request));
         }
     }
 
     /// Handles the commit of a claim's end that this member, as the key's owner, recorded itself.
-    pub(crate) fn kept(&mut self, ticket: Ticket) {
-        if let Some(at) = self.requests.keys.told.remove(&ticket) {
+    pub(crate) fn end_committed(&mut self, ticket: Ticket) {
+        if let Some(at) = self.requests.keys.ack_tickets.remove(&ticket) {
             self.requests.keys.ends.remove(&at);
         }
     }
@@ -90,8 +90,8 @@
 
     /// Fails the requests whose claim was not decided in time.
     pub(super) fn expire_claims(&mut self, now: Time) {
-        while self.requests.keys.limits.first().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, id)) = self.requests.keys.limits.pop_first() else { break };
+        while self.requests.keys.deadlines.first().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, id)) = self.requests.keys.deadlines.pop_first() else { break };
             if self.requests.table.get(&id).is_some_and(|p| p.stage == Stage::Claiming) {
                 self.finish(id, Err(Kind::KeyUnowned.into()), now);
             }
@@ -99,12 +99,12 @@
     }
 
     /// Sends again the notices of ends that are not confirmed as committed.
-    pub(super) fn tell_again(&mut self, now: Time) {
+    pub(super) fn resend_ends(&mut self, now: Time) {
         let ends = self.requests.keys.ends.values_mut();
         let due: Vec<ClaimEnd> = ends
             .filter(|(_, at)| *at <= now)
             .map(|(end, at)| {
-                *at = now + AGAIN;
+                *at = now + END_RETRY;
                 end.clone()
             })
             .collect();
@@ -114,17 +114,17 @@
     }
 
     /// Schedules another claim request. It uses a new id if the last one may have been committed.
-    fn ask_anew(&mut self, request: RequestId, doubt: bool, now: Time) {
+    fn retry_claim(&mut self, request: RequestId, doubt: bool, now: Time) {
         let me = u128::from(self.me().0) << 64;
         let Some(p) = self.requests.table.get_mut(&request) else { return };
         let Some(claim) = &mut p.claim else { return };
-        self.requests.again.insert((now + RETRY_DELAY, request));
+        self.requests.retries.insert((now + RETRY_DELAY, request));
         if !doubt {
             return;
         }
         let keys = &mut self.requests.keys;
-        keys.anew += 1;
-        let ask = RequestId(me | ANEW | keys.anew);
+        keys.ask_count += 1;
+        let ask = RequestId(me | REASK_MARK | keys.ask_count);
         let old = Claim { key: claim.key.clone(), ask: claim.ask };
         claim.ask = ask;
         keys.asks.insert(ask, request);
@@ -134,14 +134,14 @@
     fn tell_end(&mut self, end: ClaimEnd, now: Time) {
         let at = (end.key.clone(), end.request);
         let keys = &mut self.requests.keys;
-        keys.ends.insert(at.clone(), (end.clone(), now + AGAIN));
+        keys.ends.insert(at.clone(), (end.clone(), now + END_RETRY));
         match self.bucket_owner(bucket_of(end.key.as_str())) {
             Some(owner) if owner == self.me() => {
                 let keys = &mut self.requests.keys;
-                keys.told.retain(|_, t| *t != at);
-                keys.own += 1;
-                let ticket = OWN_END | keys.own;
-                keys.told.insert(ticket, at);
+                keys.ack_tickets.retain(|_, t| *t != at);
+                keys.last_own_ticket += 1;
+                let ticket = OWN_END_MARK | keys.last_own_ticket;
+                keys.ack_tickets.insert(ticket, at);
                 self.jobs.claim_end(end, ticket);
             }
             Some(owner) => self.call(owner, Call::ClaimEnd(end)),
--- a/src/core/touch.rs
+++ b/src/core/liveness.rs
@@ -43,7 +43,7 @@
     /// store it is enough to hear half of the other members, as no configuration can have been
     /// accepted then.
     pub(crate) fn current(&self, now: Time) -> bool {
-        if self.ownership.silence(now) < CONTACT_TIMEOUT {
+        if self.ownership.store_silence(now) < CONTACT_TIMEOUT {
             return true;
         }
         let heard = self.peers.values().filter(|p| now - p.last_heard < CONTACT_TIMEOUT);
@@ -63,12 +63,12 @@
 
     /// Logs, once until the configuration is current again, that requests are refused because the
     /// configuration may be old.
-    pub(super) fn tell_stale(&mut self, now: Time) {
+    pub(super) fn log_stale(&mut self, now: Time) {
         if mem::replace(&mut self.stale_logged, true) {
             return;
         }
         let (member, version) = (self.me(), self.config.version());
-        let silent_ms = millis(self.ownership.silence(now));
+        let silent_ms = millis(self.ownership.store_silence(now));
         let heard_ms: Vec<u64> = self.peers.values().map(|p| millis(now - p.last_heard)).collect();
         log::warn!(target: "requests", member:% = member, version:% = version, silent_ms, heard_ms:? = heard_ms; "Requests are refused: the configuration may have been replaced.");
     }
@@ -127,7 +127,7 @@
         Beat {
             from: self.me(),
             version: self.config.version(),
-            kv: millis(self.ownership.silence(now)),
+            kv: millis(self.ownership.store_silence(now)),
             draining: self.draining(),
             services: services.collect(),
             racks: self.racks.loads(),
@@ -135,10 +135,10 @@
         }
     }
 
-    pub(super) fn heard(&mut self, mut beat: Beat, now: Time) -> BeatReply {
+    pub(super) fn on_beat(&mut self, mut beat: Beat, now: Time) -> BeatReply {
         let from = beat.from;
-        self.jobs.ended(mem::take(&mut beat.done));
-        self.newer(from, beat.version, now);
+        self.jobs.add_remote_ended(mem::take(&mut beat.done));
+        self.fetch_newer(from, beat.version, now);
         if let Some(record) = self.ownership.members().get(&from).filter(|_| !beat.draining) {
             self.requests.report(record, &self.me, &beat.services, now);
         }
@@ -146,11 +146,16 @@
         peer.last_heard = now;
         peer.kv_contact = peer.kv_contact.max(now - Duration::from_millis(beat.kv));
         peer.beat = Some(beat);
-        BeatReply { version: self.config.version(), kv: millis(self.ownership.silence(now)) }
+        BeatReply { version: self.config.version(), kv: millis(self.ownership.store_silence(now)) }
     }
 
     /// Fetches the configuration from a peer that holds a newer version.
-    pub(super) fn newer(&mut self, from: Incarnation, version: crate::ids::Version, now: Time) {
+    pub(super) fn fetch_newer(
+        &mut self,
+        from: Incarnation,
+        version: crate::ids::Version,
+        now: Time,
+    ) {
         if version > self.config.version()
             && (!self.fetching || self.fetched_at + CONTACT_TIMEOUT < now)
         {
--- a/src/core/operate.rs
+++ b/src/core/operate.rs
@@ -5,7 +5,7 @@
     crate::{
         config,
         error::Kind,
-        event::{Operate, Operated, Order, Purpose, Ticket},
+        event::{OperatorCall, OperatorReply, Order, Purpose, Ticket},
         ids::Incarnation,
         messages::{KvPut, MemberShow, Show, SubmitReply},
         text::Plan,
@@ -28,7 +28,7 @@
     pub(super) fn planned(&mut self) {
         log::info!(target: "config", "Version {} is in force.", self.config.version());
         let plan: Rc<Plan> = self.config.plan().clone();
-        self.jobs.planned(&plan);
+        self.jobs.set_plan(&plan);
     }
 
     pub(super) fn config_step(&mut self, step: config::Step) {
@@ -46,17 +46,17 @@
                     errors: vec![Kind::OutcomeUnknown.answer().label.into()],
                     text: None,
                 });
-                self.out.push(Order::Operated(ticket, Operated::Submit(reply)));
+                self.out.push(Order::ReplyOperator(ticket, OperatorReply::Submit(reply)));
             }
         }
     }
 
-    pub(super) fn operate(&mut self, ticket: Ticket, ask: Operate, now: Time) {
+    pub(super) fn operate(&mut self, ticket: Ticket, ask: OperatorCall, now: Time) {
         match ask {
-            Operate::Submit(ask) => {
+            OperatorCall::Submit(ask) => {
                 let read = Plan::read(&ask.text);
                 let faults = match &read {
-                    Ok(plan) => plan.moved(self.config.plan(), &ask.text),
+                    Ok(plan) => plan.team_changes(self.config.plan(), &ask.text),
                     Err(faults) => faults.clone(),
                 };
                 if faults.is_empty() {
@@ -66,15 +66,15 @@
                 let errors = faults.iter().map(|f| f.to_string().into()).collect();
                 let version = self.config.version();
                 let reply = SubmitReply { accepted: false, version, errors, text: None };
-                self.out.push(Order::Operated(ticket, Operated::Submit(reply)));
+                self.out.push(Order::ReplyOperator(ticket, OperatorReply::Submit(reply)));
             }
-            Operate::Show => {
+            OperatorCall::Show => {
                 let show = self.show();
-                self.out.push(Order::Operated(ticket, Operated::Show(Box::new(show))));
+                self.out.push(Order::ReplyOperator(ticket, OperatorReply::Show(Box::new(show))));
             }
-            Operate::Drain => {
-                self.out.push(Order::Operated(ticket, Operated::Drain));
-                self.leave(now);
+            OperatorCall::Drain => {
+                self.out.push(Order::ReplyOperator(ticket, OperatorReply::Drain));
+                self.start_drain(now);
             }
         }
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    pub(super) fn leave(&mut self, now: Time) {
+    pub(super) fn start_drain(&mut self, now: Time) {
         if self.drain_since.is_none() {
             log::info!(target: "member", "Stopping: racks and buckets are handed over.");
             self.drain_since = Some(now);
--- a/src/core/owners.rs
+++ b/src/core/owners.rs
@@ -9,7 +9,7 @@
         config,
         event::{Call, Order, Purpose},
         http::Failure,
-        ids::{BUCKETS, Bucket, Epoch, Incarnation, RowId, Zone},
+        ids::{BUCKET_COUNT, Bucket, Epoch, Incarnation, RowId, Zone},
         messages::{Handover, KvList, KvPut, MemberRecord, OwnersRecord, VmList},
         ownership::{Change, Fate, Swap},
         time::Time,
@@ -19,9 +19,9 @@
 
 impl Core {
     /// Applies the platform's list of VMs.
-    pub(super) fn listed(&mut self, list: VmList, now: Time) {
+    pub(super) fn update_vms(&mut self, list: VmList, now: Time) {
         let mut zones: BTreeMap<Zone, BTreeSet<RowId>> = BTreeMap::new();
-        let vms = self.vm_cache.take(list, now);
+        let vms = self.vm_cache.update(list, now);
         for vm in vms.values() {
             zones.entry(vm.zone.clone()).or_default().insert(rack_row(&vm.rack));
         }
@@ -35,13 +35,13 @@
             self.ownership.want(&zone.0.clone(), Some(zone), rows);
         }
         self.jobs.workers(vms.values());
-        self.racks.listed(vms, now);
+        self.racks.update_vms(vms, now);
     }
 
     /// Applies changes of the watched records in the key-value store.
-    pub(super) fn watched(&mut self, list: KvList, now: Time) {
+    pub(super) fn apply_changes(&mut self, list: KvList, now: Time) {
         self.ownership.answered(now);
-        let all = (0..BUCKETS).map(|b| bucket_row(Bucket(b))).collect();
+        let all = (0..BUCKET_COUNT).map(|b| bucket_row(Bucket(b))).collect();
         self.ownership.want(BUCKETS_TABLE, None, all);
         for key in &list.gone {
             if let Some(id) = key.strip_prefix(MEMBERS_PREFIX).and_then(|id| id.parse().ok()) {
@@ -83,7 +83,7 @@
     pub(super) fn gained(&mut self, row: &RowId, epoch: Epoch, now: Time) {
         log::info!(target: "owner", "Gained {row} with epoch {epoch}.");
         if let Some(bucket) = row_bucket(row) {
-            self.jobs.gained(bucket, epoch);
+            self.jobs.add_bucket(bucket, epoch);
         } else if let Some(rack) = row_rack(row) {
             self.racks.gained(&rack, epoch, now);
             let early: Vec<(Handover, Time)> =
@@ -97,7 +97,7 @@
     pub(super) fn lost(&mut self, row: &RowId, epoch: Epoch, to: Option<Incarnation>, now: Time) {
         log::info!(target: "owner", "Lost {row} with epoch {epoch}.");
         if let Some(bucket) = row_bucket(row) {
-            self.jobs.lost(bucket);
+            self.jobs.remove_bucket(bucket);
         } else if let Some(rack) = row_rack(row) {
             let over = self.racks.lost(&rack, epoch);
             if let Some(to) = to {
@@ -122,7 +122,7 @@
         self.out.push(Order::Put(Purpose::Owners(swap), key, put));
     }
 
-    pub(super) fn got(
+    pub(super) fn record_read(
         &mut self,
         purpose: Purpose,
         entry: Result<crate::messages::KvEntry, Failure>,
@@ -150,12 +150,12 @@
                 }
             }
             Purpose::Bucket(bucket, epoch, call) => {
-                self.jobs.got((bucket, epoch, call), entry, now)
+                self.jobs.record_read((bucket, epoch, call), entry, now)
             }
         }
     }
 
-    pub(super) fn put(
+    pub(super) fn record_written(
         &mut self,
         purpose: Purpose,
         reply: Result<crate::messages::KvPutReply, Failure>,
@@ -185,7 +185,7 @@
                 }
             }
             Purpose::Bucket(bucket, epoch, call) => {
-                self.jobs.put((bucket, epoch, call), reply, now)
+                self.jobs.record_written((bucket, epoch, call), reply, now)
             }
         }
     }
--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -8,10 +8,10 @@
             fair::{Item, Queue},
         },
         error::{Error, Kind},
-        event::{Ask, Forward, Order, Outcome, Run, Ticket, Verdict},
+        event::{ClientRequest, Forward, Order, Outcome, Run, Ticket, Verdict},
         http::Failure,
         ids::{Incarnation, RequestId, ServiceId, WorkerId},
-        requests::{Claim, Line, Pending, Stage},
+        requests::{Claim, Pending, ServiceRequests, Stage},
         text::Service,
         time::Time,
     },
@@ -32,11 +32,11 @@
 
 impl Core {
     /// Admits a request.
-    pub(crate) fn ask(&mut self, ask: Ask, now: Time) {
+    pub(crate) fn ask(&mut self, ask: ClientRequest, now: Time) {
         let ticket = ask.ticket;
         let refused = match self.config.plan().services.get(&ask.service) {
             _ if !self.current(now) => {
-                self.tell_stale(now);
+                self.log_stale(now);
                 Kind::Stale
             }
             None if self.config.version().0 == 0 => Kind::Stale,
@@ -50,7 +50,7 @@
     }
 
     /// Handles a caller that hung up: its request is dropped unless it was dispatched.
-    pub(crate) fn gone(&mut self, ticket: Ticket, now: Time) {
+    pub(crate) fn hung_up(&mut self, ticket: Ticket, now: Time) {
         let Some(id) = self.requests.tickets.get(&ticket).copied() else { return };
         if self.requests.table.get(&id).is_some_and(|p| p.stage == Stage::Waiting) {
             self.finish(id, Err(Kind::Expired.into()), now);
@@ -58,7 +58,7 @@
     }
 
     /// Handles the outcome of a dispatch to one of this member's endpoints.
-    pub(crate) fn ran(
+    pub(crate) fn dispatch_ended(
         &mut self,
         request: RequestId,
         worker: &WorkerId,
@@ -67,13 +67,13 @@
     ) {
         let ran = !matches!(outcome, Outcome::Refused(_) | Outcome::Failed(Failure::Unsent));
         let mut times = (Duration::ZERO, Duration::ZERO);
-        for line in self.requests.lines.values_mut() {
+        for line in self.requests.services.values_mut() {
             if let Some((item, at)) = line.running.remove(&request) {
-                times = (item.run, now - at);
+                times = (item.run_time, now - at);
                 line.queue.done(&item, if ran { now - at } else { Duration::ZERO });
             }
         }
-        self.racks.ran(request, worker, &outcome, times, now);
+        self.racks.finish(request, worker, &outcome, times, now);
         self.settle(request, outcome, now);
         self.pump(now);
     }
@@ -90,11 +90,11 @@
         if let Some(p) = self.requests.table.get(&request).filter(|_| !answered)
             && let Some(spread) = self.requests.spreads.get_mut(&p.ask.service)
         {
-            spread.refused(to);
+            spread.record_refusal(to);
         }
         if let Outcome::Refused(e) = &outcome
             && matches!(e.kind(), Kind::NoEndpoint | Kind::Draining)
-            && self.requests.table.get_mut(&request).is_some_and(|p| p.patient(now))
+            && self.requests.table.get_mut(&request).is_some_and(|p| p.may_retry(now))
         {
             // The peer's racks have changed owner since its beat. No endpoint was involved, and the
             // peer gets no more requests until its next beat. The retry budget, which limits the
@@ -108,7 +108,7 @@
     /// notices of the ends of claims.
     pub(crate) fn expire(&mut self, now: Time) {
         let mut late = vec![];
-        for line in self.requests.lines.values_mut() {
+        for line in self.requests.services.values_mut() {
             for item in line.queue.expire(now) {
                 late.push((item.id, line.gate.expired(&line.queue, &item, now)));
             }
@@ -117,15 +117,15 @@
             self.finish(id, Err(error), now);
         }
         self.expire_claims(now);
-        while self.requests.again.first().is_some_and(|(at, _)| *at <= now) {
-            let Some((_, id)) = self.requests.again.pop_first() else { break };
+        while self.requests.retries.first().is_some_and(|(at, _)| *at <= now) {
+            let Some((_, id)) = self.requests.retries.pop_first() else { break };
             match self.requests.table.get(&id).map(|p| &p.stage) {
                 Some(Stage::Claiming) => self.claim(id, now),
                 Some(Stage::Waiting) => self.route(id, now),
                 _ => {}
             }
         }
-        self.tell_again(now);
+        self.resend_ends(now);
         self.pump(now);
     }
 
@@ -138,7 +138,7 @@
         let plan = self.config.plan().clone();
         for (id, service) in &plan.services {
             let (slots, _) = self.racks.slots(&service.pool, now);
-            let Some(line) = self.requests.lines.get_mut(id) else { continue };
+            let Some(line) = self.requests.services.get_mut(id) else { continue };
             line.queue.resize(slots);
             if slots == 0 {
                 self.move_on(id, now);
@@ -146,9 +146,9 @@
             }
             while self.requests.waiting(id) > 0 {
                 let Some(worker) = self.racks.choose(&service.pool, now) else { break };
-                let Some(line) = self.requests.lines.get_mut(id) else { break };
+                let Some(line) = self.requests.services.get_mut(id) else { break };
                 let Some(item) = line.gate.pop(&mut line.queue, now) else {
-                    self.racks.pass(&worker);
+                    self.racks.unchoose(&worker);
                     break;
                 };
                 self.dispatch(worker, item, now);
@@ -158,7 +158,7 @@
 
     /// Routes the waiting requests of a service again, as its racks have passed to another member.
     fn move_on(&mut self, service: &ServiceId, now: Time) {
-        let Some(line) = self.requests.lines.get_mut(service).filter(|l| !l.queue.is_empty())
+        let Some(line) = self.requests.services.get_mut(service).filter(|l| !l.queue.is_empty())
         else {
             return;
         };
@@ -173,7 +173,7 @@
         }
     }
 
-    fn admit(&mut self, ask: Ask, deadline: Time, now: Time) {
+    fn admit(&mut self, ask: ClientRequest, deadline: Time, now: Time) {
         let (id, ticket) = (ask.id, ask.ticket);
         if deadline <= now {
             return self.reply(ticket, Err(Kind::Late.into()));
@@ -185,7 +185,7 @@
         let stage = if claim.is_some() { Stage::Claiming } else { Stage::Waiting };
         let tries = ask.hops;
         let keyed = claim.is_some();
-        let p = Pending { ask, deadline, patience: None, stage, claim, tries };
+        let p = Pending { ask, deadline, retry_until: None, stage, claim, tries };
         self.requests.tickets.insert(ticket, id);
         self.requests.table.insert(id, p);
         if keyed { self.claim(id, now) } else { self.route(id, now) }
@@ -200,11 +200,11 @@
         let Some(service) = self.config.plan().services.get(&name).cloned() else {
             return self.finish(id, Err(Kind::UnknownService.into()), now);
         };
-        self.requests.budget.tried(tries);
+        self.requests.budget.record_try(tries);
         let (slots, free) = self.racks.slots(&service.pool, now);
         let able = slots > 0 && self.may_dispatch(now);
         if able || self.requests.served(&name) {
-            self.requests.lively.insert(name.clone(), now);
+            self.requests.last_served.insert(name.clone(), now);
         }
         let idle = able && free as usize > self.requests.waiting(&name);
         if hops == 0 && !idle {
@@ -221,11 +221,12 @@
         let Err(error) = self.wait(id, &name, &service, slots, now) else {
             return self.pump(now);
         };
-        let lively = self.requests.lively.get(&name).is_some_and(|at| now - *at < RECENT_ENDPOINT);
-        let patient = self.requests.table.get_mut(&id).is_some_and(|p| p.patient(now));
+        let lively =
+            self.requests.last_served.get(&name).is_some_and(|at| now - *at < RECENT_ENDPOINT);
+        let patient = self.requests.table.get_mut(&id).is_some_and(|p| p.may_retry(now));
         if error.kind() == Kind::NoEndpoint && hops == 0 && lively && patient {
             // The service's racks are changing owner; the new owner is known within milliseconds.
-            self.requests.again.insert((now + RETRY_DELAY, id));
+            self.requests.retries.insert((now + RETRY_DELAY, id));
             return;
         }
         self.finish(id, Err(error), now);
@@ -244,12 +245,12 @@
             id,
             caller: p.ask.caller.clone(),
             team: service.team.clone(),
-            born: now,
+            arrived_at: now,
             deadline: p.deadline,
-            run: p.ask.run.unwrap_or(service.run),
+            run_time: p.ask.run.unwrap_or(service.run),
         };
         let seed = self.me().0;
-        let line = self.requests.lines.entry(name.clone()).or_insert_with(|| Line {
+        let line = self.requests.services.entry(name.clone()).or_insert_with(|| ServiceRequests {
             gate: Gate::new(Rng::with_seed(seed)),
             queue: Queue::new(slots, service.run * LONG_FACTOR),
             running: FxHashMap::default(),
@@ -263,7 +264,7 @@
         let id = item.id;
         let Some(p) = self.requests.table.get_mut(&id) else { return };
         let Some(spot) = self.racks.take(worker.clone(), id, p.deadline + SLOT_MARGIN) else {
-            self.racks.pass(&worker);
+            self.racks.unchoose(&worker);
             return self.finish(id, Err(Kind::NoEndpoint.into()), now);
         };
         p.stage = Stage::Running;
@@ -278,7 +279,7 @@
             run: p.ask.run,
             load: p.ask.load.clone(),
         };
-        if let Some(line) = self.requests.lines.get_mut(&p.ask.service) {
+        if let Some(line) = self.requests.services.get_mut(&p.ask.service) {
             line.running.insert(id, (item, now));
         }
         self.out.push(Order::Run(Box::new(run)));
@@ -324,7 +325,7 @@
         let caller = p.ask.caller.clone();
         match self.requests.budget.retry(&caller, error, p.tries, now) {
             Ok(()) if !late => {
-                self.metrics.retry(kind);
+                self.metrics.count_retry(kind);
                 self.route(id, now);
             }
             Ok(()) => self.finish(id, Err(kind.into()), now),
@@ -337,7 +338,7 @@
         let Some(p) = self.requests.table.remove(&id) else { return };
         self.requests.tickets.remove(&p.ask.ticket);
         if p.stage == Stage::Waiting
-            && let Some(line) = self.requests.lines.get_mut(&p.ask.service)
+            && let Some(line) = self.requests.services.get_mut(&p.ask.service)
         {
             line.queue.cancel(id);
         }
@@ -348,7 +349,7 @@
     }
 
     fn reply(&mut self, ticket: Ticket, verdict: Verdict) {
-        self.metrics.verdict(&verdict);
+        self.metrics.count_verdict(&verdict);
         self.out.push(Order::Reply(ticket, verdict));
     }
 }
--- a/src/core/work.rs
+++ b/src/core/work.rs
@@ -4,11 +4,11 @@
 use {
     super::{CONTACT_TIMEOUT, Core, PREEMPT_TIMEOUT, Urgent, rack_row},
     crate::{
-        event::{Back, Call, Order, Ticket},
+        event::{Call, CallReply, Order, Ticket},
         ids::{Incarnation, RackId, TaskId},
-        jobs::{Want, call},
+        jobs::{JobRequest, peer_call},
         messages::{EndTell, RackLoad, ReserveAsk, ReserveReply},
-        requests::OWN_END,
+        requests::OWN_END_MARK,
         time::Time,
     },
     std::mem,
@@ -16,44 +16,50 @@
 
 impl Core {
     /// Runs the jobs' periodic work and carries out what the buckets request.
-    pub(super) fn work(&mut self, now: Time) {
+    pub(super) fn run_jobs(&mut self, now: Time) {
         let lease_end = self.lease_end(now);
-        let racks = if self.jobs.due(now) { self.all_racks(now) } else { vec![] };
+        let racks = if self.jobs.scan_due(now) { self.all_racks(now) } else { vec![] };
         let requests = self.jobs.tick(now, lease_end, &racks, &mut self.out);
         self.carry_out(requests, now);
     }
 
-    pub(super) fn carry_out(&mut self, requests: Vec<Want>, now: Time) {
+    pub(super) fn carry_out(&mut self, requests: Vec<JobRequest>, now: Time) {
         for request in requests {
             match request {
-                Want::Claimed(request, reply) => match self.claims.remove(&request) {
-                    Some(ticket) => self.out.push(Order::Back(ticket, Back::Claim(reply))),
+                JobRequest::Claimed(request, reply) => match self.claims.remove(&request) {
+                    Some(ticket) => {
+                        self.out.push(Order::ReplyPeer(ticket, CallReply::Claim(reply)))
+                    }
                     None => self.claimed(request, Some(reply), now),
                 },
-                Want::Kept(ticket) if ticket & OWN_END != 0 => self.kept(ticket),
-                Want::Kept(ticket) => self.out.push(Order::Back(ticket, Back::Done)),
-                Want::Reserve(ask) => self.reserve(ask, now),
-                Want::Release(ref rack, _) => self.at_rack(rack.clone(), request, now),
-                Want::Start(ref ask) => self.at_rack(ask.rack.clone(), request, now),
-                Want::Probe(ref ask) => self.at_rack(ask.rack.clone(), request, now),
+                JobRequest::EndCommitted(ticket) if ticket & OWN_END_MARK != 0 => {
+                    self.end_committed(ticket)
+                }
+                JobRequest::EndCommitted(ticket) => {
+                    self.out.push(Order::ReplyPeer(ticket, CallReply::Done))
+                }
+                JobRequest::Reserve(ask) => self.reserve(ask, now),
+                JobRequest::Release(ref rack, _) => self.at_rack(rack.clone(), request, now),
+                JobRequest::Start(ref ask) => self.at_rack(ask.rack.clone(), request, now),
+                JobRequest::Probe(ref ask) => self.at_rack(ask.rack.clone(), request, now),
             }
         }
     }
 
     /// The time until which no other member can take over from this one; `None` without a lease.
     pub(super) fn lease_end(&self, now: Time) -> Option<Time> {
-        self.ownership.until().filter(|_| self.ownership.leased(now))
+        self.ownership.leased_until().filter(|_| self.ownership.leased(now))
     }
 
     /// Sends a request of the buckets to the owner of a rack, which may be this member.
-    pub(super) fn at_rack(&mut self, rack: RackId, request: Want, now: Time) {
+    pub(super) fn at_rack(&mut self, rack: RackId, request: JobRequest, now: Time) {
         let Some((owner, _)) = self.ownership.owner(&rack_row(&rack)) else { return };
-        let Some(call) = call(request) else { return };
+        let Some(call) = peer_call(request) else { return };
         if owner != self.me() {
             return self.call(owner, call);
         }
         if let Some(back) = self.serve(call.clone(), now) {
-            self.called(owner, call, Ok(back), now);
+            self.on_reply(owner, call, Ok(back), now);
         }
     }
 
@@ -117,8 +123,8 @@
         now: Time,
     ) {
         match ticket {
-            Some(ticket) => self.out.push(Order::Back(ticket, Back::Reserve(reply))),
-            None => self.asked_of(self.me(), ask, reply, now),
+            Some(ticket) => self.out.push(Order::ReplyPeer(ticket, CallReply::Reserve(reply))),
+            None => self.on_reserve_reply(self.me(), ask, reply, now),
         }
     }
 
@@ -139,7 +145,7 @@
     ///
     /// An owner may have room according to its beat, but none on a worker that the attempt may use.
     /// If that owner were asked first each time, the attempt would wait forever.
-    pub(super) fn asked_of(
+    pub(super) fn on_reserve_reply(
         &mut self,
         by: Incarnation,
         ask: ReserveAsk,
@@ -175,11 +181,13 @@
     }
 
     /// Reports the states of attempts to the owners of their buckets.
-    pub(super) fn tell(&mut self, now: Time) {
-        for (bucket, items) in self.racks.tell() {
+    pub(super) fn report_attempts(&mut self, now: Time) {
+        for (bucket, items) in self.racks.pending_reports() {
             match self.bucket_owner(bucket) {
-                Some(owner) if owner == self.me() && self.jobs.heard(bucket, &items, now) => {
-                    self.racks.told(&items);
+                Some(owner)
+                    if owner == self.me() && self.jobs.update_attempts(bucket, &items, now) =>
+                {
+                    self.racks.acknowledge(&items);
                 }
                 Some(owner) => self.call(owner, Call::End(EndTell { bucket, items })),
                 None => {}
--- a/src/decide/admit.rs
+++ b/src/decide/admit.rs
@@ -105,17 +105,19 @@
         }
         let ahead = queue.ahead(&item, now);
         let wait = self.drain_time(ahead.work, ahead.slots, now);
-        let share = if self.overload(now) { OVERLOAD_WAIT_SHARE } else { WAIT_SHARE };
+        let share = if self.overloaded(now) { OVERLOAD_WAIT_SHARE } else { WAIT_SHARE };
         let spare = item.latest_start() - now;
         if !wait.is_zero() && wait > spare.mul_f64(share) {
             let detail = format!("would wait {} ms", wait.as_millis());
             let retry_delay = self.retry_delay(&item, ahead, now);
-            return Err(Error::new(Kind::Late, detail).after(retry_delay));
+            return Err(Error::new(Kind::Late, detail).with_retry_after(retry_delay));
         }
-        let run = item.run;
+        let run = item.run_time;
         // A copy for computing the retry delay; the queue takes the original.
         let asked = item.clone();
-        queue.push(item, now).map_err(|e| e.after(self.retry_delay(&asked, ahead, now)))?;
+        queue
+            .push(item, now)
+            .map_err(|e| e.with_retry_after(self.retry_delay(&asked, ahead, now)))?;
         self.nonempty_since.get_or_insert(now);
         self.drain.begin(run, now);
         Ok(())
@@ -143,16 +145,16 @@
     /// Returns the error for a request that expired in the queue, with the retry delay.
     pub fn expired(&mut self, queue: &Queue, item: &Item, now: Time) -> Error {
         let ahead = queue.ahead(item, now);
-        Error::from(Kind::Expired).after(self.retry_delay(item, ahead, now))
+        Error::from(Kind::Expired).with_retry_after(self.retry_delay(item, ahead, now))
     }
 
     /// Whether the queue has not been empty for `OVERLOAD_AFTER`.
-    pub fn overload(&self, now: Time) -> bool {
+    pub fn overloaded(&self, now: Time) -> bool {
         self.nonempty_since.is_some_and(|t| now.since(t) >= OVERLOAD_AFTER)
     }
 
     /// Expected run time that one slot serves per second; 1 if runs take as long as expected.
-    pub fn pace(&self) -> f64 {
+    pub fn drain_rate(&self) -> f64 {
         self.drain.rate
     }
 
@@ -169,7 +171,7 @@
         }
         let others =
             self.retry_times.len() - usize::from(self.retry_times.contains_key(&item.caller));
-        let turns = self.drain_time(item.run, ahead.slots, now).mul_f64(others as f64 + 1.0);
+        let turns = self.drain_time(item.run_time, ahead.slots, now).mul_f64(others as f64 + 1.0);
         let clear = now + self.drain_time(ahead.work, ahead.slots, now);
         let last = self.retry_times.get(&item.caller).copied().unwrap_or(now);
         let retry_at = (clear.max(last) + turns).min(now + MAX_RETRY_DELAY);
@@ -200,7 +202,7 @@
 
     fn record(&mut self, item: &Item, usable: u32, now: Time) {
         // A request that found a free slot on arrival doesn't show how fast slots become free.
-        if item.born == now {
+        if item.arrived_at == now {
             return;
         }
         let Some(last_departure) = self.last_departure.replace(now) else { return };
@@ -209,11 +211,14 @@
         }
         self.count += 1;
         self.busy += now.since(last_departure).as_secs_f64() * f64::from(usable);
-        self.work += item.run.as_secs_f64();
-        self.run = item.run;
+        self.work += item.run_time.as_secs_f64();
+        self.run = item.run_time;
         // Runs that began together end together, so a sample spans at least two runs; a shorter one
         // would measure a clump or a gap.
-        if self.count >= SAMPLE_SIZE && now.since(self.start) >= item.run * 2 && self.busy > 0.0 {
+        if self.count >= SAMPLE_SIZE
+            && now.since(self.start) >= item.run_time * 2
+            && self.busy > 0.0
+        {
             let sample = (self.work / self.busy).clamp(0.01, 10.0);
             self.rate += SAMPLE_WEIGHT * (sample - self.rate);
             (self.work, self.busy, self.count) = (0.0, 0.0, 0);
--- a/src/decide/ahead.rs
+++ b/src/decide/ahead.rs
@@ -38,45 +38,45 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
     /// When it started.
-    pub began: Time,
+    pub started_at: Time,
     /// Share of its work that was done at the start, in percent.
-    pub first: u8,
+    pub initial_percent: u8,
     /// Share of its work that was done at the last check, in percent.
-    pub last: u8,
+    pub percent: u8,
     /// Time of the last check.
-    pub looked: Time,
+    pub checked_at: Time,
     /// Expected duration of its whole work.
     pub estimate: Duration,
 }
 
 /// Expected end of a run: by its speed up to the last check, or by its estimate while its progress
 /// is too small to tell.
-pub fn end(run: Progress) -> Time {
-    let done = run.last.saturating_sub(run.first);
-    let left = f64::from(100_u8.saturating_sub(run.last));
+pub fn expected_end(run: Progress) -> Time {
+    let done = run.percent.saturating_sub(run.initial_percent);
+    let left = f64::from(100_u8.saturating_sub(run.percent));
     if done >= MIN_PROGRESS {
-        return run.looked + (run.looked - run.began).mul_f64(left / f64::from(done));
+        return run.checked_at + (run.checked_at - run.started_at).mul_f64(left / f64::from(done));
     }
-    let share = f64::from(100_u8.saturating_sub(run.first)) / 100.0;
-    run.began + run.estimate.mul_f64(share)
+    let share = f64::from(100_u8.saturating_sub(run.initial_percent)) / 100.0;
+    run.started_at + run.estimate.mul_f64(share)
 }
 
 /// Counts, for one round, the steps that wait for each worker without room.
 #[derive(Clone, Debug)]
-pub struct Line<W> {
+pub struct Backlog<W> {
     steps: HashMap<W, u32>,
 }
 
-impl<W: Hash + Eq> Default for Line<W> {
+impl<W: Hash + Eq> Default for Backlog<W> {
     fn default() -> Self {
-        Line { steps: HashMap::new() }
+        Backlog { steps: HashMap::new() }
     }
 }
 
-impl<W: Hash + Eq> Line<W> {
+impl<W: Hash + Eq> Backlog<W> {
     /// Adds the next step in order to a worker's count, and returns whether it is among the first
     /// ones.
-    pub fn join(&mut self, worker: W) -> bool {
+    pub fn add(&mut self, worker: W) -> bool {
         let steps = self.steps.entry(worker).or_default();
         *steps += 1;
         *steps <= STEPS_PER_WORKER
@@ -90,11 +90,11 @@
 }
 
 /// Whether a ticket that is valid until `until` expires before a new one could arrive.
-pub fn ends(until: Time, call_time: Duration, now: Time) -> bool {
+pub fn expires_early(until: Time, call_time: Duration, now: Time) -> bool {
     until <= now + call_time + CALL_OVERHEAD
 }
 
 /// Whether a call may be made in advance while `idle` of the members have no call.
-pub fn may(idle: usize, members: usize) -> bool {
+pub fn may_call_ahead(idle: usize, members: usize) -> bool {
     idle > SPARE_MEMBERS.min(members / MEMBERS_PER_SPARE)
 }
--- a/src/decide/desk.rs
+++ b/src/decide/call_queue.rs
@@ -23,7 +23,7 @@
 
 /// The calls in flight from one member, for all its callers.
 #[derive(Clone, Debug, Default)]
-pub struct Desk {
+pub struct CallQueue {
     /// In the order of arrival.
     calls: VecDeque<Call>,
     /// When the service began with the first of them.
@@ -40,19 +40,19 @@
     abandoned: bool,
 }
 
-impl Desk {
+impl CallQueue {
     /// Creates an instance without calls.
     pub fn new() -> Self {
-        Desk::default()
+        CallQueue::default()
     }
 
     /// Adds a call that takes `call_time` and is given up after `limit`, and returns its number.
     /// Returns `None` if the call must not be made because its answer would come too late.
     ///
-    /// The call counts as sent now, until [`Desk::done`], or to its expected end after
-    /// [`Desk::left`].
+    /// The call counts as sent now, until [`CallQueue::done`], or to its expected end after
+    /// [`CallQueue::abandon`].
     pub fn admit(&mut self, call_time: Duration, limit: Duration, now: Time) -> Option<u64> {
-        if self.ahead(now) + call_time + ROUND_TRIP > limit {
+        if self.backlog(now) + call_time + ROUND_TRIP > limit {
             return None;
         }
         if self.calls.is_empty() {
@@ -64,7 +64,7 @@
     }
 
     /// Returns how long the calls in flight will still take.
-    pub fn ahead(&mut self, now: Time) -> Duration {
+    pub fn backlog(&mut self, now: Time) -> Duration {
         while let Some(first) =
             self.calls.front().filter(|c| c.abandoned && self.started_at + c.call_time <= now)
         {
@@ -91,7 +91,7 @@
     }
 
     /// Records that the caller of a call has given it up.
-    pub fn left(&mut self, number: u64) {
+    pub fn abandon(&mut self, number: u64) {
         if let Some(call) = self.calls.iter_mut().find(|c| c.number == number) {
             call.abandoned = true;
         }
--- a/src/decide/cancel.rs
+++ b/src/decide/cancel.rs
@@ -6,7 +6,7 @@
 //! task further back in the queue would still be started and then stopped, and its work would be
 //! lost.
 //!
-//! So a cancel only sets a mark, in O(1) for a task and for a whole job. [`Cancels::start`], which
+//! So a cancel only sets a mark, in O(1) for a task and for a whole job. [`Cancels::try_start`], which
 //! every start must pass, checks the mark, so nothing of the task or job starts after the cancel.
 //! [`Cancels::tick`] sends the stops of running tasks, at most `STOPS_PER_TICK` per call. A stop
 //! may be lost with its connection, so a stop that is not confirmed within `RESEND_AFTER` is sent
@@ -72,7 +72,7 @@
 
 impl Cancels {
     /// Cancels one task, in O(1).
-    pub fn task(&mut self, task: &TaskId) {
+    pub fn cancel_task(&mut self, task: &TaskId) {
         let job = self.jobs.entry(task.job.clone()).or_default();
         if !job.whole && job.marked.insert(task.index) {
             self.unsent.push_back(Unsent::Task(task.clone()));
@@ -80,7 +80,7 @@
     }
 
     /// Cancels a whole job, in O(1) however many tasks it has.
-    pub fn job(&mut self, job: &JobId) {
+    pub fn cancel_job(&mut self, job: &JobId) {
         let entry = self.jobs.entry(job.clone()).or_default();
         if !entry.whole {
             entry.whole = true;
@@ -90,7 +90,7 @@
 
     /// Checks whether the task may start, and if so counts it as running. Every start must call
     /// this.
-    pub fn start(&mut self, task: &TaskId) -> bool {
+    pub fn try_start(&mut self, task: &TaskId) -> bool {
         let job = self.jobs.entry(task.job.clone()).or_default();
         if job.whole || job.marked.contains(&task.index) {
             return false;
--- a/src/decide/copies.rs
+++ b/src/decide/copies.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 /// Complete runs of siblings that are needed for an expected run time.
-pub const SIBLINGS: usize = 3;
+pub const MIN_SIBLINGS: usize = 3;
 /// Ratio to the siblings' median that a run's time must exceed.
 const MIN_RUN_RATIO: f64 = 1.5;
 /// Ratio of the time that the run still needs to the time that the copy takes.
@@ -31,33 +31,33 @@
 
 /// A run that may be slow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Runner {
+pub struct Candidate {
     /// How long it has run so far.
-    pub ran: Duration,
+    pub elapsed: Duration,
     /// Share of the work that was done at its start, in percent.
-    pub from: u8,
+    pub initial_percent: u8,
     /// Share of the work that is done, in percent.
-    pub done: u8,
+    pub percent: u8,
     /// Share of the work that a copy would find saved, in percent.
-    pub saved: u8,
+    pub saved_percent: u8,
 }
 
 /// Returns the time that a run still needs at its own speed if a copy of it is worthwhile.
 /// `expected` is the median of its siblings' complete runs.
-pub fn worth(run: Runner, expected: Duration) -> Option<Duration> {
-    if run.ran < expected.mul_f64(MIN_RUN_RATIO) {
+pub fn copy_worthwhile(run: Candidate, expected: Duration) -> Option<Duration> {
+    if run.elapsed < expected.mul_f64(MIN_RUN_RATIO) {
         return None;
     }
     // Progress is rounded down to whole percents, so up to one more is assumed in the run's favour.
-    let gain = f64::from(run.done.saturating_sub(run.from)) + 1.0;
-    let left = f64::from(100_u8.saturating_sub(run.done).max(1));
-    let remaining = run.ran.mul_f64(left / gain);
-    let copy_time =
-        expected.mul_f64(f64::from(100_u8.saturating_sub(run.saved)) / 100.0) + START_OVERHEAD;
+    let gain = f64::from(run.percent.saturating_sub(run.initial_percent)) + 1.0;
+    let left = f64::from(100_u8.saturating_sub(run.percent).max(1));
+    let remaining = run.elapsed.mul_f64(left / gain);
+    let copy_time = expected.mul_f64(f64::from(100_u8.saturating_sub(run.saved_percent)) / 100.0)
+        + START_OVERHEAD;
     (remaining >= copy_time.mul_f64(MIN_GAIN)).then_some(remaining)
 }
 
 /// Largest number of tasks of a step that may have a copy at the same time.
-pub fn most(tasks: u32) -> u32 {
+pub fn max_copies(tasks: u32) -> u32 {
     (tasks / COPIES_ONE_IN).max(1)
 }
--- a/src/decide/crash.rs
+++ b/src/decide/crash.rs
@@ -11,26 +11,26 @@
 use {crate::time::Time, std::time::Duration};
 
 /// Number of crashes after which a task is not started again.
-pub const CRASHES: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 /// A run is not blamed as a new one if its worker has answered this long after the start.
-pub const SETTLED: Duration = Duration::from_secs(1);
+pub const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// Runs whose starts were sent within this time count as started together.
 const START_WINDOW: Duration = Duration::from_millis(100);
 /// How long no other task starts at a worker after the start of a task that was blamed for a crash
 /// before. A crash that is caused by a start happens within this time.
-pub const ALONE: Duration = Duration::from_millis(300);
+pub const ISOLATION_TIME: Duration = Duration::from_millis(300);
 
 /// State of a run at a worker that has crashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Resident {
+pub struct CrashedRun {
     /// Whether the worker had reported the run.
-    pub there: bool,
+    pub reported: bool,
     /// When its start was sent.
-    pub began: Time,
-    /// Whether the worker has answered [`SETTLED`] or longer after the start.
+    pub started_at: Time,
+    /// Whether the worker has answered [`SETTLE_TIME`] or longer after the start.
     pub settled: bool,
     /// Whether its task is a lasting one, without an expected end.
-    pub lasts: bool,
+    pub lasting: bool,
 }
 
 /// Returns the indexes in `all` of the runs that are blamed for the crash.
@@ -40,15 +40,16 @@
 /// have reached a worker that was already down. If there is no new run at all, the only run is
 /// blamed, unless it is a lasting one. All runs that started together are blamed, because more than
 /// one may be a crashing task.
-pub fn blamed(all: &[Resident]) -> Vec<usize> {
+pub fn blamed(all: &[CrashedRun]) -> Vec<usize> {
     let new = || all.iter().filter(|r| !r.settled);
-    let last = new().filter(|r| r.there).map(|r| r.began).max();
-    if let Some(at) = last.or(new().map(|r| r.began).min()) {
-        let together = |r: &Resident| r.began < at + START_WINDOW && at < r.began + START_WINDOW;
+    let last = new().filter(|r| r.reported).map(|r| r.started_at).max();
+    if let Some(at) = last.or(new().map(|r| r.started_at).min()) {
+        let together =
+            |r: &CrashedRun| r.started_at < at + START_WINDOW && at < r.started_at + START_WINDOW;
         return (0..all.len()).filter(|i| !all[*i].settled && together(&all[*i])).collect();
     }
     if let [only] = all
-        && !only.lasts
+        && !only.lasting
     {
         vec![0]
     } else {
--- a/src/decide/eject.rs
+++ b/src/decide/eject.rs
@@ -77,7 +77,7 @@
     }
 
     /// Number of ejected endpoints, including those on trial.
-    pub fn out(&self) -> usize {
+    pub fn ejected(&self) -> usize {
         self.health.values().filter(|h| h.until.is_some()).count()
     }
 
@@ -120,7 +120,7 @@
     }
 
     fn eject(&mut self, worker: &WorkerId, now: Time) -> bool {
-        if (self.out() + 1) * EJECT_ONE_IN > self.size {
+        if (self.ejected() + 1) * EJECT_ONE_IN > self.size {
             return false;
         }
         let health = self.health.entry(worker.clone()).or_default();
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -99,7 +99,7 @@
     }
 
     /// Returns the expected run time of a task of the job.
-    pub fn run(&self, job: &JobId, declared: Duration) -> Duration {
+    pub fn run_time(&self, job: &JobId, declared: Duration) -> Duration {
         let Some(h) = self.jobs.get(job).filter(|h| h.ended >= MIN_RUNS) else { return declared };
         Duration::from_micros(u64::try_from(h.mean + DEVIATIONS * h.deviation).unwrap_or(0))
     }
--- a/src/decide/evidence.rs
+++ b/src/decide/evidence.rs
@@ -116,7 +116,7 @@
 
     /// Removes the evidence against a worker that has passed its probes. Otherwise its next failure
     /// would quarantine it again on the old evidence.
-    pub(super) fn acquit(&mut self, worker: &WorkerId) {
+    pub(super) fn clear(&mut self, worker: &WorkerId) {
         self.young.remove(worker);
         self.old.remove(worker);
     }
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -63,17 +63,17 @@
     /// The caller's team.
     pub team: TeamId,
     /// When it arrived.
-    pub born: Time,
+    pub arrived_at: Time,
     /// When its response is due.
     pub deadline: Time,
     /// Its expected run time, declared or estimated from history.
-    pub run: Duration,
+    pub run_time: Duration,
 }
 
 impl Item {
     /// Latest start at which the request is expected to end by its deadline.
     pub fn latest_start(&self) -> Time {
-        self.deadline - self.run
+        self.deadline - self.run_time
     }
 }
 
@@ -192,13 +192,13 @@
             team.tag = team.tag.max(self.virtual_time);
         }
         team.len += 1;
-        team.work[lane as usize] += cost(item.run);
+        team.work[lane as usize] += cost(item.run_time);
         let virtual_time = team.virtual_time;
         team.edit(&item.caller, |c| {
             if c.len() == 0 {
                 c.tag = c.tag.max(virtual_time);
             }
-            c.lanes[lane as usize].insert(seq, (item.id, item.run));
+            c.lanes[lane as usize].insert(seq, (item.id, item.run_time));
         });
         self.by_latest_start.insert((item.latest_start(), item.id));
         self.items.insert(item.id, (seq, item));
@@ -225,7 +225,7 @@
         if let Some(team) = self.teams.get_mut(&item.team) {
             team.virtual_time = team.virtual_time.max(tag);
         }
-        self.charge(&item, |tag, price, _| tag + price, cost(item.run));
+        self.charge(&item, |tag, price, _| tag + price, cost(item.run_time));
         if lane == Lane::Long {
             self.running_long += 1;
         }
@@ -253,17 +253,17 @@
             self.running_long = self.running_long.saturating_sub(1);
         }
         if !ran.is_zero() {
-            let sample = ran.as_secs_f64() / item.run.as_secs_f64().max(1e-6);
+            let sample = ran.as_secs_f64() / item.run_time.as_secs_f64().max(1e-6);
             self.overrun += OVERRUN_WEIGHT * (sample.clamp(0.01, 100.0) - self.overrun);
         }
         let ran = ran.div_f64(self.overrun);
-        if ran > item.run {
-            self.charge(item, |tag, price, _| tag + price, cost(ran - item.run));
+        if ran > item.run_time {
+            self.charge(item, |tag, price, _| tag + price, cost(ran - item.run_time));
         } else {
             // Not below the virtual time, because the charge may have been cleared since, by the
             // sweep or when nothing waited.
             let refund = |tag: u64, price, floor| tag.saturating_sub(price).max(tag.min(floor));
-            self.charge(item, refund, cost(item.run - ran));
+            self.charge(item, refund, cost(item.run_time - ran));
         }
     }
 
@@ -300,7 +300,7 @@
     }
 
     fn lane(&self, item: &Item) -> Lane {
-        if item.run < self.long_run { Lane::Short } else { Lane::Long }
+        if item.run_time < self.long_run { Lane::Short } else { Lane::Long }
     }
 
     fn weight(&self, team: &TeamId) -> u64 {
@@ -346,7 +346,7 @@
         let lane = self.lane(&item);
         let team = self.teams.get_mut(&item.team)?;
         team.len -= 1;
-        team.work[lane as usize] -= cost(item.run);
+        team.work[lane as usize] -= cost(item.run_time);
         team.edit(&item.caller, |c| _ = c.lanes[lane as usize].remove(&seq));
         Some(item)
     }
--- a/src/decide/fit.rs
+++ b/src/decide/fit.rs
@@ -24,13 +24,13 @@
     /// Whether the worker is on the rack where the task runs fastest.
     pub near: bool,
     /// Whether serving tasks with a latency target run there.
-    pub serves: bool,
+    pub serving: bool,
     /// Number of fillers there.
     pub fillers: u32,
     /// Number of tasks of the same step there.
-    pub same: u32,
+    pub same_step: u32,
     /// Most tasks that it may get now, whatever its room; one if the worker is on trial.
-    pub most: u32,
+    pub max_new: u32,
     /// Whether the worker is suspected of a fault.
     pub suspect: bool,
     /// Number of waiting tasks of other steps that need this worker, in hundredths: a task that may
@@ -51,10 +51,11 @@
 const FILLER_COST: u64 = 20;
 
 /// Returns the index in `rooms` of the best room for a task of the step.
-pub fn best(step: &Step, rooms: &[Room]) -> Option<usize> {
-    let size = step.counted();
-    let fits =
-        |r: &Room| size.fits(&r.free) && r.most > 0 && (step.apart == 0 || r.same < step.apart);
+pub fn best_room(step: &Step, rooms: &[Room]) -> Option<usize> {
+    let size = step.reserved();
+    let fits = |r: &Room| {
+        size.fits(&r.free) && r.max_new > 0 && (step.apart == 0 || r.same_step < step.apart)
+    };
     let all = rooms.iter().enumerate().filter(|(_, r)| fits(r));
     all.min_by_key(|(_, r)| cost(step, &size, r)).map(|(i, _)| i)
 }
@@ -69,7 +70,7 @@
         cost += FAR_RACK_COST;
     }
     if step.fills {
-        if room.serves {
+        if room.serving {
             cost += INTERFERENCE_COST;
         }
         // Prefers the most free processors per filler.
--- a/src/decide/shift.rs
+++ b/src/decide/forward.rs
@@ -52,7 +52,7 @@
 const MAX_WAIT_MS: u64 = 3_600_000;
 
 /// The peers that serve one service, and their reported load.
-pub struct Spread {
+pub struct PeerSelector {
     zone: Zone,
     rng: fastrand::Rng,
     peers: BTreeMap<Incarnation, Peer>,
@@ -75,14 +75,14 @@
     full: bool,
 }
 
-impl Spread {
+impl PeerSelector {
     /// Creates a selector for a member in `zone`; `rng` draws the random choices.
     pub fn new(zone: Zone, rng: fastrand::Rng) -> Self {
-        Spread { zone, rng, peers: BTreeMap::new(), mean_reported: 0.0, mean_sent: 0.0 }
+        PeerSelector { zone, rng, peers: BTreeMap::new(), mean_reported: 0.0, mean_sent: 0.0 }
     }
 
     /// Records a peer's report that was current `age` ago.
-    pub fn report(
+    pub fn record_report(
         &mut self,
         peer: Incarnation,
         zone: &Zone,
@@ -105,17 +105,17 @@
     }
 
     /// Returns whether any peer has slots for the service.
-    pub fn served(&self) -> bool {
+    pub fn has_slots(&self) -> bool {
         self.peers.values().any(|p| p.load.slots > 0)
     }
 
     /// Removes a peer that is stopping or gone.
-    pub fn forget(&mut self, peer: Incarnation) {
+    pub fn remove_peer(&mut self, peer: Incarnation) {
         self.peers.remove(&peer);
     }
 
     /// Records that a peer had no slot for a request. It gets no requests until its next report.
-    pub fn refused(&mut self, peer: Incarnation) {
+    pub fn record_refusal(&mut self, peer: Incarnation) {
         if let Some(p) = self.peers.get_mut(&peer) {
             p.full = true;
         }
--- a/src/decide/gang.rs
+++ b/src/decide/gang.rs
@@ -34,7 +34,7 @@
 
 /// What the caller must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum Action {
     /// Ask this rack's owner to reserve the gang's room there for this duration, in this round.
     ///
     /// The owner counts the duration from the arrival of the request, so its reservation outlasts
@@ -73,7 +73,7 @@
     }
 
     /// Begins a round on these racks, after the releases of the previous round were answered.
-    pub fn begin(&mut self, mut racks: Vec<RackId>, now: Time) -> Order {
+    pub fn begin(&mut self, mut racks: Vec<RackId>, now: Time) -> Action {
         racks.sort_unstable();
         racks.dedup();
         (self.racks, self.reserved, self.expires_at, self.asking) =
@@ -85,9 +85,9 @@
     ///
     /// Answers of an earlier round are ignored: that room has been released since, and counting it
     /// would start the gang without it.
-    pub fn granted(&mut self, rack: &RackId, round: u32, now: Time) -> Order {
+    pub fn granted(&mut self, rack: &RackId, round: u32, now: Time) -> Action {
         if !self.awaits(rack, round) {
-            return Order::Nothing;
+            return Action::Nothing;
         }
         self.reserved += 1;
         self.ask(now)
@@ -103,39 +103,39 @@
         round: u32,
         now: Time,
         rng: &mut fastrand::Rng,
-    ) -> Order {
-        if self.awaits(rack, round) { self.abandon(now, rng) } else { Order::Nothing }
+    ) -> Action {
+        if self.awaits(rack, round) { self.abandon(now, rng) } else { Action::Nothing }
     }
 
     /// Abandons a round that has expired because an owner doesn't answer.
-    pub fn tick(&mut self, now: Time, rng: &mut fastrand::Rng) -> Order {
-        if self.asking && now >= self.expires_at { self.abandon(now, rng) } else { Order::Nothing }
+    pub fn tick(&mut self, now: Time, rng: &mut fastrand::Rng) -> Action {
+        if self.asking && now >= self.expires_at { self.abandon(now, rng) } else { Action::Nothing }
     }
 
     fn awaits(&self, rack: &RackId, round: u32) -> bool {
         self.asking && round == self.round && self.racks.get(self.reserved) == Some(rack)
     }
 
-    fn ask(&mut self, now: Time) -> Order {
+    fn ask(&mut self, now: Time) -> Action {
         if let Some(rack) = self.racks.get(self.reserved) {
-            return Order::Reserve(rack.clone(), self.expires_at - now, self.round);
+            return Action::Reserve(rack.clone(), self.expires_at - now, self.round);
         }
         if now + MAX_START_LATENCY > self.expires_at {
             // A start that arrives after a reservation has expired would be refused there and run
             // elsewhere, so only half of the gang would run. Hence no start is sent, and the next
             // tick releases all reservations.
-            return Order::Nothing;
+            return Action::Nothing;
         }
         self.asking = false;
-        Order::Start
+        Action::Start
     }
 
-    fn abandon(&mut self, now: Time, rng: &mut fastrand::Rng) -> Order {
+    fn abandon(&mut self, now: Time, rng: &mut fastrand::Rng) -> Action {
         self.racks.truncate(self.reserved + 1);
         let retry_at = now + self.back_off(now, rng);
         (self.reserved, self.asking) = (0, false);
         self.round += 1;
-        Order::Release(mem::take(&mut self.racks), retry_at)
+        Action::Release(mem::take(&mut self.racks), retry_at)
     }
 
     /// Doubles with each round, shrinks with the gang's wait, and is drawn from its upper half so
--- a/src/decide/gather.rs
+++ b/src/decide/gather.rs
@@ -25,19 +25,19 @@
 };
 
 /// At most one part in this many of a pool is kept for gangs that can still be in time.
-pub const KEPT: u64 = 3;
+pub const KEPT_ONE_IN: u64 = 3;
 /// At most one part in this many of a busy pool is kept for late gangs.
-pub const KEPT_LATE: u64 = 10;
+pub const KEPT_LATE_ONE_IN: u64 = 10;
 /// More workers are asked about while the known ones, if they were empty, could hold the gang fewer
 /// than this many times.
-pub const CHOICE: u64 = 2;
+pub const MIN_CHOICE: u64 = 2;
 /// Room is kept for any gang whose room is complete within this time: that of a stop and a call.
-pub const NEAR: Duration = Duration::from_millis(2000);
+pub const NEAR_WITHIN: Duration = Duration::from_millis(2000);
 /// Number of gangs for which room is kept that is complete later. The gangs behind them start
 /// wherever they find room meanwhile.
-pub const FAR: usize = 4;
+pub const MAX_FAR_GANGS: usize = 4;
 /// How long workers are kept for a gang that does not start.
-pub const LONGEST: Duration = Duration::from_secs(4);
+pub const MAX_KEEP: Duration = Duration::from_secs(4);
 /// For how many tasks workers are asked about, in percent of the gang's missing tasks.
 const ASKED_PERCENT: u64 = 150;
 /// Assumed share of workers that may run a step, in percent, before any answer, and the number of
@@ -52,18 +52,18 @@
     /// The worker.
     pub worker: W,
     /// When the room becomes available.
-    pub at: Time,
+    pub available_at: Time,
     /// How many more members the worker has room for than before.
     pub slots: u32,
 }
 
 /// The workers of a gang, and when all of them have room.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Places<W> {
+pub struct Placement<W> {
     /// Number of members per worker.
-    pub each: Vec<(W, u32)>,
+    pub per_worker: Vec<(W, u32)>,
     /// When there is room for all members.
-    pub at: Time,
+    pub available_at: Time,
 }
 
 /// Chooses workers for `count` members so that the gang can start soonest; `None` if the offers
@@ -71,18 +71,21 @@
 ///
 /// Among offers of the same time those with the most slots come first, so that few workers are
 /// needed.
-pub fn soonest<W: Copy + Ord>(mut offers: Vec<Offer<W>>, count: u32) -> Option<Places<W>> {
-    offers.sort_by_key(|o| (o.at, Reverse(o.slots), o.worker));
+pub fn soonest_placement<W: Copy + Ord>(
+    mut offers: Vec<Offer<W>>,
+    count: u32,
+) -> Option<Placement<W>> {
+    offers.sort_by_key(|o| (o.available_at, Reverse(o.slots), o.worker));
     let mut sum = 0;
     let enough = offers.iter().position(|o| {
         sum += u64::from(o.slots);
         sum >= u64::from(count)
     })?;
-    let at = offers[enough].at;
+    let at = offers[enough].available_at;
     // Takes the latest offers that are in time, so that earlier room stays available to other work
     // until then.
-    offers.truncate(offers.iter().rposition(|o| o.at == at)? + 1);
-    offers.sort_by_key(|o| (Reverse(o.at), Reverse(o.slots), o.worker));
+    offers.truncate(offers.iter().rposition(|o| o.available_at == at)? + 1);
+    offers.sort_by_key(|o| (Reverse(o.available_at), Reverse(o.slots), o.worker));
     let mut each: BTreeMap<W, u32> = BTreeMap::new();
     let mut left = count;
     for offer in offers {
@@ -92,7 +95,7 @@
             left -= slots;
         }
         if left == 0 {
-            return Some(Places { each: each.into_iter().collect(), at });
+            return Some(Placement { per_worker: each.into_iter().collect(), available_at: at });
         }
     }
     None
@@ -101,14 +104,14 @@
 /// Statistics of the advice for a queue: how many workers were named in calls, and how many were
 /// good.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Share {
+pub struct AdviceShare {
     total: u64,
     good: u64,
 }
 
-impl Share {
+impl AdviceShare {
     /// Adds the result of one call.
-    pub fn learn(&mut self, named: usize, good: usize) {
+    pub fn record(&mut self, named: usize, good: usize) {
         self.total += named as u64;
         self.good += good as u64;
     }
@@ -121,7 +124,7 @@
 
     /// Returns how many of the workers to ask about so that `missing` members find room. `slots`
     /// has the number of members that each worker has room for.
-    pub fn named(&self, slots: impl Iterator<Item = u32>, missing: u32) -> usize {
+    pub fn workers_to_ask(&self, slots: impl Iterator<Item = u32>, missing: u32) -> usize {
         let wanted = u64::from(missing) * ASKED_PERCENT / self.percent();
         let mut found = 0;
         let fewer = |slots: &u32| {
--- a/src/decide/sound.rs
+++ b/src/decide/health.rs
@@ -29,7 +29,7 @@
 //! data and split over two racks reduces that to 0.44; a slow worker reaches 0.25 at most. From 0.5
 //! on, the worker counts as healthy again.
 //!
-//! The caller limits how many workers are quarantined at once with [`most_held`]: if more than a
+//! The caller limits how many workers are quarantined at once with [`max_quarantined`]: if more than a
 //! third of a pool looks bad, the cause is not the workers.
 
 use {
@@ -77,7 +77,7 @@
     Sound,
     /// Other workers are preferred if they have room.
     Suspect,
-    /// The worker gets only the probes that [`Sound::probe`] or [`Sound::tries`] allows.
+    /// The worker gets only the probes that [`WorkerHealth::probe`] or [`WorkerHealth::allows`] allows.
     Quarantined {
         /// When a probe may be sent. The quarantine lasts until a probe succeeds.
         until: Time,
@@ -85,13 +85,13 @@
 }
 
 /// Maximum number of workers that may be quarantined at once in a pool of `workers`.
-pub fn most_held(workers: usize) -> usize {
+pub fn max_quarantined(workers: usize) -> usize {
     workers / QUARANTINE_DIVISOR
 }
 
 /// Health record of one worker.
 #[derive(Clone, Debug, Default)]
-pub struct Sound {
+pub struct WorkerHealth {
     /// Failures since the last success: job, weight and time.
     failures: Vec<(JobNo, f64, Time)>,
     /// Share of runs that failed while the worker was healthy, as a moving average.
@@ -116,15 +116,15 @@
     probe: Option<Time>,
 }
 
-impl Sound {
+impl WorkerHealth {
     /// Creates a record without any history.
     pub fn new() -> Self {
-        Sound::default()
+        WorkerHealth::default()
     }
 
     /// Records that a run ended by itself. `fails_before` is how often this task, or other tasks of
     /// its job, failed on other workers. Runs that were stopped must not be recorded.
-    pub fn ended(&mut self, job: JobNo, ok: bool, fails_before: u32, now: Time) {
+    pub fn record_end(&mut self, job: JobNo, ok: bool, fails_before: u32, now: Time) {
         if ok {
             return self.record_success(now);
         }
@@ -146,7 +146,7 @@
     /// Records the speed of a run, relative to what is expected from its peers. Called with each
     /// progress report and when a run ends by itself; runs that are paced, restored or waiting for
     /// their gang must not be recorded.
-    pub fn moved(&mut self, rate: f64, now: Time) {
+    pub fn record_speed(&mut self, rate: f64, now: Time) {
         if rate >= NORMAL_RATE {
             self.slow_streak = None;
             self.slow_quarantine = Quarantine::default();
@@ -175,20 +175,20 @@
     /// Returns whether a task may be sent to the worker now. In quarantine, the task is recorded as
     /// sent, and no other is allowed until the probe has a result or 10 s have passed.
     pub fn probe(&mut self, now: Time) -> bool {
-        let allowed = self.tries(false, now);
+        let allowed = self.allows(false, now);
         if allowed {
-            self.tried(now);
+            self.record_start(now);
         }
         allowed
     }
 
     /// Returns whether a task may be sent now; `lasts` says whether it is long-running.
-    pub fn tries(&self, lasts: bool, now: Time) -> bool {
+    pub fn allows(&self, lasts: bool, now: Time) -> bool {
         self.failure_quarantine.allows(lasts, now) && self.slow_quarantine.allows(lasts, now)
     }
 
     /// Records that a task was sent. In quarantine, the task is the probe.
-    pub fn tried(&mut self, now: Time) {
+    pub fn record_start(&mut self, now: Time) {
         self.failure_quarantine.probed(now);
         self.slow_quarantine.probed(now);
     }
@@ -198,7 +198,7 @@
     /// Without this, a probe that never ends has no result, and the worker stays closed to all
     /// other tasks while its room is free. The task says nothing about speed, so for a slowness
     /// quarantine it only allows the next probe.
-    pub fn stays(&mut self, began: Time, now: Time) {
+    pub fn record_running(&mut self, began: Time, now: Time) {
         let succeeded =
             |h: &Quarantine| h.probe.is_some_and(|p| began >= p && began + MIN_QUARANTINE <= now);
         if succeeded(&self.slow_quarantine) {
@@ -290,7 +290,7 @@
 /// peers, or its estimate while it has no peers. Percentages are rounded down, which may hide up to
 /// one percent; this is counted in the run's favour, so a run at half of the expected speed or more
 /// is never considered stuck. A run at 100 percent that doesn't end may be.
-pub fn stuck(then: u8, now: u8, elapsed: Duration, expected: Duration, saves: bool) -> bool {
+pub fn is_stuck(then: u8, now: u8, elapsed: Duration, expected: Duration, saves: bool) -> bool {
     if elapsed < MIN_ELAPSED {
         return false;
     }
--- a/src/decide/lanes.rs
+++ b/src/decide/lanes.rs
@@ -36,7 +36,7 @@
 };
 
 /// Calls that take longer than this are long.
-pub const LONG: Duration = Duration::from_millis(100);
+pub const LONG_CALL: Duration = Duration::from_millis(100);
 /// Least number of lanes that are reserved for short calls.
 const MIN_SHORT_LANES: usize = 2;
 /// One in this many lanes is reserved for short calls if that is more.
@@ -50,7 +50,7 @@
 /// Half-life of the measured lateness of a lane.
 const LATENESS_HALF_LIFE: Duration = Duration::from_secs(1);
 /// How long beyond its expected time a call is waited for.
-pub const SLACK: Duration = Duration::from_millis(1500);
+pub const CALL_SLACK: Duration = Duration::from_millis(1500);
 /// Pause after a rejected call, if the member that would be chosen has rejected one recently.
 const REJECTION_PAUSE: Duration = Duration::from_millis(150);
 
@@ -105,7 +105,7 @@
 
     /// Sets the members, and keeps the state of those that stay. Among equally good members the
     /// first is picked, so a caller that lists itself first saves a hop.
-    pub fn members(&mut self, peers: &Peers) {
+    pub fn set_members(&mut self, peers: &Peers) {
         let mut old = std::mem::take(&mut self.lanes);
         let mut keep = |m: &Incarnation| {
             let known = old.iter().position(|l| l.member == *m);
@@ -121,12 +121,12 @@
     ///
     /// The call counts as sent now, until [`Lanes::done`].
     pub fn pick(&mut self, cost: Duration, due: Time, now: Time) -> Option<(Incarnation, Time)> {
-        let long = cost > LONG;
+        let long = cost > LONG_CALL;
         let (lane, end) = self.best(cost, now)?;
         // Full lanes take part in the choice, because waiting for a full lane is better than
         // queueing behind a long call on another one.
         let rejected_within = |l: &Lane, time| l.rejected_at.is_some_and(|at| now < at + time);
-        if rejected_within(&self.lanes[lane], SLACK)
+        if rejected_within(&self.lanes[lane], CALL_SLACK)
             && self.lanes.iter().any(|l| rejected_within(l, REJECTION_PAUSE))
         {
             return None;
@@ -171,7 +171,7 @@
 
     /// Records that a member rejected the call which it got at `sent`, because it has too many
     /// calls of other callers.
-    pub fn turned_away(&mut self, via: Incarnation, sent: Time, now: Time) {
+    pub fn rejected(&mut self, via: Incarnation, sent: Time, now: Time) {
         let Some(lane) = self.lanes.iter_mut().find(|l| l.member == via) else { return };
         let Some(at) = lane.calls.iter().position(|c| c.sent == sent) else { return };
         lane.calls.remove(at);
@@ -182,7 +182,7 @@
     }
 
     /// Number of unanswered calls at a member.
-    pub fn busy(&self, member: Incarnation) -> usize {
+    pub fn calls_at(&self, member: Incarnation) -> usize {
         self.lanes.iter().find(|l| l.member == member).map_or(0, |l| l.calls.len())
     }
 
@@ -197,19 +197,19 @@
     }
 
     /// Number of members without a call.
-    pub fn idle(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.lanes.iter().filter(|l| l.calls.is_empty()).count()
     }
 
     /// Whether, after one more long call, another long call would still find a free member.
-    pub fn spare(&self, now: Time) -> bool {
+    pub fn has_spare(&self, now: Time) -> bool {
         let usable = self.lanes.iter().filter(|l| !l.suspended(now));
         let reserved = MIN_SHORT_LANES.max(usable.clone().count() / SHORT_LANE_ONE_IN);
         usable.filter(|l| l.calls.is_empty()).count() > reserved + 1
     }
 
     /// Total number of unanswered calls.
-    pub fn total(&self) -> usize {
+    pub fn total_calls(&self) -> usize {
         self.lanes.iter().map(|l| l.calls.len()).sum()
     }
 
@@ -220,7 +220,7 @@
         let all = usable.clone().count();
         let max_long = all.saturating_sub(MIN_SHORT_LANES.max(all / SHORT_LANE_ONE_IN)).max(1);
         let long_lanes = usable.filter(|l| l.long()).count();
-        let long = cost > LONG;
+        let long = cost > LONG_CALL;
         let own = self.lanes[..self.own_count].iter().any(|l| !l.suspended(now));
         let eligible = |(i, l): &(usize, &Lane)| {
             let open = if every_suspended { l.calls.is_empty() } else { !l.suspended(now) };
@@ -254,7 +254,7 @@
     }
 
     fn long(&self) -> bool {
-        self.calls.iter().any(|c| c.cost > LONG)
+        self.calls.iter().any(|c| c.cost > LONG_CALL)
     }
 
     fn suspended(&self, now: Time) -> bool {
@@ -267,7 +267,7 @@
     /// Returns when the calls of the lane will have ended. A call that is overdue is expected to
     /// last for as long again as it is overdue.
     fn free_at(&self, now: Time) -> Time {
-        let others = self.rejected_at.map_or(now, |at| now.max(at + SLACK));
+        let others = self.rejected_at.map_or(now, |at| now.max(at + CALL_SLACK));
         let mut calls = self.calls.iter();
         let Some(first) = calls.next() else { return others };
         let end = self.started_at + first.cost;
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -13,7 +13,7 @@
 //! jobs shrinks at the same rate, so this order equals that of least slack and needs no sorting as
 //! time passes. Ties are broken by priority, then by arrival.
 //!
-//! *No starvation:* a job's latest start is at most `PATIENCE` after its arrival, and precedes the
+//! *No starvation:* a job's latest start is at most `ROOM_WAIT` after its arrival, and precedes the
 //! arrival by at most half of the job's work. A deadline that can no longer be met, by the estimate
 //! and [`Job::width`], is ignored. So a job of the same team can only be passed by work that
 //! arrived within that time. Between teams, one start in `AGED_ONE_IN` goes to the team that has
@@ -26,7 +26,7 @@
 pub use super::waiting::Job;
 use {
     super::{
-        quota::{Ask, Grant, Quotas, Rank},
+        quota::{Grant, QuotaRequest, Quotas, Rank},
         waiting::{Entry, Key},
     },
     crate::{
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct Pick {
     /// The task with its team and size.
-    pub ask: Ask,
+    pub ask: QuotaRequest,
     /// Whether the quota is the team's own or borrowed.
     pub grant: Grant,
 }
@@ -90,18 +90,18 @@
     /// of the same id.
     pub fn push(&mut self, now: Time, job: Job, quotas: &mut Quotas) {
         self.remove(&job.id, quotas);
-        quotas.wait(&job.team, job.size, job.tasks as usize);
+        quotas.add_waiting(&job.team, job.size, job.tasks as usize);
         let id = job.id.clone();
         self.jobs.insert(id.clone(), Entry::new(now, job));
         self.update_job(now, &id, quotas);
     }
 
-    /// Queues a task again that failed or was preempted, after [`Quotas::ended`]. The arrival time
+    /// Queues a task again that failed or was preempted, after [`Quotas::record_end`]. The arrival time
     /// of its job stays.
     pub fn requeue(&mut self, now: Time, task: &TaskId, quotas: &mut Quotas) {
         let Some(e) = self.jobs.get_mut(&task.job) else { return };
         if e.waiting.insert(task.index) {
-            quotas.wait(&e.job.team, e.job.size, 1);
+            quotas.add_waiting(&e.job.team, e.job.size, 1);
         }
         self.update_job(now, &task.job, quotas);
     }
@@ -115,31 +115,36 @@
         }
         let job = &e.job;
         if ended {
-            quotas.leave(&job.team, job.size, 1);
+            quotas.remove_waiting(&job.team, job.size, 1);
             return self.ended(now, task, quotas);
         }
         let (team, task) = (job.team.clone(), task.clone());
-        quotas.adopt(&Ask { team, task: task.clone(), size: job.size, back: job.back });
+        quotas.adopt(&QuotaRequest {
+            team,
+            task: task.clone(),
+            size: job.size,
+            reclaim: job.reclaim,
+        });
         self.update_job(now, &task.job, quotas);
     }
 
     /// Returns the waiting tasks of a job as asks, for a gang, whose tasks start together.
-    pub fn asks(&self, job: &JobId) -> Vec<Ask> {
+    pub fn asks(&self, job: &JobId) -> Vec<QuotaRequest> {
         let Some(e) = self.jobs.get(job) else { return Vec::new() };
-        e.waiting.iter().map(|index| e.ask_for(*index)).collect()
+        e.waiting.iter().map(|index| e.request_for(*index)).collect()
     }
 
     /// Removes a job with its waiting tasks.
     pub fn remove(&mut self, job: &JobId, quotas: &mut Quotas) {
         let Some(e) = self.jobs.remove(job) else { return };
-        quotas.leave(&e.job.team, e.job.size, e.waiting.len());
+        quotas.remove_waiting(&e.job.team, e.job.size, e.waiting.len());
         if let Some(queue) = self.teams.get_mut(&e.job.team) {
             queue.jobs.remove(&e.key);
         }
         self.update_team(&e.job.team, quotas);
     }
 
-    /// Records the end of a task, after [`Quotas::ended`]. Its job has less work left, so the job's
+    /// Records the end of a task, after [`Quotas::record_end`]. Its job has less work left, so the job's
     /// latest start becomes later.
     pub fn ended(&mut self, now: Time, task: &TaskId, quotas: &mut Quotas) {
         let Some(e) = self.jobs.get_mut(&task.job) else { return };
@@ -151,9 +156,9 @@
     }
 
     /// Sets a new estimate of the run time of a job's tasks.
-    pub fn correct(&mut self, now: Time, job: &JobId, run: Duration, quotas: &Quotas) {
+    pub fn set_run_time(&mut self, now: Time, job: &JobId, run: Duration, quotas: &Quotas) {
         let Some(e) = self.jobs.get_mut(job) else { return };
-        e.job.run = run;
+        e.job.run_time = run;
         self.update_job(now, job, quotas);
     }
 
@@ -225,7 +230,7 @@
     }
 
     /// Number of waiting tasks. Counts over all jobs, so it is for reports, not for each start.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.jobs.values().map(|e| e.waiting.len()).sum()
     }
 
@@ -250,7 +255,7 @@
         let queue = self.teams.get(team)?;
         let mut refused = false;
         for key in queue.jobs.iter().take(MAX_TRIED_JOBS) {
-            let Some(ask) = self.jobs.get(&key.job).and_then(Entry::ask) else { continue };
+            let Some(ask) = self.jobs.get(&key.job).and_then(Entry::request) else { continue };
             match quotas.grant(&ask) {
                 Grant::Own if refused => {}
                 Grant::Wait => refused = true,
@@ -281,7 +286,7 @@
         }
         let Some(key) = queue.jobs.first().filter(|_| !queue.blocked) else { return };
         let rank = quotas.rank(team);
-        let since = queue.last_start.max(key.latest());
+        let since = queue.last_start.max(key.latest_start());
         self.by_rank.insert((rank, team.clone()));
         self.by_age.insert((since, team.clone()));
         queue.listing = Some((rank, since));
--- a/src/decide/pace.rs
+++ b/src/decide/pace.rs
@@ -23,7 +23,7 @@
 /// Ratio of tail latency to target below which the speed rises.
 const RISE_RATIO: f64 = 0.6;
 /// Ratio assumed for a serving task without a measurement; the speed then stays.
-pub const UNKNOWN: f64 = 0.7;
+pub const UNKNOWN_RATIO: f64 = 0.7;
 /// How long the tail must be low before the speed rises, and how long a halving takes to show.
 const FEEDBACK_DELAY: Duration = Duration::from_secs(1);
 /// Rise of the speed, in percentage points per second.
@@ -74,13 +74,13 @@
 
     /// Updates the speed by a new measurement, and returns the speed of each filler in percent.
     /// `worst` is the highest ratio of tail latency to target among the serving tasks of the
-    /// worker. It is `None` if no task serves, and [`UNKNOWN`] if there is no measurement yet.
-    pub fn step(&mut self, worst: Option<f64>, now: Time) -> u8 {
+    /// worker. It is `None` if no task serves, and [`UNKNOWN_RATIO`] if there is no measurement yet.
+    pub fn update(&mut self, worst: Option<f64>, now: Time) -> u8 {
         let passed = now.since(self.last_update).min(MAX_INTERVAL);
         self.last_update = now;
         let Some(worst) = worst else {
             *self = Pace { last_update: now, ..Pace::new() };
-            return self.wanted();
+            return self.ordered_percent();
         };
         if !self.serving {
             self.serving = true;
@@ -97,11 +97,11 @@
         } else if worst < RISE_RATIO {
             self.rise(passed, now);
         }
-        self.wanted()
+        self.ordered_percent()
     }
 
     /// Returns the ordered speed of each filler, in percent.
-    pub fn wanted(&self) -> u8 {
+    pub fn ordered_percent(&self) -> u8 {
         ((self.percent / PERCENT_STEP).floor() * PERCENT_STEP) as u8
     }
 
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -43,7 +43,7 @@
 
 /// Index of workers by their free room, on which tasks may be placed.
 #[derive(Clone, Debug, Default)]
-pub struct Index {
+pub struct PlacementIndex {
     ids: FxHashMap<WorkerId, u32>,
     states: Vec<WorkerState>,
     free_ids: Vec<u32>,
@@ -58,10 +58,10 @@
     by_accels: Tree,
 }
 
-impl Index {
+impl PlacementIndex {
     /// Creates an index without workers.
     pub fn new() -> Self {
-        Index::default()
+        PlacementIndex::default()
     }
 
     /// Adds a worker, empty and schedulable; a known worker is replaced.
@@ -100,7 +100,7 @@
     ///
     /// Must be called after each change of the ledger. A worker that is leaving or quarantined is
     /// not schedulable.
-    pub fn set(&mut self, worker: &WorkerId, free: Size, schedulable: bool) {
+    pub fn update(&mut self, worker: &WorkerId, free: Size, schedulable: bool) {
         let Some(&id) = self.ids.get(worker) else { return };
         self.unlink(id);
         let state = &mut self.states[id as usize];
@@ -171,7 +171,7 @@
     ///
     /// If large tasks came last, they would need further workers, while small ones fit into the
     /// room that large ones leave.
-    pub fn order(&self, needs: &[Size]) -> Vec<usize> {
+    pub fn packing_order(&self, needs: &[Size]) -> Vec<usize> {
         let mut order: Vec<usize> = (0..needs.len()).collect();
         order.sort_by_key(|n| Reverse(shares(&needs[*n], &self.size).into_iter().max()));
         order
--- a/src/decide/quota.rs
+++ b/src/decide/quota.rs
@@ -30,7 +30,7 @@
 /// A task that is expected to end within this time is brief. It may borrow without a checkpoint,
 /// since waiting for its end costs a lender no more than a checkpoint and a restart would cost the
 /// borrower.
-pub const BRIEF: Duration = Duration::from_secs(60);
+pub const BRIEF_TASK: Duration = Duration::from_secs(60);
 /// Number of returns a second. Each is a checkpoint of gigabytes; at 20 a second, 7,000 borrowed
 /// tasks (a third of those running) are returned in six minutes, and a hundred in five seconds.
 const RETURNS_PER_SECOND: u64 = 20;
@@ -41,10 +41,10 @@
 
 /// How a task's room can be reclaimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Back {
+pub enum Reclaim {
     /// By checkpointing and stopping the task.
     Checkpoint,
-    /// By waiting: the task is expected to end within [`BRIEF`].
+    /// By waiting: the task is expected to end within [`BRIEF_TASK`].
     Brief,
     /// Not at all, as for services and single tasks of a gang.
     Never,
@@ -52,7 +52,7 @@
 
 /// A task that requests room.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct QuotaRequest {
     /// The team whose quota is charged.
     pub team: TeamId,
     /// The task.
@@ -60,7 +60,7 @@
     /// Resources that the task reserves.
     pub size: Size,
     /// How its room can be reclaimed.
-    pub back: Back,
+    pub reclaim: Reclaim,
 }
 
 /// What a task may take.
@@ -129,7 +129,7 @@
 struct Held {
     team: TeamId,
     size: Size,
-    back: Back,
+    back: Reclaim,
     sequence: u64,
     state: State,
 }
@@ -178,27 +178,31 @@
     }
 
     /// Records `count` waiting tasks of a team, so that the quota they need is not lent.
-    pub fn wait(&mut self, team: &TeamId, size: Size, count: usize) {
+    pub fn add_waiting(&mut self, team: &TeamId, size: Size, count: usize) {
         self.update(team, |a| a.waiting += size.times(count as u64));
     }
 
     /// Records that `count` tasks no longer wait, for a reason other than [`Quotas::start`].
-    pub fn leave(&mut self, team: &TeamId, size: Size, count: usize) {
+    pub fn remove_waiting(&mut self, team: &TeamId, size: Size, count: usize) {
         self.update(team, |a| a.waiting = a.waiting.saturating_sub(&size.times(count as u64)));
     }
 
     /// Returns what the task could take now.
-    pub fn grant(&self, ask: &Ask) -> Grant {
+    pub fn grant(&self, ask: &QuotaRequest) -> Grant {
         let Some(a) = self.teams.get(&ask.team) else { return Grant::Wait };
         if a.fits_own(&ask.size) {
             return Grant::Own;
         }
         let spare = self.lendable.saturating_sub(&self.borrowed);
-        if ask.back != Back::Never && ask.size.fits(&spare) { Grant::Borrowed } else { Grant::Wait }
+        if ask.reclaim != Reclaim::Never && ask.size.fits(&spare) {
+            Grant::Borrowed
+        } else {
+            Grant::Wait
+        }
     }
 
     /// Starts a task that waited, if it is granted room.
-    pub fn start(&mut self, ask: &Ask) -> Grant {
+    pub fn start(&mut self, ask: &QuotaRequest) -> Grant {
         let grant = self.grant(ask);
         let state = match grant {
             Grant::Own => State::Own,
@@ -210,13 +214,13 @@
     }
 
     /// Counts a task that a former owner started, whether or not there is idle quota for it.
-    pub fn adopt(&mut self, ask: &Ask) {
+    pub fn adopt(&mut self, ask: &QuotaRequest) {
         let own = self.teams.get(&ask.team).is_some_and(|a| a.fits_own(&ask.size));
         self.insert(ask, if own { State::Own } else { State::Borrowed });
     }
 
     /// Frees what the task held. Room of the team's own quota is passed to its oldest loans first.
-    pub fn ended(&mut self, task: &TaskId) {
+    pub fn record_end(&mut self, task: &TaskId) {
         let Some(held) = self.tasks.remove(task) else { return };
         self.release(&held);
         if held.state == State::Own {
@@ -226,7 +230,7 @@
 
     /// Returns tasks to checkpoint and stop so that lenders get their room back; each is returned
     /// once.
-    pub fn returns(&mut self, now: Time) -> Vec<TaskId> {
+    pub fn tasks_to_return(&mut self, now: Time) -> Vec<TaskId> {
         self.refill(now);
         let mut tasks = Vec::new();
         while self.tokens > 0 && !(self.borrowed.fits(&(self.lendable + self.returning))) {
@@ -255,12 +259,12 @@
     }
 
     /// Returns the total resources of the team's waiting tasks.
-    pub fn waits(&self, team: &TeamId) -> Size {
+    pub fn waiting(&self, team: &TeamId) -> Size {
         self.teams.get(team).map(|a| a.waiting).unwrap_or_default()
     }
 
     /// Returns whether the task runs in borrowed room.
-    pub fn borrows(&self, task: &TaskId) -> bool {
+    pub fn is_borrowed(&self, task: &TaskId) -> bool {
         self.tasks.get(task).is_some_and(|h| h.state != State::Own)
     }
 
@@ -276,12 +280,12 @@
         u64::try_from(share).unwrap_or(u64::MAX)
     }
 
-    fn insert(&mut self, ask: &Ask, state: State) {
-        self.leave(&ask.team, ask.size, 1);
+    fn insert(&mut self, ask: &QuotaRequest, state: State) {
+        self.remove_waiting(&ask.team, ask.size, 1);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         let team = ask.team.clone();
-        let held = Held { team, size: ask.size, back: ask.back, sequence, state };
+        let held = Held { team, size: ask.size, back: ask.reclaim, sequence, state };
         self.charge(&ask.task, &held);
         self.tasks.insert(ask.task.clone(), held);
     }
@@ -301,7 +305,7 @@
         self.borrowed += size;
         self.update(&held.team, |a| {
             a.borrowed += size;
-            if held.back == Back::Checkpoint {
+            if held.back == Reclaim::Checkpoint {
                 a.loans.insert(held.sequence, task.clone());
             }
         });
--- a/src/decide/rank.rs
+++ b/src/decide/rank.rs
@@ -49,20 +49,20 @@
 
 /// What the rank of a step depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts {
+pub struct JobTiming {
     /// Arrival of the job or its occurrence, in milliseconds since the Unix epoch.
-    pub came: u64,
+    pub arrived_ms: u64,
     /// Length of the critical path of the job, including rounds and failed runs.
-    pub chain: Duration,
+    pub critical_path: Duration,
     /// Part of the critical path up to the end of this step that is still to be done.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Whether the step runs until it is cancelled.
-    pub lasts: bool,
+    pub long_running: bool,
 }
 
 /// Returns the number of rounds in which `count` tasks run, for the objective, in a pool with room
 /// for `room` of them.
-pub fn waves(count: u32, room: u64) -> u32 {
+pub fn round_count(count: u32, room: u64) -> u32 {
     let round_size = (room / ROUND_DIVISOR).max(1);
     u32::try_from(u64::from(count).div_ceil(round_size)).unwrap_or(u32::MAX)
 }
@@ -73,14 +73,14 @@
 }
 
 /// Returns the rank of a step at `now`, in milliseconds since the Unix epoch.
-pub fn rank(queue: &Queue, facts: Facts, now: u64) -> Rank {
+pub fn rank(queue: &Queue, facts: JobTiming, now: u64) -> Rank {
     let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
-    let objective = ms(objective(queue, facts.chain));
-    let due = facts.came.saturating_add(objective);
-    let end = now.saturating_add(ms(facts.left));
-    let class = if facts.lasts || end <= due {
+    let objective = ms(objective(queue, facts.critical_path));
+    let due = facts.arrived_ms.saturating_add(objective);
+    let end = now.saturating_add(ms(facts.remaining));
+    let class = if facts.long_running || end <= due {
         0
-    } else if end <= facts.came.saturating_add(objective.saturating_mul(VALUE_FACTOR)) {
+    } else if end <= facts.arrived_ms.saturating_add(objective.saturating_mul(VALUE_FACTOR)) {
         1
     } else {
         2
--- a/src/decide/reads.rs
+++ b/src/decide/reads.rs
@@ -21,13 +21,13 @@
 
 /// Reads that one member may make to answer queries of states.
 #[derive(Clone, Debug, Default)]
-pub struct Reads {
+pub struct ReadBudget {
     /// Reads available at the time `refilled_at`.
     available: f64,
     refilled_at: Option<Time>,
 }
 
-impl Reads {
+impl ReadBudget {
     /// Returns whether one more query may be answered from the store, which serves `rate` reads per
     /// second to `members` members.
     pub fn admit(&mut self, rate: f64, members: usize, now: Time) -> bool {
@@ -45,7 +45,7 @@
     }
 
     /// Makes the unused reads of a query that took `reads` reads available again.
-    pub fn settled(&mut self, reads: u32) {
+    pub fn refund(&mut self, reads: u32) {
         self.available += (READS_PER_QUERY - f64::from(reads)).max(0.0);
     }
 }
--- a/src/decide/relay.rs
+++ b/src/decide/relay.rs
@@ -39,7 +39,7 @@
 
 /// How a call reaches the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum StorePath {
     /// Directly.
     Direct,
     /// Directly for a short time, to test whether the direct path works again; relayed if not.
@@ -50,7 +50,7 @@
 
 /// State of the paths to the store, as known from recent calls.
 #[derive(Clone, Debug, Default)]
-pub struct Relay {
+pub struct RelayState {
     /// Failed direct calls in a row.
     faults: u32,
     /// When the direct path was lost.
@@ -71,31 +71,31 @@
     avoided: BTreeMap<Incarnation, Time>,
 }
 
-impl Relay {
+impl RelayState {
     /// Chooses the path of a call; `repeats` says whether the call is safe to repeat.
-    pub fn way(&mut self, repeats: bool, now: Time) -> Way {
-        if !self.lost() {
-            return Way::Direct;
+    pub fn choose_path(&mut self, repeats: bool, now: Time) -> StorePath {
+        if !self.is_direct_lost() {
+            return StorePath::Direct;
         }
         if repeats && self.next_probe <= now {
             self.next_probe = now + PROBE_INTERVAL;
-            return Way::Probe;
+            return StorePath::Probe;
         }
-        if self.rests(now) { Way::Direct } else { Way::Relayed }
+        if self.is_paused(now) { StorePath::Direct } else { StorePath::Relayed }
     }
 
     /// Returns whether the direct path is lost.
-    pub fn lost(&self) -> bool {
+    pub fn is_direct_lost(&self) -> bool {
         self.faults >= MAX_FAULTS
     }
 
     /// Returns whether relaying is paused.
-    pub fn rests(&self, now: Time) -> bool {
+    pub fn is_paused(&self, now: Time) -> bool {
         now < self.paused_until
     }
 
     /// Records whether the store served a direct call.
-    pub fn direct(&mut self, served: bool, now: Time) {
+    pub fn record_direct(&mut self, served: bool, now: Time) {
         if served {
             (self.faults, self.last_served, self.yielding) = (0, now, false);
             return;
@@ -111,9 +111,9 @@
     /// Without this, jobs pile up at an owner that is cut off: all reads and writes of its shards
     /// go through another member's connection, and each end and start of a task waits for it. If
     /// the other members are not served either, giving up shards would not help.
-    pub fn yields(&mut self, now: Time) -> bool {
-        let relays = self.relayed_at.is_some_and(|at| at >= self.lost_at) && !self.rests(now);
-        self.yielding |= self.lost() && relays && now - self.lost_at >= YIELD_DELAY;
+    pub fn yields_ownership(&mut self, now: Time) -> bool {
+        let relays = self.relayed_at.is_some_and(|at| at >= self.lost_at) && !self.is_paused(now);
+        self.yielding |= self.is_direct_lost() && relays && now - self.lost_at >= YIELD_DELAY;
         self.yielding
     }
 
@@ -123,9 +123,9 @@
     /// since it was sent. Otherwise a busy connection would be taken for a lost one, and all calls
     /// in progress on it would be given up: the last moments before a caller's deadline are too
     /// short for any answer, and a call behind a large answer is late while others are served.
-    pub fn unanswered(&mut self, sent: Time, now: Time) {
+    pub fn record_timeout(&mut self, sent: Time, now: Time) {
         if now - sent >= MIN_CALL_TIME && self.last_served < sent {
-            self.direct(false, now);
+            self.record_direct(false, now);
         }
     }
 
@@ -133,7 +133,7 @@
     ///
     /// A failure affects only this member, which may be cut off as well, or too slow for one call;
     /// other members continue to relay.
-    pub fn relayed(&mut self, by: Incarnation, served: bool, now: Time) {
+    pub fn record_relay(&mut self, by: Incarnation, served: bool, now: Time) {
         if served {
             (self.last_relay, self.relayed_at) = (Some(by), Some(now));
             self.avoided.remove(&by);
@@ -145,14 +145,14 @@
     }
 
     /// Records a call that none of the tried members relayed.
-    pub fn unrelayed(&mut self, now: Time) {
+    pub fn record_unrelayed(&mut self, now: Time) {
         self.paused_until = now + RELAY_PAUSE;
     }
 
     /// Returns the members to try for a call, in order: the one that relayed last, then those that
     /// follow this member in the ring of all members, so that several members that are cut off use
     /// different relays. Members that recently failed to relay a call come last.
-    pub fn members(&self, able: &[Incarnation], me: Incarnation, now: Time) -> Vec<Incarnation> {
+    pub fn candidates(&self, able: &[Incarnation], me: Incarnation, now: Time) -> Vec<Incarnation> {
         let behind = able.iter().filter(|m| **m > me);
         let mut ring: Vec<Incarnation> =
             behind.chain(able.iter().filter(|m| **m < me)).copied().collect();
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -58,7 +58,7 @@
     }
 
     /// Records a request that is about to be tried, after `tries` tries at any member.
-    pub fn tried(&mut self, tries: u32) {
+    pub fn record_try(&mut self, tries: u32) {
         if tries == 0 {
             self.earned = (self.earned + EARNED_PER_TRY).min(MAX_EARNED);
         }
--- a/src/decide/standby.rs
+++ b/src/decide/standby.rs
@@ -30,7 +30,7 @@
 
 /// Recent waits of the work of a pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Tide {
+pub struct PoolDemand {
     /// Since when nothing has waited.
     quiet_since: Option<Time>,
     /// Wait of the oldest waiting work.
@@ -39,9 +39,9 @@
     last_loan: Option<Time>,
 }
 
-impl Tide {
+impl PoolDemand {
     /// Records how long the oldest waiting work has waited.
-    pub fn seen(&mut self, waits: Duration, now: Time) {
+    pub fn record_wait(&mut self, waits: Duration, now: Time) {
         self.longest_wait = waits;
         if waits > SHORT_WAIT {
             self.quiet_since = None;
@@ -51,12 +51,12 @@
     }
 
     /// Returns whether any work waits.
-    pub fn waits(&self) -> bool {
+    pub fn is_waiting(&self) -> bool {
         self.longest_wait > SHORT_WAIT
     }
 
     /// Returns whether a VM is to be lent now, and records the loan if so.
-    pub fn borrow(&mut self, now: Time) -> bool {
+    pub fn should_lend(&mut self, now: Time) -> bool {
         let too_soon = self.last_loan.is_some_and(|at| now - at < LOAN_INTERVAL);
         let wanted = self.longest_wait >= LOAN_WAIT && !too_soon;
         if wanted {
@@ -66,7 +66,7 @@
     }
 
     /// Returns whether a VM that has been empty since `empty` is to be returned.
-    pub fn give_back(&self, empty: Time, now: Time) -> bool {
+    pub fn should_return(&self, empty: Time, now: Time) -> bool {
         now - empty >= IDLE_PERIOD && self.quiet_since.is_some_and(|at| now - at >= QUIET_PERIOD)
     }
 }
--- a/src/decide/suspect.rs
+++ b/src/decide/suspect.rs
@@ -30,9 +30,9 @@
 //! Each member judges by the attempts of its own jobs. The number of stored pairs of job and worker
 //! is bounded.
 
-pub use super::standing::{Outcome, Trust};
+pub use super::trust::{Outcome, Trust};
 use {
-    super::{evidence::Evidence, standing::Standing},
+    super::{evidence::Evidence, trust::Standing},
     crate::{
         Time,
         ids::{JobId, PoolId, RackId, TaskId, TaskIndex, WorkerId},
@@ -91,8 +91,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The task is completed.
-    Over,
-    /// The task may start again at this time, not on the workers that [`Suspects::failed_on`]
+    Completed,
+    /// The task may start again at this time, not on the workers that [`FaultTracker::failed_on`]
     /// returns.
     Retry(Time),
     /// The task is given up.
@@ -101,7 +101,7 @@
 
 /// Evidence on workers and jobs, and the current quarantines and faults.
 #[derive(Debug)]
-pub struct Suspects {
+pub struct FaultTracker {
     workers: FxHashMap<WorkerId, Worker>,
     pools: FxHashMap<PoolId, Pool>,
     jobs: FxHashMap<JobId, Job>,
@@ -150,10 +150,10 @@
     workers: Vec<WorkerId>,
 }
 
-impl Suspects {
+impl FaultTracker {
     /// Creates an instance without evidence; `seed` seeds the jitter of the back-off.
     pub fn new(seed: u64) -> Self {
-        Suspects {
+        FaultTracker {
             workers: FxHashMap::default(),
             pools: FxHashMap::default(),
             jobs: FxHashMap::default(),
@@ -164,7 +164,7 @@
     }
 
     /// Adds a worker; a worker that is already known keeps its state.
-    pub fn join(&mut self, worker: &WorkerId, pool: &PoolId, rack: &RackId) {
+    pub fn add_worker(&mut self, worker: &WorkerId, pool: &PoolId, rack: &RackId) {
         if self.workers.contains_key(worker) {
             return;
         }
@@ -181,7 +181,7 @@
     }
 
     /// Removes a worker that is no longer in the platform's list.
-    pub fn leave(&mut self, worker: &WorkerId) {
+    pub fn remove_worker(&mut self, worker: &WorkerId) {
         let Some(w) = self.workers.remove(worker) else { return };
         let Some(p) = self.pools.get_mut(&w.pool) else { return };
         p.workers -= 1;
@@ -196,28 +196,28 @@
     }
 
     /// Removes a job that the configuration text no longer lists.
-    pub fn forget(&mut self, job: &JobId) {
+    pub fn remove_job(&mut self, job: &JobId) {
         self.jobs.remove(job);
     }
 
     /// Returns what the worker may be given now; an unknown worker gets nothing.
     pub fn trust(&self, now: Time, worker: &WorkerId) -> Trust {
-        let Some(w) = self.workers.get(worker) else { return Trust::Held(Time::NEVER) };
+        let Some(w) = self.workers.get(worker) else { return Trust::Blocked(Time::NEVER) };
         w.standing.trust(now)
     }
 
-    /// Returns what may be started of the job now; nothing if it has a [`Suspects::fault`].
+    /// Returns what may be started of the job now; nothing if it has a [`FaultTracker::fault`].
     pub fn job_trust(&self, now: Time, job: &JobId) -> Trust {
         match self.jobs.get(job) {
-            Some(Job { fault: Some(_), .. }) => Trust::Held(Time::NEVER),
-            Some(Job { trial: Some(t), .. }) if now < t.next_start => Trust::Held(t.next_start),
+            Some(Job { fault: Some(_), .. }) => Trust::Blocked(Time::NEVER),
+            Some(Job { trial: Some(t), .. }) if now < t.next_start => Trust::Blocked(t.next_start),
             Some(Job { trial: Some(_), .. }) => Trust::Probe,
             _ => Trust::Full,
         }
     }
 
     /// Records that an attempt of `task` was sent to `worker`.
-    pub fn started(&mut self, now: Time, task: &TaskId, worker: &WorkerId) {
+    pub fn record_start(&mut self, now: Time, task: &TaskId, worker: &WorkerId) {
         if let Some(trial) = self.jobs.get_mut(&task.job).and_then(|j| j.trial.as_mut()) {
             trial.next_start = now + TRIAL_INTERVAL;
         }
@@ -226,7 +226,7 @@
     }
 
     /// Records the end of an attempt of `task` on `worker` and returns what happens to the task.
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         now: Time,
         task: &TaskId,
@@ -249,7 +249,7 @@
                 job.failed_workers = Vec::new();
                 job.trial = None;
                 job.tasks.remove(&task.index);
-                Verdict::Over
+                Verdict::Completed
             }
             Outcome::Failed => {
                 self.judge_worker(now, worker);
@@ -303,7 +303,7 @@
         // A failed probe with a job that also fails elsewhere is not conclusive.
         let conclusive = self.evidence.peers(&task.job, worker).rate <= MAX_PEER_RATE;
         if w.standing.probed(now, task, outcome, conclusive) {
-            self.evidence.acquit(worker);
+            self.evidence.clear(worker);
             if let Some(p) = self.pools.get_mut(&w.pool) {
                 p.quarantined -= 1;
             }
--- a/src/decide/standing.rs
+++ b/src/decide/trust.rs
@@ -42,11 +42,11 @@
 pub enum Trust {
     /// Any work.
     Full,
-    /// One task, preferably a short one, which [`super::suspect::Suspects::started`] then records
+    /// One task, preferably a short one, which [`super::suspect::FaultTracker::record_start`] then records
     /// as the probe.
     Probe,
     /// Nothing until this time; [`Time::NEVER`] while a probe runs.
-    Held(Time),
+    Blocked(Time),
 }
 
 /// Trust in a worker, and the failures that limit it.
@@ -72,9 +72,9 @@
     pub(super) fn trust(&self, now: Time) -> Trust {
         match &self.quarantine {
             None if self.streak < MIN_STREAK => Trust::Full,
-            None if now < self.next_start => Trust::Held(self.next_start),
-            Some(q) if q.probe.is_some() => Trust::Held(Time::NEVER),
-            Some(q) if now < q.until => Trust::Held(q.until),
+            None if now < self.next_start => Trust::Blocked(self.next_start),
+            Some(q) if q.probe.is_some() => Trust::Blocked(Time::NEVER),
+            Some(q) if now < q.until => Trust::Blocked(q.until),
             _ => Trust::Probe,
         }
     }
--- a/src/decide/turns.rs
+++ b/src/decide/turns.rs
@@ -29,7 +29,7 @@
 
 /// The long calls in progress, and the pools that wait for a member.
 #[derive(Clone, Debug, Default)]
-pub struct Turns {
+pub struct AdviceTurns {
     calls: Vec<Call>,
     /// When each pool last found no free member, and whether its step finds room.
     waiting: BTreeMap<PoolId, (Time, bool)>,
@@ -43,14 +43,14 @@
     cost: Duration,
 }
 
-impl Turns {
+impl AdviceTurns {
     /// Creates an instance without calls.
     pub fn new() -> Self {
-        Turns::default()
+        AdviceTurns::default()
     }
 
     /// Returns whether a pool may call for a step now; `has_room` says whether the step finds room.
-    pub fn may(&self, pool: &PoolId, has_room: bool, now: Time) -> bool {
+    pub fn may_call(&self, pool: &PoolId, has_room: bool, now: Time) -> bool {
         let own_weight = self.weight(pool, has_room);
         let goes_first = |(other, (at, has_room)): (&PoolId, &(Time, bool))| {
             other != pool && now < *at + TURN_TIMEOUT && self.weight(other, *has_room) < own_weight
@@ -59,18 +59,18 @@
     }
 
     /// Records that a pool found no free member for a step.
-    pub fn wait(&mut self, pool: &PoolId, has_room: bool, now: Time) {
+    pub fn record_wait(&mut self, pool: &PoolId, has_room: bool, now: Time) {
         self.waiting.insert(pool.clone(), (now, has_room));
     }
 
-    /// Records a call, which counts until [`Turns::done`].
-    pub fn sent(&mut self, pool: &PoolId, via: Incarnation, cost: Duration, now: Time) {
+    /// Records a call, which counts until [`AdviceTurns::record_done`].
+    pub fn record_call(&mut self, pool: &PoolId, via: Incarnation, cost: Duration, now: Time) {
         self.waiting.remove(pool);
         self.calls.push(Call { via, sent: now, pool: pool.clone(), cost });
     }
 
-    /// Records that the call sent at `sent` was answered, or that no answer is expected any more.
-    pub fn done(&mut self, via: Incarnation, sent: Time) {
+    /// Records that the call sent at `record_call` was answered, or that no answer is expected any more.
+    pub fn record_done(&mut self, via: Incarnation, sent: Time) {
         if let Some(at) = self.calls.iter().position(|c| c.via == via && c.sent == sent) {
             self.calls.swap_remove(at);
         }
--- a/src/decide/upkeep.rs
+++ b/src/decide/upkeep.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 /// Maximum delay of the VM list.
-pub const LAG: Duration = Duration::from_secs(1);
+pub const LIST_DELAY: Duration = Duration::from_secs(1);
 /// Approximate time to move long-running tasks: a stop, and a start elsewhere until they run.
 const DRAIN_TIME: Duration = Duration::from_secs(3);
 /// Share of the time that is divided among the rounds.
@@ -28,15 +28,15 @@
 
 /// State of a VM of a wave.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Facts {
+pub struct VmStatus {
     /// The stage of its maintenance.
     pub stage: Stage,
     /// Whether its worker is present and not leaving.
-    pub able: bool,
+    pub available: bool,
     /// Number of tasks there that end by themselves.
     pub brief: u32,
     /// Number of long-running tasks there.
-    pub lasting: u32,
+    pub long_running: u32,
 }
 
 /// Stage of the maintenance of a VM.
@@ -46,16 +46,16 @@
     #[default]
     Due,
     /// The VM has been draining for this long.
-    Closing(Duration),
+    Draining(Duration),
     /// The VM is down, or may go down at any moment.
     Down,
     /// The VM has had its maintenance, or no longer exists.
-    Over,
+    Done,
 }
 
 /// Limits of a wave.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowed {
+pub struct WaveLimits {
     /// The remaining time.
     pub left: Duration,
     /// Maximum number of VMs that are down at once.
@@ -68,40 +68,40 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     /// VMs to drain from now on.
-    pub close: Vec<usize>,
+    pub drain: Vec<usize>,
     /// VMs on which tasks that end by themselves are no longer waited for, but stopped.
-    pub force: Vec<usize>,
+    pub force_stop: Vec<usize>,
 }
 
 /// Returns the next actions for the VMs of a wave.
-pub fn plan(vms: &[Facts], allowed: Allowed) -> Plan {
+pub fn plan(vms: &[VmStatus], allowed: WaveLimits) -> Plan {
     let cap = allowed.cap.max(1) as usize;
     let count = |is: fn(&Stage) -> bool| vms.iter().filter(|m| is(&m.stage)).count();
-    let closing = count(|s| matches!(s, Stage::Closing(_)));
+    let closing = count(|s| matches!(s, Stage::Draining(_)));
     let open = count(|s| matches!(s, Stage::Due)) + closing;
     if open == 0 {
         return Plan::default();
     }
     let rounds = u32::try_from(open.div_ceil(cap)).unwrap_or(u32::MAX);
     let round_time = allowed.left.mul_f64(PLANNED_SHARE) / rounds;
-    let down = allowed.down + LAG;
+    let down = allowed.down + LIST_DELAY;
     let short = round_time < (down + DRAIN_TIME) * 2;
     let max_active = if short { cap * 2 } else { cap };
     let max_wait = (round_time * if short { 2 } else { 1 }).saturating_sub(down + DRAIN_TIME);
     // A VM that can't be drained, since its steps may not miss more tasks, must not block the
     // others.
     let draining =
-        |m: &&Facts| matches!(m.stage, Stage::Closing(d) if d < max_wait + DRAIN_TIME * 2);
+        |m: &&VmStatus| matches!(m.stage, Stage::Draining(d) if d < max_wait + DRAIN_TIME * 2);
     let draining = vms.iter().filter(draining).count();
     let free_slots = max_active.saturating_sub(draining + count(|s| matches!(s, Stage::Down)));
     let mut due: Vec<usize> =
-        (0..vms.len()).filter(|i| vms[*i].stage == Stage::Due && vms[*i].able).collect();
+        (0..vms.len()).filter(|i| vms[*i].stage == Stage::Due && vms[*i].available).collect();
     // Nearly empty VMs cost the least, and their room is available again when others need it.
-    due.sort_by_key(|i| (vms[*i].lasting, vms[*i].brief, *i));
+    due.sort_by_key(|i| (vms[*i].long_running, vms[*i].brief, *i));
     due.truncate(free_slots);
-    let overdue = |m: &Facts| matches!(m.stage, Stage::Closing(since) if since >= max_wait);
+    let overdue = |m: &VmStatus| matches!(m.stage, Stage::Draining(since) if since >= max_wait);
     let force = (0..vms.len()).filter(|i| overdue(&vms[*i])).collect();
-    Plan { close: due, force }
+    Plan { drain: due, force_stop: force }
 }
 
 /// Returns how many tasks of a long-running step may be stopped now if `away` of them are not
@@ -109,6 +109,6 @@
 ///
 /// Without this, a step may become unavailable to its users. A stopped task counts as away until
 /// another run of it has started, so the next one waits for that, however late the wave is.
-pub fn may_stop(may_miss: Option<u32>, away: u32) -> u32 {
+pub fn stoppable_tasks(may_miss: Option<u32>, away: u32) -> u32 {
     may_miss.unwrap_or(DEFAULT_MAY_MISS).saturating_sub(away)
 }
--- a/src/decide/urgent.rs
+++ b/src/decide/urgent.rs
@@ -67,9 +67,9 @@
     /// Whether it runs in borrowed room.
     pub borrowed: bool,
     /// When the task started or was last checkpointed.
-    pub saved: Time,
+    pub last_checkpoint: Time,
     /// Time that a checkpoint takes.
-    pub save: Duration,
+    pub checkpoint_time: Duration,
 }
 
 /// A worker that could take the urgent task.
@@ -99,9 +99,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cost {
     /// Number of victims within their own team's quota.
-    pub owners: usize,
+    pub own_quota: usize,
     /// Lost work, in core-seconds.
-    pub lost: u64,
+    pub lost_work: u64,
 }
 
 /// Each team's allowance of urgent work.
@@ -119,7 +119,7 @@
 
 impl Allowances {
     /// Returns whether the team may start urgent work of this size now, and counts it if so.
-    pub fn start(&mut self, now: Time, team: &TeamId, size: Size, quota: Size) -> bool {
+    pub fn admit(&mut self, now: Time, team: &TeamId, size: Size, quota: Size) -> bool {
         let new = Allowance { held: Size::default(), full_at: Time::ZERO };
         let a = self.teams.entry(team.clone()).or_insert(new);
         let full_at = a.full_at.max(now) + START_INTERVAL;
@@ -133,7 +133,7 @@
     }
 
     /// Frees what an urgent task of the team held.
-    pub fn ended(&mut self, team: &TeamId, size: Size) {
+    pub fn record_end(&mut self, team: &TeamId, size: Size) {
         let Some(a) = self.teams.get_mut(team) else { return };
         a.held = a.held.saturating_sub(&size);
     }
@@ -171,8 +171,8 @@
         return None;
     }
     let cost = Cost {
-        owners: victims.iter().filter(|r| !r.borrowed).count(),
-        lost: victims.iter().map(|r| lost_work(now, r)).sum(),
+        own_quota: victims.iter().filter(|r| !r.borrowed).count(),
+        lost_work: victims.iter().map(|r| lost_work(now, r)).sum(),
     };
     let victims = victims.iter().map(|r| r.task.clone()).collect();
     Some(Plan { worker: place.worker.clone(), victims, cost })
@@ -199,11 +199,12 @@
 }
 
 fn is_preemptible(r: &Running) -> bool {
-    r.kind == Kind::Checkpoint && r.save <= MAX_CHECKPOINT
+    r.kind == Kind::Checkpoint && r.checkpoint_time <= MAX_CHECKPOINT
 }
 
 fn lost_work(now: Time, r: &Running) -> u64 {
-    now.since(r.saved).as_secs().saturating_mul(r.size.cores.0) / 1000 + RESTART_CORE_SECONDS
+    now.since(r.last_checkpoint).as_secs().saturating_mul(r.size.cores.0) / 1000
+        + RESTART_CORE_SECONDS
 }
 
 fn allowance(quota: Size) -> Size {
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -6,7 +6,7 @@
 //! the other (rows `Slack` and `Own` of docs/MEASUREMENTS.md, "Order of tasks").
 
 use {
-    super::quota::{Ask, Back},
+    super::quota::{QuotaRequest, Reclaim},
     crate::{
         Time,
         ids::{JobId, TaskId, TaskIndex, TeamId},
@@ -38,7 +38,7 @@
     /// Jobs with a higher priority go first.
     pub priority: u8,
     /// Run time of a task, declared or estimated.
-    pub run: Duration,
+    pub run_time: Duration,
     /// Number of tasks that can run at once; zero counts as one.
     pub width: u32,
     /// Number of tasks.
@@ -46,7 +46,7 @@
     /// Resources that a task reserves.
     pub size: Size,
     /// How a task's room can be reclaimed.
-    pub back: Back,
+    pub reclaim: Reclaim,
 }
 
 #[derive(Debug)]
@@ -70,7 +70,7 @@
 }
 
 impl Key {
-    pub(super) fn latest(&self) -> Time {
+    pub(super) fn latest_start(&self) -> Time {
         Time(self.grain.saturating_mul(GRAIN_MICROS))
     }
 }
@@ -87,7 +87,7 @@
     pub(super) fn key(&self, now: Time) -> Key {
         let job = &self.job;
         let rounds = self.left.div_ceil(job.width.max(1));
-        let remaining = job.run.saturating_mul(rounds);
+        let remaining = job.run_time.saturating_mul(rounds);
         let by_age = self.arrival + MAX_DELAY / (1 + u32::from(job.priority));
         let late = now + remaining > job.deadline;
         let by_deadline =
@@ -101,13 +101,13 @@
         }
     }
 
-    pub(super) fn ask(&self) -> Option<Ask> {
-        self.waiting.first().map(|index| self.ask_for(*index))
+    pub(super) fn request(&self) -> Option<QuotaRequest> {
+        self.waiting.first().map(|index| self.request_for(*index))
     }
 
-    pub(super) fn ask_for(&self, index: TaskIndex) -> Ask {
+    pub(super) fn request_for(&self, index: TaskIndex) -> QuotaRequest {
         let job = &self.job;
         let task = TaskId { job: job.id.clone(), index };
-        Ask { team: job.team.clone(), task, size: job.size, back: job.back }
+        QuotaRequest { team: job.team.clone(), task, size: job.size, reclaim: job.reclaim }
     }
 }
--- a/src/effect.rs
+++ b/src/effect.rs
@@ -24,7 +24,7 @@
         reply: ClaimReply,
     },
     /// Tell an entry member that the claim's end it sent is committed, so that it stops sending it.
-    Kept {
+    EndCommitted {
         /// The number that came with the claim's end.
         call: u64,
     },
--- a/src/endpoints.rs
+++ b/src/endpoints.rs
@@ -47,15 +47,15 @@
     match order {
         Order::Run(run) => {
             let outcome = dispatch(&run, client, clock).await;
-            Some(Event::Ran { request: run.request, worker: run.worker, outcome })
+            Some(Event::DispatchEnded { request: run.request, worker: run.worker, outcome })
         }
         Order::Worker(worker, addr, mut ask, until) => {
             let sent = clock.now();
             ask.until = not_after(until - sent);
-            metrics.sent("endpoints", serde_json::to_vec(&ask).map_or(0, |v| v.len()));
+            metrics.count_sent("endpoints", serde_json::to_vec(&ask).map_or(0, |v| v.len()));
             let reply: Result<WorkerReply, Failure> =
                 client.json("PUT", &uri(addr, "/v1/orders"), &*ask, CALL_TIMEOUT).await;
-            Some(Event::Ordered { worker, ask, sent, reply })
+            Some(Event::WorkerReplied { worker, ask, sent, reply })
         }
         Order::Report(worker, addr) => {
             let report: Result<Report, Failure> =
@@ -76,9 +76,9 @@
 ///
 /// Guards against a worker that was paused, or a message that was delayed, after this member gave up
 /// the call: the work would start after another attempt of it had started. The clocks of VMs may
-/// differ by [`crate::attempts::DRIFT`], so attempts wait for that time as well.
+/// differ by [`crate::attempts::CLOCK_DRIFT`], so attempts wait for that time as well.
 fn not_after(ahead: Duration) -> u64 {
-    millis(clock::unix() + ahead)
+    millis(clock::unix_time() + ahead)
 }
 
 async fn dispatch(run: &Run, client: &Client, clock: Clock) -> Outcome {
@@ -93,8 +93,8 @@
     if let Some(time) = run.run {
         b = b.header(RUN, time.as_millis().to_string());
     }
-    if !load.kind.is_empty() {
-        b = b.header(CONTENT_TYPE, &*load.kind);
+    if !load.content_type.is_empty() {
+        b = b.header(CONTENT_TYPE, &*load.content_type);
     }
     if !load.key.is_empty() {
         b = b.header(KEY, &*load.key);
@@ -115,5 +115,5 @@
         return Outcome::Failed(Failure::Broken);
     }
     let kind = text(CONTENT_TYPE.as_str()).into();
-    Outcome::Answered(Answer { status: head.status.as_u16(), kind, body })
+    Outcome::Answered(Answer { status: head.status.as_u16(), content_type: kind, body })
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -24,7 +24,7 @@
     pub ran: Ran,
     /// How long to wait before a retry, unless the error carries a measured time; none if a retry
     /// can't help.
-    pub back: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// The label of the kind in counters and logs.
     pub label: &'static str,
 }
@@ -181,7 +181,7 @@
             Some(ms) => Some(Duration::from_millis(ms)),
             None => None,
         };
-        Answer { status, ran, back, label }
+        Answer { status, ran, retry_after: back, label }
     }
 
     /// The kind with this label.
@@ -193,11 +193,11 @@
 impl Error {
     /// An error of this kind, with the detail of this case.
     pub fn new(kind: Kind, detail: impl Into<Box<str>>) -> Self {
-        Error { kind, detail: detail.into(), retry_after: kind.answer().back }
+        Error { kind, detail: detail.into(), retry_after: kind.answer().retry_after }
     }
 
     /// The same error with a measured time to wait before a retry.
-    pub fn after(mut self, retry_after: Duration) -> Self {
+    pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
@@ -213,7 +213,7 @@
     }
 
     /// How long to wait before a retry; none if a retry can't help.
-    pub fn back(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         self.retry_after
     }
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -30,7 +30,7 @@
 
 /// A request as received from a caller or from a member that forwarded it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The ticket for the reply.
     pub ticket: Ticket,
     /// The request's id.
@@ -48,18 +48,18 @@
     /// The number of times the request was forwarded.
     pub hops: u32,
     /// The part that the endpoint receives.
-    pub load: Load,
+    pub load: Payload,
 }
 
 /// The part of a request that an endpoint receives.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct Payload {
     /// The method.
     pub method: Box<str>,
     /// The path and query after the service's name.
     pub path: Box<str>,
     /// The content type.
-    pub kind: Box<str>,
+    pub content_type: Box<str>,
     /// The idempotency key, passed on so that the endpoint can detect repeated requests itself.
     pub key: Box<str>,
     /// The body.
@@ -72,7 +72,7 @@
     /// The HTTP status.
     pub status: u16,
     /// The content type.
-    pub kind: Box<str>,
+    pub content_type: Box<str>,
     /// The body.
     pub body: Bytes,
 }
@@ -137,7 +137,7 @@
 /// The reply to a call between members.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Back {
+pub enum CallReply {
     /// The reply to a beat.
     Beat(BeatReply),
     /// The reply to a claim request.
@@ -158,7 +158,7 @@
 
 /// An operator's call.
 #[derive(Clone, Debug)]
-pub enum Operate {
+pub enum OperatorCall {
     /// Put a configuration in force.
     Submit(Submit),
     /// Show this member's state.
@@ -169,7 +169,7 @@
 
 /// The reply to an operator.
 #[derive(Clone, Debug)]
-pub enum Operated {
+pub enum OperatorReply {
     /// The reply to a submission.
     Submit(SubmitReply),
     /// The reply to a query for the state.
@@ -193,11 +193,11 @@
 #[derive(Debug)]
 pub enum Event {
     /// A request arrived.
-    Ask(Box<Ask>),
+    Ask(Box<ClientRequest>),
     /// A caller hung up.
-    Gone(Ticket),
+    HungUp(Ticket),
     /// A dispatch of a request is over.
-    Ran {
+    DispatchEnded {
         /// The request.
         request: RequestId,
         /// The endpoint to which it was sent.
@@ -215,7 +215,7 @@
         outcome: Outcome,
     },
     /// A worker's reply to orders.
-    Ordered {
+    WorkerReplied {
         /// The worker.
         worker: WorkerId,
         /// The orders.
@@ -242,18 +242,18 @@
         reply: Result<Epoch, Failure>,
     },
     /// A peer's reply.
-    Called {
+    PeerReplied {
         /// The peer.
         to: Incarnation,
         /// The call.
         call: Box<Call>,
         /// The reply.
-        back: Result<Back, Failure>,
+        back: Result<CallReply, Failure>,
     },
     /// A peer's call.
-    Asked(Ticket, Call),
+    PeerCalled(Ticket, Call),
     /// An operator's call.
-    Operator(Ticket, Operate),
+    Operator(Ticket, OperatorCall),
     /// The platform's list of VMs.
     Vms(VmList),
     /// The changes of the watched records in the key-value store.
@@ -261,9 +261,9 @@
     /// A lease renewal, sent at this time, succeeded.
     Renewed(Time),
     /// The result of reading a record.
-    Got(Purpose, Result<KvEntry, Failure>),
+    RecordRead(Purpose, Result<KvEntry, Failure>),
     /// The result of writing a record.
-    Put(Purpose, Result<KvPutReply, Failure>),
+    RecordWritten(Purpose, Result<KvPutReply, Failure>),
     /// The process was told to stop.
     Drain,
     /// A periodic tick.
@@ -288,7 +288,7 @@
     /// The expected run time.
     pub run: Option<Duration>,
     /// The part that the endpoint receives.
-    pub load: Load,
+    pub load: Payload,
 }
 
 /// A request forwarded to a peer.
@@ -311,7 +311,7 @@
     /// The number of times the request was forwarded, including this one.
     pub hops: u32,
     /// The part that the endpoint receives.
-    pub load: Load,
+    pub load: Payload,
 }
 
 /// An order from the decision thread to another thread.
@@ -332,9 +332,9 @@
     /// Call a peer.
     Call(Incarnation, SocketAddr, Box<Call>),
     /// Reply to a peer's call.
-    Back(Ticket, Back),
+    ReplyPeer(Ticket, CallReply),
     /// Reply to an operator.
-    Operated(Ticket, Operated),
+    ReplyOperator(Ticket, OperatorReply),
     /// Read a record.
     Get(Purpose, Box<str>),
     /// Write a record.
--- a/src/gangs.rs
+++ b/src/gangs.rs
@@ -11,7 +11,7 @@
 use {
     crate::{
         Time,
-        decide::gang::{Claim, Order},
+        decide::gang::{Action, Claim},
         ids::{JobId, PoolId, RackId, TaskId},
         messages::{RackLoad, ReserveAsk, ReserveItem, ReserveReply, ReserveRow},
         units::Size,
@@ -51,7 +51,7 @@
     /// All tasks have room: create their attempts.
     Place(Vec<ReserveRow>),
     /// Release this room and requeue the tasks.
-    Drop(Vec<ReserveRow>, Vec<TaskId>),
+    Release(Vec<ReserveRow>, Vec<TaskId>),
     /// Do nothing now.
     Wait,
 }
@@ -86,9 +86,9 @@
         let gang = self.all.entry(job.clone()).or_insert_with(new);
         let tasks = items.iter().map(|i| i.task.clone()).collect();
         if gang.retry_at > now || gang.in_flight {
-            return Step::Drop(vec![], tasks);
+            return Step::Release(vec![], tasks);
         }
-        let Some(parts) = divide(items, pool, racks) else { return Step::Drop(vec![], tasks) };
+        let Some(parts) = divide(items, pool, racks) else { return Step::Release(vec![], tasks) };
         gang.parts = parts;
         gang.reserved.clear();
         let order = gang.claim.begin(gang.parts.keys().cloned().collect(), now);
@@ -99,7 +99,7 @@
     pub fn answered(&mut self, ask: &ReserveAsk, reply: Option<ReserveReply>, now: Time) -> Step {
         let Some(job) = ask.items.first().map(|i| i.task.job.clone()) else { return Step::Wait };
         let (Some(gang), Some(rack)) = (self.all.get_mut(&job), &ask.rack) else {
-            return Step::Drop(reply.map_or_else(Vec::new, |r| r.rows), vec![]);
+            return Step::Release(reply.map_or_else(Vec::new, |r| r.rows), vec![]);
         };
         let rows = reply.map_or_else(Vec::new, |r| r.rows);
         gang.in_flight = false;
@@ -107,7 +107,7 @@
             if gang.cancelled {
                 self.all.remove(&job);
             }
-            return Step::Drop(rows, vec![]);
+            return Step::Release(rows, vec![]);
         }
         let order = if rows.len() == ask.items.len() {
             gang.reserved.extend(rows);
@@ -135,7 +135,7 @@
     }
 
     /// Removes a gang that is no longer wanted; returns its tasks and the room to release.
-    pub fn forget(&mut self, job: &JobId) -> (Vec<TaskId>, Vec<ReserveRow>) {
+    pub fn remove(&mut self, job: &JobId) -> (Vec<TaskId>, Vec<ReserveRow>) {
         let Some(gang) = self.all.get_mut(job) else { return (vec![], vec![]) };
         let tasks = gang.tasks();
         let got = std::mem::take(&mut gang.reserved);
@@ -155,9 +155,9 @@
         self.parts.values().flatten().map(|i| i.task.clone()).collect()
     }
 
-    fn step(&mut self, order: Order) -> Step {
+    fn step(&mut self, order: Action) -> Step {
         match order {
-            Order::Reserve(rack, _, round) => {
+            Action::Reserve(rack, _, round) => {
                 self.round = round;
                 self.in_flight = true;
                 let items = self.parts.get(&rack).cloned().unwrap_or_default();
@@ -169,13 +169,13 @@
                     tried: vec![],
                 })
             }
-            Order::Start => Step::Place(std::mem::take(&mut self.reserved)),
-            Order::Release(_, again) => {
+            Action::Start => Step::Place(std::mem::take(&mut self.reserved)),
+            Action::Release(_, again) => {
                 self.retry_at = again;
                 self.late = self.in_flight;
-                Step::Drop(std::mem::take(&mut self.reserved), self.tasks())
+                Step::Release(std::mem::take(&mut self.reserved), self.tasks())
             }
-            Order::Nothing => Step::Wait,
+            Action::Nothing => Step::Wait,
         }
     }
 }
--- a/src/gate.rs
+++ b/src/gate.rs
@@ -31,6 +31,6 @@
 
     /// Counts a refused call.
     pub fn refused(&self) {
-        self.metrics.refused(Kind::Unauthorized);
+        self.metrics.count_refusal(Kind::Unauthorized);
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -48,7 +48,7 @@
 /// The label of the error's kind.
 pub const REASON: &str = "x-dwr-reason";
 /// When to retry, in milliseconds; `retry-after` gives the same in whole seconds, rounded up.
-pub const BACK: &str = "x-dwr-retry-ms";
+pub const RETRY_MS: &str = "x-dwr-retry-ms";
 /// The caller's name.
 pub const CALLER: &str = "x-dwr-caller";
 /// How long the caller waits for the answer, in milliseconds.
@@ -81,7 +81,7 @@
 const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
 /// A complete message: head and body.
-pub type Whole<T> = (T, Bytes);
+pub type Message<T> = (T, Bytes);
 
 /// Limits of a server.
 #[derive(Clone, Copy, Debug)]
@@ -91,7 +91,7 @@
     /// The maximum number of open connections.
     pub connections: usize,
     /// How long a sender may take for its headers, and separately for its body.
-    pub patience: Duration,
+    pub read_timeout: Duration,
 }
 
 /// A client that reuses connections and applies a deadline to each call.
@@ -117,21 +117,26 @@
 
 /// How long a call may take, and how large its response may be.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct CallLimits {
     /// How long until the response's head arrives.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// How long between two frames of the body.
-    pub part: Duration,
+    pub frame_timeout: Duration,
     /// How long the whole call may take.
-    pub whole: Duration,
+    pub total_timeout: Duration,
     /// The maximum size of the body, in bytes.
-    pub most: usize,
+    pub max_body: usize,
 }
 
-impl Patience {
+impl CallLimits {
     /// Waits up to `limit` for a complete response of any size.
     pub fn new(limit: Duration) -> Self {
-        Patience { head: limit, part: limit, whole: limit, most: usize::MAX }
+        CallLimits {
+            head_timeout: limit,
+            frame_timeout: limit,
+            total_timeout: limit,
+            max_body: usize::MAX,
+        }
     }
 }
 
@@ -158,13 +163,13 @@
     ///
     /// # Errors
     ///
-    /// As [`Client::send_patient`].
+    /// As [`Client::send_with_limits`].
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
         limit: Duration,
-    ) -> Result<Whole<response::Parts>, Failure> {
-        self.send_patient(request, &Patience::new(limit)).await
+    ) -> Result<Message<response::Parts>, Failure> {
+        self.send_with_limits(request, &CallLimits::new(limit)).await
     }
 
     /// Sends a request and reads the complete response.
@@ -178,20 +183,20 @@
     /// # Errors
     ///
     /// Errs if no complete response arrived in time, or if the response exceeds the size limit.
-    pub async fn send_patient(
+    pub async fn send_with_limits(
         &self,
         request: Request<Full<Bytes>>,
-        patience: &Patience,
-    ) -> Result<Whole<response::Parts>, Failure> {
+        patience: &CallLimits,
+    ) -> Result<Message<response::Parts>, Failure> {
         let to: Box<str> = request.uri().authority().map_or("", |a| a.as_str()).into();
         let path: Box<str> = request.uri().path_and_query().map_or("", |p| p.as_str()).into();
         let (number, pool) = self.pool(&to);
         let mut received = 0;
         let call = exchange(&pool, request, patience, &mut received);
-        let done = timeout(patience.whole, call).await.unwrap_or(Err(Failure::Timeout));
+        let done = timeout(patience.total_timeout, call).await.unwrap_or(Err(Failure::Timeout));
         if matches!(done, Err(Failure::Timeout)) {
             self.drop_pool(&to, number);
-            let limit_ms = patience.head.as_millis() as u64;
+            let limit_ms = patience.head_timeout.as_millis() as u64;
             log::info!(target: "outside", did = "gave_up", to = &*to, path = &*path, received, limit_ms; "A call ran out of time.");
         }
         done
@@ -245,10 +250,10 @@
 async fn exchange(
     pool: &Connections,
     request: Request<Full<Bytes>>,
-    patience: &Patience,
+    patience: &CallLimits,
     received: &mut usize,
-) -> Result<Whole<response::Parts>, Failure> {
-    let response = timeout(patience.head, pool.request(request)).await;
+) -> Result<Message<response::Parts>, Failure> {
+    let response = timeout(patience.head_timeout, pool.request(request)).await;
     let response = response
         .map_err(|_| Failure::Timeout)?
         .map_err(|e| if e.is_connect() { Failure::Unsent } else { Failure::Broken })?;
@@ -256,15 +261,15 @@
     let content_length =
         head.headers.get(CONTENT_LENGTH).and_then(|s| s.to_str().ok()?.parse().ok());
     let too_large = Failure::TooLarge(head.status.as_u16());
-    if content_length.is_some_and(|n: usize| n > patience.most) {
+    if content_length.is_some_and(|n: usize| n > patience.max_body) {
         return Err(too_large);
     }
     let mut whole = BytesMut::new();
-    while let Some(frame) = timeout(patience.part, body.frame()).await.transpose() {
+    while let Some(frame) = timeout(patience.frame_timeout, body.frame()).await.transpose() {
         let frame = frame.map_err(|_| Failure::Timeout)?.map_err(|_| Failure::Broken)?;
         let Ok(data) = frame.into_data() else { continue };
         *received += data.len();
-        if *received > patience.most {
+        if *received > patience.max_body {
             return Err(too_large);
         }
         whole.extend_from_slice(&data);
@@ -328,7 +333,7 @@
         let service = service_fn(move |request| handle_request(request, limits, handle.clone()));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(limits.patience)
+            .header_read_timeout(limits.read_timeout)
             .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         let watched = graceful.watch(connection);
@@ -342,15 +347,15 @@
 }
 
 /// The response for an error, according to [`Kind::answer`].
-pub fn refusal(error: &Error) -> Response<Full<Bytes>> {
+pub fn error_response(error: &Error) -> Response<Full<Bytes>> {
     let answer = error.kind().answer();
     let mut b = Response::builder()
         .status(answer.status)
         .header(RAN, if answer.ran == crate::Ran::No { "no" } else { "unknown" })
         .header(REASON, answer.label);
-    if let Some(back) = error.back() {
+    if let Some(back) = error.retry_after() {
         let ms = back.as_millis();
-        b = b.header("retry-after", ms.div_ceil(1000).to_string()).header(BACK, ms.to_string());
+        b = b.header("retry-after", ms.div_ceil(1000).to_string()).header(RETRY_MS, ms.to_string());
     }
     b.body(Full::new(format!("{error}\n").into())).unwrap_or_default()
 }
@@ -390,7 +395,7 @@
 /// Reads a complete body within the limits.
 async fn read(body: Incoming, limits: Limits) -> Result<Bytes, Error> {
     let whole = Limited::new(body, limits.body).collect();
-    match timeout(limits.patience, whole).await {
+    match timeout(limits.read_timeout, whole).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Kind::TooLarge.into()),
         Ok(Err(_)) => Err(Kind::BadRequest.into()),
@@ -402,7 +407,7 @@
 /// fault.
 async fn reject_connection(stream: TcpStream) {
     let service = service_fn(|_: Request<Incoming>| async {
-        let mut r = refusal(&Kind::Connections.into());
+        let mut r = error_response(&Kind::Connections.into());
         r.headers_mut().insert(CONNECTION, CLOSE);
         Ok::<_, Infallible>(r)
     });
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -154,11 +154,11 @@
 }
 
 /// Number of buckets, enough to spread the load over about sixty members.
-pub const BUCKETS: u16 = 64;
+pub const BUCKET_COUNT: u16 = 64;
 
 /// Returns the bucket of a key.
 pub fn bucket_of(name: &str) -> Bucket {
-    Bucket((xxh3_64(name.as_bytes()) % u64::from(BUCKETS)) as u16)
+    Bucket((xxh3_64(name.as_bytes()) % u64::from(BUCKET_COUNT)) as u16)
 }
 
 /// Returns the bucket of a team's jobs. A team has only one, so that a single member counts its
--- a/src/entry.rs
+++ b/src/job_api.rs
@@ -4,21 +4,21 @@
 //! shard's owner, so that jobs can be submitted while the owner is away. A job's state comes from the
 //! owner, and from the store if the owner doesn't answer.
 
-mod ask;
-mod states;
+mod queries;
+mod state_queries;
 mod submit;
 
 use {
     crate::{
-        common::{Common, Config},
-        control::{Peers, outside},
-        decide::reads::Reads,
-        decisions::Told,
+        decide::reads::ReadBudget,
         error::{Error, Kind},
-        http::{answer, refusal},
+        http::{answer, error_response},
         ids::PoolId,
+        member_rpc::{PeerClients, relaying_clients},
+        service_clients::ServiceClients,
         shard::record::ShardNo,
-        store::Outside,
+        shard_runner::ShardInput,
+        shared_state::{Config, SharedState},
         time::Time,
         work::{JobNo, Queue},
     },
@@ -32,7 +32,7 @@
         http::request::Parts,
     },
     rustc_hash::FxHashMap,
-    states::StateQueries,
+    state_queries::StateQueries,
     std::{
         sync::{Arc, Mutex},
         time::Duration,
@@ -52,17 +52,17 @@
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
 /// Serves callers.
-pub(crate) struct Entry {
-    common: Arc<Common>,
-    services: Outside,
-    peers: Peers,
+pub(crate) struct JobApi {
+    common: Arc<SharedState>,
+    services: ServiceClients,
+    peers: PeerClients,
     /// Inputs of the shards that this member owns.
-    input: Sender<Told>,
+    input: Sender<ShardInput>,
     /// Lengths of queues, and when each was counted.
     lengths: Mutex<FxHashMap<Box<str>, (Time, u64)>>,
     state_queries: Arc<StateQueries>,
     /// Limits the reads of the store for states of jobs.
-    read_budget: Mutex<Reads>,
+    read_budget: Mutex<ReadBudget>,
 }
 
 /// The parts of a caller's request that all methods use.
@@ -72,14 +72,14 @@
     deadline: Time,
 }
 
-impl Entry {
+impl JobApi {
     /// Creates the API with clients of its own; `input` leads to the shards that this member owns.
-    pub fn new(common: Arc<Common>, input: Sender<Told>) -> Self {
-        let peers = Peers::new(common.clone());
-        let services = outside(&common, &peers);
+    pub fn new(common: Arc<SharedState>, input: Sender<ShardInput>) -> Self {
+        let peers = PeerClients::new(common.clone());
+        let services = relaying_clients(&common, &peers);
         let state_queries = Arc::new(StateQueries::new(common.clone(), peers.clone()));
         let (lengths, read_budget) = Default::default();
-        Entry { common, services, peers, input, lengths, state_queries, read_budget }
+        JobApi { common, services, peers, input, lengths, state_queries, read_budget }
     }
 
     /// Serves one request.
@@ -91,7 +91,7 @@
         let begin = self.common.now();
         let mut response = match self.route(&head, body, begin).await {
             Ok(body) => {
-                self.common.metrics.answered();
+                self.common.metrics.count_answered();
                 let mut ok = answer(200, body);
                 if !ok.body().is_end_stream() {
                     ok.headers_mut().insert(CONTENT_TYPE, JSON);
@@ -99,13 +99,13 @@
                 ok
             }
             Err(e) => {
-                self.common.metrics.refused(e.kind());
+                self.common.metrics.count_refusal(e.kind());
                 self.log_refused(&head, &e, begin);
-                refusal(&e)
+                error_response(&e)
             }
         };
-        self.common.metrics.took(self.common.now() - begin);
-        if self.common.stopping() {
+        self.common.metrics.observe_request(self.common.now() - begin);
+        if self.common.is_stopping() {
             response.headers_mut().insert(CONNECTION, CLOSE);
         }
         response
@@ -141,8 +141,8 @@
         let path = head.uri.path();
         let job = path.rsplit('/').next().unwrap_or("");
         let reason = error.kind().answer().label;
-        let config_ms = (now - self.common.confirmed()).as_millis() as u64;
-        let store_ms = self.common.contact().map_or(u64::MAX, |c| (now - c).as_millis() as u64);
+        let config_ms = (now - self.common.confirmed_at()).as_millis() as u64;
+        let store_ms = self.common.last_answer().map_or(u64::MAX, |c| (now - c).as_millis() as u64);
         let took_ms = (now - begin).as_millis() as u64;
         log::info!(target: "entry", did = "refused", job, method:% = head.method, path, reason, cause:% = error, config, config_ms, table = self.common.view.borrow().rev, store_ms, took_ms; "Request is refused.");
     }
@@ -150,7 +150,7 @@
     fn parse_request(&self, head: &Parts, begin: Time) -> CallerRequest {
         let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
         let host = text(HOST.as_str()).or(head.uri.host()).unwrap_or("");
-        let limit = text(self.common.forms.deadline).and_then(|ms| ms.trim().parse().ok());
+        let limit = text(self.common.forms.deadline_header).and_then(|ms| ms.trim().parse().ok());
         let limit = limit.map_or(DEFAULT_TIMEOUT, Duration::from_millis);
         CallerRequest { host: host.into(), path: head.uri.path().into(), deadline: begin + limit }
     }
@@ -158,7 +158,8 @@
     fn config(&self) -> Result<Config, Error> {
         let known = self.common.config.borrow().clone();
         known.ok_or_else(|| {
-            Error::new(Kind::Stale, "no configuration is known yet").after(STALE_RETRY_AFTER)
+            Error::new(Kind::Stale, "no configuration is known yet")
+                .with_retry_after(STALE_RETRY_AFTER)
         })
     }
 
@@ -167,7 +168,8 @@
         if self.common.is_current() {
             return Ok(());
         }
-        Err(Error::new(Kind::Stale, "the configuration may have changed").after(STALE_RETRY_AFTER))
+        Err(Error::new(Kind::Stale, "the configuration may have changed")
+            .with_retry_after(STALE_RETRY_AFTER))
     }
 
     /// The queue of a request.
@@ -183,8 +185,8 @@
         let layout = self.common.view.borrow().layout.clone();
         match layout {
             None => Err(Error::new(Kind::Stale, "the table of shards is not known yet")
-                .after(STALE_RETRY_AFTER)),
-            Some(layout) => Ok(layout.of(job, pool)),
+                .with_retry_after(STALE_RETRY_AFTER)),
+            Some(layout) => Ok(layout.job_shard(job, pool)),
         }
     }
 
--- a/src/entry/ask.rs
+++ b/src/job_api/queries.rs
@@ -1,12 +1,12 @@
 //! Reports the state of a job, and how many jobs of a queue have not begun.
 
 use {
-    super::{CallerRequest, Entry},
+    super::{CallerRequest, JobApi},
     crate::{
-        control::{local_queue_length, local_states},
-        decide::reads::Reads,
+        decide::reads::ReadBudget,
         error::{Error, Kind},
         ids::{Incarnation, PoolId},
+        member_rpc::{local_queue_length, local_states},
         ports::Item,
         shard::record::{self, Progress, ShardNo},
         work::{JobNo, State},
@@ -23,11 +23,11 @@
 /// How long the length of a queue is cached.
 const LENGTH_TTL: Duration = Duration::from_millis(500);
 
-impl Entry {
+impl JobApi {
     /// The state of a job, as the body of the answer.
     ///
     /// Errs at once if the job's owner doesn't report it and the reads of the store for states are
-    /// used up (see [`Reads`]).
+    /// used up (see [`ReadBudget`]).
     pub(super) async fn job_state(
         &self,
         request: &CallerRequest,
@@ -40,14 +40,14 @@
             None => {
                 if !self.admit_read() {
                     let why = "the owner of the job's shard did not report its state";
-                    return Err(Error::new(Kind::Peer, why).after(STATE_RETRY_AFTER));
+                    return Err(Error::new(Kind::Peer, why).with_retry_after(STATE_RETRY_AFTER));
                 }
                 let state = self.read_state(request, shard, job).await?;
                 log::info!(target: "entry", did = "asked", job:% = job, shard:% = shard, state:% = state; "State is told from the store.");
                 state
             }
         };
-        Ok((self.common.forms.state)(state))
+        Ok((self.common.forms.encode_state)(state))
     }
 
     /// The state that the shard's owner reports; `None` if it doesn't.
@@ -66,12 +66,12 @@
 
     /// Whether the store may be read for one more state; counts the reads if so.
     fn admit_read(&self) -> bool {
-        let rate = self.common.site.borrow().reads;
+        let rate = self.common.site.borrow().read_rate;
         let members = self.common.view.borrow().members.len();
         self.read_budget().admit(rate, members, self.common.now())
     }
 
-    fn read_budget(&self) -> MutexGuard<'_, Reads> {
+    fn read_budget(&self) -> MutexGuard<'_, ReadBudget> {
         self.read_budget.lock().expect("no holder panics")
     }
 
@@ -88,11 +88,11 @@
     ) -> Result<State, Error> {
         let progress = shard.progress(job);
         if let Some(item) = self.read_item(request, &progress).await? {
-            self.read_budget().settled(1);
+            self.read_budget().refund(1);
             return parse_state(&item);
         }
         if self.read_item(request, &shard.job(job)).await?.is_some() {
-            self.read_budget().settled(2);
+            self.read_budget().refund(2);
             return Ok(State::Queued);
         }
         match self.read_item(request, &progress).await? {
@@ -121,7 +121,7 @@
                 count
             }
         };
-        Ok((self.common.forms.waiting)(count))
+        Ok((self.common.forms.encode_waiting)(count))
     }
 
     /// Asks the owners of all shards for the number of jobs that have not begun.
@@ -159,7 +159,7 @@
 
 /// The state in a job's progress item.
 fn parse_state(item: &Item) -> Result<State, Error> {
-    let progress = item.value.as_ref().and_then(|v| record::read::<Progress>(v));
+    let progress = item.value.as_ref().and_then(|v| record::decode::<Progress>(v));
     let unreadable = || Error::new(Kind::Platform, "the job's progress can't be read");
     progress.map(|p| p.state).ok_or_else(unreadable)
 }
--- a/src/entry/states.rs
+++ b/src/job_api/state_queries.rs
@@ -1,12 +1,12 @@
 //! Batches the queries for states of jobs that go to the owners of shards.
 
 use {
-    super::ask::OWNER_TIMEOUT,
+    super::queries::OWNER_TIMEOUT,
     crate::{
-        common::Common,
-        control::Peers,
         ids::Incarnation,
+        member_rpc::PeerClients,
         shard::record::ShardNo,
+        shared_state::SharedState,
         work::{JobNo, State},
     },
     rustc_hash::FxHashMap,
@@ -27,8 +27,8 @@
 /// One call for each caller's request used most of the processor time of a busy owner, and each call
 /// that timed out cost a new connection. With batches, an owner gets fewer calls the slower it answers.
 pub(super) struct StateQueries {
-    common: Arc<Common>,
-    peers: Peers,
+    common: Arc<SharedState>,
+    peers: PeerClients,
     /// Queries for the next call to each owner; an owner has an entry while a call to it is in flight.
     queued: Mutex<FxHashMap<Incarnation, Vec<Query>>>,
 }
@@ -42,7 +42,7 @@
 
 impl StateQueries {
     /// Creates a set without queries.
-    pub fn new(common: Arc<Common>, peers: Peers) -> Self {
+    pub fn new(common: Arc<SharedState>, peers: PeerClients) -> Self {
         StateQueries { common, peers, queued: Mutex::default() }
     }
 
@@ -72,8 +72,10 @@
     async fn run(self: Arc<Self>, owner: Incarnation, addr: SocketAddr) {
         while let Some(batch) = self.next_batch(owner) {
             let jobs: Box<[(ShardNo, JobNo)]> = batch.iter().map(|q| (q.shard, q.job)).collect();
-            let states =
-                self.peers.job_states(addr, &jobs, self.common.in_touch(), OWNER_TIMEOUT).await;
+            let states = self
+                .peers
+                .job_states(addr, &jobs, self.common.reaches_store(), OWNER_TIMEOUT)
+                .await;
             let mut states = states.unwrap_or_default().into_iter();
             for query in batch {
                 // Sending fails if the request has ended meanwhile; then it needs no answer.
