--- a/src/entry/submit.rs
+++ b/src/job_api/submit.rs
@@ -1,14 +1,14 @@
 //! Submits and cancels jobs.
 
 use {
-    super::{CallerRequest, Entry, STALE_RETRY_AFTER},
+    super::{CallerRequest, JobApi, STALE_RETRY_AFTER},
     crate::{
-        common::{Config, unix},
-        control::notify_local_shard,
         error::{Error, Kind},
         ids::PoolId,
+        member_rpc::notify_local_shard,
         ports::{Fault, Item, Put, StoreCall, StoreReply, Txn},
         shard::record::{self, JobRecord, ShardNo},
+        shared_state::{Config, unix_ms},
         work::{Job, JobNo},
     },
     bytes::Bytes,
@@ -58,7 +58,7 @@
     Other,
 }
 
-impl Entry {
+impl JobApi {
     /// Submits a job.
     pub(super) async fn submit(
         &self,
@@ -67,18 +67,17 @@
         config: &Config,
         body: &Bytes,
     ) -> Result<Bytes, Error> {
-        if body.len() > config.queues.body {
+        if body.len() > config.queues.max_body {
             return Err(Kind::TooLarge.into());
         }
-        let job = (self.common.forms.job)(body)?;
+        let job = (self.common.forms.decode_job)(body)?;
         job.check()?;
         // A write by a member that is cut off from the store would most likely end with an unknown
         // outcome. After a refusal the caller may submit the job to another member, after an answer
         // that says "unknown" it may not.
-        if !self.common.in_touch() {
-            return Err(
-                Error::new(Kind::KvDown, "the store doesn't answer").after(STORE_RETRY_AFTER)
-            );
+        if !self.common.reaches_store() {
+            return Err(Error::new(Kind::KvDown, "the store doesn't answer")
+                .with_retry_after(STORE_RETRY_AFTER));
         }
         let shard = self.shard(no, &self.queue(request, config)?.pool)?;
         let (begin, steps) = (self.common.now(), job.steps.len());
@@ -102,7 +101,7 @@
         job: Job,
         tries: &mut Tries,
     ) -> Result<(), Error> {
-        let mut record = JobRecord { queue: "".into(), came: unix(), job, terms: None };
+        let mut record = JobRecord { queue: "".into(), came: unix_ms(), job, terms: None };
         loop {
             // Read again for each try: the write must match the configuration in force.
             let config = self.newest_config(request).await?;
@@ -110,7 +109,7 @@
             (record.queue, record.terms) = (queue.name.clone(), Some(Box::new(queue.clone())));
             let txn = self.submission(shard, no, config.rev, &record);
             let (limit, sent) = (self.call_limit(request)?, self.common.now());
-            match self.services.store(&StoreCall::Txn(txn), limit).await {
+            match self.services.call_store(&StoreCall::Txn(txn), limit).await {
                 Ok(StoreReply::Done(_)) => {
                     self.common.confirm(sent);
                     self.notify_owner(shard, no, Some(record));
@@ -122,7 +121,7 @@
                         Conflict::Config if tries.overtaken < MAX_OVERTAKEN => tries.overtaken += 1,
                         Conflict::Config | Conflict::Other => return Err(Kind::Platform.into()),
                     }
-                    self.common.metrics.retry(Kind::Conflict);
+                    self.common.metrics.count_retry(Kind::Conflict);
                 }
                 Err(Fault::TooLarge) if tries.overtaken < MAX_OVERTAKEN => {
                     // The reply to a conflict carries the configuration, which made it too large, even
@@ -130,9 +129,9 @@
                     if self.is_stored(request, shard, no).await? {
                         return Ok(());
                     }
-                    self.common.overtake(config.rev);
+                    self.common.note_newer_config(config.rev);
                     tries.overtaken += 1;
-                    self.common.metrics.retry(Kind::Conflict);
+                    self.common.metrics.count_retry(Kind::Conflict);
                 }
                 Err(Fault::TooLarge) => return Err(Kind::Platform.into()),
                 Err(fault @ (Fault::Refused | Fault::Unsent)) => {
@@ -157,10 +156,10 @@
     async fn newest_config(&self, request: &CallerRequest) -> Result<Config, Error> {
         let limit = self.call_limit(request)?;
         let mut known = self.common.config.subscribe();
-        let newest = known.wait_for(|c| c.as_ref().is_some_and(|c| !self.common.overtakes(c)));
+        let newest = known.wait_for(|c| c.as_ref().is_some_and(|c| !self.common.is_outdated(c)));
         let outdated = || {
             Error::new(Kind::Stale, "a newer configuration is not known yet")
-                .after(STALE_RETRY_AFTER)
+                .with_retry_after(STALE_RETRY_AFTER)
         };
         let found = timeout(limit, newest).await.map_err(|_| outdated())?;
         found.map_err(|_| outdated())?.clone().ok_or_else(outdated)
@@ -169,12 +168,12 @@
     /// The write that stores a job, on the conditions that its number is unused and that the
     /// configuration is unchanged.
     fn submission(&self, shard: ShardNo, no: JobNo, rev: u64, record: &JobRecord) -> Txn {
-        let (key, value) = (shard.job(no), record::write(record));
+        let (key, value) = (shard.job(no), record::encode(record));
         Txn {
             expect: vec![
                 (key.clone(), 0),
                 (shard.progress(no), 0),
-                (self.common.forms.config.into(), rev),
+                (self.common.forms.config_key.into(), rev),
             ],
             puts: vec![Put { key, value, lease: 0 }],
             remove: vec![],
@@ -187,9 +186,9 @@
         if items.iter().any(|i| i.rev != 0 && (i.key == job || i.key == progress)) {
             return Conflict::Job;
         }
-        match items.iter().find(|i| &*i.key == self.common.forms.config) {
+        match items.iter().find(|i| &*i.key == self.common.forms.config_key) {
             Some(config) if config.rev != rev => {
-                self.common.take_config(config);
+                self.common.apply_config(config);
                 Conflict::Config
             }
             _ => Conflict::Other,
@@ -206,9 +205,9 @@
         tries.failed += 1;
         if tries.failed >= MAX_TRIES {
             let error = Error::new(Kind::Platform, "the store refuses or doesn't answer");
-            return Err(error.after(STORE_RETRY_AFTER));
+            return Err(error.with_retry_after(STORE_RETRY_AFTER));
         }
-        self.common.metrics.retry(kind);
+        self.common.metrics.count_retry(kind);
         sleep(Duration::from_millis(fastrand::u64(30..=80))).await;
         Ok(())
     }
@@ -265,7 +264,7 @@
     ) -> Result<(), Error> {
         loop {
             let limit = self.call_limit(request)?;
-            let fault = match self.services.store(call, limit).await {
+            let fault = match self.services.call_store(call, limit).await {
                 Ok(StoreReply::Done(_)) => return Ok(()),
                 Err(fault @ (Fault::Refused | Fault::Unsent)) => fault,
                 _ => Fault::Unknown,
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -12,14 +12,14 @@
 //! by a scan of all buckets five times a second. A scan after each of thousands of events per
 //! second would take most of a processor.
 
+mod departing;
 mod load;
-mod part;
 mod place;
 mod send;
 
 pub use crate::tasks::Balance;
 use {
-    self::part::Departing,
+    self::departing::Departing,
     crate::{
         Time,
         bucket::Bucket as State,
@@ -93,7 +93,7 @@
 }
 
 /// A request of the buckets that concerns other state than their own records.
-pub enum Want {
+pub enum JobRequest {
     /// Reserve room for attempts, all of one pool, on any rack or on the given one.
     Reserve(ReserveAsk),
     /// Release room on one rack that is not needed.
@@ -105,7 +105,7 @@
     /// The reply to a claim request.
     Claimed(RequestId, ClaimReply),
     /// The claim's end with this ticket is committed.
-    Kept(Ticket),
+    EndCommitted(Ticket),
 }
 
 impl Jobs {
@@ -131,9 +131,9 @@
     }
 
     /// Applies the plan in force.
-    pub fn planned(&mut self, plan: &Rc<Plan>) {
+    pub fn set_plan(&mut self, plan: &Rc<Plan>) {
         self.plan = plan.clone();
-        self.tasks.planned(plan);
+        self.tasks.set_plan(plan);
         (self.has_plan, self.needs_load) = (true, true);
         self.next_scan = Time::ZERO;
     }
@@ -144,8 +144,8 @@
     }
 
     /// Adds a bucket that this member now owns.
-    pub fn gained(&mut self, bucket: Bucket, epoch: Epoch) {
-        self.lost(bucket);
+    pub fn add_bucket(&mut self, bucket: Bucket, epoch: Epoch) {
+        self.remove_bucket(bucket);
         let owned = Owned {
             epoch,
             state: State::new(epoch, self.me, self.unix),
@@ -159,10 +159,10 @@
     }
 
     /// Removes a bucket that passed to another member.
-    pub fn lost(&mut self, bucket: Bucket) {
+    pub fn remove_bucket(&mut self, bucket: Bucket) {
         if let Some(owned) = self.buckets.remove(&bucket) {
             self.departing.push(owned, bucket);
-            self.tasks.lost(bucket);
+            self.tasks.drop_bucket(bucket);
             // The next scan gives up the gangs that are being placed in the bucket.
             self.needs_load = true;
         }
@@ -178,24 +178,29 @@
         self.buckets.len()
     }
 
-    /// Requests a claim; the reply comes as [`Want::Claimed`].
+    /// Requests a claim; the reply comes as [`JobRequest::Claimed`].
     pub fn claim(&mut self, ask: ClaimAsk, now: Time) {
         if let Some(owned) = self.buckets.get_mut(&bucket_of(ask.key.as_str())) {
-            owned.state.ask(ask, now);
+            owned.state.claim(ask, now);
             owned.touched = true;
         }
     }
 
-    /// Records how a claimed request ended; [`Want::Kept`] follows once that is committed.
+    /// Records how a claimed request ended; [`JobRequest::EndCommitted`] follows once that is committed.
     pub fn claim_end(&mut self, end: ClaimEnd, ticket: Ticket) {
         if let Some(owned) = self.buckets.get_mut(&bucket_of(end.key.as_str())) {
-            owned.state.end(end, ticket);
+            owned.state.end_claim(end, ticket);
             owned.touched = true;
         }
     }
 
     /// Handles the reply to a read of a bucket's record.
-    pub fn got(&mut self, at: (Bucket, Epoch, u64), entry: Result<KvEntry, Failure>, now: Time) {
+    pub fn record_read(
+        &mut self,
+        at: (Bucket, Epoch, u64),
+        entry: Result<KvEntry, Failure>,
+        now: Time,
+    ) {
         let reply = match entry {
             Err(_) => None,
             Ok(e) if e.revision.0 == 0 => Some(None),
@@ -216,21 +221,26 @@
     }
 
     /// Handles the reply to a write of a bucket's record.
-    pub fn put(&mut self, at: (Bucket, Epoch, u64), reply: Result<KvPutReply, Failure>, now: Time) {
+    pub fn record_written(
+        &mut self,
+        at: (Bucket, Epoch, u64),
+        reply: Result<KvPutReply, Failure>,
+        now: Time,
+    ) {
         if let Some(state) = self.departing.get(at.0, at.1) {
-            return state.wrote(at.2, reply.ok().as_ref(), now);
+            return state.written(at.2, reply.ok().as_ref(), now);
         }
         let Some(owned) = self.buckets.get_mut(&at.0).filter(|o| o.epoch == at.1) else { return };
-        owned.state.wrote(at.2, reply.ok().as_ref(), now);
+        owned.state.written(at.2, reply.ok().as_ref(), now);
         (owned.touched, owned.changed) = (true, true);
     }
 
     /// Applies the states of attempts that a rack's owner reports. Returns false if this member has
     /// not loaded the bucket.
-    pub fn heard(&mut self, bucket: Bucket, items: &[EndItem], now: Time) -> bool {
+    pub fn update_attempts(&mut self, bucket: Bucket, items: &[EndItem], now: Time) -> bool {
         let Some(owned) = self.buckets.get_mut(&bucket).filter(|o| o.loaded) else { return false };
         for item in items {
-            owned.state.heard(item);
+            owned.state.update_attempt(item);
             if let Some(used) = item.used.filter(|_| owned.running.contains_key(&item.task)) {
                 owned.used.insert(item.task.clone(), used);
             }
@@ -254,13 +264,13 @@
             let Some(cut) = row.cut else { continue };
             let until = now + Duration::from_millis(cut);
             for item in ask.items.iter().filter(|i| i.worker == row.worker) {
-                owned.state.cut(&item.task, item.attempt, until);
+                owned.state.cap_lease(&item.task, item.attempt, until);
             }
         }
     }
 
     /// Whether the next tick scans the waiting tasks and therefore needs the racks' free resources.
-    pub fn due(&self, now: Time) -> bool {
+    pub fn scan_due(&self, now: Time) -> bool {
         self.next_scan <= now
     }
 
@@ -272,7 +282,7 @@
         lease_end: Option<Time>,
         racks: &[RackLoad],
         out: &mut Vec<Order>,
-    ) -> Vec<Want> {
+    ) -> Vec<JobRequest> {
         let mut requests = vec![];
         if self.next_sweep <= now {
             self.next_sweep = now + SCAN_INTERVAL;
@@ -306,7 +316,7 @@
             for index in 0..job.tasks {
                 let task = TaskId { job: name.clone(), index: TaskIndex(index) };
                 let row = owned.state.attempts().get(&task);
-                let past = owned.state.past(name);
+                let past = owned.state.history(name);
                 let done = row.is_none() && past.is_some_and(|p| p.done.contains(task.index));
                 let state = match row {
                     Some(row) => row.state.to_string().into(),
@@ -338,7 +348,7 @@
     }
 
     /// Records jobs that have ended on other members.
-    pub fn ended(&mut self, jobs: Vec<JobId>) {
+    pub fn add_remote_ended(&mut self, jobs: Vec<JobId>) {
         self.tasks.add_remote_ended(jobs);
     }
 
@@ -352,21 +362,21 @@
     }
 }
 
-fn release(rows: Vec<ReserveRow>) -> Vec<Want> {
+fn release(rows: Vec<ReserveRow>) -> Vec<JobRequest> {
     let mut racks: BTreeMap<RackId, Vec<ReserveRow>> = BTreeMap::new();
     for row in rows {
         racks.entry(row.rack.clone()).or_default().push(row);
     }
-    racks.into_iter().map(|(rack, rows)| Want::Release(rack, ReserveReply { rows })).collect()
+    racks.into_iter().map(|(rack, rows)| JobRequest::Release(rack, ReserveReply { rows })).collect()
 }
 
 /// The call that asks a peer to carry out a request; `None` if no call is needed.
-pub fn call(request: Want) -> Option<Call> {
+pub fn peer_call(request: JobRequest) -> Option<Call> {
     match request {
-        Want::Reserve(ask) => Some(Call::Reserve(ask)),
-        Want::Release(_, rows) => Some(Call::Release(rows)),
-        Want::Start(ask) => Some(Call::Start(ask)),
-        Want::Probe(ask) => Some(Call::Probe(ask)),
-        Want::Claimed(..) | Want::Kept(_) => None,
+        JobRequest::Reserve(ask) => Some(Call::Reserve(ask)),
+        JobRequest::Release(_, rows) => Some(Call::Release(rows)),
+        JobRequest::Start(ask) => Some(Call::Start(ask)),
+        JobRequest::Probe(ask) => Some(Call::Probe(ask)),
+        JobRequest::Claimed(..) | JobRequest::EndCommitted(_) => None,
     }
 }
--- a/src/jobs/part.rs
+++ b/src/jobs/departing.rs
@@ -23,7 +23,7 @@
 impl Departing {
     /// Keeps a bucket as long as a claim request is pending in it.
     pub fn push(&mut self, owned: Owned, id: Bucket) {
-        if owned.state.pending() {
+        if owned.state.claim_pending() {
             self.all.push((id, owned.epoch, owned.state));
         }
     }
@@ -38,7 +38,7 @@
         let mut out = vec![];
         self.all.retain_mut(|(id, epoch, state)| {
             out.extend(state.orders(now).into_iter().map(|o| (*id, *epoch, o)));
-            state.pending()
+            state.claim_pending()
         });
         // The new owner decides on the bucket's tasks.
         out.retain(|(.., o)| !matches!(o, Order::Start { .. } | Order::Stop { .. }));
--- a/src/jobs/load.rs
+++ b/src/jobs/load.rs
@@ -1,12 +1,12 @@
 //! Takes in jobs from records and plans, and handles the ends of attempts.
 
 use {
-    super::{Jobs, Owned, Want, release},
+    super::{JobRequest, Jobs, Owned, release},
     crate::{
         Time,
         ids::{Bucket, JobId, TaskId, team_bucket},
         messages::{EndItem, TaskRow, TaskState},
-        tasks::{Past, live},
+        tasks::{History, live},
         text::{JobKind, Plan},
     },
     std::{collections::BTreeMap, time::Duration},
@@ -17,7 +17,7 @@
     ///
     /// Waits for the first plan. Without this, a member that takes over a bucket before it has the
     /// configuration would regard all running tasks as unlisted and stop them.
-    pub(super) fn load(&mut self, now: Time, requests: &mut Vec<Want>) {
+    pub(super) fn load(&mut self, now: Time, requests: &mut Vec<JobRequest>) {
         if !self.has_plan {
             return;
         }
@@ -34,7 +34,7 @@
             self.needs_load = false;
             self.forget_unlisted();
             self.drop_gangs(now, requests);
-            let jobs = self.plan.jobs.iter().filter(|(name, _)| !self.tasks.lists(name));
+            let jobs = self.plan.jobs.iter().filter(|(name, _)| !self.tasks.has_job(name));
             let here = jobs.filter(|(_, j)| self.buckets.contains_key(&team_bucket(&j.team)));
             self.unloaded = here.map(|(name, _)| name.clone()).collect();
         }
@@ -49,7 +49,7 @@
         for row in owned.state.attempts().rows().filter(|r| live(r.state)) {
             owned.running.insert(row.task.clone(), row.attempt);
             if !lists(&self.plan, id, &row.task) {
-                self.tasks.orphan(row, id, now);
+                self.tasks.cancel_orphan(row, id, now);
             }
         }
     }
@@ -62,13 +62,13 @@
             let id = team_bucket(&job.team);
             let Some(owned) = self.buckets.get_mut(&id).filter(|o| o.loaded) else { continue };
             let rows = rows.entry(id).or_insert_with(|| by_job(owned)).remove(&name);
-            owned.state.begin(&name, unix);
+            owned.state.add_job(&name, unix);
             owned.touched = true;
             if job.kind == JobKind::Gang {
-                owned.state.keep_whole(&name, job.tasks);
+                owned.state.drop_partial_gang(&name, job.tasks);
             }
-            let Some(past) = owned.state.past(&name) else { continue };
-            let past = Past {
+            let Some(past) = owned.state.history(&name) else { continue };
+            let past = History {
                 rows: rows.unwrap_or_default(),
                 done: past.done.clone(),
                 fault: past.fault.clone(),
@@ -80,7 +80,7 @@
                 .filter(|r| r.state == TaskState::Ended)
                 .map(|r| r.task.clone())
                 .collect();
-            if !self.tasks.list(&name, past, now) {
+            if !self.tasks.add_job(&name, past, now) {
                 self.unloaded.insert(name);
                 continue;
             }
@@ -94,11 +94,11 @@
         let Some(job) = self.plan.jobs.get(&task.job) else { return };
         match job.kind {
             JobKind::Replicas => {}
-            JobKind::Batch => owned.state.finish(task),
+            JobKind::Batch => owned.state.mark_ended(task),
             JobKind::Gang if self.tasks.finished(&task.job) => {
                 let rows = owned.state.attempts().rows().filter(|r| r.task.job == task.job);
                 let tasks: Vec<TaskId> = rows.map(|r| r.task.clone()).collect();
-                tasks.iter().for_each(|t| owned.state.finish(t));
+                tasks.iter().for_each(|t| owned.state.mark_ended(t));
             }
             JobKind::Gang => {}
         }
@@ -113,23 +113,25 @@
             let gone: Vec<TaskId> =
                 rows.map(|r| r.task.clone()).filter(|t| !lists(&self.plan, *id, t)).collect();
             for task in gone.iter().filter(|t| !owned.running.contains_key(*t)) {
-                let _ = owned.state.forget(task);
+                let _ = owned.state.remove_task(task);
             }
             let here =
                 |job: &JobId| self.plan.jobs.get(job).is_some_and(|j| team_bucket(&j.team) == *id);
             let jobs: Vec<JobId> = owned.state.jobs().filter(|j| !here(j)).cloned().collect();
-            jobs.iter().for_each(|job| owned.state.forget_job(job));
+            jobs.iter().for_each(|job| owned.state.remove_job(job));
             owned.touched |= !(gone.is_empty() && jobs.is_empty());
         }
     }
 
     /// Gives up the gangs being placed whose job or bucket is gone.
-    fn drop_gangs(&mut self, now: Time, requests: &mut Vec<Want>) {
+    fn drop_gangs(&mut self, now: Time, requests: &mut Vec<JobRequest>) {
         let gone: Vec<JobId> =
-            self.gangs.jobs().filter(|j| !self.tasks.lists(j)).cloned().collect();
+            self.gangs.jobs().filter(|j| !self.tasks.has_job(j)).cloned().collect();
         for job in gone {
-            let (tasks, rows) = self.gangs.forget(&job);
-            for task in tasks.iter().filter(|t| self.tasks.asked(t)).cloned().collect::<Vec<_>>() {
+            let (tasks, rows) = self.gangs.remove(&job);
+            for task in
+                tasks.iter().filter(|t| self.tasks.room_requested(t)).cloned().collect::<Vec<_>>()
+            {
                 self.tasks.unplaced(&task, now);
             }
             requests.extend(release(rows));
@@ -163,14 +165,15 @@
         owned.running.remove(task);
         owned.touched = true;
         let cancelled = self.tasks.cancelled(task);
-        self.tasks.over(&EndItem { task: task.clone(), attempt, state, worker, used }, now);
+        self.tasks
+            .attempt_ended(&EndItem { task: task.clone(), attempt, state, worker, used }, now);
         let Some(owned) = self.buckets.get_mut(&id) else { return };
         if let Some(fault) = self.tasks.fault(&task.job) {
-            owned.state.give_up(&task.job, fault);
+            owned.state.set_fault(&task.job, fault);
         }
         if cancelled && (state == TaskState::Ended || !lists(&self.plan, id, task)) {
-            let _ = owned.state.forget(task);
-        } else if state == TaskState::Ended && self.tasks.lists(&task.job) {
+            let _ = owned.state.remove_task(task);
+        } else if state == TaskState::Ended && self.tasks.has_job(&task.job) {
             self.finish(id, task);
         }
     }
--- a/src/jobs/place.rs
+++ b/src/jobs/place.rs
@@ -1,7 +1,7 @@
 //! Turns picked tasks into reservation requests, and reservations into attempts.
 
 use {
-    super::{Jobs, MAX_PICKS, Want, release},
+    super::{JobRequest, Jobs, MAX_PICKS, release},
     crate::{
         Time,
         attempts::Place,
@@ -23,7 +23,7 @@
         ask: &ReserveAsk,
         reply: Option<ReserveReply>,
         now: Time,
-    ) -> Vec<Want> {
+    ) -> Vec<JobRequest> {
         if ask.rack.is_some() {
             let step = self.gangs.answered(ask, reply, now);
             return self.gang_step(step, now);
@@ -39,14 +39,14 @@
             }
             // Release room that came too late, for a job or a bucket that is gone.
             spare.extend(row);
-            if self.tasks.asked(&item.task) {
+            if self.tasks.room_requested(&item.task) {
                 self.tasks.unplaced(&item.task, now);
             }
         }
         release(spare)
     }
 
-    pub(super) fn pick(&mut self, now: Time, racks: &[RackLoad], requests: &mut Vec<Want>) {
+    pub(super) fn pick(&mut self, now: Time, racks: &[RackLoad], requests: &mut Vec<JobRequest>) {
         let mut batches: BTreeMap<(bool, bool, PoolId), ReserveAsk> = BTreeMap::new();
         let mut left = MAX_PICKS;
         while left > 0 {
@@ -66,7 +66,7 @@
                 || ReserveAsk { pool, rack: None, items: vec![], whole: false, tried: vec![] };
             batch.or_insert_with(new).items.extend(items);
         }
-        requests.extend(batches.into_values().map(Want::Reserve));
+        requests.extend(batches.into_values().map(JobRequest::Reserve));
     }
 
     fn reserve_items(&self, pick: &Pick, now: Time) -> Vec<ReserveItem> {
@@ -85,13 +85,16 @@
         pick.asks.iter().map(|(ask, _)| new_item(&ask.task)).collect()
     }
 
-    pub(super) fn gang_step(&mut self, step: gangs::Step, now: Time) -> Vec<Want> {
+    pub(super) fn gang_step(&mut self, step: gangs::Step, now: Time) -> Vec<JobRequest> {
         match step {
             gangs::Step::Wait => vec![],
-            gangs::Step::Ask(ask) => vec![Want::Reserve(ask)],
-            gangs::Step::Drop(rows, tasks) => {
-                for task in
-                    tasks.iter().filter(|t| self.tasks.asked(t)).cloned().collect::<Vec<_>>()
+            gangs::Step::Ask(ask) => vec![JobRequest::Reserve(ask)],
+            gangs::Step::Release(rows, tasks) => {
+                for task in tasks
+                    .iter()
+                    .filter(|t| self.tasks.room_requested(t))
+                    .cloned()
+                    .collect::<Vec<_>>()
                 {
                     self.tasks.unplaced(&task, now);
                 }
@@ -99,7 +102,7 @@
             }
             gangs::Step::Place(rows) => {
                 let Some(job) = rows.first().map(|r| r.task.job.clone()) else { return vec![] };
-                let _ = self.gangs.forget(&job);
+                let _ = self.gangs.remove(&job);
                 let size = self.plan.jobs.get(&job).map_or(Size::default(), |j| j.size);
                 let placed: Vec<bool> = rows.iter().map(|r| self.place(r, size, now)).collect();
                 if placed.iter().all(|p| *p) {
@@ -121,14 +124,14 @@
                     owned.state.stop(&row.task);
                     (owned.touched, owned.changed) = (true, true);
                 }
-                None if self.tasks.asked(&row.task) => self.tasks.unplaced(&row.task, now),
+                None if self.tasks.room_requested(&row.task) => self.tasks.unplaced(&row.task, now),
                 None => {}
             }
         }
     }
 
     fn place(&mut self, row: &ReserveRow, size: Size, now: Time) -> bool {
-        if !self.tasks.wanted(&row.task) {
+        if !self.tasks.should_place(&row.task) {
             return false;
         }
         let Some(job) = self.plan.jobs.get(&row.task.job) else { return false };
--- a/src/jobs/send.rs
+++ b/src/jobs/send.rs
@@ -1,7 +1,7 @@
 //! Sends the buckets' orders: calls of the key-value store, starts, stops and probes.
 
 use {
-    super::{Jobs, Want},
+    super::{JobRequest, Jobs},
     crate::{
         Time,
         bucket::Order as Step,
@@ -26,7 +26,7 @@
         now: Time,
         lease_end: Option<Time>,
         out: &mut Vec<Order>,
-        requests: &mut Vec<Want>,
+        requests: &mut Vec<JobRequest>,
     ) {
         for (id, epoch, step) in self.departing.orders(now) {
             self.apply_order(id, epoch, step, now, out, requests);
@@ -40,7 +40,7 @@
             }
             let epoch = owned.epoch;
             let orders = owned.state.orders(now);
-            if owned.state.waits() {
+            if owned.state.write_pending() {
                 self.waiting.insert(id);
             }
             for step in orders {
@@ -70,11 +70,11 @@
         if now.is_none_or(|r| r.attempt != row.attempt || r.state != TaskState::Intent) {
             return false;
         }
-        let gang = |job: &Job| job.kind == JobKind::Gang && !self.tasks.lists(&task.job);
+        let gang = |job: &Job| job.kind == JobKind::Gang && !self.tasks.has_job(&task.job);
         !self.tasks.cancelled(task) && !self.plan.jobs.get(&task.job).is_some_and(gang)
     }
 
-    pub(super) fn probe_attempts(&self, requests: &mut Vec<Want>) {
+    pub(super) fn probe_attempts(&self, requests: &mut Vec<JobRequest>) {
         for (id, owned) in &self.buckets {
             let mut asks: BTreeMap<RackId, ProbeAsk> = BTreeMap::new();
             for row in owned.state.attempts().rows().filter(|r| live(r.state)) {
@@ -90,7 +90,7 @@
                     requests.extend(self.start(*id, row, 0, false));
                 }
             }
-            requests.extend(asks.into_values().map(Want::Probe));
+            requests.extend(asks.into_values().map(JobRequest::Probe));
         }
     }
 
@@ -101,7 +101,7 @@
         step: Step,
         now: Time,
         out: &mut Vec<Order>,
-        requests: &mut Vec<Want>,
+        requests: &mut Vec<JobRequest>,
     ) {
         let key = || format!("bucket/{id}").into();
         match step {
@@ -113,8 +113,8 @@
                 let put = KvPut { expect, value, lease: None };
                 out.push(Order::Put(Purpose::Bucket(id, epoch, call), key(), put));
             }
-            Step::Reply { request, reply } => requests.push(Want::Claimed(request, reply)),
-            Step::Kept { call } => requests.push(Want::Kept(call)),
+            Step::Reply { request, reply } => requests.push(JobRequest::Claimed(request, reply)),
+            Step::EndCommitted { call } => requests.push(JobRequest::EndCommitted(call)),
             Step::Start { row, .. } if !self.may_start(id, &row) => {
                 let Some(owned) = self.buckets.get_mut(&id) else { return };
                 // If a stop order already follows this start, this call changes nothing.
@@ -130,9 +130,9 @@
         }
     }
 
-    fn start(&self, bucket: Bucket, row: &TaskRow, left: u64, go: bool) -> Option<Want> {
+    fn start(&self, bucket: Bucket, row: &TaskRow, left: u64, go: bool) -> Option<JobRequest> {
         let run = self.plan.jobs.get(&row.task.job).map_or(0, |j| j.run.as_millis() as u64);
-        let (hold, borrowed) = self.tasks.hold(&row.task);
+        let (hold, borrowed) = self.tasks.reclaim(&row.task);
         let item = StartItem {
             task: row.task.clone(),
             attempt: row.attempt,
@@ -144,7 +144,7 @@
             borrowed,
         };
         let (start, stop) = if go { (vec![item], vec![]) } else { (vec![], vec![item]) };
-        Some(Want::Start(StartAsk {
+        Some(JobRequest::Start(StartAsk {
             rack: row.rack.clone()?,
             epoch: row.epoch?,
             left,
--- a/src/session.rs
+++ b/src/kv_session.rs
@@ -67,15 +67,17 @@
                     tokio::spawn(async move {
                         let entry = connection.kv.get(&key).await;
                         connection.count("get", entry.is_ok());
-                        let _ = connection.inbox.send(Event::Got(purpose, entry)).await;
+                        let _ = connection.inbox.send(Event::RecordRead(purpose, entry)).await;
                     });
                 }
                 Order::Put(purpose, key, put) => {
-                    connection.metrics.sent("session", put.value.as_ref().map_or(0, |v| v.len()));
+                    connection
+                        .metrics
+                        .count_sent("session", put.value.as_ref().map_or(0, |v| v.len()));
                     tokio::spawn(async move {
                         let reply = connection.kv.put(&key, &put).await;
                         connection.count("put", reply.is_ok());
-                        let _ = connection.inbox.send(Event::Put(purpose, reply)).await;
+                        let _ = connection.inbox.send(Event::RecordWritten(purpose, reply)).await;
                     });
                 }
                 _ => {}
@@ -208,7 +210,7 @@
 
     fn count(&self, call: &str, ok: bool) {
         let label = if ok { call.into() } else { format!("{call}_failed") };
-        self.metrics.kv.with_label_values(&[&label]).inc();
+        self.metrics.kv_calls.with_label_values(&[&label]).inc();
     }
 }
 
--- a/src/layout.rs
+++ b/src/layout.rs
@@ -6,9 +6,9 @@
 use {
     crate::{
         ids::{PoolId, Zone},
-        shard::record::{Layout, ShardNo, Span},
+        shard::record::{Layout, ShardNo, ShardRange},
         time::Time,
-        work::{JobNo, Listed},
+        work::{JobNo, ListedWorker},
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -70,15 +70,15 @@
 /// A small deployment has one shard. Otherwise each pool has shards of its own, so that jobs of one
 /// pool don't delay those of another. A pool is divided only if it is too large for one owner, as a
 /// gang may need most of the workers that can run it.
-pub fn layout(workers: &[Listed], secret: Box<str>) -> Layout {
-    let mut by_pool: BTreeMap<&PoolId, Vec<&Listed>> = BTreeMap::new();
+pub fn layout(workers: &[ListedWorker], secret: Box<str>) -> Layout {
+    let mut by_pool: BTreeMap<&PoolId, Vec<&ListedWorker>> = BTreeMap::new();
     for worker in workers {
         by_pool.entry(&worker.pool).or_default().push(worker);
     }
     let small = workers.len() <= MAX_SINGLE_SHARD_WORKERS;
     let (mut first, mut pools, mut homes) = (0, BTreeMap::new(), BTreeMap::new());
     for (pool, all) in by_pool {
-        let span = if small { Span(0, 1) } else { Span(first, shard_count(all.len())) };
+        let span = if small { ShardRange(0, 1) } else { ShardRange(first, shard_count(all.len())) };
         first += if small { 0 } else { span.1 };
         pools.insert(pool.clone(), span);
         homes.extend(assign(&all, span));
@@ -97,7 +97,7 @@
 /// too. Workers of a rack stay together as far as that allows. Consecutive racks are in different
 /// zones, so that no shard loses all its workers with a zone. An address keeps its shard, so that a
 /// later worker at the address belongs to the same shard.
-fn assign(workers: &[&Listed], span: Span) -> Vec<(SocketAddr, ShardNo)> {
+fn assign(workers: &[&ListedWorker], span: ShardRange) -> Vec<(SocketAddr, ShardNo)> {
     let mut zones: BTreeMap<&Zone, BTreeMap<&str, BTreeSet<SocketAddr>>> = BTreeMap::new();
     for w in workers {
         zones.entry(&w.zone).or_default().entry(w.rack()).or_default().insert(w.addr);
@@ -107,7 +107,7 @@
     let all: Vec<SocketAddr> = racks.into_iter().flat_map(|(_, addrs)| addrs).collect();
     let count = all.len();
     let shard = |at| (at * usize::from(span.1) / count) as u64;
-    all.into_iter().enumerate().map(|(at, addr)| (addr, span.of(shard(at)))).collect()
+    all.into_iter().enumerate().map(|(at, addr)| (addr, span.shard_for(shard(at)))).collect()
 }
 
 impl Layout {
@@ -116,21 +116,21 @@
     ///
     /// An address that now belongs to a worker of another pool doesn't count: in the shard of the
     /// former worker the new one would get no tasks.
-    pub fn worker_shard(&self, worker: &Listed) -> ShardNo {
+    pub fn worker_shard(&self, worker: &ListedWorker) -> ShardNo {
         let span = self.span(&worker.pool);
         let known = self.homes.binary_search_by_key(&worker.addr, |(addr, _)| *addr).ok();
-        let home = known.map(|at| self.homes[at].1).filter(|home| span.has(*home));
-        home.unwrap_or_else(|| span.of(xxh3_64(worker.rack().as_bytes())))
+        let home = known.map(|at| self.homes[at].1).filter(|home| span.contains(*home));
+        home.unwrap_or_else(|| span.shard_for(xxh3_64(worker.rack().as_bytes())))
     }
 
     /// The shard of a job whose queue uses this pool. It depends on the layout alone, which no
     /// version of the configuration changes.
-    pub fn of(&self, job: JobNo, pool: &PoolId) -> ShardNo {
-        self.span(pool).of(xxh3_64(&job.0.to_le_bytes()))
+    pub fn job_shard(&self, job: JobNo, pool: &PoolId) -> ShardNo {
+        self.span(pool).shard_for(xxh3_64(&job.0.to_le_bytes()))
     }
 
     /// The shards of a pool; a pool that is not in the layout uses all shards.
-    fn span(&self, pool: &PoolId) -> Span {
-        self.pools.get(pool).copied().unwrap_or(Span(0, self.shards))
+    fn span(&self, pool: &PoolId) -> ShardRange {
+        self.pools.get(pool).copied().unwrap_or(ShardRange(0, self.shards))
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,8 +8,8 @@
 //! - [`ownership`], [`racks`], [`jobs`], [`requests`], [`config`]: the parts of that state.
 //! - [`decide`]: the scheduling decisions, without network or clock.
 //! - [`member`]: the threads of a member, one for each duty.
-//! - [`site`]: a member on a site whose store and workers are reached through [`ports`]. [`table`]
-//!   records which member owns each [`shard`]; [`store`] has the clients of external services.
+//! - [`site`]: a member on a site whose store and workers are reached through [`ports`]. [`member_table`]
+//!   records which member owns each [`shard`]; [`service_clients`] has the clients of external services.
 //!
 //! All scheduling code takes the present [`Time`] as an argument, so that tests can control it:
 //!
@@ -47,16 +47,11 @@
 mod clock;
 pub mod commands;
 pub mod commit;
-mod common;
 pub mod config;
-pub mod contact;
-mod control;
 pub mod core;
 pub mod decide;
-mod decisions;
 pub mod effect;
 mod endpoints;
-mod entry;
 mod error;
 pub mod event;
 pub mod gangs;
@@ -64,48 +59,53 @@
 pub mod http;
 pub mod ids;
 mod ini;
+mod job_api;
 pub mod jobs;
-mod keeper;
 pub mod kv;
 pub mod layout;
 pub mod ledger;
 pub mod logs;
 pub mod member;
+mod member_rpc;
 mod membership;
+pub mod service_health;
+mod shard_runner;
+mod shared_state;
+mod wave_driver;
 #[rustfmt::skip]
 #[allow(missing_docs, clippy::all)] // generated
 #[path = "gen/messages.rs"]
 pub mod messages;
 pub mod metrics;
 pub mod operators;
-mod owner;
+mod owned_shards;
 pub mod ownership;
 mod peers;
 pub mod ports;
 pub mod racks;
 mod ranges;
-mod registry;
 mod relay;
 pub mod requests;
-pub mod roll;
 mod rpc;
+mod table_sync;
+pub mod vm_cache;
 #[rustfmt::skip]
 #[allow(missing_docs, dead_code, clippy::all, clippy::unwrap_used)] // generated
 #[path = "gen/settings.rs"]
 mod schema;
-mod session;
+mod kv_session;
+pub mod member_table;
+mod prefix_watch;
+pub mod service_clients;
 pub mod settings;
 pub mod shard;
 pub mod site;
-pub mod store;
-pub mod table;
 pub mod tasks;
 pub mod text;
 pub mod time;
 pub mod trace;
 pub mod units;
 pub mod upkeep;
-mod watch;
 pub mod work;
 
 pub use crate::{
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -119,7 +119,7 @@
         let dropped = mem::take(&mut buffer.dropped);
         drop(buffer);
         if dropped > 0 {
-            let time = stamp(SystemTime::now());
+            let time = format_time(SystemTime::now());
             let _ = writeln!(
                 lines,
                 "{time} WARN logs: Lines were dropped because the output was not read in time. dropped={dropped}"
@@ -190,7 +190,7 @@
 
 /// Starts logging to the standard output; `default_filter` is the filter that applies if the environment
 /// sets none.
-pub fn begin(default_filter: &str) {
+pub fn init(default_filter: &str) {
     let ring = OUT.get_or_init(|| Ring::new(RING_BYTES)).clone();
     let budgets = Budgets { started_at: Instant::now(), budgets: Mutex::default() };
     let to = ring.clone();
@@ -208,7 +208,7 @@
 }
 
 /// Waits a short time for the logged lines to be written, because the process is about to end.
-pub fn end() {
+pub fn flush() {
     if let Some(ring) = OUT.get() {
         ring.flush(EXIT_WAIT.0);
     }
@@ -218,7 +218,7 @@
 pub fn line(record: &Record<'_>, left_out: u64, time: SystemTime) -> String {
     let mut line = Line(String::with_capacity(192));
     let (level, target) = (record.level(), record.target());
-    let _ = write!(line.0, "{} {level} {target}: {}", stamp(time), record.args());
+    let _ = write!(line.0, "{} {level} {target}: {}", format_time(time), record.args());
     let _ = record.key_values().visit(&mut line);
     if left_out > 0 {
         let _ = write!(line.0, " left_out={left_out}");
@@ -250,7 +250,7 @@
 }
 
 /// Formats a time in UTC, with milliseconds.
-pub fn stamp(time: SystemTime) -> String {
+pub fn format_time(time: SystemTime) -> String {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or_default();
     let (secs, ms) = (since.as_secs(), since.subsec_millis());
     let (year, month, day) = date(secs / DAY_SECONDS);
--- a/src/member.rs
+++ b/src/member.rs
@@ -7,16 +7,16 @@
         core::Core,
         endpoints,
         error::{Error, Kind},
-        event::{Event, Inbox, Operated, Order, Outcome, Ticket, Verdict},
+        event::{Event, Inbox, OperatorReply, Order, Outcome, Ticket, Verdict},
         gate::Gate,
         http::{Failure, Limits, serve},
         ids::Incarnation,
         kv::Kv,
+        kv_session::Session,
         messages::MemberRecord,
         metrics::Metrics,
         operators::Operators,
         peers::Peers,
-        session::Session,
         settings::Settings,
         time::Time,
     },
@@ -103,7 +103,7 @@
     replies: Sender<(Ticket, Verdict)>,
     endpoints: Sender<Order>,
     peers: Sender<Order>,
-    operators: Sender<(Ticket, Operated)>,
+    operators: Sender<(Ticket, OperatorReply)>,
     session: Sender<Order>,
 }
 
@@ -122,7 +122,7 @@
     let limits = Limits {
         body: usize::try_from(limits.body).unwrap_or(usize::MAX),
         connections: usize::try_from(limits.connections).unwrap_or(usize::MAX),
-        patience: Duration::from_millis(limits.header),
+        read_timeout: Duration::from_millis(limits.header),
     };
     let wait = move || {
         let mut stopped = stopped.clone();
@@ -185,7 +185,7 @@
     let (pages, page_metrics, page_stop) = (listeners.metrics, metrics.clone(), wait());
     threads.push(spawn_thread("metrics", move || async move {
         let listener = tokio::net::TcpListener::from_std(pages)?;
-        let limits = Limits { body: 0, connections: 64, patience: Duration::from_secs(5) };
+        let limits = Limits { body: 0, connections: 64, read_timeout: Duration::from_secs(5) };
         serve(listener, limits, page_stop, move |head, _| {
             let page = page_metrics.page(head.uri.path());
             async move { page }
@@ -194,7 +194,7 @@
         Ok(())
     })?);
     threads.push(spawn_thread("signals", move || signals(inbox))?);
-    let unix = clock::unix().as_secs();
+    let unix = clock::unix_time().as_secs();
     let rings = Rings {
         replies,
         endpoints: to_endpoints,
@@ -235,19 +235,19 @@
         };
         loop {
             let mut bounced = vec![];
-            for order in core.on(event, clock.now()) {
+            for order in core.handle(event, clock.now()) {
                 if matches!(order, Order::Stop) {
                     return;
                 }
                 bounced.extend(rings.send(order, metrics));
             }
             if core.draining() {
-                clock.drain();
+                clock.start_draining();
             }
             let Some(next) = bounced.pop() else { break };
             event = next;
             for next in bounced {
-                for order in core.on(next, clock.now()) {
+                for order in core.handle(next, clock.now()) {
                     let _ = rings.send(order, metrics);
                 }
             }
@@ -266,11 +266,11 @@
                 let _ = self.replies.send_blocking((ticket, verdict));
                 return None;
             }
-            Order::Operated(ticket, answer) => {
+            Order::ReplyOperator(ticket, answer) => {
                 let _ = self.operators.send_blocking((ticket, answer));
                 return None;
             }
-            Order::Back(..) => {
+            Order::ReplyPeer(..) => {
                 let _ = self.peers.send_blocking(order);
                 return None;
             }
@@ -284,7 +284,7 @@
         match ring.try_send(order) {
             Ok(()) => None,
             Err(TrySendError::Full(order) | TrySendError::Closed(order)) => {
-                metrics.full.with_label_values(&[name]).inc();
+                metrics.ring_full.with_label_values(&[name]).inc();
                 undelivered(order)
             }
         }
@@ -295,17 +295,24 @@
 fn undelivered(order: Order) -> Option<Event> {
     let full = || Outcome::Refused(Kind::RingFull.into());
     match order {
-        Order::Run(r) => Some(Event::Ran { request: r.request, worker: r.worker, outcome: full() }),
+        Order::Run(r) => {
+            Some(Event::DispatchEnded { request: r.request, worker: r.worker, outcome: full() })
+        }
         Order::Forward(f) => {
             Some(Event::Forwarded { request: f.request, to: f.to, outcome: full() })
         }
-        Order::Worker(worker, _, ask, _) => {
-            Some(Event::Ordered { worker, ask, sent: Time::ZERO, reply: Err(Failure::Unsent) })
-        }
+        Order::Worker(worker, _, ask, _) => Some(Event::WorkerReplied {
+            worker,
+            ask,
+            sent: Time::ZERO,
+            reply: Err(Failure::Unsent),
+        }),
         Order::Report(worker, _) => Some(Event::Reported { worker, report: Err(Failure::Unsent) }),
-        Order::Call(to, _, call) => Some(Event::Called { to, call, back: Err(Failure::Unsent) }),
-        Order::Get(purpose, _) => Some(Event::Got(purpose, Err(Failure::Unsent))),
-        Order::Put(purpose, ..) => Some(Event::Put(purpose, Err(Failure::Unsent))),
+        Order::Call(to, _, call) => {
+            Some(Event::PeerReplied { to, call, back: Err(Failure::Unsent) })
+        }
+        Order::Get(purpose, _) => Some(Event::RecordRead(purpose, Err(Failure::Unsent))),
+        Order::Put(purpose, ..) => Some(Event::RecordWritten(purpose, Err(Failure::Unsent))),
         _ => None,
     }
 }
--- a/src/control.rs
+++ b/src/member_rpc.rs
@@ -9,19 +9,19 @@
 
 use {
     crate::{
-        common::Common,
-        decisions::Told,
         gate::Gate,
         ids::WorkerId,
-        ports::{Advice, AdviceCall, Fault, Wire},
+        ports::{Advice, AdviceCall, Fault, WireRequest},
         relay::{self, RelayReply, RelayRequest, RelayedCall, Relayer},
         rpc,
+        service_clients::ServiceClients,
         shard::{
-            Held, Need,
+            Occupancy, PoolWait,
             event::Event,
             record::{JobRecord, ShardNo},
         },
-        store::Outside,
+        shard_runner::ShardInput,
+        shared_state::SharedState,
         time::millis,
         work::{JobNo, State, StepKey},
     },
@@ -102,7 +102,7 @@
 impl From<Result<Advice, Fault>> for AdviseReply {
     fn from(reply: Result<Advice, Fault>) -> Self {
         match reply {
-            Ok(a) => AdviseReply::Told { good: a.good, valid_ms: a.valid.map(millis) },
+            Ok(a) => AdviseReply::Told { good: a.accepted, valid_ms: a.validity.map(millis) },
             Err(Fault::Refused | Fault::TooLarge) => AdviseReply::Refused,
             Err(Fault::Unsent) => AdviseReply::Unsent,
             Err(Fault::Unknown) => AdviseReply::Unknown,
@@ -115,7 +115,7 @@
     fn from(answer: AdviseReply) -> Self {
         match answer {
             AdviseReply::Told { good, valid_ms } => {
-                Ok(Advice { good, valid: valid_ms.map(Duration::from_millis) })
+                Ok(Advice { accepted: good, validity: valid_ms.map(Duration::from_millis) })
             }
             AdviseReply::Refused => Err(Fault::Refused),
             AdviseReply::Unsent => Err(Fault::Unsent),
@@ -126,7 +126,7 @@
 }
 
 /// Service clients for one thread; other members relay calls that the store doesn't serve here.
-pub(crate) fn outside(common: &Arc<Common>, peers: &Peers) -> Outside {
+pub(crate) fn relaying_clients(common: &Arc<SharedState>, peers: &PeerClients) -> ServiceClients {
     let peers = peers.clone();
     let relayer: Relayer = Arc::new(move |wire, repeats, limit| {
         let peers = peers.clone();
@@ -140,9 +140,9 @@
 /// The secret that authenticates them is part of the layout, so no member is served before the
 /// layout is known.
 pub(crate) async fn serve(
-    common: Arc<Common>,
+    common: Arc<SharedState>,
     listener: TcpListener,
-    input: Sender<Told>,
+    input: Sender<ShardInput>,
 ) -> io::Result<()> {
     let mut views = common.view.subscribe();
     let secret = match views.wait_for(|v| v.layout.is_some()).await {
@@ -159,8 +159,8 @@
 }
 
 fn module(
-    common: &Arc<Common>,
-    input: Sender<Told>,
+    common: &Arc<SharedState>,
+    input: Sender<ShardInput>,
 ) -> Result<RpcModule<()>, jsonrpsee::core::RegisterMethodError> {
     let mut module = RpcModule::new(());
     let (services, common_clone) = (common.outside(), common.clone());
@@ -173,7 +173,7 @@
             let call = AdviceCall { step, workers: request.workers };
             let limit = Duration::from_millis(request.limit_ms).min(MAX_TIMEOUT);
             let expected = Duration::from_millis(request.takes_ms).min(MAX_TIMEOUT);
-            let answer = advise_here(&common, &services, &call, expected, limit).await;
+            let answer = advise_locally(&common, &services, &call, expected, limit).await;
             Ok::<_, ErrorObjectOwned>(AdviseReply::from(answer))
         }
     })?;
@@ -182,7 +182,7 @@
         let (services, routes) = (services.clone(), routes.clone());
         async move {
             let request: RelayRequest = params.one()?;
-            if routes.is_lost() {
+            if routes.is_direct_lost() {
                 return Ok::<_, ErrorObjectOwned>(RelayReply::Unsent);
             }
             let limit = Duration::from_millis(request.limit_ms).min(MAX_TIMEOUT);
@@ -222,7 +222,9 @@
         let input = held_input.clone();
         async move {
             let request: HeldRequest = params.one()?;
-            Ok::<_, ErrorObjectOwned>(held_here(&input, request.workers, request.shards).await)
+            Ok::<_, ErrorObjectOwned>(
+                local_held_tasks(&input, request.workers, request.shards).await,
+            )
         }
     })?;
     module.register_async_method("waiting", move |params, _, _| {
@@ -241,9 +243,9 @@
     ErrorObjectOwned::owned(BAD_PARAMS, e.to_string(), None::<()>)
 }
 
-/// An advice call in flight; it counts in [`Common::desk`] until it is dropped.
+/// An advice call in flight; it counts in [`SharedState::desk`] until it is dropped.
 struct AdviceInFlight<'a> {
-    common: &'a Common,
+    common: &'a SharedState,
     number: u64,
     /// Whether the service has finished the call.
     finished: bool,
@@ -254,7 +256,7 @@
         let mut desk = self.common.desk.lock().expect("no holder panics");
         match self.finished {
             true => desk.done(self.number, self.common.now()),
-            false => desk.left(self.number),
+            false => desk.abandon(self.number),
         }
     }
 }
@@ -263,9 +265,9 @@
 ///
 /// Refuses the call if, after the advice calls that this member already has in flight, its answer
 /// would come too late.
-pub(crate) async fn advise_here(
-    common: &Common,
-    services: &Outside,
+pub(crate) async fn advise_locally(
+    common: &SharedState,
+    services: &ServiceClients,
     call: &AdviceCall,
     expected: Duration,
     limit: Duration,
@@ -275,7 +277,7 @@
         desk.admit(expected, limit, common.now())
     };
     let Some(number) = admitted else {
-        common.metrics.called("advice", "busy");
+        common.metrics.count_call("advice", "busy");
         return Err(Fault::Refused);
     };
     // The caller may stop waiting before the answer arrives; the service still works on the call.
@@ -287,18 +289,18 @@
 
 /// The states of jobs, as the shards of this member know them; `None` if their input queue is full.
 pub(crate) async fn local_states(
-    input: &Sender<Told>,
+    input: &Sender<ShardInput>,
     jobs: Box<[(ShardNo, JobNo)]>,
     sure: bool,
 ) -> Option<Vec<Option<State>>> {
     let (reply, receiver) = oneshot::channel();
-    input.try_send(Told::JobStates(jobs, sure, reply)).ok()?;
+    input.try_send(ShardInput::JobStates(jobs, sure, reply)).ok()?;
     receiver.await.ok()
 }
 
 /// Passes the notice of a stored job, or of its cancel, to this member's shards.
 pub(crate) fn notify_local_shard(
-    input: &Sender<Told>,
+    input: &Sender<ShardInput>,
     shard: ShardNo,
     job: JobNo,
     record: Option<JobRecord>,
@@ -308,28 +310,28 @@
         None => Event::Cancel(job),
     };
     // A notice that a full queue drops is read from the store later.
-    let _ = input.try_send(Told::PeerEvent(shard, event));
+    let _ = input.try_send(ShardInput::PeerEvent(shard, event));
 }
 
 /// What workers of these shards hold, and how long work waits, as this member's shards know it.
-pub(crate) async fn held_here(
-    input: &Sender<Told>,
+pub(crate) async fn local_held_tasks(
+    input: &Sender<ShardInput>,
     workers: Box<[WorkerId]>,
     shards: Box<[ShardNo]>,
-) -> Option<(Vec<Held>, Vec<Need>)> {
+) -> Option<(Vec<Occupancy>, Vec<PoolWait>)> {
     let (reply, receiver) = oneshot::channel();
-    input.try_send(Told::HeldTasks(workers, shards, reply)).ok()?;
+    input.try_send(ShardInput::HeldTasks(workers, shards, reply)).ok()?;
     receiver.await.ok().flatten()
 }
 
 /// How many jobs of a queue have not begun, as this member's shards know it.
 pub(crate) async fn local_queue_length(
-    input: &Sender<Told>,
+    input: &Sender<ShardInput>,
     queue: Box<str>,
     shards: Box<[ShardNo]>,
 ) -> Option<u64> {
     let (reply, receiver) = oneshot::channel();
-    input.try_send(Told::QueueLength(queue, shards, reply)).ok()?;
+    input.try_send(ShardInput::QueueLength(queue, shards, reply)).ok()?;
     receiver.await.ok().flatten()
 }
 
@@ -337,15 +339,15 @@
 ///
 /// Belongs to one thread: connections live on the runtime that opened them.
 #[derive(Clone)]
-pub(crate) struct Peers {
-    common: Arc<Common>,
+pub(crate) struct PeerClients {
+    common: Arc<SharedState>,
     clients: Arc<Mutex<FxHashMap<SocketAddr, HttpClient>>>,
 }
 
-impl Peers {
+impl PeerClients {
     /// Creates a set without clients; each is made by the first call to its address.
-    pub fn new(common: Arc<Common>) -> Self {
-        Peers { common, clients: Arc::default() }
+    pub fn new(common: Arc<SharedState>) -> Self {
+        PeerClients { common, clients: Arc::default() }
     }
 
     /// Asks another member to call the advice service.
@@ -374,11 +376,16 @@
     ///
     /// The members that are asked call the store directly or not at all, so that a call can't be
     /// relayed in a circle.
-    async fn relay(&self, wire: Wire, repeats: bool, limit: Duration) -> Option<relay::WireReply> {
+    async fn relay(
+        &self,
+        wire: WireRequest,
+        repeats: bool,
+        limit: Duration,
+    ) -> Option<relay::WireReply> {
         let (deadline, routes) = (Instant::now() + limit, &self.common.ways);
         let view = self.common.view.borrow().clone();
         let mut answer = None;
-        for member in routes.candidates(&view.relays(self.common.me), self.common.me) {
+        for member in routes.candidates(&view.relay_candidates(self.common.me), self.common.me) {
             let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return answer;
@@ -439,13 +446,13 @@
 
     /// What workers of shards that a member owns hold, and how long work waits; `None` if the
     /// member doesn't answer or doesn't know for certain.
-    pub async fn held(
+    pub async fn held_tasks(
         &self,
         addr: SocketAddr,
         workers: &[WorkerId],
         shards: &[ShardNo],
         limit: Duration,
-    ) -> Option<(Vec<Held>, Vec<Need>)> {
+    ) -> Option<(Vec<Occupancy>, Vec<PoolWait>)> {
         let request = HeldRequest { workers: workers.into(), shards: shards.into() };
         self.call(addr, "held", &request, limit).await.flatten()
     }
@@ -482,7 +489,7 @@
             Ok(Err(_)) => "failed",
             Err(_) => "timeout",
         };
-        self.common.metrics.called(name, outcome);
+        self.common.metrics.count_call(name, outcome);
         if !matches!(answer, Ok(Ok(_))) {
             self.clients.lock().expect("no holder panics").remove(&addr);
         }
--- a/src/table.rs
+++ b/src/member_table.rs
@@ -1,7 +1,7 @@
 //! The member table: which members are alive, which member owns each shard, and when this member
 //! takes over a shard.
 //!
-//! The store holds the table under [`record::TABLE`]. A member is alive as long as its row exists;
+//! The store holds the table under [`record::TABLE_PREFIX`]. A member is alive as long as its row exists;
 //! the store deletes the row when the member's lease ends. A shard whose owner is gone is taken
 //! over with one conditional write. Rendezvous hashing and a delay for each rank decide which
 //! member writes first, so that members rarely compete for a shard. The state machine has no clock
@@ -14,7 +14,8 @@
         ownership::Rendezvous,
         ports::{Item, Rev},
         shard::record::{
-            self, CLOSING, Closing, LAYOUT, Layout, MEMBERS, MemberRow, OWNERS, OwnerRow, ShardNo,
+            self, CLOSING_KEY, Closing, LAYOUT_KEY, Layout, MEMBERS_PREFIX, MemberRow,
+            OWNERS_PREFIX, OwnerRow, ShardNo,
         },
         time::Time,
     },
@@ -151,7 +152,7 @@
     /// calls, so that a short call queued behind another shard's long call waits for up to two
     /// seconds while other members are idle. Each shard is assigned a part of the members, and no
     /// other shard uses the first half of that part.
-    pub fn peers(&self, shard: ShardNo) -> Peers {
+    pub fn advice_members(&self, shard: ShardNo) -> Peers {
         let available = self.available_members();
         let shards = usize::from(self.shards().max(1));
         let no = usize::from(shard.0) % shards;
@@ -191,7 +192,7 @@
     /// Members that the store serves directly are preferred. If the table lists none, all are
     /// candidates: a member that was cut off just as the others were served again has not seen
     /// their new rows.
-    pub fn relays(&self, me: Incarnation) -> Vec<Incarnation> {
+    pub fn relay_candidates(&self, me: Incarnation) -> Vec<Incarnation> {
         let available: Vec<Incarnation> =
             self.available_members().into_iter().filter(|m| *m != me).collect();
         let served: Vec<Incarnation> =
@@ -372,14 +373,14 @@
     /// Applies one item, unless a later change of it is known.
     fn apply(&mut self, item: Item) {
         let value = item.value.as_deref();
-        if let Some(id) = item.key.strip_prefix(MEMBERS).and_then(|i| i.parse().ok()) {
-            insert_newer(&mut self.members, id, item.rev, value.and_then(record::read));
-        } else if let Some(no) = item.key.strip_prefix(OWNERS).and_then(|n| n.parse().ok()) {
-            insert_newer(&mut self.owners, ShardNo(no), item.rev, value.and_then(record::read));
-        } else if &*item.key == LAYOUT && self.layout.is_none() {
-            self.layout = value.and_then(record::read).map(Arc::new);
-        } else if &*item.key == CLOSING && self.closing.0 < item.rev {
-            let closing = value.and_then(record::read).unwrap_or_default();
+        if let Some(id) = item.key.strip_prefix(MEMBERS_PREFIX).and_then(|i| i.parse().ok()) {
+            insert_newer(&mut self.members, id, item.rev, value.and_then(record::decode));
+        } else if let Some(no) = item.key.strip_prefix(OWNERS_PREFIX).and_then(|n| n.parse().ok()) {
+            insert_newer(&mut self.owners, ShardNo(no), item.rev, value.and_then(record::decode));
+        } else if &*item.key == LAYOUT_KEY && self.layout.is_none() {
+            self.layout = value.and_then(record::decode).map(Arc::new);
+        } else if &*item.key == CLOSING_KEY && self.closing.0 < item.rev {
+            let closing = value.and_then(record::decode).unwrap_or_default();
             self.closing = (item.rev, Arc::new(closing));
         }
     }
@@ -497,7 +498,7 @@
 
 /// The key of a member's row in the store.
 pub fn member_key(member: Incarnation) -> Box<str> {
-    format!("{MEMBERS}{member}").into()
+    format!("{MEMBERS_PREFIX}{member}").into()
 }
 
 /// Sets or removes a row, unless a later revision of it is known.
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -5,16 +5,16 @@
 
 use {
     crate::{
-        common::Common,
-        decisions::Told,
+        member_table::member_key,
         ports::{Fault, Put, Rev, StoreCall, StoreReply, Txn},
+        prefix_watch::Backoff,
+        service_clients::{CALL_TIMEOUT, ServiceClients},
         shard::{
             event::Event,
             record::{self, MemberRow},
         },
-        store::{CALL, Outside},
-        table::member_key,
-        watch::Pause,
+        shard_runner::ShardInput,
+        shared_state::SharedState,
     },
     async_channel::Sender,
     std::{sync::Arc, time::Duration},
@@ -34,11 +34,11 @@
 /// Keeps this member's lease and row.
 pub(crate) struct Membership {
     /// The state that the threads of this member share.
-    pub common: Arc<Common>,
+    pub common: Arc<SharedState>,
     /// The store.
-    pub outside: Outside,
+    pub outside: ServiceClients,
     /// Sends events to the owned shards.
-    pub decisions: Sender<Told>,
+    pub decisions: Sender<ShardInput>,
     /// Publishes the lease's id, so that it can be ended at shutdown; 0 if there is none.
     pub lease: watch::Sender<u64>,
 }
@@ -54,15 +54,16 @@
     /// Acquires a lease and keeps this member registered under it; acquires a new one if the lease
     /// ends.
     pub async fn run(self) {
-        let mut pause = Pause::default();
+        let mut pause = Backoff::default();
         loop {
-            let ttl = LEASE_TTL.max(self.common.site.borrow().bounds.ttl);
-            let acquired = self.outside.store(&StoreCall::Lease { ttl }, CALL).await;
+            let ttl = LEASE_TTL.max(self.common.site.borrow().bounds.min_ttl);
+            let acquired =
+                self.outside.call_store(&StoreCall::CreateLease { ttl }, CALL_TIMEOUT).await;
             let Ok(StoreReply::Lease(lease, _)) = acquired else {
                 pause.wait().await;
                 continue;
             };
-            pause.good();
+            pause.reset();
             self.lease.send_replace(lease);
             self.hold_lease(lease).await;
             self.common.set_registered(false);
@@ -72,12 +73,12 @@
 
     /// Registers under a lease and renews it until the store has ended it.
     async fn hold_lease(&self, lease: u64) {
-        let mut pause = Pause::default();
+        let mut pause = Backoff::default();
         let mut registered: Option<(Rev, Status)> = None;
         loop {
             let due = Instant::now() + RENEW_INTERVAL;
-            let draining = self.common.stopping();
-            let status = Status { draining, relayed: self.common.ways.yields() };
+            let draining = self.common.is_stopping();
+            let status = Status { draining, relayed: self.common.ways.yields_shards() };
             let stale = registered.is_some_and(|(r, s)| {
                 s != status || self.common.view.borrow().must_register(self.common.me, r)
             });
@@ -95,15 +96,18 @@
                 }
             }
             let sent = self.common.now();
-            match self.outside.store(&StoreCall::Keep { lease }, RENEW_TIMEOUT).await {
+            match self.outside.call_store(&StoreCall::RenewLease { lease }, RENEW_TIMEOUT).await {
                 Ok(StoreReply::Kept) => {
-                    pause.good();
+                    pause.reset();
                     // Guards against an owner whose lease had ended and whose shards were taken
                     // over before it registered again: a renewal counts as a confirmation only if
                     // the table has been read since the registration.
                     let table_rev = self.common.view.borrow().rev;
                     if registered.is_some_and(|(rev, _)| table_rev >= rev) {
-                        let _ = self.decisions.send(Told::All(Event::Confirmed(sent))).await;
+                        let _ = self
+                            .decisions
+                            .send(ShardInput::Broadcast(Event::Confirmed(sent)))
+                            .await;
                     }
                     self.wait(due, draining).await;
                 }
@@ -125,14 +129,14 @@
     async fn register(&self, lease: u64, status: Status) -> Result<StoreReply, Fault> {
         let site = self.common.site.borrow().clone();
         let row = MemberRow {
-            control: site.control,
+            control: site.control_addr,
             zone: site.zone.clone(),
             draining: status.draining,
             cores: site.cores,
             relayed: status.relayed,
         };
-        let put = Put { key: member_key(self.common.me), value: record::write(&row), lease };
+        let put = Put { key: member_key(self.common.me), value: record::encode(&row), lease };
         let txn = Txn { puts: vec![put], ..Txn::default() };
-        self.outside.store(&StoreCall::Txn(txn), CALL).await
+        self.outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await
     }
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -5,7 +5,7 @@
         error::Kind,
         event::Verdict,
         http::answer,
-        shard::{Cause, Tally},
+        shard::{Cause, Stats},
     },
     bytes::Bytes,
     http_body_util::Full,
@@ -30,10 +30,10 @@
     verdicts: IntCounterVec,
     retry_counts: IntCounterVec,
     /// Calls of the key-value service by kind and outcome.
-    pub kv: IntCounterVec,
+    pub kv_calls: IntCounterVec,
     call_counts: IntCounterVec,
     /// Messages dropped because a ring was full, by ring.
-    pub full: IntCounterVec,
+    pub ring_full: IntCounterVec,
     control_bytes: IntCounterVec,
     levels: IntGaugeVec,
     ready_gauge: IntGauge,
@@ -69,13 +69,13 @@
                 "Dispatches made again by reason.",
                 "reason",
             ),
-            kv: counter("dwr_kv_calls_total", "Calls of the key-value service.", "call"),
+            kv_calls: counter("dwr_kv_calls_total", "Calls of the key-value service.", "call"),
             call_counts: IntCounterVec::new(
                 Opts::new("dwr_calls_total", "Calls of the outside by kind and answer."),
                 &["call", "answer"],
             )
             .expect("the names are well-formed"),
-            full: counter("dwr_ring_full_total", "Messages dropped at a full ring.", "ring"),
+            ring_full: counter("dwr_ring_full_total", "Messages dropped at a full ring.", "ring"),
             control_bytes: counter("dwr_control_bytes_total", "Bytes sent for control.", "duty"),
             levels: IntGaugeVec::new(Opts::new("dwr_level", "Levels of a member."), &["what"])
                 .expect("the names are well-formed"),
@@ -140,9 +140,9 @@
         let all: [Box<dyn Collector>; 20] = [
             Box::new(m.verdicts.clone()),
             Box::new(m.retry_counts.clone()),
-            Box::new(m.kv.clone()),
+            Box::new(m.kv_calls.clone()),
             Box::new(m.call_counts.clone()),
-            Box::new(m.full.clone()),
+            Box::new(m.ring_full.clone()),
             Box::new(m.control_bytes.clone()),
             Box::new(m.levels.clone()),
             Box::new(m.ready_gauge.clone()),
@@ -166,98 +166,98 @@
     }
 
     /// Counts a final answer.
-    pub fn verdict(&self, verdict: &Verdict) {
+    pub fn count_verdict(&self, verdict: &Verdict) {
         let label = verdict.as_ref().map_or_else(|e| e.kind().answer().label, |_| "answered");
         self.verdicts.with_label_values(&[label]).inc();
     }
 
     /// Counts a request refused before it reached the deciding thread.
-    pub fn refused(&self, kind: Kind) {
+    pub fn count_refusal(&self, kind: Kind) {
         self.verdicts.with_label_values(&[kind.answer().label]).inc();
     }
 
     /// Counts a retried dispatch.
-    pub fn retry(&self, kind: Kind) {
+    pub fn count_retry(&self, kind: Kind) {
         self.retry_counts.with_label_values(&[kind.answer().label]).inc();
     }
 
     /// Counts the bytes of a control message that a duty (a thread of a member) sends, without its
     /// headers.
-    pub fn sent(&self, duty: &str, bytes: usize) {
+    pub fn count_sent(&self, duty: &str, bytes: usize) {
         self.control_bytes.with_label_values(&[duty]).inc_by(bytes as u64);
     }
 
     /// Counts a call to an external service and its outcome.
-    pub fn called(&self, call: &str, answer: &str) {
+    pub fn count_call(&self, call: &str, answer: &str) {
         self.call_counts.with_label_values(&[call, answer]).inc();
     }
 
     /// Counts the bytes of a response of an external service.
-    pub fn received(&self, call: &str, answer: &str, bytes: usize) {
+    pub fn count_received(&self, call: &str, answer: &str, bytes: usize) {
         self.received_bytes.with_label_values(&[call, answer]).inc_by(bytes as u64);
     }
 
     /// Total calls to external services by kind, for the log of a member whose metrics nobody
     /// collects.
-    pub fn calls(&self) -> Box<str> {
+    pub fn call_totals(&self) -> Box<str> {
         sums(&self.call_counts, |call, _| call.into())
     }
 
     /// Total bytes of responses of external services by kind and outcome, for the same log.
-    pub fn all_received(&self) -> Box<str> {
+    pub fn received_totals(&self) -> Box<str> {
         sums(&self.received_bytes, |call, answer| format!("{call}/{answer}"))
     }
 
     /// Records how long a response of an external service took.
-    pub fn answered_in(&self, call: &str, time: Duration) {
+    pub fn observe_call(&self, call: &str, time: Duration) {
         self.call_seconds.with_label_values(&[call]).observe(time.as_secs_f64());
     }
 
     /// Counts an order to which a worker sent no response.
-    pub fn unanswered(&self, order: &str) {
+    pub fn count_unanswered(&self, order: &str) {
         self.unanswered_orders.with_label_values(&[order]).inc();
     }
 
     /// Sets whether callers are served.
-    pub fn ready(&self, ready: bool) {
+    pub fn set_ready(&self, ready: bool) {
         self.ready_gauge.set(i64::from(ready));
     }
 
     /// Sets one level.
-    pub fn level(&self, what: &str, n: usize) {
+    pub fn set_level(&self, what: &str, n: usize) {
         self.levels.with_label_values(&[what]).set(i64::try_from(n).unwrap_or(i64::MAX));
     }
 
     /// Counts a final answer that is not an error.
-    pub fn answered(&self) {
+    pub fn count_answered(&self) {
         self.verdicts.with_label_values(&["answered"]).inc();
     }
 
     /// Counts a change of a shard's ownership at this member: taken over, lost, released, deposed
     /// or settled.
-    pub fn moved(&self, what: &str) {
+    pub fn count_move(&self, what: &str) {
         self.shard_moves.with_label_values(&[what]).inc();
     }
 
     /// Adds the counts and times that a shard has collected since its last tally.
-    pub fn tally(&self, tally: &Tally) {
+    pub fn add_tally(&self, tally: &Stats) {
         for (reason, n) in &tally.starts {
             self.step_starts.with_label_values(&[reason]).inc_by(*n);
         }
         for (how, n) in &tally.ends {
             self.run_ends.with_label_values(&[how]).inc_by(*n);
         }
-        self.ends_noted.inc_by(tally.noted);
+        self.ends_noted.inc_by(tally.acknowledged);
         let times = |to: &str, all: &[Duration]| {
             let histogram = self.job_seconds.with_label_values(&[to]);
             all.iter().for_each(|t| histogram.observe(t.as_secs_f64()));
         };
-        times("start", &tally.first);
-        times("completion", &tally.done);
+        times("start", &tally.first_starts);
+        times("completion", &tally.completions);
     }
 
     /// Sets how many tasks wait, by priority; a priority that isn't in the map has none.
-    pub fn waiting(&self, by_priority: &BTreeMap<u8, usize>) {
+    pub fn set_waiting(&self, by_priority: &BTreeMap<u8, usize>) {
         self.waiting_tasks.reset();
         for (priority, n) in by_priority {
             let n = i64::try_from(*n).unwrap_or(i64::MAX);
@@ -267,7 +267,7 @@
 
     /// Sets the longest time that a long-running task has not run, by cause; a cause that isn't in
     /// the map has no such task.
-    pub fn away(&self, by_cause: &BTreeMap<Cause, Duration>) {
+    pub fn set_away(&self, by_cause: &BTreeMap<Cause, Duration>) {
         self.away_seconds.reset();
         for (cause, time) in by_cause {
             self.away_seconds.with_label_values(&[&cause.to_string()]).set(time.as_secs_f64());
@@ -275,18 +275,25 @@
     }
 
     /// Sets the age of this member's information about `what`.
-    pub fn age(&self, what: &str, age: Duration) {
+    pub fn set_age(&self, what: &str, age: Duration) {
         let ms = i64::try_from(age.as_millis()).unwrap_or(i64::MAX);
         self.ages.with_label_values(&[what]).set(ms);
     }
 
     /// Records the time from a request to its final answer.
-    pub fn took(&self, time: Duration) {
+    pub fn observe_request(&self, time: Duration) {
         self.answer_seconds.observe(time.as_secs_f64());
     }
 
     /// Sets the levels of a member, and whether it is ready.
-    pub fn state(&self, racks: usize, buckets: usize, version: u64, requests: usize, ready: bool) {
+    pub fn set_levels(
+        &self,
+        racks: usize,
+        buckets: usize,
+        version: u64,
+        requests: usize,
+        ready: bool,
+    ) {
         let set = |what: &str, n: usize| {
             let n = i64::try_from(n).unwrap_or(i64::MAX);
             self.levels.with_label_values(&[what]).set(n);
@@ -298,7 +305,7 @@
         self.ready_gauge.set(i64::from(ready));
     }
 
-    /// The page at `path`: `/metrics`, or `/ready` for the load balancer.
+    /// The page at `path`: `/metrics`, or `/set_ready` for the load balancer.
     pub fn page(&self, path: &str) -> Response<Full<Bytes>> {
         match path {
             "/metrics" => match TextEncoder::new().encode_to_string(&self.registry.gather()) {
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         error::{Error, Kind},
-        event::{Event, Inbox, Operate, Operated, Ticket},
+        event::{Event, Inbox, OperatorCall, OperatorReply, Ticket},
         gate::Gate,
         messages::{Show, Submit, SubmitReply},
         rpc,
@@ -31,7 +31,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(8);
 const ERROR_CODE: i32 = -32000;
 
-type Waiting = Arc<Mutex<FxHashMap<Ticket, oneshot::Sender<Operated>>>>;
+type Waiting = Arc<Mutex<FxHashMap<Ticket, oneshot::Sender<OperatorReply>>>>;
 
 /// The inputs of the server for operators.
 pub(crate) struct Operators {
@@ -42,7 +42,7 @@
     /// The queue of events for the decision loop.
     pub inbox: Inbox,
     /// The answers of the decision loop.
-    pub answers: Receiver<(Ticket, Operated)>,
+    pub answers: Receiver<(Ticket, OperatorReply)>,
 }
 
 impl Operators {
@@ -71,7 +71,7 @@
 }
 
 impl Asks {
-    async fn ask(&self, ask: Operate) -> Result<Operated, ErrorObjectOwned> {
+    async fn ask(&self, ask: OperatorCall) -> Result<OperatorReply, ErrorObjectOwned> {
         let ticket = self.next.fetch_add(1, Ordering::Relaxed);
         let (to, from) = oneshot::channel();
         self.waiting.lock().expect("no holder panics").insert(ticket, to);
@@ -91,21 +91,21 @@
     let mut module = RpcModule::new(asks);
     let submit = module.register_async_method("submit", |params, asks, _| async move {
         let ask: Submit = params.one()?;
-        match asks.ask(Operate::Submit(ask)).await? {
-            Operated::Submit(reply) => Ok(reply),
+        match asks.ask(OperatorCall::Submit(ask)).await? {
+            OperatorReply::Submit(reply) => Ok(reply),
             _ => Err(rpc_error(Kind::Peer)),
         }
     });
     submit.expect("the names differ");
     let show = module.register_async_method("show", |_, asks, _| async move {
-        match asks.ask(Operate::Show).await? {
-            Operated::Show(show) => Ok(*show),
+        match asks.ask(OperatorCall::Show).await? {
+            OperatorReply::Show(show) => Ok(*show),
             _ => Err(rpc_error(Kind::Peer)),
         }
     });
     show.expect("the names differ");
     let drain = module.register_async_method("drain", |_, asks, _| async move {
-        asks.ask(Operate::Drain).await.map(|_| true)
+        asks.ask(OperatorCall::Drain).await.map(|_| true)
     });
     drain.expect("the names differ");
     module
--- a/src/owner.rs
+++ b/src/owned_shards.rs
@@ -3,19 +3,19 @@
 
 use {
     crate::{
-        common::Common,
-        control::{Peers, advise_here},
-        decisions::{Out, Told},
         ids::Incarnation,
-        keeper::{WAVE_SHARD, WaveDriver},
+        member_rpc::{PeerClients, advise_locally},
         ports::{Advice, AdviceCall, Fault, Item, Rev, StoreCall},
+        prefix_watch::{Backoff, PrefixWatch, WatchUpdate},
+        service_clients::{CALL_TIMEOUT, ServiceClients, fault_label},
         shard::{
-            event::{Event, Load, Order},
+            event::{Event, Order, Snapshot},
             record::{self, CommitRow, ShardNo},
         },
-        store::{CALL, Outside, fault_name},
-        watch::{Follow, Pause, Seen},
-        work::{JobNo, Listed},
+        shard_runner::{ShardInput, ShardOutput},
+        shared_state::SharedState,
+        wave_driver::{WAVE_SHARD, WaveDriver},
+        work::{JobNo, ListedWorker},
     },
     async_channel::{Receiver, Sender},
     rustc_hash::FxHashMap,
@@ -37,12 +37,12 @@
 /// The shards that this member owns, with the clients that their orders need.
 #[derive(Clone)]
 pub(crate) struct OwnedShards {
-    common: Arc<Common>,
-    outside: Outside,
-    peers: Peers,
-    decisions: Sender<Told>,
+    common: Arc<SharedState>,
+    outside: ServiceClients,
+    peers: PeerClients,
+    decisions: Sender<ShardInput>,
     /// Reports lost ownership to the task that applies the table.
-    notices: Sender<Out>,
+    notices: Sender<ShardOutput>,
     /// The owned shards, each with its task that loads it and follows its inbox.
     owned: Arc<Mutex<BTreeMap<ShardNo, OwnedShard>>>,
     /// Notified when a shard has been loaded.
@@ -57,17 +57,17 @@
 impl OwnedShards {
     /// Starts without any owned shard.
     pub fn new(
-        common: Arc<Common>,
-        outside: Outside,
-        peers: Peers,
-        decisions: Sender<Told>,
-        notices: Sender<Out>,
+        common: Arc<SharedState>,
+        outside: ServiceClients,
+        peers: PeerClients,
+        decisions: Sender<ShardInput>,
+        notices: Sender<ShardOutput>,
     ) -> Self {
         let (owned, loaded) = Default::default();
         OwnedShards { common, outside, peers, decisions, notices, owned, loaded }
     }
 
-    /// Starts to own a shard. `commit` is the revision at which the takeover wrote the commit row.
+    /// Starts to own a shard. `commit_revision` is the revision at which the takeover wrote the commit row.
     /// `lapsed` tells that the former owner's lease had ended or that it released the shard.
     pub fn begin(&self, shard: ShardNo, token: u64, commit: Rev, lapsed: bool) {
         let this = self.clone();
@@ -85,17 +85,17 @@
         if let Some(previous) = previous {
             previous.task.abort();
         }
-        let _ = self.decisions.send(Told::Forget(shard)).await;
+        let _ = self.decisions.send(ShardInput::Lost(shard)).await;
     }
 
     /// Loads a shard, then follows its inbox; the owner of [`WAVE_SHARD`] also drives the waves.
     async fn run_shard(self, shard: ShardNo, token: u64, commit: Rev, lapsed: bool) {
-        let mut pause = Pause::default();
+        let mut pause = Backoff::default();
         let (mut load, rev) = loop {
             match self.load(shard, commit).await {
                 Ok(loaded) => break loaded,
                 Err(fault) => {
-                    let name = fault_name(&fault);
+                    let name = fault_label(&fault);
                     log::warn!(target: "owner", shard:% = shard, token, fault = name; "Shard can't be read; the read will be repeated.");
                     pause.wait().await;
                 }
@@ -103,7 +103,7 @@
         };
         load.lapsed = lapsed;
         log::info!(target: "owner", did = "owned", shard:% = shard, token, jobs = load.jobs.len(), roster = load.roster.workers.len(), rev; "Shard is owned.");
-        let _ = self.decisions.send(Told::Own(shard, token, Box::new(load))).await;
+        let _ = self.decisions.send(ShardInput::Own(shard, token, Box::new(load))).await;
         self.loaded.notify_one();
         if shard != WAVE_SHARD {
             return self.follow(shard, token, rev).await;
@@ -121,11 +121,13 @@
     /// Sends the items of a shard's inbox to the decisions as they are written.
     async fn follow(&self, shard: ShardNo, token: u64, rev: Rev) {
         let inbox = shard.inbox();
-        let mut follow = Follow::from(self.outside.clone(), &inbox, INBOX_WATCH_WAIT, rev);
+        let mut follow =
+            PrefixWatch::from_revision(self.outside.clone(), &inbox, INBOX_WATCH_WAIT, rev);
         loop {
-            let (Seen::All(items, _) | Seen::Changes(items, _)) = follow.next().await;
+            let (WatchUpdate::Snapshot(items, _) | WatchUpdate::Changes(items, _)) =
+                follow.next().await;
             for event in items.iter().filter_map(|i| inbox_event(&inbox, i)) {
-                let _ = self.decisions.send(Told::Event(shard, token, event)).await;
+                let _ = self.decisions.send(ShardInput::Event(shard, token, event)).await;
             }
         }
     }
@@ -135,14 +137,14 @@
     ///
     /// The three reads run concurrently, as the shard makes no progress for as long as they take
     /// with a slow store. This is safe because only the owner writes the progress and the roster.
-    async fn load(&self, shard: ShardNo, commit: Rev) -> Result<(Load, Rev), Fault> {
+    async fn load(&self, shard: ShardNo, commit: Rev) -> Result<(Snapshot, Rev), Fault> {
         let (inbox, begun, roster) = (shard.inbox(), shard.all_progress(), shard.roster());
         let (arrived, begun, roster) = tokio::try_join!(
-            self.outside.all(&inbox, false),
-            self.outside.all(&begun, false),
-            self.outside.get(&roster, CALL),
+            self.outside.read_prefix(&inbox, false),
+            self.outside.read_prefix(&begun, false),
+            self.outside.get(&roster, CALL_TIMEOUT),
         )?;
-        let mut load = Load { commit, ..Load::default() };
+        let mut load = Snapshot { commit_revision: commit, ..Snapshot::default() };
         for event in arrived.0.iter().filter_map(|i| inbox_event(&inbox, i)) {
             match event {
                 Event::Job(job, record) => load.jobs.push((job, *record)),
@@ -150,11 +152,11 @@
                 _ => {}
             }
         }
-        let progress = |i: &Item| Some((job_number(&i.key)?, record::read(i.value.as_ref()?)?));
+        let progress = |i: &Item| Some((job_number(&i.key)?, record::decode(i.value.as_ref()?)?));
         load.progress = begun.0.iter().filter_map(progress).collect();
         if let Some(item) = roster {
             let value = item.value.unwrap_or_default();
-            load.roster = record::read(&value).ok_or(Fault::Bad("not a roster".into()))?;
+            load.roster = record::decode(&value).ok_or(Fault::Bad("not a roster".into()))?;
         }
         // The watch delivers what was stored after the takeover's commit row, and the range
         // contains all that was stored before it: no change can fall between the two.
@@ -163,7 +165,7 @@
 
     /// Reads the list of workers periodically while this member owns a shard.
     pub async fn poll_workers(self) {
-        let mut known: FxHashMap<Box<str>, (Rev, Listed)> = FxHashMap::default();
+        let mut known: FxHashMap<Box<str>, (Rev, ListedWorker)> = FxHashMap::default();
         loop {
             let owned: Vec<(ShardNo, u64)> = {
                 let owned = self.owned.lock().expect("no holder panics");
@@ -174,7 +176,9 @@
                 self.loaded.notified().await;
                 continue;
             }
-            if let Ok((items, _)) = self.outside.all(self.common.forms.workers, false).await {
+            if let Ok((items, _)) =
+                self.outside.read_prefix(self.common.forms.worker_prefix, false).await
+            {
                 known = self.parse_changed(items, known);
                 self.send_listed(&owned, &known).await;
             }
@@ -187,16 +191,16 @@
     fn parse_changed(
         &self,
         items: Vec<Item>,
-        mut known: FxHashMap<Box<str>, (Rev, Listed)>,
-    ) -> FxHashMap<Box<str>, (Rev, Listed)> {
+        mut known: FxHashMap<Box<str>, (Rev, ListedWorker)>,
+    ) -> FxHashMap<Box<str>, (Rev, ListedWorker)> {
         let mut all = FxHashMap::default();
         for item in items {
             let same = known.remove(&item.key).filter(|(rev, _)| *rev == item.rev);
             let read = || {
-                let id = item.key.strip_prefix(self.common.forms.workers)?;
-                let listed = (self.common.forms.listed)(id, item.value.as_ref()?);
+                let id = item.key.strip_prefix(self.common.forms.worker_prefix)?;
+                let listed = (self.common.forms.decode_listed)(id, item.value.as_ref()?);
                 if listed.is_err() {
-                    self.common.metrics.called("worker_entry", "bad");
+                    self.common.metrics.count_call("worker_entry", "bad");
                 }
                 Some((item.rev, listed.ok()?))
             };
@@ -210,10 +214,10 @@
     async fn send_listed(
         &self,
         owned: &[(ShardNo, u64)],
-        known: &FxHashMap<Box<str>, (Rev, Listed)>,
+        known: &FxHashMap<Box<str>, (Rev, ListedWorker)>,
     ) {
         let Some(layout) = self.common.view.borrow().layout.clone() else { return };
-        let mut by_shard: BTreeMap<ShardNo, Vec<Listed>> = BTreeMap::new();
+        let mut by_shard: BTreeMap<ShardNo, Vec<ListedWorker>> = BTreeMap::new();
         for (_, worker) in known.values() {
             by_shard.entry(layout.worker_shard(worker)).or_default().push(worker.clone());
         }
@@ -221,18 +225,18 @@
             let mut workers = by_shard.remove(shard).unwrap_or_default();
             workers.sort_by(|a, b| a.id.cmp(&b.id));
             let event = Event::Listed(workers);
-            let _ = self.decisions.send(Told::Event(*shard, *token, event)).await;
+            let _ = self.decisions.send(ShardInput::Event(*shard, *token, event)).await;
         }
     }
 
     /// Carries out orders until their channel is closed.
-    pub async fn run_orders(self, orders: Receiver<Out>) {
+    pub async fn run_orders(self, orders: Receiver<ShardOutput>) {
         while let Ok(out) = orders.recv().await {
-            let Out::Order(shard, token, order) = out else { continue };
+            let ShardOutput::Order(shard, token, order) = out else { continue };
             let this = self.clone();
             tokio::spawn(async move {
                 let Some(event) = this.execute(shard, token, order).await else { return };
-                let _ = this.decisions.send(Told::Event(shard, token, event)).await;
+                let _ = this.decisions.send(ShardInput::Event(shard, token, event)).await;
             });
         }
     }
@@ -241,31 +245,31 @@
         let sent = self.common.now();
         match order {
             Order::Worker { worker, addr, call, limit } => {
-                let reply = self.outside.worker(addr, &worker, &call, limit).await;
+                let reply = self.outside.call_worker(addr, &worker, &call, limit).await;
                 Some(Event::Worker { worker, sent, call, reply })
             }
-            Order::Advise { via, call, sent, takes, limit } => {
+            Order::Advise { via, call, sent, expected: takes, limit } => {
                 let reply = if via == self.common.me {
-                    advise_here(&self.common, &self.outside, &call, takes, limit).await
+                    advise_locally(&self.common, &self.outside, &call, takes, limit).await
                 } else {
                     self.advise(via, &call, takes, limit).await
                 };
                 Some(Event::Advised { call, via, sent, reply })
             }
-            Order::Lives => {
-                let reply = self.outside.lives(MACHINES_TIMEOUT).await;
-                Some(Event::Lives { sent, reply })
+            Order::ReadMachines => {
+                let reply = self.outside.live_workers(MACHINES_TIMEOUT).await;
+                Some(Event::Machines { sent, reply })
             }
             Order::Store(number, txn) => {
-                let reply = self.outside.store(&StoreCall::Txn(txn), CALL).await;
+                let reply = self.outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await;
                 Some(Event::Stored(number, reply))
             }
-            Order::Reread => match self.reread(shard).await {
+            Order::ReadCommit => match self.reread(shard).await {
                 Ok((_, row)) if row.token != token => {
-                    let _ = self.notices.send(Out::Deposed(shard)).await;
+                    let _ = self.notices.send(ShardOutput::Deposed(shard)).await;
                     None
                 }
-                read => Some(Event::Reread(read)),
+                read => Some(Event::CommitRead(read)),
             },
             Order::Deposed => None,
         }
@@ -284,8 +288,9 @@
 
     async fn reread(&self, shard: ShardNo) -> Result<(Rev, CommitRow), Fault> {
         let bad = || Fault::Bad("not a commit row".into());
-        let item = self.outside.get(&shard.commit(), CALL).await?.ok_or_else(bad)?;
-        let row: CommitRow = record::read(item.value.as_ref().ok_or_else(bad)?).ok_or_else(bad)?;
+        let item = self.outside.get(&shard.commit(), CALL_TIMEOUT).await?.ok_or_else(bad)?;
+        let row: CommitRow =
+            record::decode(item.value.as_ref().ok_or_else(bad)?).ok_or_else(bad)?;
         Ok((item.rev, row))
     }
 }
@@ -302,7 +307,7 @@
     let job = job_number(&item.key)?;
     match kind {
         "j" => {
-            let record = record::read(value);
+            let record = record::decode(value);
             if record.is_none() {
                 log::error!(target: "owner", job:% = job, rev = item.rev; "The record of a job can't be parsed.");
             }
--- a/src/ownership.rs
+++ b/src/ownership.rs
@@ -132,7 +132,7 @@
     }
 
     /// The time until which no member takes over from this one; `None` if it never had a lease.
-    pub fn until(&self) -> Option<Time> {
+    pub fn leased_until(&self) -> Option<Time> {
         self.renewed.map(|r| r + LEASE - MARGIN)
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// The time since the key-value service last answered.
-    pub fn silence(&self, now: Time) -> Duration {
+    pub fn store_silence(&self, now: Time) -> Duration {
         self.answered.map_or(Duration::MAX, |a| now - a)
     }
 
@@ -169,7 +169,7 @@
 
     /// Records that the service answered a call.
     pub fn answered(&mut self, now: Time) {
-        if self.silence(now) > OUTAGE {
+        if self.store_silence(now) > OUTAGE {
             self.resumed = now;
         }
         self.answered = Some(now);
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -3,11 +3,11 @@
 use {
     crate::{
         error::{Error, Kind},
-        event::{Answer, Back, Call, Event, Forward, Inbox, Order, Outcome, Ticket},
+        event::{Answer, Call, CallReply, Event, Forward, Inbox, Order, Outcome, Ticket},
         gate::Gate,
         http::{
-            BACK, CALLER, Client, DEADLINE, Failure, HOPS, KEY, RAN, REASON, REQUEST, RUN, SECRET,
-            uri,
+            CALLER, Client, DEADLINE, Failure, HOPS, KEY, RAN, REASON, REQUEST, RETRY_MS, RUN,
+            SECRET, uri,
         },
         metrics::Metrics,
         rpc,
@@ -38,7 +38,7 @@
 /// The JSON-RPC error code of a refused call, from the range reserved for applications.
 const ERROR_CODE: i32 = -32000;
 
-type Waiting = Arc<Mutex<FxHashMap<Ticket, oneshot::Sender<Back>>>>;
+type Waiting = Arc<Mutex<FxHashMap<Ticket, oneshot::Sender<CallReply>>>>;
 
 /// The inputs of the server and clients for peers.
 pub struct Peers {
@@ -65,7 +65,7 @@
         while let Ok(order) = self.orders.recv().await {
             let inbox = self.inbox.clone();
             match order {
-                Order::Back(ticket, back) => {
+                Order::ReplyPeer(ticket, back) => {
                     let to = waiting.lock().expect("no holder panics").remove(&ticket);
                     if let Some(to) = to {
                         let _ = to.send(back);
@@ -92,7 +92,7 @@
                     tokio::spawn(async move {
                         let back = tokio::time::timeout(limit, ask(&client, &call, &metrics)).await;
                         let back = back.unwrap_or(Err(Failure::Timeout));
-                        let _ = inbox.send(Event::Called { to, call, back }).await;
+                        let _ = inbox.send(Event::PeerReplied { to, call, back }).await;
                     });
                 }
                 _ => {}
@@ -118,7 +118,7 @@
                 let call: Call = serde_json::from_value(tagged).map_err(|e| bad(e.to_string()))?;
                 let (to, from) = oneshot::channel();
                 waiting.lock().expect("no holder panics").insert(ticket, to);
-                if inbox.try_send(Event::Asked(ticket, call)).is_err() {
+                if inbox.try_send(Event::PeerCalled(ticket, call)).is_err() {
                     waiting.lock().expect("no holder panics").remove(&ticket);
                     return Err(bad(Kind::RingFull.answer().label.into()));
                 }
@@ -130,12 +130,12 @@
     module
 }
 
-async fn ask(client: &HttpClient, call: &Call, metrics: &Metrics) -> Result<Back, Failure> {
+async fn ask(client: &HttpClient, call: &Call, metrics: &Metrics) -> Result<CallReply, Failure> {
     let Ok(Value::Object(tagged)) = serde_json::to_value(call) else { return Err(Failure::Unsent) };
     let Some((name, value)) = tagged.into_iter().next() else { return Err(Failure::Unsent) };
     // Serialized once: the same bytes are counted and sent.
     let value = serde_json::value::to_raw_value(&value).map_err(|_| Failure::Unsent)?;
-    metrics.sent("peers", value.get().len());
+    metrics.count_sent("peers", value.get().len());
     client.request(&name, [value]).await.map_err(|_| Failure::Broken)
 }
 
@@ -152,8 +152,8 @@
     if let Some(run) = f.run {
         b = b.header(RUN, run.as_millis().to_string());
     }
-    if !f.load.kind.is_empty() {
-        b = b.header(CONTENT_TYPE, &*f.load.kind);
+    if !f.load.content_type.is_empty() {
+        b = b.header(CONTENT_TYPE, &*f.load.content_type);
     }
     if !f.load.key.is_empty() {
         b = b.header(KEY, &*f.load.key);
@@ -168,8 +168,8 @@
     let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
     if let Some(kind) = Kind::from_label(text(REASON)) {
         let mut error = Error::new(kind, "");
-        if let Ok(ms) = text(BACK).parse() {
-            error = error.after(Duration::from_millis(ms));
+        if let Ok(ms) = text(RETRY_MS).parse() {
+            error = error.with_retry_after(Duration::from_millis(ms));
         }
         // The peer's `x-dwr-ran` header decides: if this kind of error means that the request did not
         // run and the header does not confirm it, the outcome counts as broken.
@@ -181,5 +181,5 @@
         return Outcome::Failed(Failure::Broken);
     }
     let kind = text(CONTENT_TYPE.as_str()).into();
-    Outcome::Answered(Answer { status: head.status.as_u16(), kind, body })
+    Outcome::Answered(Answer { status: head.status.as_u16(), content_type: kind, body })
 }
--- a/src/ports.rs
+++ b/src/ports.rs
@@ -1,8 +1,8 @@
 //! The ports to the platform: typed calls and replies, and the functions that encode and decode
 //! them.
 //!
-//! A platform is described by a [`Forms`], a set of plain functions that encode a call as a
-//! [`Wire`] request and decode the answer into a typed reply. The functions keep no state and make
+//! A platform is described by a [`Codec`], a set of plain functions that encode a call as a
+//! [`WireRequest`] request and decode the answer into a typed reply. The functions keep no state and make
 //! no decisions: deadlines, retries and the reaction to an answer are up to the scheduler.
 
 mod site;
@@ -16,7 +16,7 @@
     crate::{
         error::Error,
         ids::{WaveNo, WorkerId},
-        work::{Job, Listed, Queues, State},
+        work::{Job, ListedWorker, QueueConfig, State},
     },
     bytes::Bytes,
 };
@@ -26,7 +26,7 @@
 
 /// An encoded HTTP request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wire {
+pub struct WireRequest {
     /// The HTTP method.
     pub method: &'static str,
     /// The path, including the query.
@@ -55,54 +55,54 @@
 
 /// The encoders and decoders for one platform.
 #[derive(Clone, Copy)]
-pub struct Forms {
+pub struct Codec {
     /// Decodes the settings file.
-    pub settings: fn(&str) -> Result<Site, Error>,
+    pub decode_settings: fn(&str) -> Result<Site, Error>,
     /// Path at which the load balancer asks whether the member is ready.
-    pub ready: &'static str,
+    pub ready_path: &'static str,
     /// Name of the header in which a caller says how long it waits, in milliseconds.
-    pub deadline: &'static str,
+    pub deadline_header: &'static str,
     /// Prefix of all keys that the operators write.
-    pub operators: &'static str,
+    pub operator_prefix: &'static str,
     /// Key of the configuration.
-    pub config: &'static str,
+    pub config_key: &'static str,
     /// Prefix of the keys of maintenance waves.
-    pub waves: &'static str,
+    pub wave_prefix: &'static str,
     /// Prefix of the keys of the worker list; the worker's id follows.
-    pub workers: &'static str,
+    pub worker_prefix: &'static str,
     /// Decodes the configuration.
-    pub queues: fn(&[u8]) -> Result<Queues, Error>,
+    pub decode_config: fn(&[u8]) -> Result<QueueConfig, Error>,
     /// Decodes a worker's entry in the worker list, given its id and its value.
-    pub listed: fn(&str, &[u8]) -> Result<Listed, Error>,
+    pub decode_listed: fn(&str, &[u8]) -> Result<ListedWorker, Error>,
     /// Encodes a call to the store.
-    pub ask_store: fn(&StoreCall) -> Wire,
+    pub encode_store: fn(&StoreCall) -> WireRequest,
     /// Decodes the store's answer, given its status and body.
-    pub store: fn(&StoreCall, u16, &[u8]) -> Result<StoreReply, Fault>,
+    pub decode_store: fn(&StoreCall, u16, &[u8]) -> Result<StoreReply, Fault>,
     /// Encodes a call to the worker with this id.
-    pub ask_worker: fn(&WorkerId, &WorkerCall) -> Wire,
+    pub encode_worker: fn(&WorkerId, &WorkerCall) -> WireRequest,
     /// Decodes the worker's answer.
-    pub worker: fn(&WorkerCall, u16, &[u8]) -> Result<WorkerReply, Fault>,
+    pub decode_worker: fn(&WorkerCall, u16, &[u8]) -> Result<WorkerReply, Fault>,
     /// Encodes an advice call.
-    pub ask_advice: fn(&AdviceCall) -> Wire,
+    pub encode_advice: fn(&AdviceCall) -> WireRequest,
     /// Decodes the answer to an advice call.
-    pub advice: fn(u16, &[u8]) -> Result<Advice, Fault>,
+    pub decode_advice: fn(u16, &[u8]) -> Result<Advice, Fault>,
     /// Encodes the request for a page of the list of VMs, given the page token; empty for the first
     /// page.
-    pub ask_vms: fn(&str) -> Wire,
+    pub encode_vms: fn(&str) -> WireRequest,
     /// Decodes a page of the list of VMs.
-    pub vms: fn(u16, &[u8]) -> Result<Vms, Fault>,
+    pub decode_vms: fn(u16, &[u8]) -> Result<VmPage, Fault>,
     /// Encodes an order for a VM.
-    pub ask_vm: fn(&VmCall) -> Wire,
+    pub encode_vm: fn(&VmCall) -> WireRequest,
     /// Decodes the answer to an order for a VM.
-    pub vm: fn(u16, &[u8]) -> Result<VmReply, Fault>,
+    pub decode_vm: fn(u16, &[u8]) -> Result<VmReply, Fault>,
     /// Decodes a maintenance wave.
-    pub wave: fn(&[u8]) -> Result<Wave, Error>,
+    pub decode_wave: fn(&[u8]) -> Result<Wave, Error>,
     /// Encodes the state of a wave, given whether it is completed, as key and value.
-    pub told_wave: fn(WaveNo, bool) -> (Box<str>, Bytes),
+    pub encode_wave: fn(WaveNo, bool) -> (Box<str>, Bytes),
     /// Decodes a caller's job.
-    pub job: fn(&[u8]) -> Result<Job, Error>,
+    pub decode_job: fn(&[u8]) -> Result<Job, Error>,
     /// Encodes the state of a job.
-    pub state: fn(State) -> Bytes,
+    pub encode_state: fn(State) -> Bytes,
     /// Encodes the number of a queue's jobs that have not started.
-    pub waiting: fn(u64) -> Bytes,
+    pub encode_waiting: fn(u64) -> Bytes,
 }
--- a/src/ports/site.rs
+++ b/src/ports/site.rs
@@ -15,67 +15,67 @@
     /// Share of the processors that this process may use, in cores.
     pub cores: f64,
     /// Address on which callers are served.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Address on which the load balancer asks whether this member is ready.
-    pub ready: SocketAddr,
+    pub ready_addr: SocketAddr,
     /// Address on which other members call.
-    pub control: SocketAddr,
+    pub control_addr: SocketAddr,
     /// Candidate addresses for the metrics endpoint; the first free one is used.
-    pub metrics: Box<[SocketAddr]>,
+    pub metrics_addrs: Box<[SocketAddr]>,
     /// Address of the store.
-    pub store: SocketAddr,
+    pub store_addr: SocketAddr,
     /// Reads per second that the store serves to all members together.
-    pub reads: f64,
+    pub read_rate: f64,
     /// Address of the advice service, if there is one.
-    pub advice: Option<SocketAddr>,
+    pub advice_addr: Option<SocketAddr>,
     /// Address of the list of VMs, if there is one.
-    pub vms: Option<SocketAddr>,
+    pub vms_addr: Option<SocketAddr>,
     /// Limits for VM orders.
-    pub fleet: Fleet,
+    pub vm_limits: VmLimits,
     /// Time bounds of the deployment.
     pub bounds: Bounds,
 }
 
 /// Limits for VM orders.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fleet {
+pub struct VmLimits {
     /// Most orders per second, of all members together.
-    pub rate: f64,
+    pub order_rate: f64,
     /// Time from the start of a VM's maintenance until a new incarnation of its worker joins.
-    pub upkeep: Duration,
+    pub upkeep_time: Duration,
     /// Time from the start of a VM's move until a new incarnation of its worker joins.
-    pub moved: Duration,
+    pub move_time: Duration,
     /// Least time between the orders of two holders for the same VM.
-    pub turn: Duration,
+    pub holder_gap: Duration,
 }
 
 /// The bounds of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Longest lease for the runs at a worker.
-    pub hold: Duration,
+    pub max_lease: Duration,
     /// Longest time that a stop of a run takes.
-    pub stop: Duration,
+    pub stop_time: Duration,
     /// Time for which the members of a gang wait for each other.
-    pub gang: Duration,
+    pub gang_timeout: Duration,
     /// Time for which the state of a finished job is kept.
-    pub keep: Duration,
+    pub state_retention: Duration,
     /// Factor by which work takes longer away from its rack.
-    pub remote: f64,
+    pub remote_factor: f64,
     /// Work between two checkpoints.
-    pub save: Duration,
+    pub checkpoint_interval: Duration,
     /// Time that a start from a checkpoint takes.
-    pub restore: Duration,
+    pub restore_time: Duration,
     /// Time for which a long-running task may exceed its latency target.
-    pub harm: Duration,
+    pub target_grace: Duration,
     /// Time after its start within which a long-running task may not be serving yet.
-    pub notice: Duration,
+    pub serving_delay: Duration,
     /// Longest delay until an acknowledged change of the configuration is visible.
-    pub config: Duration,
+    pub config_lag: Duration,
     /// Time after the notice of its leaving for which a worker may still get work.
-    pub drain: Duration,
+    pub drain_time: Duration,
     /// Time that a stop of this process may take.
-    pub grace: Duration,
+    pub stop_grace: Duration,
     /// Shortest lease that the store grants.
-    pub ttl: Duration,
+    pub min_ttl: Duration,
 }
--- a/src/ports/store.rs
+++ b/src/ports/store.rs
@@ -31,12 +31,12 @@
     /// Changes items, all or none.
     Txn(Txn),
     /// Creates a lease.
-    Lease {
+    CreateLease {
         /// Time for which the lease lasts without being renewed.
         ttl: Duration,
     },
     /// Renews a lease.
-    Keep {
+    RenewLease {
         /// Number of the lease.
         lease: u64,
     },
@@ -49,8 +49,8 @@
 
 impl StoreCall {
     /// Whether the call may be repeated safely: a second execution changes nothing.
-    pub fn repeats(&self) -> bool {
-        !matches!(self, StoreCall::Txn(_) | StoreCall::Lease { .. })
+    pub fn is_repeatable(&self) -> bool {
+        !matches!(self, StoreCall::Txn(_) | StoreCall::CreateLease { .. })
     }
 }
 
@@ -66,7 +66,7 @@
 }
 
 /// Most rows of a [`Txn`]: expectations, writes and removals together.
-pub const ROWS: usize = 32;
+pub const MAX_TXN_ROWS: usize = 32;
 
 /// An item to be written.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/ports/vms.rs
+++ b/src/ports/vms.rs
@@ -7,12 +7,12 @@
 
 /// One page of the list of VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Vms {
+pub struct VmPage {
     /// The VMs of this page. A worker incarnation that is on no page has ended, unless it is newer
     /// than the list.
-    pub all: Vec<Vm>,
+    pub vms: Vec<Vm>,
     /// Token of the next page; `None` on the last page.
-    pub next: Option<Box<str>>,
+    pub next_token: Option<Box<str>>,
 }
 
 /// A VM. Over time it has a sequence of worker incarnations.
@@ -51,7 +51,7 @@
     /// The VM.
     pub vm: VmId,
     /// The requested change.
-    pub deed: Deed,
+    pub action: VmAction,
     /// Name of the holder that orders it.
     pub holder: Box<str>,
     /// Token of the holder; tokens below the highest that this VM has seen are refused.
@@ -60,7 +60,7 @@
 
 /// The change that is ordered for a VM.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub enum VmAction {
     /// Maintenance, as part of this wave.
     Upkeep(WaveNo),
     /// A move to this pool.
@@ -91,11 +91,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Wave {
     /// Number of the wave.
-    pub no: WaveNo,
+    pub number: WaveNo,
     /// The VMs; each needs its maintenance once.
     pub vms: Vec<VmId>,
     /// Time limit for the whole wave.
-    pub within: Duration,
+    pub time_limit: Duration,
     /// Most VMs that may be down for the wave at once.
-    pub cap: u32,
+    pub max_down: u32,
 }
--- a/src/ports/worker.rs
+++ b/src/ports/worker.rs
@@ -111,7 +111,7 @@
 }
 
 /// Most ended runs in one answer.
-pub const ENDS: usize = 500;
+pub const MAX_ENDS: usize = 500;
 
 /// A run that is present at a worker.
 #[derive(Clone, Debug, PartialEq)]
@@ -139,14 +139,14 @@
     /// Number of the run.
     pub run: u32,
     /// How the run ended.
-    pub how: How,
+    pub how: EndReason,
     /// The last checkpoint; empty if there is none.
     pub saved: Box<str>,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
-pub enum How {
+pub enum EndReason {
     /// The work is done.
     #[display("done")]
     Done,
@@ -181,7 +181,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Advice {
     /// The accepted workers and their tickets.
-    pub good: Vec<(WorkerId, Box<str>)>,
+    pub accepted: Vec<(WorkerId, Box<str>)>,
     /// Validity of the tickets; `None` if the answer does not state it.
-    pub valid: Option<Duration>,
+    pub validity: Option<Duration>,
 }
--- a/src/watch.rs
+++ b/src/prefix_watch.rs
@@ -7,7 +7,7 @@
 use {
     crate::{
         ports::{Fault, Item, Rev, StoreCall, StoreReply},
-        store::{MARGIN, Outside},
+        service_clients::{ServiceClients, WATCH_MARGIN},
     },
     std::{mem, time::Duration},
     tokio::time::{Instant, sleep},
@@ -35,11 +35,11 @@
 /// Without the random part, all members would retry at the same moment after an outage of the store,
 /// and be refused together again and again.
 #[derive(Default)]
-pub(crate) struct Pause {
+pub(crate) struct Backoff {
     faults: u32,
 }
 
-impl Pause {
+impl Backoff {
     /// Waits after a fault; longer after each further one.
     pub async fn wait(&mut self) {
         let most = (BACKOFF_MS.0 << self.faults.min(4)).min(BACKOFF_MS.1);
@@ -48,22 +48,22 @@
     }
 
     /// Starts again with the shortest pause, after a call has succeeded.
-    pub fn good(&mut self) {
+    pub fn reset(&mut self) {
         self.faults = 0;
     }
 }
 
 /// What a watch has read.
-pub(crate) enum Seen {
+pub(crate) enum WatchUpdate {
     /// All items of the prefix, and the revision at which the read began.
-    All(Vec<Item>, Rev),
+    Snapshot(Vec<Item>, Rev),
     /// The items that have changed since, and the revision that they bring the reader to.
     Changes(Vec<Item>, Rev),
 }
 
 /// A watch of the items of a prefix.
-pub(crate) struct Follow {
-    services: Outside,
+pub(crate) struct PrefixWatch {
+    services: ServiceClients,
     prefix: Box<str>,
     wait: Duration,
     /// The revision after which changes are requested; `None` if the prefix is to be read.
@@ -83,18 +83,18 @@
     skip_wait: bool,
     /// The time up to which all changes have been seen.
     complete_at: Option<Instant>,
-    backoff: Pause,
+    backoff: Backoff,
 }
 
-impl Follow {
+impl PrefixWatch {
     /// Creates a watch that reads the whole prefix first, and again after each fault.
-    pub fn whole(services: Outside, prefix: &str, wait: Duration) -> Self {
-        let backoff = Pause::default();
+    pub fn from_snapshot(services: ServiceClients, prefix: &str, wait: Duration) -> Self {
+        let backoff = Backoff::default();
         let (prefix, last_read) = (prefix.into(), Instant::now());
         let (after, reread_interval, change_pause, pause_next) =
             (None, None, Duration::ZERO, false);
         let (confirms, skip_wait, complete_at) = (true, false, None);
-        Follow {
+        PrefixWatch {
             services,
             prefix,
             wait,
@@ -115,15 +115,20 @@
     /// It resumes after faults, as long as the store remembers the changes, because the prefix may be
     /// too large to be read again for each broken connection. It pauses after each change (see
     /// [`CHANGE_PAUSE`]).
-    pub fn from(services: Outside, prefix: &str, wait: Duration, after: Rev) -> Self {
+    pub fn from_revision(
+        services: ServiceClients,
+        prefix: &str,
+        wait: Duration,
+        after: Rev,
+    ) -> Self {
         let (after, reread_interval, change_pause) =
             (Some(after), Some(REREAD_INTERVAL), CHANGE_PAUSE);
-        Follow {
+        PrefixWatch {
             after,
             reread_interval,
             change_pause,
             confirms: false,
-            ..Follow::whole(services, prefix, wait)
+            ..PrefixWatch::from_snapshot(services, prefix, wait)
         }
     }
 
@@ -132,11 +137,11 @@
     ///
     /// If each fault of a watch caused a read of the whole table, by all members at once, these reads
     /// would make further watches fail and the store could not recover.
-    pub fn steady(services: Outside, prefix: &str, wait: Duration) -> Self {
-        Follow {
+    pub fn shared(services: ServiceClients, prefix: &str, wait: Duration) -> Self {
+        PrefixWatch {
             reread_interval: Some(SHARED_REREAD_INTERVAL),
             confirms: false,
-            ..Follow::whole(services, prefix, wait)
+            ..PrefixWatch::from_snapshot(services, prefix, wait)
         }
     }
 
@@ -148,46 +153,46 @@
     async fn read_prefix(&mut self) -> Result<(Vec<Item>, Rev), Fault> {
         let rev = self.services.revision(&self.prefix).await?;
         let sent = Instant::now();
-        let (items, _) = self.services.all(&self.prefix, false).await?;
+        let (items, _) = self.services.read_prefix(&self.prefix, false).await?;
         self.complete_at = Some(sent);
         Ok((items, rev))
     }
 
     /// The time up to which all changes have been seen; `None` before the prefix was first read.
-    pub fn current(&self) -> Option<Instant> {
+    pub fn complete_at(&self) -> Option<Instant> {
         self.complete_at
     }
 
     /// Waits for the next update; retries what fails.
-    pub async fn next(&mut self) -> Seen {
+    pub async fn next(&mut self) -> WatchUpdate {
         loop {
-            if let Some(update) = self.turn().await {
+            if let Some(update) = self.poll().await {
                 return update;
             }
         }
     }
 
     /// Reads the whole prefix again at the next turn.
-    pub fn afresh(&mut self) {
+    pub fn restart(&mut self) {
         self.after = None;
     }
 
     /// Makes one read of the prefix or one watch call; `None` if it fails or brings no change.
-    pub async fn turn(&mut self) -> Option<Seen> {
+    pub async fn poll(&mut self) -> Option<WatchUpdate> {
         let Some(after) = self.after else { return self.first_read().await };
         if mem::take(&mut self.pause_next) {
             sleep(self.change_pause).await;
         }
         if self.reread_interval.is_some_and(|interval| self.last_read.elapsed() >= interval) {
             self.last_read = Instant::now();
-            if let Ok((items, rev)) = self.services.all(&self.prefix, false).await {
-                return Some(Seen::All(items, rev));
+            if let Ok((items, rev)) = self.services.read_prefix(&self.prefix, false).await {
+                return Some(WatchUpdate::Snapshot(items, rev));
             }
         }
         let sent = Instant::now();
         let wait = if mem::take(&mut self.skip_wait) { Duration::ZERO } else { self.wait };
         let call = StoreCall::Watch { prefix: self.prefix.clone(), after, wait };
-        match self.services.store(&call, wait + MARGIN).await {
+        match self.services.call_store(&call, wait + WATCH_MARGIN).await {
             Ok(StoreReply::Events(items, rev)) => {
                 self.after = Some(rev.max(after));
                 // An empty reply at the end of the wait shows that nothing has changed meanwhile.
@@ -195,10 +200,10 @@
                 let full = items.is_empty() && sent.elapsed() >= waited;
                 self.complete_at = Some(if full { sent + waited } else { sent });
                 if !items.is_empty() {
-                    self.backoff.good();
+                    self.backoff.reset();
                     self.pause_next = !self.change_pause.is_zero();
                     self.skip_wait = self.confirms;
-                    return Some(Seen::Changes(items, rev));
+                    return Some(WatchUpdate::Changes(items, rev));
                 }
                 if sent.elapsed() < wait / 4 {
                     // Without a pause, watches that are cut short would be repeated in a busy loop.
@@ -215,13 +220,13 @@
     }
 
     /// Reads the whole prefix and continues with watch calls from there.
-    async fn first_read(&mut self) -> Option<Seen> {
+    async fn first_read(&mut self) -> Option<WatchUpdate> {
         let Ok((items, rev)) = self.read_prefix().await else {
             self.backoff.wait().await;
             return None;
         };
         self.after = Some(rev);
-        self.backoff.good();
-        Some(Seen::All(items, rev))
+        self.backoff.reset();
+        Some(WatchUpdate::Snapshot(items, rev))
     }
 }
--- a/src/racks.rs
+++ b/src/racks.rs
@@ -18,14 +18,14 @@
 mod show;
 mod tell;
 
-pub use self::serve::Spot;
+pub use self::serve::Destination;
 
 use {
     self::{link::Link, serve::Endpoints, tell::AttemptInfo},
     crate::{
         Time,
-        attempts::{DRIFT, FLIGHT, LEASE},
-        decide::{choose::Scores, eject::Ejector, estimate::Estimates, place::Index},
+        attempts::{CLOCK_DRIFT, LEASE, MAX_TRANSIT},
+        decide::{choose::Scores, eject::Ejector, estimate::Estimates, place::PlacementIndex},
         ids::{Attempt, Epoch, PoolId, RackId, TaskId, WorkerId},
         ledger::{Held, Ledger},
         messages::{EndItem, Vm, VmState},
@@ -44,7 +44,7 @@
 pub const REPORT_LAG: Duration = Duration::from_secs(4);
 
 /// The longest time that a lease can be valid after its renewal was sent.
-const LEASE_MAX: Duration = LEASE.saturating_add(FLIGHT).saturating_add(DRIFT);
+const LEASE_MAX: Duration = LEASE.saturating_add(MAX_TRANSIT).saturating_add(CLOCK_DRIFT);
 
 /// The racks that a member owns.
 pub struct Racks {
@@ -59,7 +59,7 @@
     pending_ends: BTreeMap<(TaskId, Attempt), EndItem>,
     attempts: BTreeMap<(TaskId, Attempt), AttemptInfo>,
     preempting: BTreeMap<WorkerId, (TaskId, Time)>,
-    indexes: BTreeMap<PoolId, Index>,
+    indexes: BTreeMap<PoolId, PlacementIndex>,
     estimates: Estimates,
     endpoints: BTreeMap<PoolId, Endpoints>,
     seed: u64,
@@ -93,7 +93,7 @@
     }
 
     /// Applies the platform's list of VMs; a leaving worker gets no new work from now on.
-    pub fn listed(&mut self, vms: BTreeMap<WorkerId, Vm>, now: Time) {
+    pub fn update_vms(&mut self, vms: BTreeMap<WorkerId, Vm>, now: Time) {
         self.vms = vms;
         let owned = self.vms.values().filter(|v| self.racks.contains_key(&v.rack));
         let owned: Vec<Vm> = owned.cloned().collect();
@@ -215,7 +215,7 @@
     fn reindex(&mut self, worker: &WorkerId) {
         let Some(account) = self.ledger.worker(worker) else { return };
         let Some(index) = self.indexes.get_mut(&account.pool) else { return };
-        index.set(worker, account.room(), !account.cordoned());
+        index.update(worker, account.room(), !account.cordoned());
     }
 
     /// Updates the agenda with the time at which a worker is due next.
--- a/src/racks/link.rs
+++ b/src/racks/link.rs
@@ -4,7 +4,7 @@
     super::LEASE_MAX,
     crate::{
         Time,
-        attempts::{DRIFT, FLIGHT},
+        attempts::{CLOCK_DRIFT, MAX_TRANSIT},
         http::Failure,
         ids::{Attempt, Epoch, TaskId},
         messages::{TaskOrder, TaskReport, WorkerAsk},
@@ -182,17 +182,17 @@
 impl Start {
     /// Whether it may be sent: after its not-after time another attempt may have been made.
     pub(super) fn fresh(&self, now: Time) -> bool {
-        !self.withdrawn && now + FLIGHT / 4 < self.until
+        !self.withdrawn && now + MAX_TRANSIT / 4 < self.until
     }
 
     /// Whether it may still take effect although it is not sent again.
     pub(super) fn flying(&self, now: Time) -> bool {
-        self.sent.is_some_and(|sent| now < sent + FLIGHT + DRIFT)
+        self.sent.is_some_and(|sent| now < sent + MAX_TRANSIT + CLOCK_DRIFT)
     }
 
     fn end(&self) -> Time {
-        let fresh = if self.withdrawn { Time::ZERO } else { self.until - FLIGHT / 4 };
-        fresh.max(self.sent.map_or(Time::ZERO, |sent| sent + FLIGHT + DRIFT))
+        let fresh = if self.withdrawn { Time::ZERO } else { self.until - MAX_TRANSIT / 4 };
+        fresh.max(self.sent.map_or(Time::ZERO, |sent| sent + MAX_TRANSIT + CLOCK_DRIFT))
     }
 }
 
--- a/src/racks/order.rs
+++ b/src/racks/order.rs
@@ -7,7 +7,7 @@
     },
     crate::{
         Time,
-        attempts::{FLIGHT, LEASE},
+        attempts::{LEASE, MAX_TRANSIT},
         event::Order,
         http::Failure,
         ids::{Attempt, TaskId, WorkerId},
@@ -186,7 +186,7 @@
         // Computed here, right after the lease was checked: if the process is paused before the
         // order is sent, the worker sees that it is too late. Bounded also by the not-after time of
         // each start in the order.
-        let mut until = now + FLIGHT;
+        let mut until = now + MAX_TRANSIT;
         for s in link.starts.iter_mut().filter(|s| s.fresh(now)) {
             until = until.min(s.until);
             (s.sent, s.tries) = (Some(now), s.tries + 1);
--- a/src/racks/place.rs
+++ b/src/racks/place.rs
@@ -4,7 +4,7 @@
     super::{RESERVATION_TTL, Racks, link::Start, tell::AttemptInfo},
     crate::{
         Time,
-        attempts::{DRIFT, FLIGHT},
+        attempts::{CLOCK_DRIFT, MAX_TRANSIT},
         decide::urgent::{self, Running},
         ids::{Epoch, PoolId, RackId, TaskId, WorkerId},
         ledger::Held,
@@ -26,7 +26,7 @@
     pub fn reserve(&mut self, ask: &ReserveAsk, now: Time) -> ReserveReply {
         self.preempting.retain(|_, (_, until)| *until > now);
         let needs: Vec<Size> = ask.items.iter().map(|i| i.size).collect();
-        let order = self.indexes.get(&ask.pool).map_or(vec![], |index| index.order(&needs));
+        let order = self.indexes.get(&ask.pool).map_or(vec![], |index| index.packing_order(&needs));
         let mut rows = vec![];
         for item in order.into_iter().filter_map(|i| ask.items.get(i)) {
             let found = self.choose_worker(ask, item);
@@ -225,7 +225,7 @@
         let tasks = account.held().filter_map(|held| {
             let Held::Task(task, attempt) = held else { return None };
             let facts = self.attempts.get(&(task.clone(), *attempt));
-            let young = facts.is_some_and(|f| now - f.since < FLIGHT + DRIFT);
+            let young = facts.is_some_and(|f| now - f.since < MAX_TRANSIT + CLOCK_DRIFT);
             let kind = match facts.and_then(|f| f.hold) {
                 // Its stop would have to wait until its start can no longer arrive.
                 Some(_) if young => urgent::Kind::Plain,
@@ -238,8 +238,8 @@
                 size: self.ledger.load(held)?.size,
                 kind,
                 borrowed: facts.and_then(|f| f.hold).is_some_and(|(_, borrowed)| borrowed),
-                saved: facts.map_or(Time::ZERO, |f| f.since),
-                save: CHECKPOINT_DURATION,
+                last_checkpoint: facts.map_or(Time::ZERO, |f| f.since),
+                checkpoint_time: CHECKPOINT_DURATION,
             })
         });
         Some(urgent::Place {
--- a/src/racks/serve.rs
+++ b/src/racks/serve.rs
@@ -23,7 +23,7 @@
 
 /// The endpoint that a request is sent to.
 #[derive(Clone, Debug)]
-pub struct Spot {
+pub struct Destination {
     /// The endpoint.
     pub worker: WorkerId,
     /// Its address.
@@ -33,7 +33,7 @@
 }
 
 impl Racks {
-    /// Chooses an endpoint of a pool that has a slot free; [`Racks::take`] or [`Racks::pass`] follows.
+    /// Chooses an endpoint of a pool that has a slot free; [`Racks::take`] or [`Racks::unchoose`] follows.
     pub fn choose(&mut self, pool: &PoolId, now: Time) -> Option<WorkerId> {
         let choice = self.endpoints.get_mut(pool)?;
         for _ in 0..DRAWS {
@@ -50,23 +50,28 @@
     }
 
     /// Takes a slot of a chosen endpoint for a request until `ends`; `None` if it has no free slot.
-    pub fn take(&mut self, worker: WorkerId, request: RequestId, ends: Time) -> Option<Spot> {
+    pub fn take(
+        &mut self,
+        worker: WorkerId,
+        request: RequestId,
+        ends: Time,
+    ) -> Option<Destination> {
         self.ledger.take_slot(request, &worker, ends).ok()?;
         let epoch = self.links.get(&worker)?.epoch;
         let addr = self.vms.get(&worker)?.addr;
-        Some(Spot { worker, addr, epoch })
+        Some(Destination { worker, addr, epoch })
     }
 
     /// Reverts the choice of an endpoint that is not used.
-    pub fn pass(&mut self, worker: &WorkerId) {
+    pub fn unchoose(&mut self, worker: &WorkerId) {
         for choice in self.endpoints.values_mut() {
             choice.scores.release(worker);
         }
     }
 
-    /// Records the end of a dispatch that took `ran`, with `run` expected; frees the slot unless the
+    /// Records the end of a dispatch that took `finish`, with `run` expected; frees the slot unless the
     /// request may still run there.
-    pub fn ran(
+    pub fn finish(
         &mut self,
         request: RequestId,
         worker: &WorkerId,
--- a/src/racks/tell.rs
+++ b/src/racks/tell.rs
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The ends and starts to report to the buckets' owners; each is kept until [`Racks::told`].
-    pub fn tell(&self) -> BTreeMap<Bucket, Vec<EndItem>> {
+    /// The ends and starts to report to the buckets' owners; each is kept until [`Racks::acknowledge`].
+    pub fn pending_reports(&self) -> BTreeMap<Bucket, Vec<EndItem>> {
         let mut reports: BTreeMap<Bucket, Vec<EndItem>> = BTreeMap::new();
         for (key, item) in &self.pending_ends {
             // If no bucket's owner has vouched for the attempt yet, the next probe reports it.
@@ -89,7 +89,7 @@
     }
 
     /// Removes reports that the buckets' owners have acknowledged.
-    pub fn told(&mut self, items: &[EndItem]) {
+    pub fn acknowledge(&mut self, items: &[EndItem]) {
         for item in items {
             let key = (item.task.clone(), item.attempt);
             if self.pending_ends.get(&key).is_some_and(|i| i.state == item.state) {
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -8,9 +8,9 @@
 
 use {
     crate::{
-        decide::relay::{Relay, Way},
+        decide::relay::{RelayState, StorePath},
         ids::Incarnation,
-        ports::{Fault, Wire},
+        ports::{Fault, WireRequest},
         time::Time,
     },
     bytes::Bytes,
@@ -42,7 +42,7 @@
 
 impl RelayedCall {
     /// Converts a call; `None` if its body is not UTF-8.
-    pub fn new(wire: &Wire) -> Option<Self> {
+    pub fn new(wire: &WireRequest) -> Option<Self> {
         Some(RelayedCall {
             method: wire.method.into(),
             path: wire.path.clone(),
@@ -99,38 +99,38 @@
 /// Asks other members to make a call, and returns the reply; `None` if there is no member to ask.
 ///
 /// The flag says whether the call may be made twice, the duration is its time limit.
-pub type Relayer = Arc<dyn Fn(Wire, bool, Duration) -> RelayFuture + Send + Sync>;
+pub type Relayer = Arc<dyn Fn(WireRequest, bool, Duration) -> RelayFuture + Send + Sync>;
 
 /// The future of a call that other members are asked to make.
 pub type RelayFuture = Pin<Box<dyn Future<Output = Option<WireReply>> + Send>>;
 
 /// Whether calls of the store go direct or through other members; shared by a member's threads.
-pub struct Ways {
-    /// The time that [`Ways::now`] counts from.
+pub struct StoreRoutes {
+    /// The time that [`StoreRoutes::now`] counts from.
     start: Instant,
-    state: Mutex<Relay>,
+    state: Mutex<RelayState>,
     /// Whether the direct connection is lost, for those who wait for it.
     lost: watch::Sender<bool>,
 }
 
-impl Default for Ways {
+impl Default for StoreRoutes {
     fn default() -> Self {
         let (start, state) = (Instant::now(), Mutex::default());
-        Ways { start, state, lost: watch::Sender::new(false) }
+        StoreRoutes { start, state, lost: watch::Sender::new(false) }
     }
 }
 
-impl Ways {
+impl StoreRoutes {
     /// Chooses the way of a call; `repeats` says whether it may be made twice.
-    pub fn choose(&self, repeats: bool) -> Way {
+    pub fn choose(&self, repeats: bool) -> StorePath {
         let now = self.now();
-        self.state().way(repeats, now)
+        self.state().choose_path(repeats, now)
     }
 
     /// Whether a call that was not served may be relayed now.
     pub fn may_relay(&self) -> bool {
         let now = self.now();
-        !self.state().rests(now)
+        !self.state().is_paused(now)
     }
 
     /// Records the result of a direct call that was sent at `sent`: served if `fault` is `None`.
@@ -141,10 +141,10 @@
         let lost = {
             let mut state = self.state();
             match fault {
-                Some(Fault::Unknown) => state.unanswered(sent, now),
-                fault => state.direct(fault.is_none(), now),
+                Some(Fault::Unknown) => state.record_timeout(sent, now),
+                fault => state.record_direct(fault.is_none(), now),
             }
-            state.lost()
+            state.is_direct_lost()
         };
         let changed = self.lost.send_if_modified(|known| {
             let changed = *known != lost;
@@ -169,32 +169,32 @@
     }
 
     /// Whether the direct connection is lost.
-    pub fn is_lost(&self) -> bool {
-        self.state().lost()
+    pub fn is_direct_lost(&self) -> bool {
+        self.state().is_direct_lost()
     }
 
     /// Whether this member should leave its shards to members that the store serves.
-    pub fn yields(&self) -> bool {
+    pub fn yields_shards(&self) -> bool {
         let now = self.now();
-        self.state().yields(now)
+        self.state().yields_ownership(now)
     }
 
     /// The members to ask to relay a call, in order, of those that are able to.
     pub fn candidates(&self, able: &[Incarnation], me: Incarnation) -> Vec<Incarnation> {
         let now = self.now();
-        self.state().members(able, me, now)
+        self.state().candidates(able, me, now)
     }
 
     /// Records a call that member `by` was asked to relay, and whether the store served it.
     pub fn record_relayed(&self, by: Incarnation, served: bool) {
         let now = self.now();
-        self.state().relayed(by, served, now);
+        self.state().record_relay(by, served, now);
     }
 
     /// Records a call that none of the members that were asked has relayed.
     pub fn record_unrelayed(&self) {
         let now = self.now();
-        self.state().unrelayed(now);
+        self.state().record_unrelayed(now);
     }
 
     /// The time since this value was created, on the clock of its other methods.
@@ -202,7 +202,7 @@
         Time::ZERO + self.start.elapsed()
     }
 
-    fn state(&self) -> MutexGuard<'_, Relay> {
+    fn state(&self) -> MutexGuard<'_, RelayState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/requests.rs
+++ b/src/requests.rs
@@ -6,17 +6,19 @@
 
 mod keys;
 
-pub(crate) use self::keys::{AGAIN, ANEW, Claim, OWN_END, digest, end, kept};
+pub(crate) use self::keys::{
+    Claim, END_RETRY, OWN_END_MARK, REASK_MARK, digest, end, stored_answer,
+};
 use {
     self::keys::Keys,
     crate::{
         decide::{
             admit::Gate,
             fair::{Item, Queue},
+            forward::PeerSelector,
             retry::Budget,
-            shift::Spread,
         },
-        event::{Ask, Ticket},
+        event::{ClientRequest, Ticket},
         ids::{CallerId, Incarnation, RequestId, ServiceId},
         messages::{MemberRecord, ServiceLoad},
         text::Service,
@@ -39,17 +41,17 @@
 pub struct Requests {
     pub(crate) table: FxHashMap<RequestId, Pending>,
     pub(crate) tickets: FxHashMap<Ticket, RequestId>,
-    pub(crate) lines: BTreeMap<ServiceId, Line>,
+    pub(crate) services: BTreeMap<ServiceId, ServiceRequests>,
     pub(crate) keys: Keys,
-    pub(crate) spreads: BTreeMap<ServiceId, Spread>,
+    pub(crate) spreads: BTreeMap<ServiceId, PeerSelector>,
     pub(crate) budget: Budget,
-    pub(crate) again: BTreeSet<(Time, RequestId)>,
+    pub(crate) retries: BTreeSet<(Time, RequestId)>,
     /// When an endpoint of each service was last known, here or at a peer.
-    pub(crate) lively: BTreeMap<ServiceId, Time>,
+    pub(crate) last_served: BTreeMap<ServiceId, Time>,
 }
 
 /// The requests of one service that wait here, and those that run at endpoints of this member.
-pub(crate) struct Line {
+pub(crate) struct ServiceRequests {
     pub(crate) gate: Gate,
     pub(crate) queue: Queue,
     pub(crate) running: FxHashMap<RequestId, (Item, Time)>,
@@ -57,10 +59,10 @@
 
 /// A request that has no final answer yet.
 pub(crate) struct Pending {
-    pub(crate) ask: Ask,
+    pub(crate) ask: ClientRequest,
     pub(crate) deadline: Time,
     /// Until when it is retried while its bucket, or its service's racks, change owners.
-    pub(crate) patience: Option<Time>,
+    pub(crate) retry_until: Option<Time>,
     pub(crate) stage: Stage,
     pub(crate) claim: Option<Claim>,
     pub(crate) tries: u32,
@@ -80,8 +82,8 @@
     ///
     /// It does not start at the request's arrival: a member that was paused would otherwise give up
     /// all its requests at once.
-    pub(crate) fn patient(&mut self, now: Time) -> bool {
-        now < *self.patience.get_or_insert(self.deadline.min(now + RETRY_WINDOW))
+    pub(crate) fn may_retry(&mut self, now: Time) -> bool {
+        now < *self.retry_until.get_or_insert(self.deadline.min(now + RETRY_WINDOW))
     }
 }
 
@@ -91,12 +93,12 @@
         Requests {
             table: FxHashMap::default(),
             tickets: FxHashMap::default(),
-            lines: BTreeMap::new(),
+            services: BTreeMap::new(),
             keys: Keys::default(),
             spreads: BTreeMap::new(),
             budget: Budget::new(Time::ZERO),
-            again: BTreeSet::new(),
-            lively: BTreeMap::new(),
+            retries: BTreeSet::new(),
+            last_served: BTreeMap::new(),
         }
     }
 
@@ -109,34 +111,33 @@
         now: Time,
     ) {
         for load in loads {
-            let spread = self
-                .spreads
-                .entry(load.service.clone())
-                .or_insert_with(|| Spread::new(me.zone.clone(), Rng::with_seed(me.incarnation.0)));
-            spread.report(peer.incarnation, &peer.zone, load.clone(), Duration::ZERO, now);
+            let spread = self.spreads.entry(load.service.clone()).or_insert_with(|| {
+                PeerSelector::new(me.zone.clone(), Rng::with_seed(me.incarnation.0))
+            });
+            spread.record_report(peer.incarnation, &peer.zone, load.clone(), Duration::ZERO, now);
         }
     }
 
     /// Removes a peer that is stopping or gone.
     pub fn forget(&mut self, peer: Incarnation) {
-        self.spreads.values_mut().for_each(|s| s.forget(peer));
+        self.spreads.values_mut().for_each(|s| s.remove_peer(peer));
     }
 
     /// Whether any peer is known to serve a service.
     pub fn served(&self, service: &ServiceId) -> bool {
-        self.spreads.get(service).is_some_and(Spread::served)
+        self.spreads.get(service).is_some_and(PeerSelector::has_slots)
     }
 
     /// The expected wait of a typical request of a service at this member.
     pub fn wait(&self, id: &ServiceId, service: &Service, now: Time) -> Duration {
-        let Some(line) = self.lines.get(id) else { return Duration::ZERO };
+        let Some(line) = self.services.get(id) else { return Duration::ZERO };
         let typical = Item {
             id: RequestId(0),
             caller: CallerId("".into()),
             team: service.team.clone(),
-            born: now,
+            arrived_at: now,
             deadline: now + service.deadline,
-            run: service.run,
+            run_time: service.run,
         };
         line.gate.wait(&line.queue, &typical, now)
     }
@@ -153,7 +154,7 @@
 
     /// The number of requests of a service that wait for a slot.
     pub fn waiting(&self, service: &ServiceId) -> usize {
-        self.lines.get(service).map_or(0, |l| l.queue.len())
+        self.services.get(service).map_or(0, |l| l.queue.len())
     }
 }
 
--- a/src/requests/keys.rs
+++ b/src/requests/keys.rs
@@ -8,7 +8,7 @@
 use {
     crate::{
         error::{Error, Kind, Ran},
-        event::{Answer, Ask, Ticket, Verdict},
+        event::{Answer, ClientRequest, Ticket, Verdict},
         ids::{Key, RequestId},
         messages::{ClaimEnd, ClaimFate, ClaimReply},
         time::Time,
@@ -28,11 +28,11 @@
 /// record has to stay far below the key-value service's megabyte.
 const ANSWER_MAX: usize = 2048;
 /// The pause before an unacknowledged end of a claim is sent again.
-pub(crate) const AGAIN: Duration = Duration::from_millis(500);
+pub(crate) const END_RETRY: Duration = Duration::from_millis(500);
 /// Marks the ids of repeated asks, which must differ from all ids of requests.
-pub(crate) const ANEW: u128 = 1 << 63;
+pub(crate) const REASK_MARK: u128 = 1 << 63;
 /// Marks the ticket of a claim's end that this member sends to itself as the bucket's owner.
-pub(crate) const OWN_END: Ticket = 1 << 63;
+pub(crate) const OWN_END_MARK: Ticket = 1 << 63;
 
 /// A request's claim.
 pub(crate) struct Claim {
@@ -47,13 +47,13 @@
 pub(crate) struct Keys {
     /// The ends that are not acknowledged, and when to send them again.
     pub(crate) ends: BTreeMap<(Key, RequestId), (ClaimEnd, Time)>,
-    pub(crate) told: FxHashMap<Ticket, (Key, RequestId)>,
-    pub(crate) own: Ticket,
+    pub(crate) ack_tickets: FxHashMap<Ticket, (Key, RequestId)>,
+    pub(crate) last_own_ticket: Ticket,
     /// The requests by the ids of their repeated asks.
     pub(crate) asks: FxHashMap<RequestId, RequestId>,
-    pub(crate) anew: u128,
+    pub(crate) ask_count: u128,
     /// The deadlines of requests whose claim was asked for, granted or not.
-    pub(crate) limits: BTreeSet<(Time, RequestId)>,
+    pub(crate) deadlines: BTreeSet<(Time, RequestId)>,
 }
 
 impl Keys {
@@ -63,7 +63,7 @@
     }
 
     /// Whether an earlier ask of this member for a key may have been committed as its claim.
-    pub fn doubtful(&self, key: &Key) -> bool {
+    pub fn maybe_claimed(&self, key: &Key) -> bool {
         self.ends.keys().any(|(k, _)| k == key)
     }
 }
@@ -73,7 +73,7 @@
     let (fate, status, answer) = match verdict {
         Ok(a) => {
             let body = std::str::from_utf8(&a.body).ok().filter(|b| b.len() <= ANSWER_MAX);
-            let text = body.map(|b| format!("{}\n{b}", a.kind).into());
+            let text = body.map(|b| format!("{}\n{b}", a.content_type).into());
             (ClaimFate::Answered, Some(u32::from(a.status)), text)
         }
         Err(e) if e.kind().answer().ran == Ran::No => (ClaimFate::NotRun, None, None),
@@ -83,7 +83,7 @@
 }
 
 /// The answer stored with a key.
-pub(crate) fn kept(reply: ClaimReply) -> Verdict {
+pub(crate) fn stored_answer(reply: ClaimReply) -> Verdict {
     let (Some(status), Some(text)) = (reply.status, reply.answer) else {
         return Err(Error::new(
             Kind::KeyUnknown,
@@ -92,11 +92,11 @@
     };
     let (kind, body) = text.split_once('\n').unwrap_or(("", &text));
     let status = u16::try_from(status).unwrap_or(200);
-    Ok(Answer { status, kind: kind.into(), body: body.to_owned().into() })
+    Ok(Answer { status, content_type: kind.into(), body: body.to_owned().into() })
 }
 
 /// A digest that distinguishes different requests with the same key.
-pub(crate) fn digest(ask: &Ask) -> String {
+pub(crate) fn digest(ask: &ClientRequest) -> String {
     let mut h = Xxh3Default::new();
     for part in
         [ask.service.as_str().as_bytes(), ask.load.method.as_bytes(), ask.load.path.as_bytes()]
--- a/src/store.rs
+++ b/src/service_clients.rs
@@ -8,16 +8,16 @@
 
 use {
     crate::{
-        contact::{Latency, LatencyChange, Reachability, ReachabilityChange},
-        decide::relay::Way,
-        http::{Client, Failure, Patience, uri},
+        decide::relay::StorePath,
+        http::{CallLimits, Client, Failure, uri},
         ids::WorkerId,
         metrics::Metrics,
         ports::{
-            Advice, AdviceCall, Fault, Forms, Item, Rev, Site, StoreCall, StoreReply, Vm, VmCall,
-            VmReply, VmState, Wire, WorkerCall, WorkerReply,
+            Advice, AdviceCall, Codec, Fault, Item, Rev, Site, StoreCall, StoreReply, Vm, VmCall,
+            VmReply, VmState, WireRequest, WorkerCall, WorkerReply,
         },
-        relay::{RelayedCall, Relayer, Ways, WireReply},
+        relay::{RelayedCall, Relayer, StoreRoutes, WireReply},
+        service_health::{Latency, LatencyChange, Reachability, ReachabilityChange},
         time::Time,
     },
     bytes::Bytes,
@@ -32,9 +32,9 @@
 };
 
 /// Time limit of a call of the store, other than a watch.
-pub const CALL: Duration = Duration::from_millis(1200);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 /// How much longer than the time that it waits for changes a watch may take.
-pub const MARGIN: Duration = Duration::from_millis(700);
+pub const WATCH_MARGIN: Duration = Duration::from_millis(700);
 /// The longest pause between two parts of the body of a large reply.
 const PART_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a large reply may take to transfer: 10 MB over a link of 10 Mbit/s.
@@ -50,18 +50,18 @@
 /// A call with less time left than this is not relayed.
 const MIN_RELAY_TIME: Duration = Duration::from_millis(50);
 
-/// Makes calls of the services in the wire format of [`Forms`].
+/// Makes calls of the services in the wire format of [`Codec`].
 ///
 /// Belongs to one thread: its connections live on the runtime that opened them.
 #[derive(Clone)]
-pub struct Outside {
+pub struct ServiceClients {
     client: Client,
-    forms: &'static Forms,
+    forms: &'static Codec,
     site: watch::Receiver<Arc<Site>>,
     metrics: Arc<Metrics>,
     on_answer: Arc<dyn Fn() + Send + Sync>,
     health: Arc<Health>,
-    routes: Option<(Arc<Ways>, Relayer)>,
+    routes: Option<(Arc<StoreRoutes>, Relayer)>,
 }
 
 /// Whether the services answer this thread, and how fast the store does.
@@ -72,12 +72,12 @@
     latency: Mutex<Latency>,
 }
 
-impl Outside {
+impl ServiceClients {
     /// Creates clients that read the addresses from the settings at each call.
     ///
     /// `on_answer` is called at each answer of the store.
     pub fn new(
-        forms: &'static Forms,
+        forms: &'static Codec,
         site: watch::Receiver<Arc<Site>>,
         metrics: Arc<Metrics>,
         on_answer: Arc<dyn Fn() + Send + Sync>,
@@ -85,12 +85,12 @@
         let (store, advice, latency) = Default::default();
         let health = Health { start: Instant::now(), store, advice, latency };
         let (client, health) = (Client::new(MAX_IDLE), Arc::new(health));
-        Outside { client, forms, site, metrics, on_answer, health, routes: None }
+        ServiceClients { client, forms, site, metrics, on_answer, health, routes: None }
     }
 
     /// Has other members relay the calls of the store while it doesn't serve this member.
-    pub fn with_relay(self, routes: Arc<Ways>, relayer: Relayer) -> Self {
-        Outside { routes: Some((routes, relayer)), ..self }
+    pub fn with_relay(self, routes: Arc<StoreRoutes>, relayer: Relayer) -> Self {
+        ServiceClients { routes: Some((routes, relayer)), ..self }
     }
 
     /// Calls the store.
@@ -102,16 +102,17 @@
     ///
     /// [`Fault::Unsent`] and [`Fault::Refused`]: the call had no effect and will have none.
     /// [`Fault::Unknown`]: it may have taken effect, or may do so later.
-    pub async fn store(&self, call: &StoreCall, limit: Duration) -> Result<StoreReply, Fault> {
+    pub async fn call_store(&self, call: &StoreCall, limit: Duration) -> Result<StoreReply, Fault> {
         let (begin, name, wire) =
-            (Instant::now(), store_call_name(call), (self.forms.ask_store)(call));
+            (Instant::now(), store_call_name(call), (self.forms.encode_store)(call));
         let answer = match &self.routes {
             None => self.direct(call, &wire, limit).await,
             Some((routes, relayer)) => self.routed(call, wire, limit, routes, relayer).await,
         };
         let bytes = answer.as_ref().map_or(0, |(_, body)| body.len());
-        let reply = answer.and_then(|(status, body)| (self.forms.store)(call, status, &body));
-        self.metrics.received(name, store_result_name(&reply), bytes);
+        let reply =
+            answer.and_then(|(status, body)| (self.forms.decode_store)(call, status, &body));
+        self.metrics.count_received(name, store_result_name(&reply), bytes);
         let answered = !matches!(reply, Err(Fault::Unsent | Fault::Unknown));
         if answered {
             (self.on_answer)();
@@ -120,40 +121,41 @@
         // bandwidth of the link: neither shows how fast the store is.
         let waits = matches!(call, StoreCall::Watch { .. });
         if answered && !waits {
-            self.metrics.answered_in(name, begin.elapsed());
+            self.metrics.observe_call(name, begin.elapsed());
         }
         if answered && !waits && !matches!(call, StoreCall::Range { .. }) {
             self.health.record_latency(begin.elapsed());
         }
         self.health.record_call(&self.health.store, "store", answered);
-        self.metrics.called(name, store_result_name(&reply));
+        self.metrics.count_call(name, store_result_name(&reply));
         reply
     }
 
-    /// Makes a call of the store directly or through another member, as [`Ways`] chooses.
+    /// Makes a call of the store directly or through another member, as [`StoreRoutes`] chooses.
     async fn routed(
         &self,
         call: &StoreCall,
-        wire: Wire,
+        wire: WireRequest,
         limit: Duration,
-        routes: &Ways,
+        routes: &StoreRoutes,
         relayer: &Relayer,
     ) -> WireReply {
         let (start, sent) = (Instant::now(), routes.now());
-        let repeats = call.repeats();
+        let repeats = call.is_repeatable();
         let direct = match routes.choose(repeats) {
-            Way::Relayed => None,
-            Way::Probe => Some(self.direct(call, &wire, PROBE_TIMEOUT.min(limit / 2)).await),
-            Way::Direct if matches!(call, StoreCall::Watch { .. }) => Some(tokio::select! {
+            StorePath::Relayed => None,
+            StorePath::Probe => Some(self.direct(call, &wire, PROBE_TIMEOUT.min(limit / 2)).await),
+            StorePath::Direct if matches!(call, StoreCall::Watch { .. }) => Some(tokio::select! {
                 answer = self.direct(call, &wire, limit) => answer,
                 () = routes.wait_lost() => Err(Fault::Unknown),
             }),
             // Half of the time is reserved for relaying the call.
-            Way::Direct if repeats => Some(self.direct(call, &wire, limit / 2).await),
-            Way::Direct => Some(self.direct(call, &wire, limit).await),
+            StorePath::Direct if repeats => Some(self.direct(call, &wire, limit / 2).await),
+            StorePath::Direct => Some(self.direct(call, &wire, limit).await),
         };
         let fault = direct.map(|answer| {
-            let reply = answer.clone().and_then(|(s, body)| (self.forms.store)(call, s, &body));
+            let reply =
+                answer.clone().and_then(|(s, body)| (self.forms.decode_store)(call, s, &body));
             let fault = reply.err().filter(|f| !matches!(f, Fault::Bad(_) | Fault::TooLarge));
             routes.record_direct(sent, fault.as_ref());
             (answer, fault)
@@ -185,27 +187,31 @@
     /// Ranges and watches get extra time as long as parts of the reply keep arriving: with a fixed
     /// limit, a reply that is too large for a slow link would be abandoned and requested again from
     /// its beginning, would never complete, and would take the link's whole bandwidth.
-    async fn direct(&self, call: &StoreCall, wire: &Wire, limit: Duration) -> WireReply {
-        let addr = self.site.borrow().store;
+    async fn direct(&self, call: &StoreCall, wire: &WireRequest, limit: Duration) -> WireReply {
+        let addr = self.site.borrow().store_addr;
         let patience = match call {
-            StoreCall::Range { .. } | StoreCall::Watch { .. } => {
-                Patience { part: PART_TIMEOUT, whole: limit + BODY_TIMEOUT, ..Patience::new(limit) }
+            StoreCall::Range { .. } | StoreCall::Watch { .. } => CallLimits {
+                frame_timeout: PART_TIMEOUT,
+                total_timeout: limit + BODY_TIMEOUT,
+                ..CallLimits::new(limit)
+            },
+            StoreCall::Txn(_) => {
+                CallLimits { max_body: MAX_WRITE_REPLY_BYTES, ..CallLimits::new(limit) }
             }
-            StoreCall::Txn(_) => Patience { most: MAX_WRITE_REPLY_BYTES, ..Patience::new(limit) },
-            _ => Patience::new(limit),
+            _ => CallLimits::new(limit),
         };
         self.exchange(request(addr, wire)?, &patience).await
     }
 
     /// Makes a call of the store for another member, as that member has encoded it.
     ///
-    /// `repeats` says whether the call may be made twice.
+    /// `is_repeatable` says whether the call may be made twice.
     ///
     /// # Errors
     ///
-    /// As [`Outside::store`].
+    /// As [`ServiceClients::call_store`].
     pub async fn relay(&self, call: RelayedCall, repeats: bool, limit: Duration) -> WireReply {
-        let addr = self.site.borrow().store;
+        let addr = self.site.borrow().store_addr;
         let mut b = Request::builder().method(&*call.method).uri(uri(addr, &call.path));
         for (name, value) in &call.headers {
             b = b.header(&**name, &**value);
@@ -213,8 +219,10 @@
         let body = Bytes::from(call.body.into_string());
         let request = b.body(Full::new(body)).map_err(|_| Fault::Unsent)?;
         let most = if repeats { usize::MAX } else { MAX_WRITE_REPLY_BYTES };
-        let answer = self.exchange(request, &Patience { most, ..Patience::new(limit) }).await;
-        self.metrics.called("store_relay", answer.as_ref().map_or_else(fault_name, |_| "done"));
+        let answer =
+            self.exchange(request, &CallLimits { max_body: most, ..CallLimits::new(limit) }).await;
+        self.metrics
+            .count_call("store_relay", answer.as_ref().map_or_else(fault_label, |_| "done"));
         answer
     }
 
@@ -222,9 +230,9 @@
     ///
     /// # Errors
     ///
-    /// As [`Outside::store`]; [`Fault::Bad`] if the reply is of another kind.
+    /// As [`ServiceClients::call_store`]; [`Fault::Bad`] if the reply is of another kind.
     pub async fn get(&self, key: &str, limit: Duration) -> Result<Option<Item>, Fault> {
-        match self.store(&StoreCall::Get { key: key.into() }, limit).await? {
+        match self.call_store(&StoreCall::Get { key: key.into() }, limit).await? {
             StoreReply::Item(item) => Ok(item.filter(|i| i.value.is_some())),
             _ => Err(Fault::Bad("the store answered a get with another kind of reply".into())),
         }
@@ -237,12 +245,13 @@
     ///
     /// # Errors
     ///
-    /// As [`Outside::get`].
-    pub async fn all(&self, prefix: &str, stale: bool) -> Result<(Vec<Item>, Rev), Fault> {
+    /// As [`ServiceClients::get`].
+    pub async fn read_prefix(&self, prefix: &str, stale: bool) -> Result<(Vec<Item>, Rev), Fault> {
         let (mut items, mut first, mut after) = (vec![], None, Box::<str>::from(""));
         loop {
             let call = StoreCall::Range { prefix: prefix.into(), after, stale };
-            let StoreReply::Page(page, more, rev) = self.store(&call, CALL).await? else {
+            let StoreReply::Page(page, more, rev) = self.call_store(&call, CALL_TIMEOUT).await?
+            else {
                 return Err(Fault::Bad(
                     "the store answered a range with another kind of reply".into(),
                 ));
@@ -261,11 +270,11 @@
     ///
     /// # Errors
     ///
-    /// As [`Outside::get`].
+    /// As [`ServiceClients::get`].
     pub async fn revision(&self, prefix: &str) -> Result<Rev, Fault> {
         let after = format!("{prefix}{LAST_CHAR}").into();
         let call = StoreCall::Range { prefix: prefix.into(), after, stale: false };
-        match self.store(&call, CALL).await? {
+        match self.call_store(&call, CALL_TIMEOUT).await? {
             StoreReply::Page(_, _, rev) => Ok(rev),
             _ => Err(Fault::Bad("the store answered a range with another kind of reply".into())),
         }
@@ -275,8 +284,8 @@
     ///
     /// # Errors
     ///
-    /// As [`Outside::store`].
-    pub async fn worker(
+    /// As [`ServiceClients::call_store`].
+    pub async fn call_worker(
         &self,
         addr: SocketAddr,
         worker: &WorkerId,
@@ -284,14 +293,15 @@
         limit: Duration,
     ) -> Result<WorkerReply, Fault> {
         let begin = Instant::now();
-        let answer = self.send(addr, (self.forms.ask_worker)(worker, call), limit).await;
-        let reply = answer.and_then(|(status, body)| (self.forms.worker)(call, status, &body));
+        let answer = self.send(addr, (self.forms.encode_worker)(worker, call), limit).await;
+        let reply =
+            answer.and_then(|(status, body)| (self.forms.decode_worker)(call, status, &body));
         let result = match &reply {
             Ok(WorkerReply::Done(_) | WorkerReply::Held(_)) => "done",
             Ok(WorkerReply::Refused(..)) => "refused",
             Ok(WorkerReply::Other) => "other",
             Ok(WorkerReply::Unwell) => "unwell",
-            Err(fault) => fault_name(fault),
+            Err(fault) => fault_label(fault),
         };
         let name = match call {
             WorkerCall::Start(_) => "worker_start",
@@ -299,12 +309,12 @@
             WorkerCall::Hold { .. } => "worker_hold",
             WorkerCall::Pace { .. } => "worker_pace",
         };
-        self.metrics.called(name, result);
+        self.metrics.count_call(name, result);
         if matches!(reply, Err(Fault::Unknown)) {
-            self.metrics.unanswered(name);
+            self.metrics.count_unanswered(name);
         } else if !matches!(call, WorkerCall::Hold { .. }) {
             // A hold waits for the end of a run, so its duration says nothing of the worker's speed.
-            self.metrics.answered_in(name, begin.elapsed());
+            self.metrics.observe_call(name, begin.elapsed());
         }
         reply
     }
@@ -313,18 +323,18 @@
     ///
     /// # Errors
     ///
-    /// As [`Outside::store`]; [`Fault::Unsent`] if the settings name no advice service.
+    /// As [`ServiceClients::call_store`]; [`Fault::Unsent`] if the settings name no advice service.
     pub async fn call_advice(&self, call: &AdviceCall, limit: Duration) -> Result<Advice, Fault> {
-        let addr = self.site.borrow().advice.ok_or(Fault::Unsent)?;
+        let addr = self.site.borrow().advice_addr.ok_or(Fault::Unsent)?;
         let begin = Instant::now();
-        let answer = self.send(addr, (self.forms.ask_advice)(call), limit).await;
-        let reply = answer.and_then(|(status, body)| (self.forms.advice)(status, &body));
+        let answer = self.send(addr, (self.forms.encode_advice)(call), limit).await;
+        let reply = answer.and_then(|(status, body)| (self.forms.decode_advice)(status, &body));
         let answered = !matches!(reply, Err(Fault::Unsent | Fault::Unknown));
         self.health.record_call(&self.health.advice, "advice", answered);
         if answered {
-            self.metrics.answered_in("advice", begin.elapsed());
+            self.metrics.observe_call("advice", begin.elapsed());
         }
-        self.metrics.called("advice", reply.as_ref().map_or_else(fault_name, |_| "done"));
+        self.metrics.count_call("advice", reply.as_ref().map_or_else(fault_label, |_| "done"));
         reply
     }
 
@@ -334,9 +344,9 @@
     ///
     /// # Errors
     ///
-    /// As [`Outside::vms`].
-    pub async fn lives(&self, limit: Duration) -> Result<Vec<WorkerId>, Fault> {
-        let all = self.vms(limit).await?;
+    /// As [`ServiceClients::list_vms`].
+    pub async fn live_workers(&self, limit: Duration) -> Result<Vec<WorkerId>, Fault> {
+        let all = self.list_vms(limit).await?;
         let up = all.into_iter().filter(|vm| vm.state == VmState::Up);
         Ok(up.filter_map(|vm| vm.worker).collect())
     }
@@ -345,17 +355,17 @@
     ///
     /// # Errors
     ///
-    /// As [`Outside::store`]; [`Fault::Unsent`] if the settings name no VM service.
-    pub async fn vms(&self, limit: Duration) -> Result<Vec<Vm>, Fault> {
-        let addr = self.site.borrow().vms.ok_or(Fault::Unsent)?;
+    /// As [`ServiceClients::call_store`]; [`Fault::Unsent`] if the settings name no VM service.
+    pub async fn list_vms(&self, limit: Duration) -> Result<Vec<Vm>, Fault> {
+        let addr = self.site.borrow().vms_addr.ok_or(Fault::Unsent)?;
         let (mut all, mut token) = (vec![], Box::<str>::from(""));
         loop {
-            let answer = self.send(addr, (self.forms.ask_vms)(&token), limit).await;
-            let page = answer.and_then(|(status, body)| (self.forms.vms)(status, &body));
-            self.metrics.called("vms", page.as_ref().map_or_else(fault_name, |_| "done"));
+            let answer = self.send(addr, (self.forms.encode_vms)(&token), limit).await;
+            let page = answer.and_then(|(status, body)| (self.forms.decode_vms)(status, &body));
+            self.metrics.count_call("vms", page.as_ref().map_or_else(fault_label, |_| "done"));
             let page = page?;
-            all.extend(page.all);
-            match page.next {
+            all.extend(page.vms);
+            match page.next_token {
                 Some(next) => token = next,
                 None => return Ok(all),
             }
@@ -366,27 +376,27 @@
     ///
     /// # Errors
     ///
-    /// As [`Outside::vms`].
-    pub async fn vm(&self, call: &VmCall, limit: Duration) -> Result<VmReply, Fault> {
-        let addr = self.site.borrow().vms.ok_or(Fault::Unsent)?;
-        let answer = self.send(addr, (self.forms.ask_vm)(call), limit).await;
-        let reply = answer.and_then(|(status, body)| (self.forms.vm)(status, &body));
+    /// As [`ServiceClients::list_vms`].
+    pub async fn call_vm(&self, call: &VmCall, limit: Duration) -> Result<VmReply, Fault> {
+        let addr = self.site.borrow().vms_addr.ok_or(Fault::Unsent)?;
+        let answer = self.send(addr, (self.forms.encode_vm)(call), limit).await;
+        let reply = answer.and_then(|(status, body)| (self.forms.decode_vm)(status, &body));
         let result = match &reply {
             Ok(VmReply::Begun) => "done",
             Ok(_) => "refused",
-            Err(fault) => fault_name(fault),
+            Err(fault) => fault_label(fault),
         };
-        self.metrics.called("vm", result);
+        self.metrics.count_call("vm", result);
         reply
     }
 
     /// Sends a call and returns the reply.
-    async fn send(&self, addr: SocketAddr, wire: Wire, limit: Duration) -> WireReply {
-        self.exchange(request(addr, &wire)?, &Patience::new(limit)).await
+    async fn send(&self, addr: SocketAddr, wire: WireRequest, limit: Duration) -> WireReply {
+        self.exchange(request(addr, &wire)?, &CallLimits::new(limit)).await
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>, patience: &Patience) -> WireReply {
-        match self.client.send_patient(request, patience).await {
+    async fn exchange(&self, request: Request<Full<Bytes>>, patience: &CallLimits) -> WireReply {
+        match self.client.send_with_limits(request, patience).await {
             Ok((head, body)) => Ok((head.status.as_u16(), body)),
             Err(Failure::TooLarge(status)) => Ok((status, Bytes::new())),
             Err(Failure::Unsent) => Err(Fault::Unsent),
@@ -432,7 +442,7 @@
     }
 }
 
-fn request(addr: SocketAddr, wire: &Wire) -> Result<Request<Full<Bytes>>, Fault> {
+fn request(addr: SocketAddr, wire: &WireRequest) -> Result<Request<Full<Bytes>>, Fault> {
     let mut b = Request::builder().method(wire.method).uri(uri(addr, &wire.path));
     for (name, value) in &wire.headers {
         b = b.header(*name, &**value);
@@ -448,8 +458,8 @@
         StoreCall::Range { .. } => "store_range",
         StoreCall::Watch { .. } => "store_watch",
         StoreCall::Txn(_) => "store_txn",
-        StoreCall::Lease { .. } => "store_lease",
-        StoreCall::Keep { .. } => "store_keep",
+        StoreCall::CreateLease { .. } => "store_lease",
+        StoreCall::RenewLease { .. } => "store_keep",
         StoreCall::EndLease { .. } => "store_end_lease",
     }
 }
@@ -461,12 +471,12 @@
         Ok(StoreReply::Forgotten) => "forgotten",
         Ok(StoreReply::NoLease) => "no_lease",
         Ok(_) => "done",
-        Err(fault) => fault_name(fault),
+        Err(fault) => fault_label(fault),
     }
 }
 
 /// The label of a fault in metrics.
-pub fn fault_name(fault: &Fault) -> &'static str {
+pub fn fault_label(fault: &Fault) -> &'static str {
     match fault {
         Fault::Refused => "refused",
         Fault::Unsent => "unsent",
--- a/src/shard.rs
+++ b/src/shard.rs
@@ -4,43 +4,43 @@
 //! by its address. All data that placement decisions need is therefore in one place and in memory.
 //! The state machine has no clock and does no I/O; `docs/PLATFORM.md` has the reasons.
 
-mod ahead;
-mod ask;
+mod advice;
 mod authority;
 mod cause;
 mod closing;
 mod commit;
-mod copy;
-mod course;
 mod crash;
-mod ends;
+mod diagnosis;
+mod dispatch;
 pub mod event;
-mod evict;
 mod explain;
-mod flight;
 mod gangs;
-mod hear;
+mod health;
+mod in_flight;
 mod jobs;
-mod judge;
-mod lapse;
+mod lifecycle;
 mod listing;
-mod machine;
+mod logging;
 mod orders;
-mod plan;
-mod queue;
+mod preempt;
+mod prefetch;
+mod ready_queue;
 pub mod record;
-mod reserve;
+mod replies;
+mod reservation;
 mod round;
-mod sight;
+mod run_end;
+mod speculation;
 mod start;
-mod store;
-mod tally;
-mod tell;
+mod state_machine;
+mod stats;
+mod worker_loss;
 mod workers;
+mod writes;
 
 pub use {
-    cause::{Away, Bar, Bars, Cause, Sight},
-    closing::{Held, Need},
-    machine::{Setup, Shard},
-    tally::{Levels, Tally},
+    cause::{AbsentStep, Cause, Exclusion, Exclusions, Sight},
+    closing::{Occupancy, PoolWait},
+    state_machine::{Setup, Shard},
+    stats::{Gauges, Stats},
 };
--- a/src/shard/ask.rs
+++ b/src/shard/advice.rs
@@ -10,16 +10,16 @@
     crate::{
         decide::{
             gather::chunk,
-            lanes::{LONG, SLACK},
+            lanes::{CALL_SLACK, LONG_CALL},
             rank::objective,
         },
         ids::Incarnation,
         ports::{Advice, AdviceCall, Fault},
         shard::{
             event::Order,
-            jobs::At,
-            machine::Shard,
+            jobs::Placement,
             round::{Round, Turn},
+            state_machine::Shard,
             workers::WorkerNo,
         },
         time::Time,
@@ -29,9 +29,9 @@
 };
 
 /// The maximum number of workers that one call names.
-pub(super) const MOST: usize = 100;
+pub(super) const MAX_NAMED: usize = 100;
 /// The maximum number of workers that a call to renew tickets names.
-pub(super) const AGAIN: usize = 10;
+pub(super) const MAX_RENEWED: usize = 10;
 /// A ticket is no longer used when it has less than this time left: the margin covers the transit
 /// of the advice reply and of the start order.
 const TICKET_MARGIN: Duration = Duration::from_millis(100);
@@ -47,10 +47,10 @@
         cost: AdviceCost,
         now: Time,
     ) {
-        if self.part(key).is_none_or(|p| p.tickets.asking()) {
+        if self.step_state(key).is_none_or(|p| p.tickets.is_pending()) {
             return;
         }
-        let workers = self.unnamed(key, usable, MOST);
+        let workers = self.unnamed(key, usable, MAX_NAMED);
         self.request(key, workers, cost, now);
     }
 
@@ -60,10 +60,13 @@
     /// Guards against an owner that spends its CPU time preparing calls that cannot be made: after
     /// the loss of all members, thousands of steps wait for their first call, and each of them
     /// examines every worker.
-    pub(super) fn ask_wide(&mut self, turn: &Turn, round: &mut Round, now: Time) {
+    pub(super) fn ask_for_missing(&mut self, turn: &Turn, round: &mut Round, now: Time) {
         let Turn { key, ref step, advice, .. } = *turn;
-        let (Some(cost), Some(part)) = (advice, self.part(key)) else { return };
-        if part.tickets.asking() || part.tickets.next > now || round.busy.contains(&turn.queue) {
+        let (Some(cost), Some(part)) = (advice, self.step_state(key)) else { return };
+        if part.tickets.is_pending()
+            || part.tickets.next_call > now
+            || round.advice_blocked.contains(&turn.queue)
+        {
             return;
         }
         let chunk = chunk(cost.base, cost.each);
@@ -71,17 +74,17 @@
         // For gangs, room can be made by preemption; other steps use only what is free or will
         // become free.
         let (stops, by) = match step.gang {
-            true => (Some(turn.priority), now + duration + self.setup.bounds.stop),
+            true => (Some(turn.priority), now + duration + self.setup.bounds.stop_time),
             false => (None, now + duration),
         };
-        let size = step.counted();
+        let size = step.reserved();
         let slots = |no: WorkerNo| {
             let free = self.free_by(no, stops, by, now);
-            let slots = size.count(&free.saturating_sub(&round.all_claims(no)));
+            let slots = size.count(&free.saturating_sub(&round.all_withheld(no)));
             let most = if step.apart > 0 { slots.min(step.apart.into()) } else { slots };
             u32::try_from(most).unwrap_or(u32::MAX)
         };
-        let known: u32 = self.good(turn).into_iter().map(slots).sum();
+        let known: u32 = self.permitted(turn).into_iter().map(slots).sum();
         let asked = &part.tickets.asked;
         let new = turn.usable.iter().copied().filter(|n| !asked.contains(n));
         let mut new: Vec<(u32, WorkerNo)> = new.map(|n| (slots(n), n)).collect();
@@ -90,14 +93,14 @@
         let spread = |n: &WorkerNo| (n.0 as u64 ^ key.job.0).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         new.sort_by_key(|(slots, n)| (Reverse(*slots), spread(n)));
         let missing = u32::try_from(turn.waiting.len()).unwrap_or(u32::MAX).saturating_sub(known);
-        let share = self.shares.get(&turn.queue).copied().unwrap_or_default();
+        let share = self.advice_shares.get(&turn.queue).copied().unwrap_or_default();
         let slots_each = new.iter().map(|n| n.0).take_while(|s| *s > 0);
         // Naming up to `chunk` workers adds little cost, and advice on workers without room is
         // useful later.
-        let count = share.named(slots_each, missing.max(1)).max(chunk);
+        let count = share.workers_to_ask(slots_each, missing.max(1)).max(chunk);
         let workers = new.into_iter().take(count).map(|n| n.1).collect();
         if !self.ask_parallel(key, workers, cost, now) {
-            round.busy.insert(turn.queue.clone());
+            round.advice_blocked.insert(turn.queue.clone());
         }
     }
 
@@ -114,9 +117,9 @@
         cost: AdviceCost,
         now: Time,
     ) -> bool {
-        let Some(part) = self.part(key) else { return true };
+        let Some(part) = self.step_state(key) else { return true };
         let new: Vec<WorkerNo> =
-            workers.into_iter().filter(|n| !part.tickets.out.contains(n)).collect();
+            workers.into_iter().filter(|n| !part.tickets.pending.contains(n)).collect();
         let calls = new.len().div_ceil(chunk(cost.base, cost.each)).max(1);
         new.chunks(new.len().div_ceil(calls).max(1))
             .all(|some| self.request(key, some.to_vec(), cost, now))
@@ -124,7 +127,7 @@
 
     /// Up to `most` workers that no earlier call of this step has named.
     fn unnamed(&self, key: &StepKey, usable: &[WorkerNo], most: usize) -> Vec<WorkerNo> {
-        let Some(part) = self.part(key) else { return vec![] };
+        let Some(part) = self.step_state(key) else { return vec![] };
         // If one call cannot name all workers, steps of different jobs begin at different
         // positions.
         let first = usize::try_from(key.job.0).unwrap_or(0) % usable.len().max(1);
@@ -136,7 +139,7 @@
 
     /// Renews the expired tickets of workers that have room; if there are none, requests advice on
     /// workers that have joined since.
-    pub(super) fn ask_again(
+    pub(super) fn renew_tickets(
         &mut self,
         key: &StepKey,
         stale: &[WorkerNo],
@@ -145,7 +148,7 @@
         now: Time,
     ) {
         if stale.is_empty() {
-            let Some(part) = self.part(key) else { return };
+            let Some(part) = self.step_state(key) else { return };
             // Guards against a step that waits forever although a worker that may run it has
             // joined: the workers known so far may be full or at the step's limit of tasks per
             // worker.
@@ -157,18 +160,18 @@
         }
         let mut all: Vec<WorkerNo> = stale.to_vec();
         all.sort_by_key(|n| Reverse(self.workers[n.0].free().cores));
-        if self.part(key).is_none_or(|p| p.tickets.asking()) {
+        if self.step_state(key).is_none_or(|p| p.tickets.is_pending()) {
             return;
         }
-        all.truncate(AGAIN);
-        let more = self.unnamed(key, usable, AGAIN - all.len());
+        all.truncate(MAX_RENEWED);
+        let more = self.unnamed(key, usable, MAX_RENEWED - all.len());
         all.extend(more);
         self.request(key, all, cost, now);
     }
 
     /// The expiry of a step's ticket for a worker.
     pub(super) fn valid_until(&self, key: &StepKey, no: WorkerNo) -> Option<Time> {
-        self.part(key).and_then(|p| p.tickets.good.get(&no)).map(|t| t.1)
+        self.step_state(key).and_then(|p| p.tickets.eligible.get(&no)).map(|t| t.1)
     }
 
     /// Makes a call. Returns false if a call is needed but no member is available for it, or
@@ -181,43 +184,44 @@
         now: Time,
     ) -> bool {
         let duration = cost.base + cost.each * u32::try_from(workers.len()).unwrap_or(u32::MAX);
-        let unix = self.unix(now);
+        let unix = self.unix_ms(now);
         let roomy = self.has_room_by(key, &workers, now + duration, now);
         let Some(job) = self.jobs.get_mut(&key.job) else { return true };
-        let Some(queue) = self.known.get(&job.queue) else { return true };
-        let due = job.came.max(job.due(key.time))
-            + super::workers::millis(objective(queue, job.allowed(key.time)));
+        let Some(queue) = self.queue_configs.get(&job.queue) else { return true };
+        let due = job.submitted_ms.max(job.due(key.time))
+            + super::workers::millis(objective(queue, job.objective_time(key.time)));
         // A long-running task that is not running does not give precedence to other pools.
-        let takes_turns = duration > LONG && !job.step(key).is_some_and(|s| s.lasts);
-        let Some(part) = job.parts.get_mut(&(key.time, key.step)) else { return true };
-        if workers.is_empty() || part.tickets.next > now {
+        let takes_turns = duration > LONG_CALL && !job.step(key).is_some_and(|s| s.lasts);
+        let Some(part) = job.step_states.get_mut(&(key.time, key.step)) else { return true };
+        if workers.is_empty() || part.tickets.next_call > now {
             return true;
         }
         let left = Duration::from_millis(due.saturating_sub(unix));
-        let may_call =
-            !takes_turns || self.lanes.spare(now) || self.turns.may(&queue.pool, roomy, now);
+        let may_call = !takes_turns
+            || self.lanes.has_spare(now)
+            || self.turns.may_call(&queue.pool, roomy, now);
         let by = now + left;
         let Some((via, end)) = may_call.then(|| self.lanes.pick(duration, by, now)).flatten()
         else {
             if takes_turns {
-                self.turns.wait(&queue.pool, roomy, now);
+                self.turns.record_wait(&queue.pool, roomy, now);
             }
             return false;
         };
-        if duration > LONG {
-            self.turns.sent(&queue.pool, via, duration, now);
+        if duration > LONG_CALL {
+            self.turns.record_call(&queue.pool, via, duration, now);
         }
-        part.tickets.out.extend(&workers);
-        part.tickets.calls.push(now);
-        let asked = self.asked.entry(job.queue.clone()).or_default();
+        part.tickets.pending.extend(&workers);
+        part.tickets.call_times.push(now);
+        let asked = self.advice_stats.entry(job.queue.clone()).or_default();
         asked.calls += 1;
         asked.named += workers.len() as u64;
-        asked.takes += duration;
-        asked.bare += u64::from(!roomy);
+        asked.expected_time += duration;
+        asked.without_room += u64::from(!roomy);
         let workers = workers.iter().map(|n| self.workers[n.0].id.clone()).collect();
         let call = Box::new(AdviceCall { step: *key, workers });
-        let limit = (end - now) + SLACK;
-        self.out.push(Order::Advise { via, call, sent: now, takes: duration, limit });
+        let limit = (end - now) + CALL_SLACK;
+        self.orders.push(Order::Advise { via, call, sent: now, expected: duration, limit });
         true
     }
 
@@ -225,12 +229,12 @@
     /// `by`. Always true for a gang, since room is made for it.
     fn has_room_by(&self, key: &StepKey, workers: &[WorkerNo], by: Time, now: Time) -> bool {
         let Some(step) = self.jobs.get(&key.job).and_then(|j| j.step(key)) else { return false };
-        let size = step.counted();
+        let size = step.reserved();
         step.gang || workers.iter().any(|no| size.fits(&self.free_by(*no, None, by, now)))
     }
 
     /// Processes the reply to a call for advice, or its failure.
-    pub(super) fn advised(
+    pub(super) fn on_advice(
         &mut self,
         call: AdviceCall,
         via: Incarnation,
@@ -239,62 +243,62 @@
         now: Time,
     ) {
         match reply {
-            Err(Fault::Refused) => self.lanes.turned_away(via, sent, now),
+            Err(Fault::Refused) => self.lanes.rejected(via, sent, now),
             _ => self.lanes.done(via, sent, reply.is_ok(), now),
         }
-        self.turns.done(via, sent);
-        self.stir = true;
+        self.turns.record_done(via, sent);
+        self.round_due = true;
         let key = call.step;
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
-        let valid = self.known.get(&job.queue).and_then(|q| q.advice).map(|a| a.valid);
-        let Some(part) = job.parts.get_mut(&(key.time, key.step)) else { return };
+        let valid = self.queue_configs.get(&job.queue).and_then(|q| q.advice).map(|a| a.valid);
+        let Some(part) = job.step_states.get_mut(&(key.time, key.step)) else { return };
         let ids = &self.ids;
         let named: Vec<WorkerNo> =
             call.workers.iter().filter_map(|id| ids.get(id)).copied().collect();
-        part.tickets.out.retain(|n| !call.workers.contains(&self.workers[n.0].id));
-        if let Some(at) = part.tickets.calls.iter().position(|c| *c == sent) {
-            part.tickets.calls.swap_remove(at);
+        part.tickets.pending.retain(|n| !call.workers.contains(&self.workers[n.0].id));
+        if let Some(at) = part.tickets.call_times.iter().position(|c| *c == sent) {
+            part.tickets.call_times.swap_remove(at);
         }
         match reply {
             Ok(advice) => {
                 let new = named.iter().filter(|n| !part.tickets.asked.contains(n)).count();
                 if new == named.len() {
-                    let share = self.shares.entry(job.queue.clone()).or_default();
-                    share.learn(new, advice.good.len());
+                    let share = self.advice_shares.entry(job.queue.clone()).or_default();
+                    share.record(new, advice.accepted.len());
                 }
-                let valid = advice.valid.or(valid).unwrap_or(Duration::from_secs(1));
+                let valid = advice.validity.or(valid).unwrap_or(Duration::from_secs(1));
                 let until = now + valid.saturating_sub(TICKET_MARGIN);
-                part.tickets.heard = Some(now);
-                part.advised = part.advised.or((!advice.good.is_empty()).then_some(now));
-                let good = advice.good.into_iter();
+                part.tickets.answered_at = Some(now);
+                part.advised_at = part.advised_at.or((!advice.accepted.is_empty()).then_some(now));
+                let good = advice.accepted.into_iter();
                 let good = good.filter_map(|(id, t)| Some((*ids.get(&id)?, (t, until))));
-                part.tickets.good.extend(good);
+                part.tickets.eligible.extend(good);
                 part.tickets.asked.extend(named);
             }
             Err(fault) => {
-                log::info!(target: "shard", did = "unadvised", job:% = key.job, step:% = key, via:% = via, fault = crate::store::fault_name(&fault), after_ms = super::workers::millis(now - sent); "Call for advice failed.");
+                log::info!(target: "shard", did = "unadvised", job:% = key.job, step:% = key, via:% = via, fault = crate::service_clients::fault_label(&fault), after_ms = super::workers::millis(now - sent); "Call for advice failed.");
                 // A busy member refuses at once and other members are available, so a pause would
                 // only lose time.
                 if fault != Fault::Refused {
-                    part.tickets.next = now + RETRY_PAUSE;
+                    part.tickets.next_call = now + RETRY_PAUSE;
                 }
             }
         }
     }
 
     /// Requests advice for steps that are expected to become ready soon.
-    pub(super) fn foresee(&mut self, now: Time) {
+    pub(super) fn prefetch_advice(&mut self, now: Time) {
         let mut soon = vec![];
         for (no, job) in &self.jobs {
-            if job.state.over() || job.job.steps.len() < 2 {
+            if job.state.is_final() || job.job.steps.len() < 2 {
                 continue;
             }
-            let Some(queue) = self.known.get(&job.queue) else { continue };
+            let Some(queue) = self.queue_configs.get(&job.queue) else { continue };
             let Some(cost) = queue.advice else { continue };
-            for ((time, step), part) in &job.parts {
+            for ((time, step), part) in &job.step_states {
                 let key = StepKey { job: *no, time: *time, step: *step };
-                let fresh = part.tickets.asked.is_empty() && !part.tickets.asking();
-                if fresh && part.waiting > 0 && !job.free(*time, *step) {
+                let fresh = part.tickets.asked.is_empty() && !part.tickets.is_pending();
+                if fresh && part.waiting > 0 && !job.is_unblocked(*time, *step) {
                     let lead = cost.base + cost.each * 40 + Duration::from_millis(50);
                     if self.predecessors_end_within(&key, lead, now) {
                         soon.push(key);
@@ -305,10 +309,10 @@
         if soon.is_empty() {
             return;
         }
-        let mut round = self.survey(now);
+        let mut round = self.new_round(now);
         for key in soon {
             let Some(turn) = self.turn(&key, &round, now) else { continue };
-            self.ask_wide(&turn, &mut round, now);
+            self.ask_for_missing(&turn, &mut round, now);
         }
     }
 
@@ -317,15 +321,15 @@
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let Some(step) = job.step(key) else { return false };
         step.after.iter().all(|a| {
-            let Some(part) = job.parts.get(&(key.time, *a)) else { return false };
-            part.tasks.iter().enumerate().all(|(i, t)| match t.at {
-                At::Done => true,
-                At::Waiting => false,
-                At::There(no) => {
+            let Some(part) = job.step_states.get(&(key.time, *a)) else { return false };
+            part.tasks.iter().enumerate().all(|(i, t)| match t.placement {
+                Placement::Done => true,
+                Placement::Waiting => false,
+                Placement::Assigned(no) => {
                     let step = StepKey { job: key.job, time: key.time, step: *a };
                     let task = crate::work::TaskKey { step, index: i as u32 };
                     self.workers[no.0].runs.get(&task).is_some_and(|r| {
-                        let elapsed = now - r.began;
+                        let elapsed = now - r.started_at;
                         let left = r.estimate.mul_f64(1.0 - f64::from(r.percent.1) / 100.0);
                         left.saturating_sub(elapsed.min(left)) <= lead
                     })
--- a/src/shard/authority.rs
+++ b/src/shard/authority.rs
@@ -4,8 +4,8 @@
 use {
     crate::{
         shard::{
-            machine::Shard,
-            workers::{MARGIN, SLOW, Worker, millis},
+            state_machine::Shard,
+            workers::{CLOCK_MARGIN, MIN_CLOCK_RATE, Worker, millis},
         },
         time::Time,
         work::JobNo,
@@ -22,7 +22,7 @@
 impl Shard {
     /// Whether this owner may start work and renew leases.
     pub(super) fn may_act(&self, now: Time) -> bool {
-        self.acts_from(now).is_some()
+        self.lease_start(now).is_some()
     }
 
     /// The time from which leases that this owner grants now are counted, or `None` if it may grant
@@ -35,12 +35,12 @@
     /// the time at which more than half of its workers had replied. That was before any successor
     /// had heard from more than half, so the successor need not wait longer than the length of one
     /// lease.
-    pub(super) fn acts_from(&self, now: Time) -> Option<Time> {
-        if self.fresh(now) {
+    pub(super) fn lease_start(&self, now: Time) -> Option<Time> {
+        if self.is_confirmed(now) {
             return Some(now);
         }
         let listed = self.workers.iter().filter(|w| w.listed.is_some() && !w.gone);
-        let mut heard: Vec<Option<Time>> = listed.map(|w| w.heard).collect();
+        let mut heard: Vec<Option<Time>> = listed.map(|w| w.last_answer).collect();
         heard.sort_unstable();
         // More than half of the workers have replied since then.
         let majority = heard.len().checked_sub(1)? / 2;
@@ -56,13 +56,13 @@
     /// confirmed. Replies of workers are not sufficient: a successor may have completed a job
     /// between two of them.
     pub fn may_tell(&self, now: Time) -> bool {
-        self.fresh(now)
+        self.is_confirmed(now)
     }
 
     /// Whether the store has confirmed this member's lease recently enough that it cannot have
     /// expired.
-    pub(super) fn fresh(&self, now: Time) -> bool {
-        now - self.confirmed <= RENEWAL_VALID
+    pub(super) fn is_confirmed(&self, now: Time) -> bool {
+        now - self.confirmed_at <= RENEWAL_VALID
     }
 
     /// Whether no other owner can have started anything of a job without this owner knowing of it.
@@ -74,17 +74,17 @@
     /// renewal which shows that it still owned the shard when it heard of the job.
     pub(super) fn is_sole(&self, no: &JobNo) -> bool {
         let Some(job) = self.jobs.get(no) else { return false };
-        if job.old {
+        if job.inherited {
             self.unsettled.is_empty()
         } else {
-            job.heard <= self.confirmed + RENEWAL_VALID
+            job.known_since <= self.confirmed_at + RENEWAL_VALID
         }
     }
 
     /// Processes the store's confirmation of a lease renewal that was sent at `sent`.
-    pub(super) fn confirm(&mut self, sent: Time, now: Time) {
-        self.stir |= !self.fresh(now);
-        self.confirmed = self.confirmed.max(sent);
+    pub(super) fn on_confirmed(&mut self, sent: Time, now: Time) {
+        self.round_due |= !self.is_confirmed(now);
+        self.confirmed_at = self.confirmed_at.max(sent);
     }
 
     /// Removes workers from `unsettled` once it is known what former owners started there; the
@@ -101,25 +101,26 @@
         let fenced = |w: &Worker| w.fenced || w.gone;
         let rostered = || self.workers.iter().filter(|w| w.rostered);
         let majority = rostered().filter(|w| fenced(w)).count() * 2 > rostered().count();
-        if majority && self.most.is_none() {
-            self.most = Some(now);
+        if majority && self.majority_at.is_none() {
+            self.majority_at = Some(now);
         }
-        let lease = self.setup.bounds.hold.div_f64(SLOW) + MARGIN;
+        let lease = self.setup.bounds.max_lease.div_f64(MIN_CLOCK_RATE) + CLOCK_MARGIN;
         // If it is not certain that the former owner's lease had expired, the store may have
         // confirmed it until the takeover, and a confirmation counts for `RENEWAL_VALID`.
-        let former_until = if self.lapsed { self.begun } else { self.begun + RENEWAL_VALID };
-        let since = self.most.map(|t| t.max(former_until));
+        let former_until =
+            if self.former_lapsed { self.owned_since } else { self.owned_since + RENEWAL_VALID };
+        let since = self.majority_at.map(|t| t.max(former_until));
         let lapsed = since.is_some_and(|t| t + lease <= now);
         let workers = &self.workers;
         self.unsettled.retain(|n| !lapsed && !fenced(&workers[n.0]));
         if self.unsettled.is_empty() {
-            self.told.settled = Some(now);
-            log::info!(target: "shard", did = "settled", shard:% = self.setup.shard, token = self.setup.token, after_ms = millis(now - self.begun), by_lapse = lapsed; "Shard is settled.");
+            self.reported.settled_at = Some(now);
+            log::info!(target: "shard", did = "settled", shard:% = self.setup.shard, token = self.setup.token, after_ms = millis(now - self.owned_since), by_lapse = lapsed; "Shard is settled.");
             if !lapsed {
                 self.count_former_crashes(now);
             }
-            self.stir = true;
-            self.note(now);
+            self.round_due = true;
+            self.acknowledge_ends(now);
         }
     }
 }
--- a/src/shard/cause.rs
+++ b/src/shard/cause.rs
@@ -9,7 +9,7 @@
 
 /// The reason why a worker is excluded from starts.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Bar {
+pub enum Exclusion {
     /// The list of workers does not contain it.
     #[display("unlisted")]
     Unlisted,
@@ -108,7 +108,7 @@
     Before,
     /// The workers with room are excluded from starts.
     #[display("{_0} workers")]
-    Bar(Bar),
+    Bar(Exclusion),
     /// The workers with room already have as many of its tasks as the step allows per worker.
     #[display("workers at its bound")]
     Bound,
@@ -124,7 +124,7 @@
 }
 
 /// Number of workers by the reason why they are excluded.
-pub type Bars = BTreeMap<Bar, usize>;
+pub type Exclusions = BTreeMap<Exclusion, usize>;
 
 /// The data that decides when a step's tasks start. The fields from `usable` to `roomy` count
 /// workers.
@@ -139,7 +139,7 @@
     /// All workers of its pool.
     pub all: usize,
     /// The other workers of the pool, by the reason for their exclusion.
-    pub out: Bars,
+    pub out: Exclusions,
     /// Workers that calls of this step have named.
     pub asked: usize,
     /// Workers that may run it.
@@ -161,7 +161,7 @@
     /// Workers that are excluded from starts.
     pub barred: usize,
     /// Excluded workers that would have room, by the reason for their exclusion.
-    pub bars: Bars,
+    pub bars: Exclusions,
     /// Usable workers that no call has named.
     pub unasked: usize,
     /// Those of the `unasked` workers that appear to have room.
@@ -193,15 +193,15 @@
 
 /// A long-running step with tasks that are not running.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Away {
+pub struct AbsentStep {
     /// The step.
     pub key: StepKey,
     /// How many of its tasks wait.
-    pub tasks: usize,
+    pub waiting: usize,
     /// How many are assigned to a worker but were not seen running there.
-    pub held: usize,
+    pub unseen: usize,
     /// The index of the task that has been away the longest.
-    pub first: u32,
+    pub oldest: u32,
     /// How long that task has been away: since it last ran or could first run, as far as this owner
     /// knows.
     pub away: Duration,
@@ -225,7 +225,7 @@
             () if !self.member => Cause::Member,
             () => otherwise,
         };
-        let most = |bars: &Bars| bars.iter().max_by_key(|b| *b.1).map(|b| Cause::Bar(*b.0));
+        let most = |bars: &Exclusions| bars.iter().max_by_key(|b| *b.1).map(|b| Cause::Bar(*b.0));
         let short = self.empty < self.wanted;
         match self.gate {
             Some(gate) => gate,
--- a/src/shard/closing.rs
+++ b/src/shard/closing.rs
@@ -2,14 +2,14 @@
 
 use {
     crate::{
-        decide::{sound::Verdict, upkeep::may_stop},
+        decide::{health::Verdict, upkeep::stoppable_tasks},
         ids::{PoolId, WorkerId},
         shard::{
-            jobs::{At, Task},
-            machine::Shard,
-            plan::choose,
-            record::{Closing, Turn},
-            workers::{AT_WORK, Phase, Worker, WorkerNo, millis},
+            dispatch::choose_workers,
+            jobs::{Placement, Task},
+            record::{Closing, UpkeepTurn},
+            state_machine::Shard,
+            workers::{AT_WORK_PERCENT, Phase, Worker, WorkerNo, millis},
         },
         time::Time,
         units::Size,
@@ -20,7 +20,7 @@
 
 /// What is still running at a worker that is to be emptied.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Held {
+pub struct Occupancy {
     /// The worker.
     pub worker: WorkerId,
     /// Whether its owner no longer starts anything there.
@@ -37,16 +37,16 @@
 
 /// How long the work of a pool has been waiting.
 #[derive(Clone, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Need {
+pub struct PoolWait {
     /// The pool.
     pub pool: PoolId,
     /// The waiting time of the oldest work that could start, in milliseconds.
     pub waits: u64,
 }
 
-impl Held {
+impl Occupancy {
     /// Whether nothing runs there and nothing will start.
-    pub fn clear(&self) -> bool {
+    pub fn is_vacant(&self) -> bool {
         self.closed && self.known && self.brief + self.lasting == 0
     }
 }
@@ -71,11 +71,11 @@
         for worker in &mut self.workers {
             worker.turn = closing.turn(&worker.id);
         }
-        self.stir = true;
+        self.round_due = true;
     }
 
     /// What is running at those of the given workers that belong to this shard.
-    pub fn held_at(&self, workers: &[WorkerId]) -> Vec<Held> {
+    pub fn occupancy(&self, workers: &[WorkerId]) -> Vec<Occupancy> {
         let known = workers.iter().filter_map(|id| self.ids.get(id));
         let listed = known.map(|n| &self.workers[n.0]).filter(|w| !w.gone && w.listed.is_some());
         listed.map(|w| self.occupancy_of(w)).collect()
@@ -86,62 +86,63 @@
     ///
     /// Work that waits for advice or needs a label is excluded: another VM kept open would stay
     /// empty beside it.
-    pub fn needs(&self, now: Time) -> Vec<Need> {
+    pub fn pool_waits(&self, now: Time) -> Vec<PoolWait> {
         let mut needs: BTreeMap<&PoolId, u64> = BTreeMap::new();
         for (_, key) in &self.ready {
             let Some(job) = self.jobs.get(&key.job) else { continue };
-            let Some(queue) = self.known.get(&job.queue) else { continue };
-            let Some(part) = job.parts.get(&(key.time, key.step)) else { continue };
+            let Some(queue) = self.queue_configs.get(&job.queue) else { continue };
+            let Some(part) = job.step_states.get(&(key.time, key.step)) else { continue };
             let unrestricted = job.step(key).is_some_and(|s| s.needs.is_none() && !s.fills);
-            let advised = queue.advice.is_none() || !part.tickets.good.is_empty();
-            if let (true, true, Some(since)) = (unrestricted, advised, part.ready) {
+            let advised = queue.advice.is_none() || !part.tickets.eligible.is_empty();
+            if let (true, true, Some(since)) = (unrestricted, advised, part.ready_since) {
                 let waits = needs.entry(&queue.pool).or_default();
                 *waits = (*waits).max(millis(now - since));
             }
         }
-        let need = |(pool, waits): (&PoolId, u64)| Need { pool: pool.clone(), waits };
+        let need = |(pool, waits): (&PoolId, u64)| PoolWait { pool: pool.clone(), waits };
         needs.into_iter().map(need).collect()
     }
 
-    fn occupancy_of(&self, w: &Worker) -> Held {
-        let count = |lasts: bool| w.runs.keys().filter(|t| self.lasts(t) == lasts).count() as u32;
-        Held {
+    fn occupancy_of(&self, w: &Worker) -> Occupancy {
+        let count =
+            |lasts: bool| w.runs.keys().filter(|t| self.is_long_running(t) == lasts).count() as u32;
+        Occupancy {
             worker: w.id.clone(),
-            closed: w.closed(),
+            closed: w.is_draining(),
             known: w.fenced,
-            leaving: w.leaving.is_some(),
+            leaving: w.leaves_at.is_some(),
             brief: count(false),
             lasting: count(true),
         }
     }
 
-    pub(super) fn lasts(&self, task: &TaskKey) -> bool {
+    pub(super) fn is_long_running(&self, task: &TaskKey) -> bool {
         let step = self.jobs.get(&task.step.job).and_then(|j| j.step(&task.step));
         step.is_some_and(|s| s.lasts)
     }
 
     /// Stops tasks at workers that are being emptied: long-running tasks as far as their steps
     /// allow, and all others once the turn is forced.
-    pub(super) fn empty(&mut self, now: Time) {
+    pub(super) fn empty_closing(&mut self, now: Time) {
         let mut allocated = vec![];
         for no in (0..self.workers.len()).map(WorkerNo) {
             let w = &self.workers[no.0];
-            if w.gone || !w.closed() {
+            if w.gone || !w.is_draining() {
                 continue;
             }
-            let forced = w.turn == Turn::Forced;
+            let forced = w.turn == UpkeepTurn::Forced;
             let running = w.runs.iter().filter(|(_, r)| r.phase == Phase::Running);
             let tasks: Vec<TaskKey> = running.map(|(t, _)| *t).collect();
             for task in tasks {
-                let go = match self.lasts(&task) {
+                let go = match self.is_long_running(&task) {
                     true => self.may_stop_now(&task, forced, &mut allocated, now),
                     false => forced,
                 };
                 // An earlier iteration may already have stopped this task as a member of its gang.
                 let there = self.workers[no.0].runs.get(&task);
                 if go && there.is_some_and(|r| r.phase == Phase::Running) {
-                    self.tell_stop(no, &task, "upkeep");
-                    self.stop(no, &task, now);
+                    self.log_stop(no, &task, "upkeep");
+                    self.stop_run(no, &task, now);
                 }
             }
         }
@@ -161,7 +162,7 @@
         let key = &task.step;
         let Some(job) = self.jobs.get(&key.job) else { return true };
         let Some(step) = job.step(key) else { return true };
-        if may_stop(step.may_miss, self.absent_count(key, now)) == 0 {
+        if stoppable_tasks(step.may_miss, self.absent_count(key, now)) == 0 {
             return false;
         }
         if forced {
@@ -183,11 +184,11 @@
         now: Time,
     ) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return false };
-        let (Some(step), Some(queue)) = (job.step(key), self.known.get(&job.queue)) else {
+        let (Some(step), Some(queue)) = (job.step(key), self.queue_configs.get(&job.queue)) else {
             return false;
         };
-        let part = job.parts.get(&(key.time, key.step));
-        let good = |no| part.is_some_and(|p| p.tickets.good.contains_key(no));
+        let part = job.step_states.get(&(key.time, key.step));
+        let good = |no| part.is_some_and(|p| p.tickets.eligible.contains_key(no));
         let all = self.pools.get(&queue.pool).into_iter().flatten();
         let open = all.filter(|n| {
             let w = &self.workers[n.0];
@@ -195,18 +196,19 @@
         });
         let mut rooms: Vec<_> = open.filter_map(|n| self.room(*n, key, step, now)).collect();
         for room in &mut rooms {
-            let reserved = self.reserved.values().flat_map(|r| r.each.iter().map(|e| (e, r.size)));
+            let reserved =
+                self.reservations.values().flat_map(|r| r.members.iter().map(|e| (e, r.size)));
             let reserved = reserved.filter(|((no, _), _)| no.0 == room.index);
             let reserved = reserved.map(|((_, n), size)| size.times((*n).into()));
             let here = allocated.iter().filter(|t| t.no.0 == room.index);
-            room.same += here.clone().filter(|t| t.step == *key).count() as u32;
+            room.same_step += here.clone().filter(|t| t.step == *key).count() as u32;
             room.free = room.free.saturating_sub(&reserved.chain(here.map(|t| t.size)).sum());
         }
         let tasks: Vec<u32> = (0..count).collect();
-        let chosen = choose(step, &tasks, &mut rooms);
+        let chosen = choose_workers(step, &tasks, &mut rooms);
         let all = chosen.len() == tasks.len();
         if all {
-            let size = step.counted();
+            let size = step.reserved();
             allocated.extend(chosen.into_iter().map(|(_, no)| Allocation { no, step: *key, size }));
         }
         all
@@ -214,31 +216,32 @@
 
     /// How many tasks of a step are waiting or being stopped.
     pub(super) fn unplaced(&self, key: &StepKey) -> u32 {
-        let placed = |(index, t): (u32, &Task)| match t.at {
-            At::Waiting => false,
-            At::Done => true,
-            At::There(no) => {
+        let placed = |(index, t): (u32, &Task)| match t.placement {
+            Placement::Waiting => false,
+            Placement::Done => true,
+            Placement::Assigned(no) => {
                 let run = self.workers[no.0].runs.get(&TaskKey { step: *key, index });
                 run.is_some_and(|r| r.phase != Phase::Stopping)
             }
         };
-        let tasks = self.part(key).map_or(&[][..], |p| &p.tasks);
+        let tasks = self.step_state(key).map_or(&[][..], |p| &p.tasks);
         let unplaced = (0..).zip(tasks).filter(|t| !placed(*t)).count();
         u32::try_from(unplaced).unwrap_or(u32::MAX)
     }
 
     /// How many tasks of a step are not serving.
     fn absent_count(&self, key: &StepKey, now: Time) -> u32 {
-        let part = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
+        let part = self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
         let Some(part) = part else { return 0 };
-        let at_work = |index: u32, at: At| {
-            let At::There(no) = at else { return false };
+        let at_work = |index: u32, at: Placement| {
+            let Placement::Assigned(no) = at else { return false };
             let w = &self.workers[no.0];
             let run = w.runs.get(&TaskKey { step: *key, index });
-            let works = run.is_some_and(|r| r.phase == Phase::Running && r.percent.1 >= AT_WORK);
-            works && w.silent == 0 && !w.gone && w.sound.verdict(now) == Verdict::Sound
+            let works =
+                run.is_some_and(|r| r.phase == Phase::Running && r.percent.1 >= AT_WORK_PERCENT);
+            works && w.unanswered_calls == 0 && !w.gone && w.health.verdict(now) == Verdict::Sound
         };
-        let away = (0..).zip(&part.tasks).filter(|(i, t)| !at_work(*i, t.at));
+        let away = (0..).zip(&part.tasks).filter(|(i, t)| !at_work(*i, t.placement));
         u32::try_from(away.count()).unwrap_or(u32::MAX)
     }
 }
