--- a/src/shard/commit.rs
+++ b/src/shard/commit.rs
@@ -6,7 +6,7 @@
 
 use {
     crate::{
-        ports::{Fault, ROWS, StoreReply, Txn},
+        ports::{Fault, MAX_TXN_ROWS, StoreReply, Txn},
         shard::record::CommitRow,
         time::Time,
     },
@@ -23,17 +23,17 @@
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
 
 /// The number of rows that a write may have besides the two of the commit row.
-pub const FREE: usize = ROWS - 2;
+pub const FREE_ROWS: usize = MAX_TXN_ROWS - 2;
 
 /// The action that follows from a reply of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum Outcome {
     /// Nothing to do.
     Nothing,
     /// The write has taken effect.
     Done,
     /// The write has not taken effect: its contents have to be written again.
-    Again,
+    Retry,
     /// Read the commit row.
     Reread,
     /// Another owner has written to the shard.
@@ -69,7 +69,7 @@
     }
 
     /// Whether a write may begin now. With `urgent`, somebody waits for it.
-    pub fn open(&self, urgent: bool, now: Time) -> bool {
+    pub fn may_begin(&self, urgent: bool, now: Time) -> bool {
         let from = if urgent { self.next } else { self.next.max(self.next_lazy) };
         self.stage == Stage::Idle && from <= now
     }
@@ -88,54 +88,64 @@
     }
 
     /// Processes the store's reply to a write.
-    pub fn stored(&mut self, number: u64, reply: &Result<StoreReply, Fault>, now: Time) -> After {
+    pub fn on_reply(
+        &mut self,
+        number: u64,
+        reply: &Result<StoreReply, Fault>,
+        now: Time,
+    ) -> Outcome {
         if number != self.number || self.stage != Stage::Writing {
-            return After::Nothing;
+            return Outcome::Nothing;
         }
         match reply {
             Ok(StoreReply::Done(revision)) => {
                 self.done(*revision);
-                After::Done
+                Outcome::Done
             }
             // An earlier write of this owner may have taken effect after it was considered failed,
             // so the row is read before the conflict is judged.
             Ok(StoreReply::Conflict(_)) | Err(Fault::Unknown) => {
                 self.stage = Stage::Reading;
-                After::Reread
+                Outcome::Reread
             }
             _ => {
                 self.back_off(now);
-                After::Again
+                Outcome::Retry
             }
         }
     }
 
     /// Processes the commit row that was read: its revision and its number.
-    pub fn reread(&mut self, row: Result<(u64, CommitRow), Fault>, token: u64, now: Time) -> After {
+    pub fn on_reread(
+        &mut self,
+        row: Result<(u64, CommitRow), Fault>,
+        token: u64,
+        now: Time,
+    ) -> Outcome {
         if self.stage != Stage::Reading {
-            return After::Nothing;
+            return Outcome::Nothing;
         }
         match row {
-            Ok((_, row)) if row.token != token => After::Deposed,
+            Ok((_, row)) if row.token != token => Outcome::Deposed,
             Ok((revision, row)) if row.number == self.number => {
                 self.done(revision);
-                After::Done
+                Outcome::Done
             }
             Ok((revision, ..)) => {
                 self.revision = revision;
                 self.back_off(now);
-                After::Again
+                Outcome::Retry
             }
             Err(_) => {
                 self.back_off(now);
                 self.stage = Stage::Unclear;
-                After::Nothing
+                Outcome::Nothing
             }
         }
     }
 
     /// Whether the commit row has to be read again now; if so, records that the read has begun.
-    pub fn unclear(&mut self, now: Time) -> bool {
+    pub fn begin_reread(&mut self, now: Time) -> bool {
         let due = self.stage == Stage::Unclear && self.next <= now;
         if due {
             self.stage = Stage::Reading;
@@ -157,6 +167,6 @@
 }
 
 /// The number of rows in a transaction.
-pub fn rows(txn: &Txn) -> usize {
+pub fn row_count(txn: &Txn) -> usize {
     txn.expect.len() + txn.puts.len() + txn.remove.len()
 }
--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -3,14 +3,14 @@
 
 use crate::{
     decide::{
-        crash::{CRASHES, Resident, SETTLED, blamed},
+        crash::{CrashedRun, MAX_CRASHES, SETTLE_TIME, blamed},
         fit::Room,
     },
     shard::{
-        jobs::At,
-        machine::Shard,
-        plan::choose,
+        dispatch::choose_workers,
+        jobs::Placement,
         round::{Round, Turn},
+        state_machine::Shard,
         workers::WorkerNo,
     },
     time::Time,
@@ -21,19 +21,20 @@
     /// The runs that may have caused the end of a worker; none if the end was planned.
     pub(super) fn suspect_runs(&self, no: WorkerNo) -> Vec<(TaskKey, u32)> {
         let worker = &self.workers[no.0];
-        if worker.leaving.is_some() || worker.closed() {
+        if worker.leaves_at.is_some() || worker.is_draining() {
             return vec![];
         }
         // Stopping runs are included: a stop may have been ordered after the crash, because the
         // other members of a gang ended when their member here was lost.
         let runs: Vec<_> = worker.runs.iter().collect();
-        let all: Vec<Resident> = runs
+        let all: Vec<CrashedRun> = runs
             .iter()
-            .map(|(task, run)| Resident {
-                there: run.ran,
-                began: run.began,
-                settled: run.settled || worker.heard.is_some_and(|h| run.began + SETTLED <= h),
-                lasts: self.lasts(task),
+            .map(|(task, run)| CrashedRun {
+                reported: run.was_seen,
+                started_at: run.started_at,
+                settled: run.settled
+                    || worker.last_answer.is_some_and(|h| run.started_at + SETTLE_TIME <= h),
+                lasting: self.is_long_running(task),
             })
             .collect();
         blamed(&all).into_iter().map(|i| (*runs[i].0, runs[i].1.run)).collect()
@@ -44,14 +45,14 @@
     /// Guards against a task that takes down one worker after another.
     pub(super) fn count_crash(&mut self, task: &TaskKey, run: u32, now: Time) {
         let job = task.step.job;
-        let Some(active) = self.jobs.get_mut(&job).filter(|j| !j.state.over()) else { return };
-        let Some(t) = active.task(task).filter(|t| !t.crashes.contains(&run)) else { return };
-        t.crashes.push(run);
-        let crashes = t.crashes.len();
+        let Some(active) = self.jobs.get_mut(&job).filter(|j| !j.state.is_final()) else { return };
+        let Some(t) = active.task(task).filter(|t| !t.crashed_runs.contains(&run)) else { return };
+        t.crashed_runs.push(run);
+        let crashes = t.crashed_runs.len();
         log::info!(target: "shard", did = "crashed", job:% = job, task:% = task, run, crashes; "Worker has crashed under a task.");
-        self.touch(job);
-        if crashes >= CRASHES {
-            self.end(job, State::Failed, now);
+        self.mark_changed(job);
+        if crashes >= MAX_CRASHES {
+            self.end_job(job, State::Failed, now);
         }
     }
 
@@ -64,11 +65,14 @@
     pub(super) fn count_former_crashes(&mut self, now: Time) {
         let mut unobserved = vec![];
         for (no, job) in &mut self.jobs {
-            for ((time, step), part) in &mut job.parts {
+            for ((time, step), part) in &mut job.step_states {
                 let step = StepKey { job: *no, time: *time, step: *step };
                 for (index, t) in (0..).zip(&mut part.tasks) {
-                    let former = std::mem::take(&mut t.former);
-                    if former > 0 && t.at == At::Waiting && t.crashes.len() + 1 < CRASHES {
+                    let former = std::mem::take(&mut t.former_run);
+                    if former > 0
+                        && t.placement == Placement::Waiting
+                        && t.crashed_runs.len() + 1 < MAX_CRASHES
+                    {
                         unobserved.push((TaskKey { step, index }, former));
                     }
                 }
@@ -84,9 +88,9 @@
     ///
     /// Guards against sound tasks being failed along with the task that crashes their worker: tasks
     /// that begin together lose their worker together and would be placed together again.
-    pub(super) fn place_apart(&mut self, turn: &mut Turn, round: &Round, now: Time) {
-        let Some(part) = self.part(turn.key) else { return };
-        let crashed = |i: &u32| !part.tasks[*i as usize].crashes.is_empty();
+    pub(super) fn place_isolated(&mut self, turn: &mut Turn, round: &Round, now: Time) {
+        let Some(part) = self.step_state(turn.key) else { return };
+        let crashed = |i: &u32| !part.tasks[*i as usize].crashed_runs.is_empty();
         let isolated: Vec<u32> = turn.waiting.iter().copied().filter(crashed).collect();
         if isolated.is_empty() {
             return;
@@ -96,9 +100,9 @@
         let Some(fewest) = rooms.iter().map(begun).min() else { return };
         let candidates = rooms.iter().filter(|r| begun(r) == fewest);
         let mut candidates: Vec<Room> =
-            candidates.map(|r| Room { most: r.most.min(1), ..*r }).collect();
-        let chosen = choose(&turn.step, &isolated, &mut candidates);
+            candidates.map(|r| Room { max_new: r.max_new.min(1), ..*r }).collect();
+        let chosen = choose_workers(&turn.step, &isolated, &mut candidates);
         turn.waiting.retain(|i| !isolated.contains(i));
-        self.start_all(turn.key, &turn.step, &chosen, now);
+        self.start_tasks(turn.key, &turn.step, &chosen, now);
     }
 }
--- a/src/shard/sight.rs
+++ b/src/shard/diagnosis.rs
@@ -5,14 +5,14 @@
 
 use {
     crate::{
-        decide::{fit::Room, gather::chunk, lanes::LONG, sound::Verdict},
+        decide::{fit::Room, gather::chunk, health::Verdict, lanes::LONG_CALL},
         shard::{
-            ask::{AGAIN, MOST},
-            cause::{Away, Bar, Cause, Sight},
-            jobs::{At, Part},
-            machine::Shard,
-            plan::{MAX_ROUND_STEPS, choose, withhold},
+            advice::{MAX_NAMED, MAX_RENEWED},
+            cause::{AbsentStep, Cause, Exclusion, Sight},
+            dispatch::{MAX_ROUND_STEPS, choose_workers, withhold},
+            jobs::{Placement, StepState},
             round::{Round, Turn},
+            state_machine::Shard,
             workers::{Phase, WorkerNo},
         },
         time::Time,
@@ -31,21 +31,21 @@
 
 impl Shard {
     /// The long-running steps that have tasks away, longest first, each with its cause.
-    pub fn absent(&self, now: Time) -> Vec<Away> {
+    pub fn absences(&self, now: Time) -> Vec<AbsentStep> {
         let mut all = vec![];
-        for (no, job) in self.jobs.iter().filter(|(_, j)| !j.state.over()) {
+        for (no, job) in self.jobs.iter().filter(|(_, j)| !j.state.is_final()) {
             let lasts = |s: u16| job.job.steps.get(usize::from(s)).is_some_and(|s| s.lasts);
-            for ((time, step), step_state) in job.parts.iter().filter(|p| lasts(p.0.1)) {
+            for ((time, step), step_state) in job.step_states.iter().filter(|p| lasts(p.0.1)) {
                 let key = StepKey { job: *no, time: *time, step: *step };
                 all.extend(self.find_away(key, step_state, now));
             }
         }
         all.sort_unstable_by_key(|a| (Reverse(a.away), a.key));
-        let waiting = all.iter().filter(|a| a.tasks > 0).take(MAX_DIAGNOSED);
+        let waiting = all.iter().filter(|a| a.waiting > 0).take(MAX_DIAGNOSED);
         let keys: FxHashSet<StepKey> = waiting.map(|a| a.key).collect();
         let mut sights = match keys.is_empty() {
             true => BTreeMap::new(),
-            false => self.sights(&keys, now),
+            false => self.diagnose_steps(&keys, now),
         };
         for away in &mut all {
             away.class = self.ranks.get(&away.key).map_or(0, |r| r.class());
@@ -58,14 +58,14 @@
 
     /// The tasks of a long-running step that are away, if any. The cause for waiting tasks is
     /// filled in later.
-    fn find_away(&self, key: StepKey, step_state: &Part, now: Time) -> Option<Away> {
+    fn find_away(&self, key: StepKey, step_state: &StepState, now: Time) -> Option<AbsentStep> {
         let ready = self.ranks.contains_key(&key);
         let (mut waiting, mut held) = (vec![], vec![]);
         for (index, task) in (0..).zip(&step_state.tasks) {
-            let since = task.left.or(step_state.ready);
-            match task.at {
-                At::Waiting if ready => waiting.extend(since.map(|t| (t, index))),
-                At::There(no) => {
+            let since = task.ended_at.or(step_state.ready_since);
+            match task.placement {
+                Placement::Waiting if ready => waiting.extend(since.map(|t| (t, index))),
+                Placement::Assigned(no) => {
                     let task = TaskKey { step: key, index };
                     let lost = self.unseen(no, &task, since.unwrap_or(now));
                     held.extend(
@@ -83,12 +83,22 @@
             (None, None) => return None,
         };
         let sight = Sight {
-            listed: now - self.told.listed_at,
+            listed: now - self.reported.listed_at,
             unsettled: self.unsettled.len(),
             ..Sight::default()
         };
         let (tasks, held) = (waiting.len(), held.len());
-        Some(Away { key, tasks, held, first, away: now - since, class: 0, behind: 0, cause, sight })
+        Some(AbsentStep {
+            key,
+            waiting: tasks,
+            unseen: held,
+            oldest: first,
+            away: now - since,
+            class: 0,
+            behind: 0,
+            cause,
+            sight,
+        })
     }
 
     /// Since when a task has not been seen to run at the worker that it is assigned to, and why.
@@ -97,15 +107,15 @@
         let run = worker.runs.get(task)?;
         match run.phase {
             Phase::Starting | Phase::Unsure => Some((since, Cause::Start)),
-            Phase::Stopping if !run.ran => Some((since, Cause::Stop)),
-            _ if worker.silent > 0 => worker.heard.map(|h| (h, Cause::Silent)),
+            Phase::Stopping if !run.was_seen => Some((since, Cause::Stop)),
+            _ if worker.unanswered_calls > 0 => worker.last_answer.map(|h| (h, Cause::Silent)),
             _ => None,
         }
     }
 
     /// For each of these steps, the number of steps before it and the facts that decide when its
     /// tasks start.
-    pub(super) fn sights(
+    pub(super) fn diagnose_steps(
         &self,
         keys: &FxHashSet<StepKey>,
         now: Time,
@@ -145,16 +155,22 @@
             return;
         }
         let Some(turn) = self.turn(key, round, now) else { return };
-        if turn.advice.is_some() && self.part(key).is_none_or(|p| p.tickets.good.is_empty()) {
+        if turn.advice.is_some()
+            && self.step_state(key).is_none_or(|p| p.tickets.eligible.is_empty())
+        {
             return;
         }
         self.add_demand(key, -1, round);
         if turn.step.gang {
-            return round.end_turn(key, self.reserved.get(key).cloned(), self.reserved.get(key));
+            return round.end_turn(
+                key,
+                self.reservations.get(key).cloned(),
+                self.reservations.get(key),
+            );
         }
         let (mut valid, mut stale) = self.rooms(&turn, round, now);
-        let mut places = choose(&turn.step, &turn.waiting, &mut valid);
-        places.extend(choose(&turn.step, &turn.waiting[places.len()..], &mut stale));
+        let mut places = choose_workers(&turn.step, &turn.waiting, &mut valid);
+        places.extend(choose_workers(&turn.step, &turn.waiting[places.len()..], &mut stale));
         withhold(&turn.step, &places, round);
     }
 
@@ -162,14 +178,15 @@
     fn diagnose(&self, key: &StepKey, round: &Round, now: Time) -> Sight {
         let mut sight = Sight {
             wanted: 1,
-            lanes: (self.lanes.idle(), self.lanes.len()),
-            round: self.next > now,
-            listed: now - self.told.listed_at,
+            lanes: (self.lanes.idle_count(), self.lanes.len()),
+            round: self.next_round > now,
+            listed: now - self.reported.listed_at,
             unsettled: self.unsettled.len(),
             ..Sight::default()
         };
-        let (Some(turn), Some(step_state)) = (self.turn(key, round, now), self.part(key)) else {
-            let queue = self.jobs.get(&key.job).and_then(|j| self.known.get(&j.queue));
+        let (Some(turn), Some(step_state)) = (self.turn(key, round, now), self.step_state(key))
+        else {
+            let queue = self.jobs.get(&key.job).and_then(|j| self.queue_configs.get(&j.queue));
             sight.gate = Some(if queue.is_some() { Cause::Pool } else { Cause::Queue });
             return sight;
         };
@@ -179,10 +196,10 @@
         sight.gate = self.blocking_cause(&turn, now);
         let tickets = &step_state.tickets;
         sight.asked = tickets.asked.len();
-        sight.calls = tickets.calls.len();
-        sight.oldest = tickets.calls.iter().min().map(|t| now - *t);
-        sight.heard = tickets.heard.map(|t| now - t);
-        sight.failed = tickets.next > now;
+        sight.calls = tickets.call_times.len();
+        sight.oldest = tickets.call_times.iter().min().map(|t| now - *t);
+        sight.heard = tickets.answered_at.map(|t| now - t);
+        sight.failed = tickets.next_call > now;
         self.count_pool(&mut sight, &turn, round, now);
         self.count_eligible(&mut sight, &turn, round, now);
         sight.member = self.member_is_free(&sight, &turn, now);
@@ -193,7 +210,7 @@
     fn blocking_cause(&self, turn: &Turn, now: Time) -> Option<Cause> {
         let stray = |i: &u32| self.strays.contains(&TaskKey { step: *turn.key, index: *i });
         let strays = turn.waiting.iter().filter(|i| stray(i)).count();
-        let old = self.jobs.get(&turn.key.job).is_some_and(|j| j.old);
+        let old = self.jobs.get(&turn.key.job).is_some_and(|j| j.inherited);
         match () {
             () if !self.may_act(now) => Some(Cause::Lease),
             () if !self.is_sole(&turn.key.job) => {
@@ -202,7 +219,7 @@
             () if strays > 0 && (turn.step.gang || strays == turn.waiting.len()) => {
                 Some(Cause::Stray)
             }
-            () if self.reserved.contains_key(turn.key) => Some(Cause::Gathers),
+            () if self.reservations.contains_key(turn.key) => Some(Cause::Gathers),
             () => None,
         }
     }
@@ -211,8 +228,8 @@
     fn count_pool(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, ref step, ref pool, .. } = *turn;
         let usable: FxHashSet<WorkerNo> = turn.usable.iter().copied().collect();
-        let Some(step_state) = self.part(key) else { return };
-        let size = step.counted();
+        let Some(step_state) = self.step_state(key) else { return };
+        let size = step.reserved();
         for no in self.pools.get(pool).into_iter().flatten() {
             sight.all += 1;
             if let Some(bar) = self.bar(*no, &usable, step.lasts, now) {
@@ -223,7 +240,7 @@
             if turn.advice.is_some() && !step_state.tickets.asked.contains(no) {
                 sight.unasked += 1;
                 let room = self.room(*no, key, step, now);
-                let left = room.map(|r| r.free.saturating_sub(&round.all_claims(*no)));
+                let left = room.map(|r| r.free.saturating_sub(&round.all_withheld(*no)));
                 sight.roomy += usize::from(left.is_some_and(|l| size.fits(&l)));
             }
         }
@@ -233,16 +250,16 @@
     fn count_eligible(&self, sight: &mut Sight, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, ref step, ref pool, .. } = *turn;
         let usable: FxHashSet<WorkerNo> = turn.usable.iter().copied().collect();
-        let Some(step_state) = self.part(key) else { return };
-        let (size, most) = (step.counted(), u64::from(step.apart));
+        let Some(step_state) = self.step_state(key) else { return };
+        let (size, most) = (step.reserved(), u64::from(step.apart));
         let slots = |n: u64, same: u32| match most {
             0 => n,
             most => n.min(most.saturating_sub(same.into())),
         };
         let (valid, stale) = self.rooms(turn, round, now);
-        let requester = self.asker(turn, round, !self.reserved.contains_key(key), now);
+        let requester = self.requester(turn, round, !self.reservations.contains_key(key), now);
         let good: Vec<WorkerNo> = match turn.advice {
-            Some(_) => step_state.tickets.good.keys().copied().collect(),
+            Some(_) => step_state.tickets.eligible.keys().copied().collect(),
             None => self.pools.get(pool).cloned().unwrap_or_default(),
         };
         for no in good {
@@ -258,7 +275,7 @@
                 continue;
             };
             sight.empty = sight.empty.saturating_add(slots(size.count(&room.total), 0));
-            let bound = most > 0 && u64::from(room.same) >= most;
+            let bound = most > 0 && u64::from(room.same_step) >= most;
             if let Some(bar) = bar {
                 if !bound && size.fits(&room.free) {
                     *sight.bars.entry(bar).or_default() += 1;
@@ -266,7 +283,9 @@
                 continue;
             }
             let found = |all: &[Room]| {
-                all.iter().find(|r| r.index == no.0).map(|r| slots(size.count(&r.free), r.same))
+                all.iter()
+                    .find(|r| r.index == no.0)
+                    .map(|r| slots(size.count(&r.free), r.same_step))
             };
             match () {
                 () if bound => sight.bound += 1,
@@ -282,7 +301,8 @@
                         sight.slots.1 = sight.slots.1.saturating_add(n);
                     }
                     (None, None) => {
-                        let gangs = round.claimed(no, &requester).saturating_sub(&round.kept(no));
+                        let gangs =
+                            round.unavailable(no, &requester).saturating_sub(&round.withheld(no));
                         match size.fits(&room.free.saturating_sub(&gangs)) {
                             true => sight.before += 1,
                             false => sight.gangs += 1,
@@ -300,20 +320,20 @@
         usable: &FxHashSet<WorkerNo>,
         lasts: bool,
         now: Time,
-    ) -> Option<Bar> {
+    ) -> Option<Exclusion> {
         let w = &self.workers[no.0];
-        let held = matches!(w.sound.verdict(now), Verdict::Quarantined { .. });
+        let held = matches!(w.health.verdict(now), Verdict::Quarantined { .. });
         match () {
-            () if w.gone || w.listed.is_none() => Some(Bar::Unlisted),
-            () if !w.fenced => Some(Bar::Unfenced),
-            () if !w.rostered => Some(Bar::Unrostered),
-            () if w.leaving.is_some() => Some(Bar::Leaving),
-            () if w.closed() => Some(Bar::Closing),
-            () if w.silent > 0 => Some(Bar::Silent),
-            () if w.blind > 0 => Some(Bar::Blind),
-            () if w.unwell > now => Some(Bar::Unwell),
-            () if !usable.contains(&no) => Some(Bar::Quarantined),
-            () if held && !w.sound.tries(lasts, now) => Some(Bar::Unproven),
+            () if w.gone || w.listed.is_none() => Some(Exclusion::Unlisted),
+            () if !w.fenced => Some(Exclusion::Unfenced),
+            () if !w.rostered => Some(Exclusion::Unrostered),
+            () if w.leaves_at.is_some() => Some(Exclusion::Leaving),
+            () if w.is_draining() => Some(Exclusion::Closing),
+            () if w.unanswered_calls > 0 => Some(Exclusion::Silent),
+            () if w.unsized_runs > 0 => Some(Exclusion::Blind),
+            () if w.paused_until > now => Some(Exclusion::Unwell),
+            () if !usable.contains(&no) => Some(Exclusion::Quarantined),
+            () if held && !w.health.allows(lasts, now) => Some(Exclusion::Unproven),
             () => None,
         }
     }
@@ -324,17 +344,17 @@
         let chunk = chunk(cost.base, cost.each);
         let named = match () {
             () if sight.good == 0 || turn.step.gang => sight.unasked.min(chunk),
-            () if sight.old > 0 => (sight.old + sight.unasked).min(AGAIN),
-            () => sight.unasked.min(MOST),
+            () if sight.old > 0 => (sight.old + sight.unasked).min(MAX_RENEWED),
+            () => sight.unasked.min(MAX_NAMED),
         };
         let takes = cost.base + cost.each * u32::try_from(named).unwrap_or(u32::MAX);
-        let shares = takes > LONG && !turn.step.lasts && !self.lanes.spare(now);
+        let shares = takes > LONG_CALL && !turn.step.lasts && !self.lanes.has_spare(now);
         let roomy = turn.step.gang || sight.old > 0 || sight.roomy > 0;
-        if shares && !self.turns.may(&turn.pool, roomy, now) {
+        if shares && !self.turns.may_call(&turn.pool, roomy, now) {
             return false;
         }
         let due = self.ranks.get(turn.key).map_or(0, |r| r.due());
-        let left = Duration::from_millis(due.saturating_sub(self.unix(now)));
+        let left = Duration::from_millis(due.saturating_sub(self.unix_ms(now)));
         self.lanes.clone().pick(takes, now + left, now).is_some()
     }
 }
--- a/src/shard/plan.rs
+++ b/src/shard/dispatch.rs
@@ -4,14 +4,14 @@
 use {
     crate::{
         decide::{
-            fit::{Room, best},
-            sound::{Verdict, most_held},
+            fit::{Room, best_room},
+            health::{Verdict, max_quarantined},
         },
         shard::{
-            jobs::{At, Part},
-            judge::PEERS,
-            machine::Shard,
+            health::MIN_PEERS,
+            jobs::{Placement, StepState},
             round::{Requester, Round, Turn},
+            state_machine::Shard,
             workers::{Phase, Worker, WorkerNo},
         },
         time::Time,
@@ -40,14 +40,18 @@
 
 /// Chooses workers for as many of these tasks as fit, and deducts the tasks from the workers' free
 /// resources.
-pub(super) fn choose(step: &Step, tasks: &[u32], rooms: &mut [Room]) -> Vec<(u32, WorkerNo)> {
+pub(super) fn choose_workers(
+    step: &Step,
+    tasks: &[u32],
+    rooms: &mut [Room],
+) -> Vec<(u32, WorkerNo)> {
     let mut chosen = vec![];
     for index in tasks {
-        let Some(at) = best(step, rooms) else { break };
+        let Some(at) = best_room(step, rooms) else { break };
         let room = &mut rooms[at];
-        room.free = room.free.saturating_sub(&step.counted());
-        room.same += 1;
-        room.most -= 1;
+        room.free = room.free.saturating_sub(&step.reserved());
+        room.same_step += 1;
+        room.max_new -= 1;
         room.fillers += u32::from(step.fills);
         chosen.push((*index, WorkerNo(room.index)));
     }
@@ -56,20 +60,20 @@
 
 /// Withholds resources for tasks that cannot start yet from the steps that follow in the order.
 pub(super) fn withhold(step: &Step, places: &[(u32, WorkerNo)], round: &mut Round) {
-    places.iter().for_each(|(_, no)| round.withhold(*no, step.counted()));
+    places.iter().for_each(|(_, no)| round.withhold(*no, step.reserved()));
 }
 
 impl Shard {
     /// Runs a round: starts every task that has a worker, in the order of the steps.
     pub(super) fn dispatch(&mut self, now: Time) {
-        if !self.stir || self.ready.is_empty() || self.next > now || !self.may_act(now) {
+        if !self.round_due || self.ready.is_empty() || self.next_round > now || !self.may_act(now) {
             return;
         }
-        self.stir = false;
+        self.round_due = false;
         let waiting = u32::try_from(self.ready.len()).unwrap_or(u32::MAX);
-        self.next = now + ROUND_PAUSE.0.saturating_mul(waiting).min(ROUND_PAUSE.1);
+        self.next_round = now + ROUND_PAUSE.0.saturating_mul(waiting).min(ROUND_PAUSE.1);
         self.forget_strays();
-        let mut round = self.survey(now);
+        let mut round = self.new_round(now);
         let starving = self.starving(&round, now);
         let keys = self.round_steps(&starving);
         round.starving = starving;
@@ -77,9 +81,9 @@
             self.add_demand(key, 1, &mut round);
         }
         for key in &keys {
-            let old = self.reserved.get(key).cloned();
+            let old = self.reservations.get(key).cloned();
             self.place_step(key, &mut round, now);
-            round.end_turn(key, old, self.reserved.get(key));
+            round.end_turn(key, old, self.reservations.get(key));
         }
     }
 
@@ -95,23 +99,23 @@
         keys.extend(self.ready.iter().take(MAX_ROUND_STEPS).map(|r| r.1).filter(new));
         let Some(last) = self.ready.iter().nth(MAX_ROUND_STEPS - 1) else { return keys };
         let place = |k: &StepKey| Some((*self.ranks.get(k)?, *k));
-        let kept = self.reserved.keys().filter_map(place).filter(|p| p > last && new(&p.1));
+        let kept = self.reservations.keys().filter_map(place).filter(|p| p > last && new(&p.1));
         keys.extend(kept.collect::<BTreeSet<_>>().into_iter().map(|p| p.1));
         keys
     }
 
     /// Builds a new round: the workers that may receive starts, and the resources reserved for
     /// gangs.
-    pub(super) fn survey(&mut self, now: Time) -> Round {
+    pub(super) fn new_round(&mut self, now: Time) -> Round {
         let ranks = &self.ranks;
-        self.reserved.retain(|key, _| ranks.contains_key(key));
+        self.reservations.retain(|key, _| ranks.contains_key(key));
         self.read_round(now)
     }
 
-    /// Like [`Self::survey`], without changing the shard's state.
+    /// Like [`Self::new_round`], without changing the shard's state.
     pub(super) fn read_round(&self, now: Time) -> Round {
         let mut round = Round::new(self.workers.len());
-        for (key, reserve) in self.reserved.iter().filter(|r| self.ranks.contains_key(r.0)) {
+        for (key, reserve) in self.reservations.iter().filter(|r| self.ranks.contains_key(r.0)) {
             round.add_reservation(key, reserve, false);
         }
         for (pool, all) in &self.pools {
@@ -119,9 +123,9 @@
             round
                 .long_running
                 .insert(pool.clone(), self.usable_workers(all, true, true, now).into());
-            if self.quiet(all) {
-                round.quiet.insert(pool.clone());
-                if all.iter().any(|n| self.workers[n.0].closed()) {
+            if self.is_underused(all) {
+                round.underused.insert(pool.clone());
+                if all.iter().any(|n| self.workers[n.0].is_draining()) {
                     round
                         .with_draining
                         .insert(pool.clone(), self.usable_workers(all, false, true, now).into());
@@ -144,12 +148,12 @@
     }
 
     /// Whether the pool of these workers is underused in every resource.
-    pub(super) fn quiet(&self, all: &[WorkerNo]) -> bool {
+    pub(super) fn is_underused(&self, all: &[WorkerNo]) -> bool {
         let sum = |size: fn(&Worker) -> Size| {
             all.iter().fold(Size::default(), |sum, n| sum + size(&self.workers[n.0]))
         };
         let used = sum(|w| w.used);
-        let total = sum(|w| w.listed.as_ref().map_or(Size::default(), |l| l.size));
+        let total = sum(|w| w.listed.as_ref().map_or(Size::default(), |l| l.capacity));
         used.times(100).fits(&total.times(UNDERUSED_PERCENT))
     }
 
@@ -169,9 +173,9 @@
             let w = &self.workers[n.0];
             w.usable(now) || (with_draining && w.usable_draining(now))
         });
-        let mut held = most_held(all.len());
-        let not_held = |n: &WorkerNo| match self.workers[n.0].sound.verdict(now) {
-            Verdict::Quarantined { .. } if lasts && self.workers[n.0].sound.tries(lasts, now) => {
+        let mut held = max_quarantined(all.len());
+        let not_held = |n: &WorkerNo| match self.workers[n.0].health.verdict(now) {
+            Verdict::Quarantined { .. } if lasts && self.workers[n.0].health.allows(lasts, now) => {
                 true
             }
             Verdict::Quarantined { until } if until > now && held > 0 => {
@@ -189,9 +193,9 @@
     /// Without this limit all tasks of a step would choose the one worker that is open to a probe;
     /// all but one would be refused there, and none would go to other workers that have capacity.
     fn start_limit(&self, no: WorkerNo, step: &Step, now: Time) -> u32 {
-        let sound = &self.workers[no.0].sound;
+        let sound = &self.workers[no.0].health;
         match sound.verdict(now) {
-            Verdict::Quarantined { .. } if !step.gang => u32::from(sound.tries(step.lasts, now)),
+            Verdict::Quarantined { .. } if !step.gang => u32::from(sound.allows(step.lasts, now)),
             _ => u32::MAX,
         }
     }
@@ -199,13 +203,13 @@
     /// Adds the waiting tasks of a step to the demand of each worker that may run it; `sign` -1
     /// subtracts them.
     pub(super) fn add_demand(&self, key: &StepKey, sign: i64, round: &mut Round) {
-        let Some(step_state) = self.part(key) else { return };
-        let count = step_state.tickets.good.len() as i64;
+        let Some(step_state) = self.step_state(key) else { return };
+        let count = step_state.tickets.eligible.len() as i64;
         if count == 0 {
             return;
         }
         let each = sign * 100 * i64::from(step_state.waiting.min(8)) / count;
-        for no in step_state.tickets.good.keys() {
+        for no in step_state.tickets.eligible.keys() {
             let known = &mut round.demand[no.0];
             *known = (i64::from(*known) + each).max(0) as u32;
         }
@@ -214,9 +218,10 @@
     /// The properties of a step that a round needs; `None` if its queue or its pool is unknown.
     pub(super) fn turn<'a>(&self, key: &'a StepKey, round: &Round, now: Time) -> Option<Turn<'a>> {
         let job = self.jobs.get(&key.job)?;
-        let queue = self.known.get(&job.queue)?;
-        let step_state = job.parts.get(&(key.time, key.step))?;
-        let waiting = (0..).zip(&step_state.tasks).filter(|(_, t)| t.at == At::Waiting);
+        let queue = self.queue_configs.get(&job.queue)?;
+        let step_state = job.step_states.get(&(key.time, key.step))?;
+        let waiting =
+            (0..).zip(&step_state.tasks).filter(|(_, t)| t.placement == Placement::Waiting);
         let step = job.step(key)?.clone();
         let usable = match () {
             () if step.lasts => &round.long_running,
@@ -242,8 +247,10 @@
     /// worker, so it stays there; short work would then wait beside an idle worker until new
     /// workers arrive. In a busy pool the step waits instead, because the worker would otherwise
     /// never become empty.
-    fn may_use_draining(&self, step_state: &Part, step: &Step, now: Time) -> bool {
-        !step.gang && !step.fills && step_state.ready.is_some_and(|t| t + DRAINING_USE_DELAY <= now)
+    fn may_use_draining(&self, step_state: &StepState, step: &Step, now: Time) -> bool {
+        !step.gang
+            && !step.fills
+            && step_state.ready_since.is_some_and(|t| t + DRAINING_USE_DELAY <= now)
     }
 
     /// Starts the tasks of one step that have a worker.
@@ -252,8 +259,10 @@
             return;
         }
         let Some(mut turn) = self.turn(key, round, now) else { return };
-        if turn.advice.is_some() && self.part(key).is_none_or(|p| p.tickets.good.is_empty()) {
-            return self.ask_wide(&turn, round, now);
+        if turn.advice.is_some()
+            && self.step_state(key).is_none_or(|p| p.tickets.eligible.is_empty())
+        {
+            return self.ask_for_missing(&turn, round, now);
         }
         // The step's own demand must not count against a worker.
         self.add_demand(key, -1, round);
@@ -265,7 +274,7 @@
         match turn.step.gang {
             true => self.place_gang(&turn, round, now),
             false => {
-                self.place_apart(&mut turn, round, now);
+                self.place_isolated(&mut turn, round, now);
                 if !turn.waiting.is_empty() {
                     self.place_tasks(&turn, round, now);
                 }
@@ -280,66 +289,66 @@
         // A healthy worker with capacity is worth the wait for its ticket.
         let unfavourable = |r: &Room| {
             let w = &self.workers[r.index];
-            w.closed()
-                || (step.lasts && matches!(w.sound.verdict(now), Verdict::Quarantined { .. }))
+            w.is_draining()
+                || (step.lasts && matches!(w.health.verdict(now), Verdict::Quarantined { .. }))
         };
         let (mut last, mut valid): (Vec<_>, Vec<_>) = valid.into_iter().partition(unfavourable);
-        let mut chosen = choose(step, &turn.waiting, &mut valid);
+        let mut chosen = choose_workers(step, &turn.waiting, &mut valid);
         if stale.iter().all(unfavourable) {
-            chosen.extend(choose(step, &turn.waiting[chosen.len()..], &mut last));
+            chosen.extend(choose_workers(step, &turn.waiting[chosen.len()..], &mut last));
         }
         let rest = &turn.waiting[chosen.len()..];
         if !rest.is_empty() {
-            let good = match round.try_more(step.lasts) {
+            let good = match round.try_deep_search(step.lasts) {
                 true => self.all_rooms(turn, round, now),
                 false => vec![],
             };
             if !step.fills {
                 let taken = |r: &Room| chosen.iter().any(|c| c.1.0 == r.index);
                 let good: Vec<Room> = good.iter().filter(|r| !taken(r)).copied().collect();
-                let places = self.evict(turn, rest, &good, now);
+                let places = self.preempt(turn, rest, &good, now);
                 withhold(step, &places, round);
             }
             if let Some(cost) = advice {
-                let later = choose(step, rest, &mut stale);
+                let later = choose_workers(step, rest, &mut stale);
                 withhold(step, &later, round);
                 let mut wanted: Vec<WorkerNo> = later.iter().map(|c| c.1).collect();
-                wanted.extend(self.coming(turn, &good, cost, round, now));
+                wanted.extend(self.freeing_workers(turn, &good, cost, round, now));
                 wanted.sort_unstable();
                 wanted.dedup();
-                self.ask_again(key, &wanted, usable, cost, now);
+                self.renew_tickets(key, &wanted, usable, cost, now);
             }
             if chosen.is_empty() && round.starving.contains(key) {
                 let preferred = self.preferred_workers(turn, &good, now);
                 withhold(step, &preferred, round);
             }
         }
-        self.start_all(key, step, &chosen, now);
+        self.start_tasks(key, step, &chosen, now);
     }
 
     /// The workers that can take a task of the step now: first those with a valid ticket, then
     /// those whose ticket has expired.
     pub(super) fn rooms(&self, turn: &Turn, round: &Round, now: Time) -> (Vec<Room>, Vec<Room>) {
         let (mut valid, mut stale) = (vec![], vec![]);
-        let Some(step_state) = self.part(turn.key) else { return (valid, stale) };
-        let size = turn.step.counted();
-        let own = self.reserved.get(turn.key);
-        let waited = step_state.ready.is_some_and(|t| t + RESERVED_USE_DELAY <= now);
-        let requester = self.asker(turn, round, waited && own.is_none(), now);
+        let Some(step_state) = self.step_state(turn.key) else { return (valid, stale) };
+        let size = turn.step.reserved();
+        let own = self.reservations.get(turn.key);
+        let waited = step_state.ready_since.is_some_and(|t| t + RESERVED_USE_DELAY <= now);
+        let requester = self.requester(turn, round, waited && own.is_none(), now);
         for no in turn.usable.iter() {
             let free = self.workers[no.0].free();
             if !size.fits(&free) {
                 continue;
             }
-            let mut left = free.saturating_sub(&round.claimed(*no, &requester));
-            if let Some(n) = own.and_then(|r| r.each.iter().find(|e| e.0 == *no)) {
-                let mine = free.saturating_sub(&round.before(*no, turn.key));
+            let mut left = free.saturating_sub(&round.unavailable(*no, &requester));
+            if let Some(n) = own.and_then(|r| r.members.iter().find(|e| e.0 == *no)) {
+                let mine = free.saturating_sub(&round.withheld_before(*no, turn.key));
                 left = left.max(&size.times(size.count(&mine).min(n.1.into())));
             }
             if !size.fits(&left) {
                 continue;
             }
-            let ticket = step_state.tickets.good.get(no);
+            let ticket = step_state.tickets.eligible.get(no);
             if turn.advice.is_some() && ticket.is_none() {
                 continue;
             }
@@ -354,16 +363,16 @@
     }
 
     /// Describes a step for comparison with resources that are reserved for others.
-    pub(super) fn asker<'a>(
+    pub(super) fn requester<'a>(
         &self,
         turn: &Turn<'a>,
         round: &Round,
         may_outrank: bool,
         now: Time,
     ) -> Requester<'a> {
-        let step_state = self.part(turn.key);
+        let step_state = self.step_state(turn.key);
         let estimate = Duration::from_millis(turn.step.estimate);
-        let takes = step_state.and_then(|p| p.expected(PEERS)).unwrap_or(estimate);
+        let takes = step_state.and_then(|p| p.expected_duration(MIN_PEERS)).unwrap_or(estimate);
         let ends_at = match turn.step.lasts {
             true => Time::NEVER,
             false => now + takes + takes / OVERRUN_DIVISOR,
@@ -374,13 +383,13 @@
 
     /// All workers that may run a step, including full ones.
     fn all_rooms(&self, turn: &Turn, round: &Round, now: Time) -> Vec<Room> {
-        let Some(step_state) = self.part(turn.key) else { return vec![] };
+        let Some(step_state) = self.step_state(turn.key) else { return vec![] };
         let may =
-            |no: &&WorkerNo| turn.advice.is_none() || step_state.tickets.good.contains_key(no);
-        let requester = self.asker(turn, round, false, now);
+            |no: &&WorkerNo| turn.advice.is_none() || step_state.tickets.eligible.contains_key(no);
+        let requester = self.requester(turn, round, false, now);
         let room = |no: &WorkerNo| {
             let mut room = self.room(*no, turn.key, &turn.step, now)?;
-            room.free = room.free.saturating_sub(&round.claimed(*no, &requester));
+            room.free = room.free.saturating_sub(&round.unavailable(*no, &requester));
             room.demand = round.demand[no.0];
             Some(room)
         };
@@ -388,7 +397,7 @@
     }
 
     /// The number of tasks of a step at a worker.
-    pub(super) fn same(&self, no: WorkerNo, key: &StepKey) -> u32 {
+    pub(super) fn task_count(&self, no: WorkerNo, key: &StepKey) -> u32 {
         let tasks = self.workers[no.0].runs.keys();
         u32::try_from(tasks.filter(|t| t.step == *key).count()).unwrap_or(u32::MAX)
     }
@@ -397,24 +406,24 @@
     pub(super) fn room(&self, no: WorkerNo, key: &StepKey, step: &Step, now: Time) -> Option<Room> {
         let w = &self.workers[no.0];
         let listed = w.listed.as_ref()?;
-        if now < w.alone {
+        if now < w.isolated_until {
             return None;
         }
-        if step.needs.as_ref().is_some_and(|label| !listed.has(label)) {
+        if step.needs.as_ref().is_some_and(|label| !listed.has_label(label)) {
             return None;
         }
-        let same = if step.apart > 0 { self.same(no, key) } else { 0 };
+        let same = if step.apart > 0 { self.task_count(no, key) } else { 0 };
         Some(Room {
             index: no.0,
             free: w.free(),
-            total: listed.size,
-            near: step.near.as_ref().is_some_and(|r| listed.has(r.as_str())),
-            serves: step.fills && w.serves(),
+            total: listed.capacity,
+            near: step.near.as_ref().is_some_and(|r| listed.has_label(r.as_str())),
+            serving: step.fills && w.serves(),
             fillers: w.fillers,
-            same,
-            most: self.start_limit(no, step, now),
-            suspect: w.sound.verdict(now) != Verdict::Sound
-                || (step.lasts && (w.due() || w.closed())),
+            same_step: same,
+            max_new: self.start_limit(no, step, now),
+            suspect: w.health.verdict(now) != Verdict::Sound
+                || (step.lasts && (w.upkeep_due() || w.is_draining())),
             demand: 0,
         })
     }
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -7,14 +7,14 @@
         ports::{Advice, AdviceCall, Fault, StoreReply, Txn, WorkerCall, WorkerReply},
         shard::record::{Closing, CommitRow, JobRecord, Progress, Roster},
         time::Time,
-        work::{JobNo, Listed, Queues},
+        work::{JobNo, ListedWorker, QueueConfig},
     },
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
 /// The stored state of a shard that its new owner begins with.
 #[derive(Clone, Debug, Default)]
-pub struct Load {
+pub struct Snapshot {
     /// Jobs that have not ended.
     pub jobs: Vec<(JobNo, JobRecord)>,
     /// Jobs that their callers have cancelled.
@@ -24,7 +24,7 @@
     /// The workers to which earlier owners may have given work.
     pub roster: Roster,
     /// The revision of the commit row that this owner has just written.
-    pub commit: u64,
+    pub commit_revision: u64,
     /// Whether the former owner can no longer consider itself confirmed: its lease had expired, or
     /// it released the shard.
     pub lapsed: bool,
@@ -38,9 +38,9 @@
     /// A cancel of a job was stored.
     Cancel(JobNo),
     /// The complete list of this shard's workers.
-    Listed(Vec<Listed>),
+    Listed(Vec<ListedWorker>),
     /// A version of the configuration.
-    Queues(Arc<Queues>),
+    Queues(Arc<QueueConfig>),
     /// A worker's reply to a call, or its failure.
     Worker {
         /// The worker.
@@ -66,9 +66,9 @@
     /// The store's reply to the transaction with this number.
     Stored(u64, Result<StoreReply, Fault>),
     /// The commit row and its revision, read after an unclear reply, or the failure to read it.
-    Reread(Result<(u64, CommitRow), Fault>),
+    CommitRead(Result<(u64, CommitRow), Fault>),
     /// The worker incarnations that the list of machines shows, or the failure to read the list.
-    Lives {
+    Machines {
         /// When the list was requested.
         sent: Time,
         /// The worker incarnations.
@@ -107,16 +107,16 @@
         /// When it was ordered; its event repeats this time.
         sent: Time,
         /// The expected duration of the call at the service.
-        takes: Duration,
+        expected: Duration,
         /// The time limit for its reply.
         limit: Duration,
     },
     /// Write this transaction, which has the given number, to the store.
     Store(u64, Txn),
     /// Read the commit row to resolve an unclear reply.
-    Reread,
+    ReadCommit,
     /// Read the list of machines.
-    Lives,
+    ReadMachines,
     /// Another member owns the shard: drop it.
     Deposed,
 }
--- a/src/shard/explain.rs
+++ b/src/shard/explain.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        shard::{jobs::At, machine::Shard},
+        shard::{jobs::Placement, state_machine::Shard},
         time::Time,
         work::{JobNo, StepKey, TaskKey},
     },
@@ -11,31 +11,31 @@
 
 impl Shard {
     /// Summarizes what the waiting steps wait for and how full the pools are.
-    pub(super) fn sum_up(&self, now: Time) -> Box<str> {
+    pub(super) fn summary(&self, now: Time) -> Box<str> {
         let (mut steps, mut tasks, mut unasked, mut stale) = ([0; 3], 0, 0, 0);
         let mut without: BTreeMap<&str, u32> = BTreeMap::new();
         for (rank, key) in &self.ready {
             steps[rank.class().min(2)] += 1;
-            let part = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
+            let part =
+                self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
             let Some(part) = part else { continue };
             tasks += part.waiting;
-            let advised = self
-                .jobs
-                .get(&key.job)
-                .is_some_and(|j| self.known.get(&j.queue).is_some_and(|q| q.advice.is_some()));
+            let advised = self.jobs.get(&key.job).is_some_and(|j| {
+                self.queue_configs.get(&j.queue).is_some_and(|q| q.advice.is_some())
+            });
             if let Some(job) =
-                self.jobs.get(&key.job).filter(|_| advised && part.tickets.good.is_empty())
+                self.jobs.get(&key.job).filter(|_| advised && part.tickets.eligible.is_empty())
             {
                 unasked += 1;
                 *without.entry(&job.queue).or_default() += 1;
             }
-            let valid = part.tickets.good.values().any(|(_, until)| *until > now);
-            stale += u32::from(advised && !part.tickets.good.is_empty() && !valid);
+            let valid = part.tickets.eligible.values().any(|(_, until)| *until > now);
+            stale += u32::from(advised && !part.tickets.eligible.is_empty() && !valid);
         }
         let mut text = format!(
             "jobs {}, ready steps {steps:?} with {tasks} tasks, {unasked} without advice, {stale} with expired tickets, lanes {}",
             self.jobs.len(),
-            self.lanes.total(),
+            self.lanes.total_calls(),
         );
         for (pool, all) in &self.pools {
             let sum = |f: fn(&super::workers::Worker) -> u64| {
@@ -47,26 +47,29 @@
                 "; {pool}: {usable} of {} workers, cores {} of {}, accelerators {} of {}",
                 all.len(),
                 sum(|w| w.used.cores.0) / 1000,
-                sum(|w| w.listed.as_ref().map_or(0, |l| l.size.cores.0)) / 1000,
+                sum(|w| w.listed.as_ref().map_or(0, |l| l.capacity.cores.0)) / 1000,
                 sum(|w| w.used.accels.0),
-                sum(|w| w.listed.as_ref().map_or(0, |l| l.size.accels.0)),
+                sum(|w| w.listed.as_ref().map_or(0, |l| l.capacity.accels.0)),
             );
         }
-        for (queue, asked) in &self.asked {
-            let total = asked.takes.as_secs_f64();
+        for (queue, asked) in &self.advice_stats {
+            let total = asked.expected_time.as_secs_f64();
             let _ = write!(
                 text,
                 "; advice {queue}: {} calls, {} named, {total:.1} s, {} without room, {} tasks started, {} steps without",
                 asked.calls,
                 asked.named,
-                asked.bare,
+                asked.without_room,
                 asked.starts,
                 without.get(&**queue).copied().unwrap_or_default(),
             );
         }
-        let reserved: u32 = self.reserved.values().flat_map(|r| &r.each).map(|e| e.1).sum();
-        let _ =
-            write!(text, "; room reserved for {} gangs of {reserved} tasks", self.reserved.len());
+        let reserved: u32 = self.reservations.values().flat_map(|r| &r.members).map(|e| e.1).sum();
+        let _ = write!(
+            text,
+            "; room reserved for {} gangs of {reserved} tasks",
+            self.reservations.len()
+        );
         text.into()
     }
 
@@ -74,33 +77,37 @@
     pub fn explain(&self, no: JobNo, now: Time) -> Box<str> {
         let Some(job) = self.jobs.get(&no) else { return "unknown here, or over".into() };
         let mut text = format!("job {no} of queue {} is {}", job.queue, job.state);
-        if job.old && !self.unsettled.is_empty() {
+        if job.inherited && !self.unsettled.is_empty() {
             let _ = write!(
                 text,
                 "; {} workers of former owners have not replied",
                 self.unsettled.len()
             );
         }
-        if !self.known.contains_key(&job.queue) {
+        if !self.queue_configs.contains_key(&job.queue) {
             text.push_str("; its queue is not known");
         }
-        let keys =
-            job.parts.keys().map(|(time, step)| StepKey { job: no, time: *time, step: *step });
-        let sights = self.sights(&keys.filter(|k| self.ranks.contains_key(k)).collect(), now);
-        for ((time, step), part) in &job.parts {
+        let keys = job.step_states.keys().map(|(time, step)| StepKey {
+            job: no,
+            time: *time,
+            step: *step,
+        });
+        let sights =
+            self.diagnose_steps(&keys.filter(|k| self.ranks.contains_key(k)).collect(), now);
+        for ((time, step), part) in &job.step_states {
             let key = StepKey { job: no, time: *time, step: *step };
             let t = &part.tickets;
             let _ = write!(
                 text,
                 "\n  step {key}: {} left, {} wait, free {}, in order {}; advice: {} asked, {} good, {} valid, asking {}",
-                part.left,
+                part.unfinished,
                 part.waiting,
-                job.free(*time, *step),
+                job.is_unblocked(*time, *step),
                 self.ranks.contains_key(&key),
                 t.asked.len(),
-                t.good.len(),
-                t.good.values().filter(|(_, until)| *until > now).count(),
-                t.asking(),
+                t.eligible.len(),
+                t.eligible.values().filter(|(_, until)| *until > now).count(),
+                t.is_pending(),
             );
             if let Some((behind, sight)) = sights.get(&key) {
                 let _ =
@@ -109,12 +116,12 @@
             if let Some(s) = job.step(&key) {
                 let worker = |no: &super::workers::WorkerNo| &self.workers[no.0];
                 let of = |w: &super::workers::Worker| format!("{} {}", w.id, w.free());
-                let good: Vec<_> = t.good.keys().map(|no| of(worker(no))).collect();
-                let (count, gang, size) = (s.count, s.gang, s.counted());
+                let good: Vec<_> = t.eligible.keys().map(|no| of(worker(no))).collect();
+                let (count, gang, size) = (s.count, s.gang, s.reserved());
                 let _ = write!(text, "; {count} tasks, gang {gang}, each {size}; good {good:?}");
             }
             for (index, task) in (0..).zip(&part.tasks) {
-                let At::There(at) = task.at else { continue };
+                let Placement::Assigned(at) = task.placement else { continue };
                 let worker = &self.workers[at.0];
                 let phase = worker.runs.get(&TaskKey { step: key, index }).map(|r| r.phase);
                 let _ =
--- a/src/shard/gangs.rs
+++ b/src/shard/gangs.rs
@@ -7,13 +7,15 @@
 
 use {
     crate::{
-        decide::gather::{self, CHOICE, KEPT, KEPT_LATE, LONGEST, Offer, soonest},
+        decide::gather::{
+            self, KEPT_LATE_ONE_IN, KEPT_ONE_IN, MAX_KEEP, MIN_CHOICE, Offer, soonest_placement,
+        },
         shard::{
-            evict::PATIENCE,
-            machine::Shard,
-            plan::choose,
-            reserve::Reserve,
+            dispatch::choose_workers,
+            preempt::ROOM_WAIT,
+            reservation::GangReservation,
             round::{Round, Turn},
+            state_machine::Shard,
             workers::{Phase, Run, WorkerNo, millis},
         },
         time::Time,
@@ -38,23 +40,23 @@
     pub(super) fn place_gang(&mut self, turn: &Turn, round: &mut Round, now: Time) {
         let Turn { key, ref step, ref waiting, .. } = *turn;
         let mut valid = self.rooms(turn, round, now).0;
-        let chosen = choose(step, waiting, &mut valid);
+        let chosen = choose_workers(step, waiting, &mut valid);
         if chosen.len() == waiting.len() {
-            self.reserved.remove(key);
-            return self.start_all(key, step, &chosen, now);
+            self.reservations.remove(key);
+            return self.start_tasks(key, step, &chosen, now);
         }
-        let overdue = |r: &Reserve| r.since + LONGEST <= now;
-        if self.reserved.get(key).is_some_and(overdue) {
+        let overdue = |r: &GangReservation| r.since + MAX_KEEP <= now;
+        if self.reservations.get(key).is_some_and(overdue) {
             log::info!(target: "shard", did = "released", job:% = key.job, step:% = key, cause = "too long"; "Reservation is released.");
-            self.reserved.remove(key);
+            self.reservations.remove(key);
         }
         // Workers on which advice was requested meanwhile may have room sooner.
-        let may_search = self.part(key).is_some_and(|p| p.look <= now);
-        let distant = |r: &Reserve| may_search && r.at > now + gather::NEAR;
-        if round.quiet.contains(&turn.pool) && self.reserved.get(key).is_some_and(distant) {
-            self.reserved.remove(key);
+        let may_search = self.step_state(key).is_some_and(|p| p.next_search <= now);
+        let distant = |r: &GangReservation| may_search && r.ready_at > now + gather::NEAR_WITHIN;
+        if round.underused.contains(&turn.pool) && self.reservations.get(key).is_some_and(distant) {
+            self.reservations.remove(key);
         }
-        let checked = self.reserved.get(key).map(|r| r.tended);
+        let checked = self.reservations.get(key).map(|r| r.checked_at);
         if checked.is_some_and(|t| t + CHECK_INTERVAL > now) {
             return;
         }
@@ -66,42 +68,53 @@
     /// Reserves the workers on which the gang has room soonest; returns whether room was reserved.
     fn reserve_room(&mut self, turn: &Turn, round: &mut Round, now: Time) -> bool {
         let Turn { key, ref step, .. } = *turn;
-        if self.part(key).is_none_or(|p| p.look > now) || !round.try_more(false) {
+        if self.step_state(key).is_none_or(|p| p.next_search > now) || !round.try_deep_search(false)
+        {
             return false;
         }
-        let part = self.jobs.get_mut(&key.job).and_then(|j| j.part(key.time, key.step));
+        let part = self.jobs.get_mut(&key.job).and_then(|j| j.step_state_mut(key.time, key.step));
         if let Some(part) = part {
-            part.look = now + SEARCH_INTERVAL;
+            part.next_search = now + SEARCH_INTERVAL;
         }
         let offers = self.offers(turn, round, now);
-        let Some(places) = soonest(offers, step.count) else {
+        let Some(places) = soonest_placement(offers, step.count) else {
             // If the permitted workers are merely busy, asking about more of them would take calls
             // from other steps.
-            let too_few = self.ever_slots(turn) < u64::from(step.count) * CHOICE;
-            if too_few || round.quiet.contains(&turn.pool) {
-                self.ask_wide(turn, round, now);
+            let too_few = self.eventual_slots(turn) < u64::from(step.count) * MIN_CHOICE;
+            if too_few || round.underused.contains(&turn.pool) {
+                self.ask_for_missing(turn, round, now);
             }
             return false;
         };
-        let size = step.counted();
-        let far = now + gather::NEAR;
+        let size = step.reserved();
+        let far = now + gather::NEAR_WITHIN;
         // In a pool with spare room, other workers may have room at once.
-        if places.at > far && round.quiet.contains(&turn.pool) {
-            self.ask_wide(turn, round, now);
+        if places.available_at > far && round.underused.contains(&turn.pool) {
+            self.ask_for_missing(turn, round, now);
         }
-        let far_count = self.reserved.values().filter(|r| r.at > far).count();
-        if places.at > far && far_count >= gather::FAR && !round.starving.contains(key) {
+        let far_count = self.reservations.values().filter(|r| r.ready_at > far).count();
+        if places.available_at > far
+            && far_count >= gather::MAX_FAR_GANGS
+            && !round.starving.contains(key)
+        {
             return false;
         }
         if !self.may_reserve(turn, round, size.times(step.count.into())) {
             return false;
         }
-        let (workers, in_ms) = (places.each.len(), millis(places.at - now));
+        let (workers, in_ms) = (places.per_worker.len(), millis(places.available_at - now));
         log::debug!(target: "shard", did = "reserved", job:% = key.job, step:% = key, workers, in_ms; "Room is reserved for a gang.");
         let priority = turn.priority;
-        self.reserved.insert(
+        self.reservations.insert(
             *key,
-            Reserve { each: places.each, size, priority, since: now, at: places.at, tended: now },
+            GangReservation {
+                members: places.per_worker,
+                size,
+                priority,
+                since: now,
+                ready_at: places.available_at,
+                checked_at: now,
+            },
         );
         true
     }
@@ -111,14 +124,14 @@
     /// Guards against a pool that stands idle while several gangs arrive together: each reserves
     /// room that it cannot use yet.
     fn may_reserve(&self, turn: &Turn, round: &Round, more: Size) -> bool {
-        let quiet = round.quiet.contains(&turn.pool);
+        let quiet = round.underused.contains(&turn.pool);
         let late = self.ranks.get(turn.key).is_none_or(|r| r.class() > 0);
-        let first = quiet || round.starving.contains(turn.key) || self.reserved.is_empty();
-        let part = if late { KEPT_LATE } else { KEPT };
+        let first = quiet || round.starving.contains(turn.key) || self.reservations.is_empty();
+        let part = if late { KEPT_LATE_ONE_IN } else { KEPT_ONE_IN };
         let room = turn.usable.iter().filter_map(|n| self.workers[n.0].listed.as_ref());
-        let total = room.fold(Size::default(), |sum, l| sum + l.size);
-        let kept = self.reserved.values().fold(Size::default(), |sum, r| {
-            let members = r.each.iter().map(|e| u64::from(e.1)).sum();
+        let total = room.fold(Size::default(), |sum, l| sum + l.capacity);
+        let kept = self.reservations.values().fold(Size::default(), |sum, r| {
+            let members = r.members.iter().map(|e| u64::from(e.1)).sum();
             sum + r.size.times(members)
         });
         first || (kept + more).times(part).fits(&total)
@@ -127,16 +140,16 @@
     /// For each worker that may run the step, the times at which it gains room for more members.
     fn offers(&self, turn: &Turn, round: &Round, now: Time) -> Vec<Offer<WorkerNo>> {
         let Turn { key, ref step, .. } = *turn;
-        let size = step.counted();
+        let size = step.reserved();
         let stops = self.may_preempt_for(key, now).then_some(turn.priority);
-        let asker = self.asker(turn, round, false, now);
+        let asker = self.requester(turn, round, false, now);
         let mut offers = vec![];
-        for no in self.good(turn) {
+        for no in self.permitted(turn) {
             let Some(listed) = &self.workers[no.0].listed else { continue };
-            if step.needs.as_ref().is_some_and(|label| !listed.has(label)) {
+            if step.needs.as_ref().is_some_and(|label| !listed.has_label(label)) {
                 continue;
             }
-            let claims = round.claimed(no, &asker);
+            let claims = round.unavailable(no, &asker);
             let most = if step.apart > 0 { step.apart.into() } else { u64::MAX };
             let mut free = self.workers[no.0].free();
             let mut known = 0;
@@ -144,7 +157,7 @@
                 let slots = size.count(&free.saturating_sub(&claims)).min(most);
                 if slots > known {
                     let more = u32::try_from(slots - known).unwrap_or(u32::MAX);
-                    offers.push(Offer { worker: no, at, slots: more });
+                    offers.push(Offer { worker: no, available_at: at, slots: more });
                     known = slots;
                 }
             };
@@ -158,10 +171,10 @@
     }
 
     /// The workers that may run a step and may receive starts.
-    pub(super) fn good(&self, turn: &Turn) -> Vec<WorkerNo> {
-        let part = self.part(turn.key);
+    pub(super) fn permitted(&self, turn: &Turn) -> Vec<WorkerNo> {
+        let part = self.step_state(turn.key);
         let may = |n: &WorkerNo| {
-            turn.advice.is_none() || part.is_some_and(|p| p.tickets.good.contains_key(n))
+            turn.advice.is_none() || part.is_some_and(|p| p.tickets.eligible.contains_key(n))
         };
         turn.usable.iter().copied().filter(may).collect()
     }
@@ -174,17 +187,17 @@
         stops: Option<u8>,
         now: Time,
     ) -> Vec<(Time, Size)> {
-        let stopped = now + self.setup.bounds.stop;
+        let stopped = now + self.setup.bounds.stop_time;
         let leaves = |(task, run): (&TaskKey, &Run)| {
             let by_itself = match run.phase {
                 Phase::Stopping => {
-                    Some((run.sent + self.setup.bounds.stop).max(now + MIN_REMAINING))
+                    Some((run.sent_at + self.setup.bounds.stop_time).max(now + MIN_REMAINING))
                 }
-                _ if self.lasts(task) => None,
-                _ => Some(super::ahead::end(run, now).max(now + MIN_REMAINING)),
+                _ if self.is_long_running(task) => None,
+                _ => Some(super::prefetch::expected_end(run, now).max(now + MIN_REMAINING)),
             };
             let may = run.phase == Phase::Running
-                && stops.is_some_and(|p| run.yields.is_some_and(|y| y > p));
+                && stops.is_some_and(|p| run.preempt_priority.is_some_and(|y| y > p));
             let at = match by_itself {
                 Some(at) if may => Some(at.min(stopped)),
                 None if may => Some(stopped),
@@ -203,8 +216,12 @@
         let worker = &self.workers[no.0];
         let leaves = |task: &TaskKey, run: &Run| match run.phase {
             Phase::Stopping => true,
-            Phase::Running if stops.is_some_and(|p| run.yields.is_some_and(|y| y > p)) => true,
-            _ => super::ahead::end(run, now) <= by && !self.lasts(task),
+            Phase::Running
+                if stops.is_some_and(|p| run.preempt_priority.is_some_and(|y| y > p)) =>
+            {
+                true
+            }
+            _ => super::prefetch::expected_end(run, now) <= by && !self.is_long_running(task),
         };
         let ending = worker.runs.iter().filter(|(t, r)| leaves(t, r));
         ending.fold(worker.free(), |sum, (_, r)| sum + r.size)
@@ -220,7 +237,7 @@
         round: &Round,
         now: Time,
     ) -> Option<Time> {
-        let wanted = need + round.before(no, key);
+        let wanted = need + round.withheld_before(no, key);
         let mut free = self.workers[no.0].free();
         if wanted.fits(&free) {
             return Some(now);
@@ -238,15 +255,15 @@
     /// renews tickets so that they are valid when the room is free.
     fn check_reservation(&mut self, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, advice, .. } = *turn;
-        let Some(reserve) = self.reserved.get(key).cloned() else { return };
-        let good = self.good(turn);
-        if reserve.each.iter().any(|(no, _)| !good.contains(no)) {
+        let Some(reserve) = self.reservations.get(key).cloned() else { return };
+        let good = self.permitted(turn);
+        if reserve.members.iter().any(|(no, _)| !good.contains(no)) {
             log::info!(target: "shard", did = "released", job:% = key.job, step:% = key, cause = "a worker is out of use"; "Reservation is released.");
-            self.reserved.remove(key);
+            self.reservations.remove(key);
             return;
         }
         let fit_times = |stops| -> Option<Vec<Time>> {
-            let each = reserve.each.iter();
+            let each = reserve.members.iter();
             each.map(|(no, n)| {
                 let need = reserve.size.times((*n).into());
                 self.fits_at(key, (*no, need), stops, round, now)
@@ -256,25 +273,29 @@
         let last = |all: &Option<Vec<Time>>| all.as_ref().and_then(|a| a.iter().max().copied());
         let without_stops = fit_times(None);
         let mut at = last(&without_stops);
-        if at.is_none_or(|t| t > now + PATIENCE) && self.may_preempt_for(key, now) {
+        if at.is_none_or(|t| t > now + ROOM_WAIT) && self.may_preempt_for(key, now) {
             let with_stops = last(&fit_times(Some(reserve.priority)));
-            let soon = now + self.setup.bounds.stop + PATIENCE;
-            if with_stops.is_some_and(|w| w <= soon && at.is_none_or(|t| w + PATIENCE < t)) {
+            let soon = now + self.setup.bounds.stop_time + ROOM_WAIT;
+            if with_stops.is_some_and(|w| w <= soon && at.is_none_or(|t| w + ROOM_WAIT < t)) {
                 at = with_stops;
-                for (i, (no, n)) in reserve.each.iter().enumerate() {
-                    if without_stops.as_ref().is_none_or(|a| a[i] > now + self.setup.bounds.stop) {
-                        let need = reserve.size.times((*n).into()) + round.before(*no, key);
+                for (i, (no, n)) in reserve.members.iter().enumerate() {
+                    if without_stops
+                        .as_ref()
+                        .is_none_or(|a| a[i] > now + self.setup.bounds.stop_time)
+                    {
+                        let need =
+                            reserve.size.times((*n).into()) + round.withheld_before(*no, key);
                         self.preempt_at(*no, need, reserve.priority, now);
                     }
                 }
             }
         }
         let Some(at) = at else {
-            self.reserved.remove(key);
+            self.reservations.remove(key);
             return;
         };
-        if let Some(reserve) = self.reserved.get_mut(key) {
-            (reserve.at, reserve.tended) = (at, now);
+        if let Some(reserve) = self.reservations.get_mut(key) {
+            (reserve.ready_at, reserve.checked_at) = (at, now);
         }
         let Some(cost) = advice else { return };
         let duration = cost.base
@@ -283,7 +304,7 @@
             return;
         }
         let expired = |by: Time| -> Vec<WorkerNo> {
-            let each = reserve.each.iter().map(|e| e.0);
+            let each = reserve.members.iter().map(|e| e.0);
             each.filter(|no| self.valid_until(key, *no).is_none_or(|until| until <= by)).collect()
         };
         if !expired(at).is_empty() {
@@ -294,14 +315,16 @@
     /// Stops less urgent runs of a worker until `wanted` will be free.
     fn preempt_at(&mut self, no: WorkerNo, wanted: Size, priority: u8, now: Time) {
         let worker = &self.workers[no.0];
-        let soon = now + self.setup.bounds.stop;
+        let soon = now + self.setup.bounds.stop_time;
         let (mut free, mut victims) = (worker.free(), vec![]);
         for (task, run) in &worker.runs {
             let ends = run.phase == Phase::Stopping
-                || (!self.lasts(task) && super::ahead::end(run, now) <= soon);
+                || (!self.is_long_running(task) && super::prefetch::expected_end(run, now) <= soon);
             if ends {
                 free += run.size;
-            } else if run.phase == Phase::Running && run.yields.is_some_and(|y| y > priority) {
+            } else if run.phase == Phase::Running
+                && run.preempt_priority.is_some_and(|y| y > priority)
+            {
                 victims.push((run.percent.1, *task, run.size));
             }
         }
@@ -312,16 +335,16 @@
                 return;
             }
             free += size;
-            self.tell_stop(no, &task, "room for a gang");
-            self.stop(no, &task, now);
+            self.log_stop(no, &task, "room for a gang");
+            self.stop_run(no, &task, now);
         }
     }
 
     /// Whether less urgent work may be stopped for a step: only if the step would then be in time.
     fn may_preempt_for(&self, key: &StepKey, now: Time) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return false };
-        let left = job.tails.get(usize::from(key.step)).copied().unwrap_or_default();
-        let begin = self.unix(now + self.setup.bounds.stop);
+        let left = job.chain_lengths.get(usize::from(key.step)).copied().unwrap_or_default();
+        let begin = self.unix_ms(now + self.setup.bounds.stop_time);
         self.ranks.get(key).is_some_and(|r| r.class() == 0 && begin + millis(left) <= r.due())
     }
 }
--- a/src/shard/judge.rs
+++ b/src/shard/health.rs
@@ -3,13 +3,13 @@
 
 use {
     crate::{
-        decide::{pace, sound::stuck},
-        ports::{End, How, WorkerCall},
+        decide::{health::is_stuck, pace},
+        ports::{End, EndReason, WorkerCall},
         shard::{
             event::Order,
-            machine::Shard,
-            orders::ORDER,
-            workers::{AT_WORK, FULL, Phase, Run, WorkerNo},
+            orders::ORDER_TIMEOUT,
+            state_machine::Shard,
+            workers::{AT_WORK_PERCENT, FULL_PACE_PERCENT, Phase, Run, WorkerNo},
         },
         time::Time,
         work::TaskKey,
@@ -20,7 +20,7 @@
 /// The minimum time between two progress readings that are compared.
 const MIN_READING_GAP: Duration = Duration::from_millis(2200);
 /// The number of completed runs that is needed for an expected duration.
-pub(super) const PEERS: usize = 3;
+pub(super) const MIN_PEERS: usize = 3;
 /// The shortest run that is used to measure speed: in shorter runs, the transit time of orders
 /// distorts the result.
 const MIN_MEASURED: Duration = Duration::from_millis(200);
@@ -33,19 +33,25 @@
         let before = job.failures();
         let Some(step) = job.step(&key) else { return };
         let plain = !step.gang && !step.fills && !step.lasts && run.percent.0 == 0;
-        let full_run = plain && run.saved.is_empty() && run.pace == Some(FULL);
-        let sound = &mut self.workers[no.0].sound;
+        let full_run = plain && run.checkpoint.is_empty() && run.pace == Some(FULL_PACE_PERCENT);
+        let sound = &mut self.workers[no.0].health;
         match end.how {
-            How::Failed => sound.ended(key.job, false, before, now),
-            How::Done => {
-                sound.ended(key.job, true, before, now);
-                let duration = now - run.began;
-                if let (true, Some(part)) = (plain, job.parts.get_mut(&(key.time, key.step))) {
-                    if let Some(expected) = part.expected(PEERS).filter(|e| *e >= MIN_MEASURED) {
-                        sound.moved(expected.as_secs_f64() / duration.as_secs_f64().max(0.01), now);
+            EndReason::Failed => sound.record_end(key.job, false, before, now),
+            EndReason::Done => {
+                sound.record_end(key.job, true, before, now);
+                let duration = now - run.started_at;
+                if let (true, Some(part)) = (plain, job.step_states.get_mut(&(key.time, key.step)))
+                {
+                    if let Some(expected) =
+                        part.expected_duration(MIN_PEERS).filter(|e| *e >= MIN_MEASURED)
+                    {
+                        sound.record_speed(
+                            expected.as_secs_f64() / duration.as_secs_f64().max(0.01),
+                            now,
+                        );
                     }
                     if full_run || run.percent.0 == 0 {
-                        part.took(duration);
+                        part.add_duration(duration);
                     }
                 }
             }
@@ -65,35 +71,36 @@
         if step.fills || step.gang {
             return;
         }
-        let peers = job.parts.get(&(key.time, key.step)).and_then(|p| p.expected(PEERS));
+        let peers =
+            job.step_states.get(&(key.time, key.step)).and_then(|p| p.expected_duration(MIN_PEERS));
         let Some(run) = self.workers[no.0].runs.get_mut(task) else { return };
-        let elapsed = now - run.mark.0;
+        let elapsed = now - run.earlier_report.0;
         if run.phase != Phase::Running || elapsed < MIN_READING_GAP {
             return;
         }
         let expected = peers.unwrap_or(run.estimate);
-        let (previous, percent) = (run.mark.1, run.percent.1);
+        let (previous, percent) = (run.earlier_report.1, run.percent.1);
         if percent > previous {
-            run.mark = (now, percent);
+            run.earlier_report = (now, percent);
         }
-        if stuck(previous, percent, elapsed, expected, step.saves) {
+        if is_stuck(previous, percent, elapsed, expected, step.saves) {
             if self.copy_may_replace(no, task, now) {
-                return self.workers[no.0].sound.moved(0.0, now);
+                return self.workers[no.0].health.record_speed(0.0, now);
             }
             let Some(run) = self.workers[no.0].runs.get(task) else { return };
             log::info!(target: "shard", did = "stop", job:% = key.job, task:% = task, run = run.run, percent, since_ms = super::workers::millis(elapsed), expected_ms = super::workers::millis(expected), cause = "stands still"; "Run is stopped.");
-            let sound = &mut self.workers[no.0].sound;
-            sound.moved(0.0, now);
-            self.stop(no, task, now);
+            let sound = &mut self.workers[no.0].health;
+            sound.record_speed(0.0, now);
+            self.stop_run(no, task, now);
         }
     }
 
     /// Counts the time that a long-running task has been at work as evidence of a healthy worker.
     fn count_uptime(&mut self, no: WorkerNo, task: &TaskKey, now: Time) {
         let worker = &mut self.workers[no.0];
-        let working = |r: &&Run| r.phase == Phase::Running && r.percent.1 >= AT_WORK;
-        if let Some(began) = worker.runs.get(task).filter(working).map(|r| r.began) {
-            worker.sound.stays(began, now);
+        let working = |r: &&Run| r.phase == Phase::Running && r.percent.1 >= AT_WORK_PERCENT;
+        if let Some(began) = worker.runs.get(task).filter(working).map(|r| r.started_at) {
+            worker.health.record_running(began, now);
         }
     }
 
@@ -103,13 +110,14 @@
         if !worker.runs.values().any(|r| r.fills) {
             return;
         }
-        let ratio = |r: &Run| match r.load {
-            0 => pace::UNKNOWN,
-            tail => tail as f64 / r.target as f64,
+        let ratio = |r: &Run| match r.tail_ms {
+            0 => pace::UNKNOWN_RATIO,
+            tail => tail as f64 / r.target_ms as f64,
         };
-        let serving = worker.runs.values().filter(|r| r.target > 0 && r.phase != Phase::Stopping);
+        let serving =
+            worker.runs.values().filter(|r| r.target_ms > 0 && r.phase != Phase::Stopping);
         let worst = serving.map(ratio).max_by(f64::total_cmp);
-        let wanted = worker.pace.step(worst, now);
+        let wanted = worker.pace.update(worst, now);
         let change = |r: &&Run| r.fills && r.phase == Phase::Running && r.pace != Some(wanted);
         let calls: Vec<WorkerCall> = worker
             .runs
@@ -123,11 +131,11 @@
             })
             .collect();
         for call in calls {
-            self.out.push(Order::Worker {
+            self.orders.push(Order::Worker {
                 worker: worker.id.clone(),
                 addr: worker.addr,
                 call: Box::new(call),
-                limit: ORDER,
+                limit: ORDER_TIMEOUT,
             });
         }
     }
--- a/src/shard/flight.rs
+++ b/src/shard/in_flight.rs
@@ -7,7 +7,7 @@
 
 /// The contents of the write that is in progress.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Flight {
+pub(super) struct InFlight {
     /// The jobs in the write, the journal position up to which each is covered, and the progress
     /// that stays stored for those that have ended.
     pub jobs: Vec<(JobNo, u64, Option<Progress>)>,
--- a/src/shard/jobs.rs
+++ b/src/shard/jobs.rs
@@ -15,12 +15,12 @@
 
 /// Where a task is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum At {
+pub enum Placement {
     /// The task is at no worker and waits.
     #[default]
     Waiting,
     /// The task is assigned to this worker.
-    There(WorkerNo),
+    Assigned(WorkerNo),
     /// The task is done.
     Done,
 }
@@ -29,35 +29,36 @@
 #[derive(Clone, Debug, Default)]
 pub struct Task {
     /// Where the task is.
-    pub at: At,
+    pub placement: Placement,
     /// The number of its last run; 0 before the first. If a speculative copy runs too, the earlier
     /// of the two.
     pub run: u32,
     /// The worker and the run of its speculative copy, if there is one.
     pub copy: Option<(WorkerNo, u32)>,
     /// The highest run number that a copy has had.
-    pub top: u32,
+    pub last_copy: u32,
     /// The runs that have failed.
-    pub fails: Vec<u32>,
+    pub failed_runs: Vec<u32>,
     /// The runs that are blamed for a worker's crash.
-    pub crashes: Vec<u32>,
+    pub crashed_runs: Vec<u32>,
     /// The run that a former owner had begun, until its fate is known; 0 if there is none.
-    pub former: u32,
+    pub former_run: u32,
     /// Its last checkpoint.
-    pub saved: Box<str>,
+    pub checkpoint: Box<str>,
     /// When the last run that this owner has seen ended.
-    pub left: Option<Time>,
+    pub ended_at: Option<Time>,
 }
 
 impl Task {
     /// The highest run number that it has had.
-    pub fn last(&self) -> u32 {
-        self.run.max(self.top)
+    pub fn last_run(&self) -> u32 {
+        self.run.max(self.last_copy)
     }
 
     /// Whether this run is its current run, or that of its copy, at this worker.
-    pub fn has(&self, at: WorkerNo, run: u32) -> bool {
-        (self.at == At::There(at) && self.run == run) || self.copy == Some((at, run))
+    pub fn has_run(&self, at: WorkerNo, run: u32) -> bool {
+        (self.placement == Placement::Assigned(at) && self.run == run)
+            || self.copy == Some((at, run))
     }
 }
 
@@ -66,141 +67,141 @@
 pub struct Tickets {
     /// The workers that may run the step, each with its ticket and the end of the ticket's
     /// validity. Whether a worker may run the step does not change.
-    pub good: FxHashMap<WorkerNo, (Box<str>, Time)>,
+    pub eligible: FxHashMap<WorkerNo, (Box<str>, Time)>,
     /// The workers that were asked about.
     pub asked: FxHashSet<WorkerNo>,
     /// The workers that unanswered calls name.
-    pub out: FxHashSet<WorkerNo>,
+    pub pending: FxHashSet<WorkerNo>,
     /// No call before this time.
-    pub next: Time,
+    pub next_call: Time,
     /// When the unanswered calls were made; for the log only.
-    pub calls: Vec<Time>,
+    pub call_times: Vec<Time>,
     /// When the last answer arrived; for the log only.
-    pub heard: Option<Time>,
+    pub answered_at: Option<Time>,
 }
 
 impl Tickets {
     /// Whether a call is unanswered.
-    pub fn asking(&self) -> bool {
-        !self.out.is_empty()
+    pub fn is_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 }
 
 /// The state of one step in one occurrence of a job.
 #[derive(Clone, Debug, Default)]
-pub struct Part {
+pub struct StepState {
     /// Its tasks.
     pub tasks: Vec<Task>,
     /// The number of tasks that are not done.
-    pub left: u32,
+    pub unfinished: u32,
     /// The number of tasks that wait.
     pub waiting: u32,
     /// What advice has said about the step.
     pub tickets: Tickets,
     /// For a gang: no search for workers before this time.
-    pub look: Time,
+    pub next_search: Time,
     /// When the step could first have started.
-    pub ready: Option<Time>,
+    pub ready_since: Option<Time>,
     /// When advice first named a worker for it; for the log only.
-    pub advised: Option<Time>,
+    pub advised_at: Option<Time>,
     /// Whether its first start was logged; for the log only.
-    pub begun: bool,
+    pub start_logged: bool,
     /// The durations of runs that did all of the work, in ascending order.
-    pub took: Vec<Duration>,
+    pub durations: Vec<Duration>,
 }
 
-impl Part {
+impl StepState {
     /// Adds the duration of a complete run.
-    pub fn took(&mut self, time: Duration) {
-        let at = self.took.partition_point(|t| *t < time);
-        self.took.insert(at, time);
+    pub fn add_duration(&mut self, time: Duration) {
+        let at = self.durations.partition_point(|t| *t < time);
+        self.durations.insert(at, time);
     }
 
     /// The expected duration of a run of this step: the median, if there are at least `least` runs.
-    pub fn expected(&self, least: usize) -> Option<Duration> {
-        (self.took.len() >= least).then(|| self.took[self.took.len() / 2])
+    pub fn expected_duration(&self, least: usize) -> Option<Duration> {
+        (self.durations.len() >= least).then(|| self.durations[self.durations.len() / 2])
     }
 }
 
 /// A job that is not over.
 #[derive(Clone, Debug)]
-pub struct Active {
+pub struct ActiveJob {
     /// The name of its queue.
     pub queue: Box<str>,
     /// When it was submitted, in milliseconds of the Unix clock.
-    pub came: u64,
+    pub submitted_ms: u64,
     /// The specification of the job.
     pub job: Job,
     /// The state of the job.
     pub state: State,
     /// Whether a former owner may have started some of its tasks.
-    pub old: bool,
+    pub inherited: bool,
     /// When this owner learnt of it.
-    pub heard: Time,
+    pub known_since: Time,
     /// The steps of the occurrences that have come due, by occurrence and step.
-    pub parts: BTreeMap<(u32, u16), Part>,
+    pub step_states: BTreeMap<(u32, u16), StepState>,
     /// For each step, the length of the longest chain of steps that begins with it, by their
     /// estimates.
-    pub tails: Box<[Duration]>,
+    pub chain_lengths: Box<[Duration]>,
     /// The number of waves in which the tasks of each step run; empty until the workers are known.
     pub waves: Box<[u32]>,
     /// Whether its first start was counted; for the log only.
-    pub begun: bool,
+    pub start_counted: bool,
     /// The sequence number of its last change.
-    pub changed: u64,
+    pub changed_seq: u64,
     /// The sequence number of the last change that is stored, or being written.
-    pub stored: u64,
+    pub stored_seq: u64,
 }
 
-impl Active {
+impl ActiveJob {
     /// Builds a job from its record and its stored progress.
     pub fn new(record: JobRecord, progress: Option<&Progress>, old: bool, heard: Time) -> Self {
-        let mut active = Active {
+        let mut active = ActiveJob {
             queue: record.queue,
-            came: record.came,
-            tails: tails(&record.job.steps),
+            submitted_ms: record.came,
+            chain_lengths: tails(&record.job.steps),
             waves: [].into(),
             job: record.job,
             state: State::Queued,
-            old,
-            heard,
-            parts: BTreeMap::new(),
-            begun: false,
-            changed: 0,
-            stored: 0,
+            inherited: old,
+            known_since: heard,
+            step_states: BTreeMap::new(),
+            start_counted: false,
+            changed_seq: 0,
+            stored_seq: 0,
         };
         for row in progress.map_or(&[][..], |p| &p.tasks) {
             let TaskRow(time, step, index, run, ref fails, done, ref saved) = *row;
-            active.part(time, step);
-            let Some(step_state) = active.parts.get_mut(&(time, step)) else { continue };
+            active.step_state_mut(time, step);
+            let Some(step_state) = active.step_states.get_mut(&(time, step)) else { continue };
             let Some(task) = step_state.tasks.get_mut(index as usize) else { continue };
-            (task.run, task.fails, task.saved) = (run, fails.clone(), saved.clone());
-            if done && task.at != At::Done {
-                task.at = At::Done;
-                step_state.left -= 1;
+            (task.run, task.failed_runs, task.checkpoint) = (run, fails.clone(), saved.clone());
+            if done && task.placement != Placement::Done {
+                task.placement = Placement::Done;
+                step_state.unfinished -= 1;
                 step_state.waiting -= 1;
             }
             active.state = State::Running;
-            active.begun = true;
+            active.start_counted = true;
         }
         for row in progress.map_or(&[][..], |p| &p.crashes) {
             let CrashRow(time, step, index, ref runs, former) = *row;
-            let step_state = active.parts.get_mut(&(time, step));
+            let step_state = active.step_states.get_mut(&(time, step));
             if let Some(task) = step_state.and_then(|p| p.tasks.get_mut(index as usize)) {
-                (task.crashes, task.former) = (runs.clone(), former);
+                (task.crashed_runs, task.former_run) = (runs.clone(), former);
             }
         }
         active
     }
 
     /// The state of a step in an occurrence; created if it does not exist.
-    pub fn part(&mut self, time: u32, step: u16) -> Option<&mut Part> {
+    pub fn step_state_mut(&mut self, time: u32, step: u16) -> Option<&mut StepState> {
         let count = self.job.steps.get(usize::from(step))?.count;
-        Some(self.parts.entry((time, step)).or_insert_with(|| Part {
+        Some(self.step_states.entry((time, step)).or_insert_with(|| StepState {
             tasks: vec![Task::default(); count as usize],
-            left: count,
+            unfinished: count,
             waiting: count,
-            ..Part::default()
+            ..StepState::default()
         }))
     }
 
@@ -211,7 +212,7 @@
 
     /// The state of a task.
     pub fn task(&mut self, key: &TaskKey) -> Option<&mut Task> {
-        let step_state = self.parts.get_mut(&(key.step.time, key.step.step))?;
+        let step_state = self.step_states.get_mut(&(key.step.time, key.step.step))?;
         step_state.tasks.get_mut(key.index as usize)
     }
 
@@ -220,52 +221,57 @@
     /// All members of a gang must start from the same checkpoint. Their ends can arrive one by one,
     /// each with a checkpoint of its own, if a former owner had not received them or their worker
     /// had been given up.
-    pub fn keep(&mut self, key: &TaskKey, saved: &str) {
+    pub fn save_checkpoint(&mut self, key: &TaskKey, saved: &str) {
         let gang = self.step(&key.step).is_some_and(|s| s.gang);
-        let Some(step_state) = self.parts.get_mut(&(key.step.time, key.step.step)) else { return };
+        let Some(step_state) = self.step_states.get_mut(&(key.step.time, key.step.step)) else {
+            return;
+        };
         for (index, task) in (0..).zip(&mut step_state.tasks) {
             if gang || index == key.index {
-                task.saved = saved.into();
+                task.checkpoint = saved.into();
             }
         }
     }
 
     /// Ends one of a task's runs. If the task has another run, that one continues alone.
-    pub fn leave(&mut self, key: &TaskKey, run: u32) {
+    pub fn end_run(&mut self, key: &TaskKey, run: u32) {
         let Some(task) = self.task(key) else { return };
         match task.copy.take() {
             Some((_, copy)) if copy == run => {}
-            Some((at, copy)) => (task.at, task.run) = (At::There(at), copy),
-            None => self.put(key, At::Waiting),
+            Some((at, copy)) => (task.placement, task.run) = (Placement::Assigned(at), copy),
+            None => self.set_placement(key, Placement::Waiting),
         }
     }
 
     /// Changes where a task is, and updates the counts of its step.
-    pub fn put(&mut self, key: &TaskKey, at: At) {
-        let Some(step_state) = self.parts.get_mut(&(key.step.time, key.step.step)) else { return };
+    pub fn set_placement(&mut self, key: &TaskKey, at: Placement) {
+        let Some(step_state) = self.step_states.get_mut(&(key.step.time, key.step.step)) else {
+            return;
+        };
         let Some(task) = step_state.tasks.get_mut(key.index as usize) else { return };
-        match task.at {
-            At::Waiting => step_state.waiting -= 1,
-            At::Done => step_state.left += 1,
-            At::There(_) => {}
+        match task.placement {
+            Placement::Waiting => step_state.waiting -= 1,
+            Placement::Done => step_state.unfinished += 1,
+            Placement::Assigned(_) => {}
         }
         match at {
-            At::Waiting => step_state.waiting += 1,
-            At::Done => step_state.left -= 1,
-            At::There(_) => {}
+            Placement::Waiting => step_state.waiting += 1,
+            Placement::Done => step_state.unfinished -= 1,
+            Placement::Assigned(_) => {}
         }
-        task.at = at;
+        task.placement = at;
     }
 
     /// The longest chain of steps in an occurrence, as the objective counts it: a step takes its
     /// estimate once for each wave, plus once for each failure of its most often failed task.
-    pub fn allowed(&self, time: u32) -> Duration {
+    pub fn objective_time(&self, time: u32) -> Duration {
         let mut ends: Vec<Duration> = vec![];
         for (no, step) in (0_u16..).zip(&self.job.steps) {
             let waves = self.waves.get(usize::from(no)).copied().unwrap_or(1);
-            let step_state = self.parts.get(&(time, no));
-            let fails =
-                step_state.and_then(|p| p.tasks.iter().map(|t| t.fails.len()).max()).unwrap_or(0);
+            let step_state = self.step_states.get(&(time, no));
+            let fails = step_state
+                .and_then(|p| p.tasks.iter().map(|t| t.failed_runs.len()).max())
+                .unwrap_or(0);
             let runs = waves.saturating_add(u32::try_from(fails).unwrap_or(u32::MAX));
             let begin = step.after.iter().map(|a| ends[usize::from(*a)]).max().unwrap_or_default();
             ends.push(begin + Duration::from_millis(step.estimate).saturating_mul(runs));
@@ -274,7 +280,7 @@
     }
 
     /// The number of occurrences.
-    pub fn times(&self) -> u32 {
+    pub fn occurrences(&self) -> u32 {
         self.job.times.map_or(1, |t| t.count)
     }
 
@@ -284,34 +290,38 @@
     }
 
     /// Whether all steps that a step depends on are done.
-    pub fn free(&self, time: u32, step: u16) -> bool {
+    pub fn is_unblocked(&self, time: u32, step: u16) -> bool {
         let Some(s) = self.job.steps.get(usize::from(step)) else { return false };
-        s.after.iter().all(|a| self.parts.get(&(time, *a)).is_some_and(|p| p.left == 0))
+        s.after.iter().all(|a| self.step_states.get(&(time, *a)).is_some_and(|p| p.unfinished == 0))
     }
 
     /// Whether all tasks of all occurrences are done.
-    pub fn done(&self) -> bool {
-        let wanted = self.times() as usize * self.job.steps.len();
-        self.parts.len() == wanted && self.parts.values().all(|p| p.left == 0)
+    pub fn is_done(&self) -> bool {
+        let wanted = self.occurrences() as usize * self.job.steps.len();
+        self.step_states.len() == wanted && self.step_states.values().all(|p| p.unfinished == 0)
     }
 
-    /// The record of its progress for the store. `over` is when the job ended, in milliseconds of
+    /// The record of its progress for the store. `is_final` is when the job ended, in milliseconds of
     /// the Unix clock, or 0.
     pub fn progress(&self, over: u64) -> Progress {
         let (mut tasks, mut crashes) = (vec![], vec![]);
-        if !self.state.over() {
-            for ((time, step), step_state) in &self.parts {
+        if !self.state.is_final() {
+            for ((time, step), step_state) in &self.step_states {
                 for (index, t) in (0..).zip(&step_state.tasks) {
-                    let done = t.at == At::Done;
-                    let run = t.last();
+                    let done = t.placement == Placement::Done;
+                    let run = t.last_run();
                     if done || run > 0 {
-                        let saved = if done { "".into() } else { t.saved.clone() };
-                        let fails = t.fails.clone();
+                        let saved = if done { "".into() } else { t.checkpoint.clone() };
+                        let fails = t.failed_runs.clone();
                         tasks.push(TaskRow(*time, *step, index, run, fails, done, saved));
                     }
-                    if !done && !t.crashes.is_empty() {
-                        let there = if let At::There(_) = t.at { t.run } else { t.former };
-                        crashes.push(CrashRow(*time, *step, index, t.crashes.clone(), there));
+                    if !done && !t.crashed_runs.is_empty() {
+                        let there = if let Placement::Assigned(_) = t.placement {
+                            t.run
+                        } else {
+                            t.former_run
+                        };
+                        crashes.push(CrashRow(*time, *step, index, t.crashed_runs.clone(), there));
                     }
                 }
             }
@@ -321,17 +331,17 @@
 
     /// The number of failed runs, over all tasks.
     pub fn failures(&self) -> u32 {
-        let tasks = self.parts.values().flat_map(|p| &p.tasks);
-        u32::try_from(tasks.map(|t| t.fails.len()).sum::<usize>()).unwrap_or(u32::MAX)
+        let tasks = self.step_states.values().flat_map(|p| &p.tasks);
+        u32::try_from(tasks.map(|t| t.failed_runs.len()).sum::<usize>()).unwrap_or(u32::MAX)
     }
 
     /// All runs of tasks that are assigned to a worker, copies included.
-    pub fn there(&self, no: JobNo) -> Vec<(TaskKey, WorkerNo, u32)> {
+    pub fn assigned_runs(&self, no: JobNo) -> Vec<(TaskKey, WorkerNo, u32)> {
         let mut all = vec![];
-        for ((time, step), step_state) in &self.parts {
+        for ((time, step), step_state) in &self.step_states {
             let step = StepKey { job: no, time: *time, step: *step };
             for (index, task) in (0..).zip(&step_state.tasks) {
-                if let At::There(at) = task.at {
+                if let Placement::Assigned(at) = task.placement {
                     all.push((TaskKey { step, index }, at, task.run));
                     all.extend(task.copy.map(|(at, run)| (TaskKey { step, index }, at, run)));
                 }
--- a/src/shard/course.rs
+++ b/src/shard/lifecycle.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     shard::{
-        jobs::Active,
-        machine::Shard,
+        jobs::ActiveJob,
         record::{JobRecord, Progress},
+        state_machine::Shard,
     },
     time::Time,
     work::{JobNo, State, StepKey},
@@ -20,43 +20,43 @@
         now: Time,
     ) {
         if let Some(terms) = &record.terms
-            && self.terms.get(&record.queue).is_none_or(|t| t.0 <= record.came)
+            && self.queue_snapshots.get(&record.queue).is_none_or(|t| t.0 <= record.came)
         {
-            self.terms.insert(record.queue.clone(), (record.came, terms.clone()));
+            self.queue_snapshots.insert(record.queue.clone(), (record.came, terms.clone()));
         }
         self.restore_queues();
-        let active = Active::new(record, progress, old, now);
+        let active = ActiveJob::new(record, progress, old, now);
         if active.job.times.is_some() {
-            self.timed.insert(no);
+            self.scheduled.insert(no);
         }
         self.jobs.insert(no, active);
-        self.tell_known(no, now);
-        if self.early.remove(&no) {
-            return self.end(no, State::Cancelled, now);
+        self.log_known(no, now);
+        if self.early_cancels.remove(&no) {
+            return self.end_job(no, State::Cancelled, now);
         }
-        self.unfold(no, now);
+        self.create_due_steps(no, now);
         self.finish_if_done(no, now);
     }
 
     /// Creates the steps of the occurrences that are due.
-    pub(super) fn unfold(&mut self, no: JobNo, now: Time) {
-        let unix = self.unix(now);
+    pub(super) fn create_due_steps(&mut self, no: JobNo, now: Time) {
+        let unix = self.unix_ms(now);
         let Some(job) = self.jobs.get_mut(&no) else { return };
         let steps = u16::try_from(job.job.steps.len()).unwrap_or(u16::MAX);
         let mut complete = true;
-        for time in 0..job.times() {
+        for time in 0..job.occurrences() {
             if job.due(time) > unix {
                 complete = false;
                 break;
             }
             for step in 0..steps {
-                job.part(time, step);
+                job.step_state_mut(time, step);
             }
         }
         if complete {
-            self.timed.remove(&no);
+            self.scheduled.remove(&no);
         }
-        self.review(no, now);
+        self.update_ready(no, now);
     }
 
     /// Cancels a job, even if the job itself becomes known only later.
@@ -66,39 +66,39 @@
     /// that it was cancelled.
     pub(super) fn cancel(&mut self, no: JobNo, now: Time) {
         match self.jobs.get(&no) {
-            Some(job) if !job.state.over() => self.end(no, State::Cancelled, now),
+            Some(job) if !job.state.is_final() => self.end_job(no, State::Cancelled, now),
             Some(_) => {}
-            None if self.over.contains_key(&no) => {}
+            None if self.finished.contains_key(&no) => {}
             None => {
-                let unix = self.unix(now);
-                if self.early.insert(no) {
-                    self.purge.push_back((unix + self.kept(), no));
+                let unix = self.unix_ms(now);
+                if self.early_cancels.insert(no) {
+                    self.purge_queue.push_back((unix + self.retention_ms(), no));
                 }
             }
         }
     }
 
     /// Ends a job: none of its tasks starts any more, and its runs are stopped.
-    pub(super) fn end(&mut self, no: JobNo, state: State, now: Time) {
+    pub(super) fn end_job(&mut self, no: JobNo, state: State, now: Time) {
         let Some(job) = self.jobs.get_mut(&no) else { return };
         job.state = state;
-        let runs = job.there(no);
-        let parts: Vec<_> = job.parts.keys().copied().collect();
-        self.tell_over(no, state, runs.len(), now);
+        let runs = job.assigned_runs(no);
+        let parts: Vec<_> = job.step_states.keys().copied().collect();
+        self.log_over(no, state, runs.len(), now);
         for (time, step) in parts {
             self.unready(&StepKey { job: no, time, step });
         }
         for (task, at, _) in runs {
-            self.stop(at, &task, now);
+            self.stop_run(at, &task, now);
         }
-        self.timed.remove(&no);
-        self.touch(no);
+        self.scheduled.remove(&no);
+        self.mark_changed(no);
     }
 
     /// Ends a job whose tasks are all done.
     pub(super) fn finish_if_done(&mut self, no: JobNo, now: Time) {
-        if self.jobs.get(&no).is_some_and(|j| !j.state.over() && j.done()) {
-            self.end(no, State::Done, now);
+        if self.jobs.get(&no).is_some_and(|j| !j.state.is_final() && j.is_done()) {
+            self.end_job(no, State::Done, now);
         }
     }
 }
--- a/src/shard/listing.rs
+++ b/src/shard/listing.rs
@@ -4,11 +4,11 @@
     crate::{
         ids::WorkerId,
         shard::{
-            machine::Shard,
+            state_machine::Shard,
             workers::{Worker, WorkerNo, millis},
         },
         time::Time,
-        work::{JobNo, Listed, Queues, State},
+        work::{JobNo, ListedWorker, QueueConfig, State},
     },
     rustc_hash::FxHashSet,
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -20,13 +20,13 @@
 const MAX_LIST_AGE: Duration = Duration::from_millis(700);
 
 impl Shard {
-    pub(super) fn configure(&mut self, queues: Arc<Queues>, now: Time) {
+    pub(super) fn configure(&mut self, queues: Arc<QueueConfig>, now: Time) {
         if queues.version < self.queues.version {
             return;
         }
         let mut reduced = FxHashSet::default();
-        for queue in &queues.all {
-            let old = self.known.insert(queue.name.clone(), queue.clone());
+        for queue in &queues.queues {
+            let old = self.queue_configs.insert(queue.name.clone(), queue.clone());
             if old.is_none_or(|o| o.attempts > queue.attempts) {
                 reduced.insert(queue.name.clone());
             }
@@ -36,7 +36,7 @@
         let all: Vec<_> =
             self.jobs.iter().map(|(no, j)| (*no, reduced.contains(&j.queue))).collect();
         for (no, reduced) in all {
-            self.review(no, now);
+            self.update_ready(no, now);
             if reduced {
                 self.fail_if_exhausted(no, now);
             }
@@ -50,11 +50,11 @@
     /// permanently never returns. As long as there is no configuration at all, nothing starts,
     /// since a newer one may assign the queue to another pool.
     pub(super) fn restore_queues(&mut self) {
-        if self.queues.all.is_empty() {
+        if self.queues.queues.is_empty() {
             return;
         }
-        for (name, (_, terms)) in self.terms.drain() {
-            self.known.entry(name).or_insert(*terms);
+        for (name, (_, terms)) in self.queue_snapshots.drain() {
+            self.queue_configs.entry(name).or_insert(*terms);
         }
     }
 
@@ -63,28 +63,29 @@
     /// Guards against a new owner that learns of failures before it knows the queue: at that time
     /// it cannot tell that no attempts are left, and would start the task once more.
     fn fail_if_exhausted(&mut self, no: JobNo, now: Time) {
-        let Some(job) = self.jobs.get(&no).filter(|j| !j.state.over()) else { return };
-        let most = self.known.get(&job.queue).map_or(u32::MAX, |q| q.attempts.max(1)) as usize;
+        let Some(job) = self.jobs.get(&no).filter(|j| !j.state.is_final()) else { return };
+        let most =
+            self.queue_configs.get(&job.queue).map_or(u32::MAX, |q| q.attempts.max(1)) as usize;
         let lasts = |step: u16| job.job.steps.get(usize::from(step)).is_some_and(|s| s.lasts);
         let exhausted = job
-            .parts
+            .step_states
             .iter()
             .filter(|((_, step), _)| !lasts(*step))
-            .any(|(_, part)| part.tasks.iter().any(|t| t.fails.len() >= most));
+            .any(|(_, part)| part.tasks.iter().any(|t| t.failed_runs.len() >= most));
         if exhausted {
-            self.end(no, State::Failed, now);
+            self.end_job(no, State::Failed, now);
         }
     }
 
-    pub(super) fn list(&mut self, list: Vec<Listed>, now: Time) {
+    pub(super) fn on_list(&mut self, list: Vec<ListedWorker>, now: Time) {
         let mut seen = FxHashSet::default();
         for listed in list {
-            let no = self.worker(&listed.id, listed.addr, now);
+            let no = self.worker_no(&listed.id, listed.addr, now);
             seen.insert(no);
             let worker = &mut self.workers[no.0];
-            if listed.draining && worker.leaving.is_none() {
-                let left = listed.left.unwrap_or(DEFAULT_LEAVE);
-                worker.leaving = Some(now + left.saturating_sub(MAX_LIST_AGE));
+            if listed.draining && worker.leaves_at.is_none() {
+                let left = listed.min_stay.unwrap_or(DEFAULT_LEAVE);
+                worker.leaves_at = Some(now + left.saturating_sub(MAX_LIST_AGE));
                 log::info!(target: "shard", worker:% = listed.id, left_ms = millis(left), runs = worker.runs.len(); "Worker is leaving.");
             }
             worker.listed = Some(listed);
@@ -99,10 +100,10 @@
                 self.pools.entry(pool).or_default().push(no);
             }
         }
-        self.tell_listed(seen.len(), now);
+        self.log_listed(seen.len(), now);
         self.end_replaced(&seen, now);
-        self.roster |= self.workers.iter().any(|w| w.rostered != w.counts());
-        self.stir = true;
+        self.roster_dirty |= self.workers.iter().any(|w| w.rostered != w.needs_roster());
+        self.round_due = true;
     }
 
     /// Ends workers whose address another worker incarnation has taken.
@@ -117,7 +118,7 @@
     }
 
     /// The number of a worker incarnation; assigns one if the incarnation is new.
-    pub(super) fn worker(&mut self, id: &WorkerId, addr: SocketAddr, now: Time) -> WorkerNo {
+    pub(super) fn worker_no(&mut self, id: &WorkerId, addr: SocketAddr, now: Time) -> WorkerNo {
         // A worker that was considered gone and reappears gets a new number and starts without any
         // known state.
         if let Some(no) = self.ids.get(id).filter(|n| !self.workers[n.0].gone) {
--- a/src/shard/tell.rs
+++ b/src/shard/logging.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        decide::sound::Verdict,
-        ports::{End, How},
+        decide::health::Verdict,
+        ports::{End, EndReason},
         shard::{
-            cause::{Away, Bars},
-            machine::Shard,
-            tally::{Levels, Tally},
+            cause::{AbsentStep, Exclusions},
+            state_machine::Shard,
+            stats::{Gauges, Stats},
             workers::{WorkerNo, millis},
         },
         time::Time,
@@ -27,22 +27,22 @@
 
 impl Shard {
     /// Returns the statistics since the last call and resets them.
-    pub fn tally(&mut self) -> Tally {
-        mem::take(&mut self.tally)
+    pub fn take_stats(&mut self) -> Stats {
+        mem::take(&mut self.stats)
     }
 
     /// The number of waiting tasks by priority, the age of the worker list, and the longest
     /// absences.
-    pub fn levels(&self, now: Time) -> Levels {
-        let mut levels = Levels {
-            list: now - self.told.listed_at,
-            away: self.told.away.clone(),
-            ..Levels::default()
+    pub fn gauges(&self, now: Time) -> Gauges {
+        let mut levels = Gauges {
+            list_age: now - self.reported.listed_at,
+            away: self.reported.away.clone(),
+            ..Gauges::default()
         };
         for key in self.ranks.keys() {
             let Some(job) = self.jobs.get(&key.job) else { continue };
-            let Some(queue) = self.known.get(&job.queue) else { continue };
-            let step_state = job.parts.get(&(key.time, key.step));
+            let Some(queue) = self.queue_configs.get(&job.queue) else { continue };
+            let step_state = job.step_states.get(&(key.time, key.step));
             let waiting = step_state.map_or(0, |p| p.waiting as usize);
             *levels.waiting.entry(queue.priority).or_default() += waiting;
         }
@@ -50,10 +50,10 @@
     }
 
     /// Logs that the number of listed workers has changed.
-    pub(super) fn tell_listed(&mut self, count: usize, now: Time) {
-        let before_ms = millis(now - self.told.listed_at);
-        self.told.listed_at = now;
-        let was = mem::replace(&mut self.told.listed_count, count);
+    pub(super) fn log_listed(&mut self, count: usize, now: Time) {
+        let before_ms = millis(now - self.reported.listed_at);
+        self.reported.listed_at = now;
+        let was = mem::replace(&mut self.reported.listed_count, count);
         if was != count {
             log::info!(target: "shard", shard:% = self.setup.shard, count, was, before_ms; "Worker list has changed.");
         }
@@ -62,21 +62,22 @@
     /// Logs a summary of the shard, the causes of its longest waiting steps, and the long-running
     /// tasks that are away.
     pub(super) fn log_summary(&mut self, now: Time) {
-        let away = self.absent(now);
-        self.told.away = BTreeMap::new();
+        let away = self.absences(now);
+        self.reported.away = BTreeMap::new();
         for a in &away {
-            let longest = self.told.away.entry(a.cause).or_default();
+            let longest = self.reported.away.entry(a.cause).or_default();
             *longest = a.away.max(*longest);
         }
         if !log::log_enabled!(target: "shard", log::Level::Info) {
             return;
         }
-        log::info!(target: "shard", "Shard {}: {}.", self.setup.shard, self.sum_up(now));
+        log::info!(target: "shard", "Shard {}: {}.", self.setup.shard, self.summary(now));
         away.iter().for_each(|a| self.log_away(a));
         let lasts =
             |k: &StepKey| self.jobs.get(&k.job).and_then(|j| j.step(k)).is_some_and(|s| s.lasts);
         let since = |k: &StepKey| {
-            let ready = self.part(k).and_then(|p| p.ready).filter(|t| *t + LOGGED_AFTER <= now);
+            let ready =
+                self.step_state(k).and_then(|p| p.ready_since).filter(|t| *t + LOGGED_AFTER <= now);
             ready.filter(|_| !lasts(k))
         };
         let mut all: Vec<(Time, StepKey)> =
@@ -86,32 +87,34 @@
         if few.is_empty() {
             return;
         }
-        let sights = self.sights(&few.iter().map(|f| f.1).collect(), now);
+        let sights = self.diagnose_steps(&few.iter().map(|f| f.1).collect(), now);
         for (since, key) in few {
-            let (Some((_, sight)), Some(step_state)) = (sights.get(&key), self.part(&key)) else {
+            let (Some((_, sight)), Some(step_state)) = (sights.get(&key), self.step_state(&key))
+            else {
                 continue;
             };
             let Some(step) = self.jobs.get(&key.job).and_then(|j| j.step(&key)) else { continue };
             let (cause, class) = (sight.cause(), self.ranks[&key].class());
             let tickets = &step_state.tickets;
             let (tasks, waits_ms) = (step_state.waiting, millis(now - since));
-            let reserve = self.reserved.get(&key);
+            let reserve = self.reservations.get(&key);
             let (kept_ms, at_ms) =
-                reserve.map_or((0, 0), |r| (millis(now - r.since), millis(r.at - now)));
+                reserve.map_or((0, 0), |r| (millis(now - r.since), millis(r.ready_at - now)));
             let old = reserve.map_or(0, |r| {
                 let valid = |no| self.valid_until(&key, no).is_some_and(|u| u > now);
-                r.each.iter().filter(|e| !valid(e.0)).count()
+                r.members.iter().filter(|e| !valid(e.0)).count()
             });
-            let (asked, good, out) = (tickets.asked.len(), tickets.good.len(), tickets.out.len());
-            log::info!(target: "shard", did = "waits", job:% = key.job, step:% = key, cause:% = cause, class, waits_ms, tasks, gang = step.gang, each:% = step.counted(), asked, good, out, kept_ms, at_ms, old; "Step waits.");
+            let (asked, good, out) =
+                (tickets.asked.len(), tickets.eligible.len(), tickets.pending.len());
+            log::info!(target: "shard", did = "waits", job:% = key.job, step:% = key, cause:% = cause, class, waits_ms, tasks, gang = step.gang, each:% = step.reserved(), asked, good, out, kept_ms, at_ms, old; "Step waits.");
         }
     }
 
     /// Logs a long-running step that has tasks away, with all facts that decide when they run
     /// again.
-    fn log_away(&self, a: &Away) {
+    fn log_away(&self, a: &AbsentStep) {
         let s = &a.sight;
-        let list = |bars: &Bars| -> Box<str> {
+        let list = |bars: &Exclusions| -> Box<str> {
             let each: Vec<String> = bars.iter().map(|(bar, n)| format!("{bar} {n}")).collect();
             if each.is_empty() { "none".into() } else { each.join(", ").into() }
         };
@@ -120,20 +123,22 @@
         };
         let (out, bars, oldest_ms, heard_ms) =
             (list(&s.out), list(&s.bars), age(s.oldest), age(s.heard));
-        log::info!(target: "shard", did = "away", job:% = a.key.job, step:% = a.key, tasks = a.tasks, held = a.held, first = a.first, away_ms = millis(a.away), class = a.class, behind = a.behind, cause:% = a.cause, usable = s.usable, pool = s.all, out = &*out, asked = s.asked, good = s.good, valid = s.valid, old = s.old, gangs = s.gangs, before = s.before, bound = s.bound, full = s.full, unfit = s.unfit, barred = s.barred, bars = &*bars, unasked = s.unasked, roomy = s.roomy, calls = s.calls, oldest_ms = &*oldest_ms, heard_ms = &*heard_ms, idle = s.lanes.0, members = s.lanes.1, member = s.member, listed_ms = millis(s.listed), unsettled = s.unsettled; "Lasting task is away.");
+        log::info!(target: "shard", did = "away", job:% = a.key.job, step:% = a.key, tasks = a.waiting, held = a.unseen, first = a.oldest, away_ms = millis(a.away), class = a.class, behind = a.behind, cause:% = a.cause, usable = s.usable, pool = s.all, out = &*out, asked = s.asked, good = s.good, valid = s.valid, old = s.old, gangs = s.gangs, before = s.before, bound = s.bound, full = s.full, unfit = s.unfit, barred = s.barred, bars = &*bars, unasked = s.unasked, roomy = s.roomy, calls = s.calls, oldest_ms = &*oldest_ms, heard_ms = &*heard_ms, idle = s.lanes.0, members = s.lanes.1, member = s.member, listed_ms = millis(s.listed), unsettled = s.unsettled; "Lasting task is away.");
     }
 
     /// Logs a job whose record was read for the first time.
-    pub(super) fn tell_known(&self, no: JobNo, now: Time) {
+    pub(super) fn log_known(&self, no: JobNo, now: Time) {
         let Some(job) = self.jobs.get(&no) else { return };
-        let (after_ms, steps) = (self.unix(now).saturating_sub(job.came), job.job.steps.len());
+        let (after_ms, steps) =
+            (self.unix_ms(now).saturating_sub(job.submitted_ms), job.job.steps.len());
         let (shard, token) = (self.setup.shard, self.setup.token);
-        log::debug!(target: "shard", did = "known", job:% = no, shard:% = shard, token, queue = &*job.queue, steps, after_ms, old = job.old; "Owner has read the record of a job.");
+        log::debug!(target: "shard", did = "known", job:% = no, shard:% = shard, token, queue = &*job.queue, steps, after_ms, old = job.inherited; "Owner has read the record of a job.");
     }
 
     /// Logs tasks that start again, with the numbers of the last run and of the new one.
     fn log_restarts(&self, key: &StepKey, starts: &[(TaskKey, WorkerNo, u32)]) {
-        let step_state = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
+        let step_state =
+            self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
         let Some(step_state) = step_state else { return };
         let last = |t: &TaskKey| step_state.tasks.get(t.index as usize).map_or(0, |t| t.run);
         let mut again = starts.iter().filter(|(t, ..)| last(t) > 0);
@@ -150,99 +155,103 @@
         now: Time,
     ) {
         self.log_restarts(key, starts);
-        let unix = self.unix(now);
-        let settled = self.told.settled;
+        let unix = self.unix_ms(now);
+        let settled = self.reported.settled_at;
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
-        let (came, old, begun) = (job.came.max(job.due(key.time)), job.old, job.begun);
-        let Some(step_state) = job.parts.get_mut(&(key.time, key.step)) else { return };
+        let (came, old, begun) =
+            (job.submitted_ms.max(job.due(key.time)), job.inherited, job.start_counted);
+        let Some(step_state) = job.step_states.get_mut(&(key.time, key.step)) else { return };
         let Some((_, first, run)) = starts.first() else { return };
         let step = job.job.steps.get(usize::from(key.step));
-        let (each, gang) = step.map(|s| (s.counted(), s.gang)).unwrap_or_default();
+        let (each, gang) = step.map(|s| (s.reserved(), s.gang)).unwrap_or_default();
         let queue = job.queue.clone();
-        if mem::replace(&mut step_state.begun, true) {
+        if mem::replace(&mut step_state.start_logged, true) {
             return;
         }
-        let ready = step_state.ready.unwrap_or(now);
+        let ready = step_state.ready_since.unwrap_or(now);
         let near = |at: Option<Time>| at.is_some_and(|t| t > ready && now - t < ROUND_DELAY);
         let delay = now - ready;
         let reason = match () {
             () if delay < ROUND_DELAY => "none",
             () if old && near(settled) => "settle",
-            () if near(step_state.advised) => "advice",
+            () if near(step_state.advised_at) => "advice",
             () => "room",
         };
-        let advice_ms = step_state.advised.filter(|a| *a > ready).map_or(0, |a| millis(a - ready));
-        let (worker, listed_ms) = (&self.workers[first.0].id, millis(now - self.told.listed_at));
+        let advice_ms =
+            step_state.advised_at.filter(|a| *a > ready).map_or(0, |a| millis(a - ready));
+        let (worker, listed_ms) =
+            (&self.workers[first.0].id, millis(now - self.reported.listed_at));
         let (after_ms, delay_ms, tasks) = (unix.saturating_sub(came), millis(delay), starts.len());
         log::info!(target: "shard", did = "start", job:% = key.job, step:% = key, run, tasks, worker:% = worker, queue = &*queue, each:% = each, gang, delay_ms, reason, advice_ms, after_ms, listed_ms; "Step starts.");
-        *self.tally.starts.entry(reason).or_default() += 1;
+        *self.stats.starts.entry(reason).or_default() += 1;
         if !begun {
-            job.begun = true;
-            self.tally.first.push(Duration::from_millis(after_ms));
+            job.start_counted = true;
+            self.stats.first_starts.push(Duration::from_millis(after_ms));
         }
     }
 
     /// Logs and counts the end of a run.
-    pub(super) fn tell_end(&mut self, no: WorkerNo, end: &End, now: Time) {
+    pub(super) fn log_end(&mut self, no: WorkerNo, end: &End, now: Time) {
         let how = match end.how {
-            How::Done => "done",
-            How::Failed => "failed",
-            How::Stopped => "stopped",
-            How::Lapsed => "lapsed",
-            How::Broken => "broken",
-            How::Alone => "alone",
+            EndReason::Done => "done",
+            EndReason::Failed => "failed",
+            EndReason::Stopped => "stopped",
+            EndReason::Lapsed => "lapsed",
+            EndReason::Broken => "broken",
+            EndReason::Alone => "alone",
         };
-        *self.tally.ends.entry(how).or_default() += 1;
-        let level = if end.how == How::Done { log::Level::Debug } else { log::Level::Info };
+        *self.stats.ends.entry(how).or_default() += 1;
+        let level = if end.how == EndReason::Done { log::Level::Debug } else { log::Level::Info };
         let worker = &self.workers[no.0];
         let began = worker.runs.get(&end.task).filter(|r| r.run == end.run);
-        let took_ms = began.map_or(0, |r| millis(now - r.began));
+        let took_ms = began.map_or(0, |r| millis(now - r.started_at));
         let asked = began.is_some_and(|r| r.phase == super::workers::Phase::Stopping);
         log::log!(target: "shard", level, did = "end", job:% = end.task.step.job, task:% = end.task, run = end.run, how, worker:% = worker.id, took_ms, asked, number = end.number; "Run has ended.");
     }
 
     /// Logs a run that is gone without a reported end.
-    pub(super) fn tell_lost(&self, no: WorkerNo, task: &TaskKey, run: u32, now: Time) {
+    pub(super) fn log_lost(&self, no: WorkerNo, task: &TaskKey, run: u32, now: Time) {
         let worker = &self.workers[no.0];
         let Some(old) = worker.runs.get(task).filter(|r| r.run == run) else { return };
-        let heard_ms = worker.heard.map_or(0, |h| millis(now - h));
-        let (ran_ms, percent) = (millis(now - old.began), old.percent.1);
-        log::info!(target: "shard", did = "lost", job:% = task.step.job, task:% = task, run, worker:% = worker.id, phase:? = old.phase, ran_ms, percent, heard_ms, silent = worker.silent; "Run is gone without an end.");
+        let heard_ms = worker.last_answer.map_or(0, |h| millis(now - h));
+        let (ran_ms, percent) = (millis(now - old.started_at), old.percent.1);
+        log::info!(target: "shard", did = "lost", job:% = task.step.job, task:% = task, run, worker:% = worker.id, phase:? = old.phase, ran_ms, percent, heard_ms, silent = worker.unanswered_calls; "Run is gone without an end.");
     }
 
     /// Logs that a run was ordered to stop, and why.
-    pub(super) fn tell_stop(&self, no: WorkerNo, task: &TaskKey, cause: &str) {
+    pub(super) fn log_stop(&self, no: WorkerNo, task: &TaskKey, cause: &str) {
         let worker = &self.workers[no.0];
         let run = worker.runs.get(task).map_or(0, |r| r.run);
         log::info!(target: "shard", did = "stop", job:% = task.step.job, task:% = task, run, worker:% = worker.id, cause; "Run is stopped.");
     }
 
     /// Logs that a job is over, and counts it if it is done.
-    pub(super) fn tell_over(&mut self, no: JobNo, state: State, stopped: usize, now: Time) {
+    pub(super) fn log_over(&mut self, no: JobNo, state: State, stopped: usize, now: Time) {
         let Some(job) = self.jobs.get(&no) else { return };
-        let after_ms = self.unix(now).saturating_sub(job.came);
+        let after_ms = self.unix_ms(now).saturating_sub(job.submitted_ms);
         let failed = job.failures();
         log::info!(target: "shard", did = "over", job:% = no, state:% = state, queue = &*job.queue, after_ms, failed, stopped; "Job is over.");
         if state == State::Done {
-            self.tally.done.push(Duration::from_millis(after_ms));
+            self.stats.completions.push(Duration::from_millis(after_ms));
         }
     }
 
     /// Logs workers that became silent or quarantined, or recovered.
     pub(super) fn log_workers(&mut self, now: Time) {
         for w in self.workers.iter_mut().filter(|w| !w.gone) {
-            let verdict = w.sound.verdict(now);
+            let verdict = w.health.verdict(now);
             let held = matches!(verdict, Verdict::Quarantined { .. });
-            if mem::replace(&mut w.told.held, held) != held {
+            if mem::replace(&mut w.reported.quarantined, held) != held {
                 let said = if held { "quarantined" } else { "sound" };
                 log::info!(target: "shard", worker:% = w.id, verdict:? = verdict, now:% = now, runs = w.runs.len(); "Worker is {said}.");
             }
             // A worker that was logged as silent stays so until its first answer.
-            let silent = w.silent >= SILENT_CALLS || (w.told.silent && w.silent > 0);
-            if mem::replace(&mut w.told.silent, silent) != silent {
-                let heard_ms = w.heard.map_or(0, |h| millis(now - h));
+            let silent =
+                w.unanswered_calls >= SILENT_CALLS || (w.reported.silent && w.unanswered_calls > 0);
+            if mem::replace(&mut w.reported.silent, silent) != silent {
+                let heard_ms = w.last_answer.map_or(0, |h| millis(now - h));
                 let said = if silent { "is silent" } else { "answers again" };
-                log::info!(target: "shard", worker:% = w.id, silent = w.silent, heard_ms, runs = w.runs.len(), listed = w.listed.is_some(); "Worker {said}.");
+                log::info!(target: "shard", worker:% = w.id, silent = w.unanswered_calls, heard_ms, runs = w.runs.len(), listed = w.listed.is_some(); "Worker {said}.");
             }
         }
     }
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -5,7 +5,7 @@
         ports::{Fault, Refusal, Start, WorkerCall, WorkerReply},
         shard::{
             event::Order,
-            machine::Shard,
+            state_machine::Shard,
             workers::{Phase, Run, WorkerNo},
         },
         time::Time,
@@ -16,71 +16,71 @@
 
 /// How long to wait for the answer to a start, a stop or a change of pace: workers answer within
 /// some milliseconds, and an order without an answer by then is one that will be carried out late.
-pub(super) const ORDER: Duration = Duration::from_millis(500);
+pub(super) const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often a start is sent before the run is given up and blocked.
 const MAX_STARTS: u32 = 3;
 /// The pause after a worker has reported that it is unwell or has less capacity than expected.
-pub(super) const UNWELL: Duration = Duration::from_millis(700);
+pub(super) const UNWELL_PAUSE: Duration = Duration::from_millis(700);
 
 impl Shard {
-    pub(super) fn started(
+    pub(super) fn on_start_reply(
         &mut self,
         no: WorkerNo,
         start: &Start,
         reply: Result<WorkerReply, Fault>,
         now: Time,
     ) {
-        let from = self.acts_from(now);
+        let from = self.lease_start(now);
         let worker = &mut self.workers[no.0];
         let Some(run) = worker.runs.get_mut(&start.task).filter(|r| r.run == start.run) else {
             return;
         };
-        run.ran |= matches!(reply, Ok(WorkerReply::Done(_)));
+        run.was_seen |= matches!(reply, Ok(WorkerReply::Done(_)));
         if run.phase == Phase::Stopping {
             return;
         }
-        let first = run.tries == 1;
-        let more = run.tries < MAX_STARTS && from.is_some() && worker.leaving.is_none();
+        let first = run.start_count == 1;
+        let more = run.start_count < MAX_STARTS && from.is_some() && worker.leaves_at.is_none();
         match reply {
             Ok(WorkerReply::Done(_)) => {
                 run.phase = Phase::Running;
-                run.known = Some(now);
-                self.begun(&start.task);
+                run.listed_from = Some(now);
+                self.mark_running(&start.task);
             }
             // The run was there and has ended: the next hold reports how.
             Ok(WorkerReply::Refused(_, Refusal::Old)) => {
                 run.phase = Phase::Stopping;
-                run.known = Some(now);
-                run.sent = now;
-                worker.next = now;
+                run.listed_from = Some(now);
+                run.sent_at = now;
+                worker.next_hold = now;
             }
             Err(Fault::Unknown | Fault::Bad(_)) if more => {
-                run.tries += 1;
+                run.start_count += 1;
                 run.phase = Phase::Unsure;
-                run.sent = now;
+                run.sent_at = now;
                 // A silent worker gets no new lease, as in `send_holds`.
-                let from = from.filter(|_| worker.silent == 0);
+                let from = from.filter(|_| worker.unanswered_calls == 0);
                 let new = from.and_then(|f| worker.extend_lease(&self.setup.bounds, f, now));
                 let until = new.unwrap_or(start.until);
                 let again = Start { until, ..start.clone() };
-                self.out.push(Order::Worker {
+                self.orders.push(Order::Worker {
                     worker: worker.id.clone(),
                     addr: worker.addr,
                     call: Box::new(WorkerCall::Start(again)),
-                    limit: ORDER,
+                    limit: ORDER_TIMEOUT,
                 });
             }
             Err(Fault::Unknown | Fault::Bad(_)) => {
-                self.tell_stop(no, &start.task, "start unanswered");
-                self.stop(no, &start.task, now);
+                self.log_stop(no, &start.task, "start unanswered");
+                self.stop_run(no, &start.task, now);
             }
             reply => {
                 self.on_refused_start(no, start, &reply, now);
                 if first {
-                    self.lost(no, &start.task, start.run, now);
+                    self.on_run_lost(no, &start.task, start.run, now);
                 } else {
                     // An earlier start may still be carried out.
-                    self.stop(no, &start.task, now);
+                    self.stop_run(no, &start.task, now);
                 }
             }
         }
@@ -99,24 +99,26 @@
         match reply {
             Ok(WorkerReply::Refused(_, Refusal::Ticket)) => {
                 let key = start.task.step;
-                if let Some(step_state) =
-                    self.jobs.get_mut(&key.job).and_then(|j| j.parts.get_mut(&(key.time, key.step)))
-                    && let Some(ticket) = step_state.tickets.good.get_mut(&no)
+                if let Some(step_state) = self
+                    .jobs
+                    .get_mut(&key.job)
+                    .and_then(|j| j.step_states.get_mut(&(key.time, key.step)))
+                    && let Some(ticket) = step_state.tickets.eligible.get_mut(&no)
                 {
                     ticket.1 = Time::ZERO;
                 }
             }
             Ok(WorkerReply::Refused(_, Refusal::Bad)) => {
-                self.failed(&start.task, start.run, now);
+                self.count_failure(&start.task, start.run, now);
             }
             _ => {
-                worker.unwell = now + UNWELL;
-                worker.next = now;
+                worker.paused_until = now + UNWELL_PAUSE;
+                worker.next_hold = now;
             }
         }
     }
 
-    pub(super) fn stopped(
+    pub(super) fn on_stop_reply(
         &mut self,
         no: WorkerNo,
         task: &TaskKey,
@@ -128,48 +130,48 @@
         if let Some(r) = worker.runs.get_mut(task).filter(|r| r.run == run)
             && matches!(reply, Ok(WorkerReply::Done(_) | WorkerReply::Refused(..)))
         {
-            r.known = Some(now);
-            worker.next = worker.next.min(now + Duration::from_millis(20));
+            r.listed_from = Some(now);
+            worker.next_hold = worker.next_hold.min(now + Duration::from_millis(20));
         }
     }
 
     /// Orders a run to stop. Its resources count as used until it has ended.
-    pub(super) fn stop(&mut self, no: WorkerNo, task: &TaskKey, now: Time) {
+    pub(super) fn stop_run(&mut self, no: WorkerNo, task: &TaskKey, now: Time) {
         let worker = &mut self.workers[no.0];
         let Some(run) = worker.runs.get_mut(task) else { return };
         run.phase = Phase::Stopping;
-        run.known = None;
-        run.sent = now;
+        run.listed_from = None;
+        run.sent_at = now;
         let call = WorkerCall::Stop { task: *task, run: run.run, token: self.setup.token };
-        self.out.push(Order::Worker {
+        self.orders.push(Order::Worker {
             worker: worker.id.clone(),
             addr: worker.addr,
             call: Box::new(call),
-            limit: ORDER,
+            limit: ORDER_TIMEOUT,
         });
     }
 
     /// Repeats stops that had no answer, or that were answered and had no effect.
     pub(super) fn repeat_stops(&mut self, now: Time) {
         let due = |r: &Run| {
-            let again = if r.known.is_none() { ORDER * 2 } else { ORDER * 4 };
-            r.phase == Phase::Stopping && r.sent + again <= now
+            let again = if r.listed_from.is_none() { ORDER_TIMEOUT * 2 } else { ORDER_TIMEOUT * 4 };
+            r.phase == Phase::Stopping && r.sent_at + again <= now
         };
         let mut all = vec![];
         for (n, w) in self.workers.iter().enumerate().filter(|(_, w)| !w.gone) {
             all.extend(w.runs.iter().filter(|(_, r)| due(r)).map(|(t, _)| (WorkerNo(n), *t)));
         }
         for (no, task) in all {
-            self.stop(no, &task, now);
+            self.stop_run(no, &task, now);
         }
     }
 
     /// Sends the holds that are due.
     pub(super) fn send_holds(&mut self, now: Time) {
-        let (from, fresh) = (self.acts_from(now), self.fresh(now));
+        let (from, fresh) = (self.lease_start(now), self.is_confirmed(now));
         for no in 0..self.workers.len() {
             let w = &mut self.workers[no];
-            if w.gone || w.holding.is_some() || w.next > now {
+            if w.gone || w.hold_sent.is_some() || w.next_hold > now {
                 continue;
             }
             let wanted = w.listed.is_some() || !w.runs.is_empty() || !w.fenced;
@@ -178,18 +180,21 @@
             }
             // A silent worker gets no new lease: each lease may still arrive, so it would postpone
             // the time from which the worker's tasks can start elsewhere, without end.
-            let from = from.filter(|_| w.fenced && w.silent == 0);
+            let from = from.filter(|_| w.fenced && w.unanswered_calls == 0);
             let until = from.and_then(|f| w.extend_lease(&self.setup.bounds, f, now));
             let wait = match () {
-                () if !w.fenced || !w.pending.is_empty() || w.silent > 0 => Duration::ZERO,
+                () if !w.fenced || !w.unstored_ends.is_empty() || w.unanswered_calls > 0 => {
+                    Duration::ZERO
+                }
                 // While the store does not answer, leases count from the answers to holds, so these
                 // have to arrive.
                 () if w.runs.is_empty() && fresh => Duration::from_millis(1900),
                 () => Duration::from_millis(900),
             };
-            w.holding = Some(now);
-            let call = WorkerCall::Hold { until, token: self.setup.token, seen: w.seen, wait };
-            self.out.push(Order::Worker {
+            w.hold_sent = Some(now);
+            let call =
+                WorkerCall::Hold { until, token: self.setup.token, seen: w.stored_end, wait };
+            self.orders.push(Order::Worker {
                 worker: w.id.clone(),
                 addr: w.addr,
                 call: Box::new(call),
--- a/src/shard/evict.rs
+++ b/src/shard/preempt.rs
@@ -8,8 +8,8 @@
     crate::{
         decide::fit::Room,
         shard::{
-            machine::Shard,
             round::Turn,
+            state_machine::Shard,
             workers::{Phase, WorkerNo},
         },
         time::Time,
@@ -20,7 +20,7 @@
 };
 
 /// How long a step waits for room before room is made or reserved for it.
-pub(super) const PATIENCE: Duration = Duration::from_millis(300);
+pub(super) const ROOM_WAIT: Duration = Duration::from_millis(300);
 
 /// The effect of stopping less urgent runs of one worker.
 struct Preemption {
@@ -36,7 +36,7 @@
 impl Shard {
     /// Makes room for tasks that can still be in time by stopping less urgent work; returns their
     /// places.
-    pub(super) fn evict(
+    pub(super) fn preempt(
         &mut self,
         turn: &Turn,
         waiting: &[u32],
@@ -44,10 +44,10 @@
         now: Time,
     ) -> Vec<(u32, WorkerNo)> {
         let Turn { key, ref step, .. } = *turn;
-        let queue = self.jobs.get(&key.job).and_then(|j| self.known.get(&j.queue));
+        let queue = self.jobs.get(&key.job).and_then(|j| self.queue_configs.get(&j.queue));
         let Some(priority) = queue.map(|q| q.priority) else { return vec![] };
-        let part = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
-        let waited = part.and_then(|p| p.ready).is_some_and(|t| t + PATIENCE <= now);
+        let part = self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
+        let waited = part.and_then(|p| p.ready_since).is_some_and(|t| t + ROOM_WAIT <= now);
         if !waited || self.ranks.get(key).is_none_or(|r| r.class() > 0) {
             return vec![];
         }
@@ -57,9 +57,9 @@
 
     /// The priority at which runs of a step may be preempted by more urgent work, or `None` if they
     /// may not be.
-    pub(super) fn yields(&self, key: &StepKey, step: &Step) -> Option<u8> {
+    pub(super) fn preemptible_at(&self, key: &StepKey, step: &Step) -> Option<u8> {
         let plain = step.saves && !step.gang && !step.lasts && !step.fills;
-        let queue = self.jobs.get(&key.job).and_then(|j| self.known.get(&j.queue));
+        let queue = self.jobs.get(&key.job).and_then(|j| self.queue_configs.get(&j.queue));
         queue.filter(|_| plain).map(|q| q.priority)
     }
 
@@ -75,7 +75,7 @@
         priority: u8,
         now: Time,
     ) -> Vec<WorkerNo> {
-        let size = step.counted();
+        let size = step.reserved();
         let mut plans: Vec<Preemption> =
             good.iter().filter_map(|r| self.preemption(r, &size, step.apart, priority)).collect();
         plans.sort_by_key(|p| (p.victims.len(), std::cmp::Reverse(p.slots)));
@@ -96,8 +96,8 @@
                     break;
                 }
                 free += freed;
-                self.tell_stop(plan.no, &task, "more urgent work");
-                self.stop(plan.no, &task, now);
+                self.log_stop(plan.no, &task, "more urgent work");
+                self.stop_run(plan.no, &task, now);
             }
             places.extend((0..take).map(|_| plan.no));
         }
@@ -108,13 +108,13 @@
     fn preemption(&self, room: &Room, size: &Size, apart: u32, priority: u8) -> Option<Preemption> {
         let worker = &self.workers[room.index];
         // Preemption would stop the work that keeps this worker from going down for upkeep.
-        if worker.closed() {
+        if worker.is_draining() {
             return None;
         }
         let mut free = room.free;
         let mut victims = vec![];
         for (task, run) in &worker.runs {
-            match (run.phase, run.yields) {
+            match (run.phase, run.preempt_priority) {
                 (Phase::Stopping, _) => free += run.size,
                 (Phase::Running, Some(p)) if p > priority => {
                     victims.push((run.percent.1, *task, run.size));
@@ -125,8 +125,8 @@
         // Runs that have done the least come first, since the others end soon anyway.
         victims.sort_unstable_by_key(|v| (v.0, v.1));
         let all = victims.iter().fold(free, |sum, v| sum + v.2);
-        let most = if apart > 0 { apart.saturating_sub(room.same).into() } else { u64::MAX };
-        let slots = size.count(&all).min(most).min(room.most.into());
+        let most = if apart > 0 { apart.saturating_sub(room.same_step).into() } else { u64::MAX };
+        let slots = size.count(&all).min(most).min(room.max_new.into());
         let victims = victims.into_iter().map(|v| (v.1, v.2)).collect();
         (slots > 0).then_some(Preemption { no: WorkerNo(room.index), free, slots, victims })
     }
--- a/src/shard/ahead.rs
+++ b/src/shard/prefetch.rs
@@ -6,8 +6,8 @@
         fit::Room,
     },
     shard::{
-        machine::Shard,
         round::{Round, Turn},
+        state_machine::Shard,
         workers::{Phase, Run, WorkerNo},
     },
     time::Time,
@@ -21,7 +21,7 @@
 impl Shard {
     /// Returns the workers that will soon have room for a task of this step, if at least one of
     /// their tickets has to be requested now; otherwise returns none.
-    pub(super) fn coming(
+    pub(super) fn freeing_workers(
         &self,
         turn: &Turn,
         good: &[Room],
@@ -29,22 +29,25 @@
         round: &mut Round,
         now: Time,
     ) -> Vec<WorkerNo> {
-        let size = turn.step.counted();
+        let size = turn.step.reserved();
         let duration = cost.base + cost.each * ASSUMED_WORKERS;
         let by = ahead::horizon(duration, now);
         let mut coming = vec![];
         let apart = turn.step.apart;
-        let full = |r: &&Room| !size.fits(&r.free) && (apart == 0 || r.same < apart);
+        let full = |r: &&Room| !size.fits(&r.free) && (apart == 0 || r.same_step < apart);
         for room in good.iter().filter(full) {
             let no = WorkerNo(room.index);
-            if self.frees_by(no, &size, by, now) && round.line.join(no) {
+            if self.frees_by(no, &size, by, now) && round.upcoming.add(no) {
                 coming.push(no);
             }
         }
         let ends = |no: &WorkerNo| {
-            self.valid_until(turn.key, *no).is_none_or(|until| ahead::ends(until, duration, now))
+            self.valid_until(turn.key, *no)
+                .is_none_or(|until| ahead::expires_early(until, duration, now))
         };
-        if !coming.iter().any(ends) || !ahead::may(self.lanes.idle(), self.lanes.len()) {
+        if !coming.iter().any(ends)
+            || !ahead::may_call_ahead(self.lanes.idle_count(), self.lanes.len())
+        {
             coming.clear();
         }
         coming
@@ -58,22 +61,22 @@
             let step = self.jobs.get(&t.step.job).and_then(|j| j.step(&t.step));
             step.is_some_and(|s| s.lasts)
         };
-        let ending = worker.runs.iter().filter(|(t, r)| end(r, now) <= by && !lasts(t));
+        let ending = worker.runs.iter().filter(|(t, r)| expected_end(r, now) <= by && !lasts(t));
         size.fits(&ending.fold(worker.free(), |sum, (_, r)| sum + r.size))
     }
 }
 
 /// The time at which a run is expected to end.
-pub(super) fn end(run: &Run, now: Time) -> Time {
+pub(super) fn expected_end(run: &Run, now: Time) -> Time {
     if run.phase == Phase::Stopping {
         return now;
     }
     let (first, last) = run.percent;
-    ahead::end(Progress {
-        began: run.began,
-        first,
-        last,
-        looked: run.looked,
+    ahead::expected_end(Progress {
+        started_at: run.started_at,
+        initial_percent: first,
+        percent: last,
+        checked_at: run.reported_at,
         estimate: run.estimate,
     })
 }
--- a/src/shard/queue.rs
+++ b/src/shard/ready_queue.rs
@@ -8,14 +8,14 @@
     crate::{
         decide::{
             fit::Room,
-            rank::{Facts, Rank, rank, waves},
+            rank::{JobTiming, Rank, rank, round_count},
         },
         shard::{
-            evict::PATIENCE,
-            jobs::At,
-            machine::Shard,
-            plan::MAX_ROUND_STEPS,
+            dispatch::MAX_ROUND_STEPS,
+            jobs::Placement,
+            preempt::ROOM_WAIT,
             round::{Round, Turn},
+            state_machine::Shard,
             workers::{Phase, Run, WorkerNo},
         },
         time::Time,
@@ -41,23 +41,25 @@
 
 impl Shard {
     /// Updates which steps of a job are ready, and their ranks.
-    pub(super) fn review(&mut self, no: JobNo, now: Time) {
+    pub(super) fn update_ready(&mut self, no: JobNo, now: Time) {
         self.compute_waves(no);
         let Some(job) = self.jobs.get(&no) else { return };
-        let Some(queue) = self.known.get(&job.queue) else { return };
-        let unix = self.unix(now);
+        let Some(queue) = self.queue_configs.get(&job.queue) else { return };
+        let unix = self.unix_ms(now);
         let mut ranks: Vec<(StepKey, Option<Rank>)> = vec![];
-        for ((time, step), step_state) in &job.parts {
+        for ((time, step), step_state) in &job.step_states {
             let key = StepKey { job: no, time: *time, step: *step };
             let Some(s) = job.step(&key) else { continue };
             let whole = !s.gang || step_state.waiting == s.count;
-            let open =
-                step_state.waiting > 0 && whole && !job.state.over() && job.free(*time, *step);
-            let facts = Facts {
-                came: job.came.max(job.due(*time)),
-                chain: job.allowed(*time),
-                left: job.tails.get(usize::from(*step)).copied().unwrap_or_default(),
-                lasts: s.lasts,
+            let open = step_state.waiting > 0
+                && whole
+                && !job.state.is_final()
+                && job.is_unblocked(*time, *step);
+            let facts = JobTiming {
+                arrived_ms: job.submitted_ms.max(job.due(*time)),
+                critical_path: job.objective_time(*time),
+                remaining: job.chain_lengths.get(usize::from(*step)).copied().unwrap_or_default(),
+                long_running: s.lasts,
             };
             ranks.push((key, open.then(|| rank(queue, facts, unix))));
         }
@@ -72,14 +74,14 @@
     /// Computes in how many waves the tasks of each step run, once the workers are known.
     fn compute_waves(&mut self, no: JobNo) {
         let Some(job) = self.jobs.get_mut(&no).filter(|j| j.waves.is_empty()) else { return };
-        let Some(queue) = self.known.get(&job.queue) else { return };
+        let Some(queue) = self.queue_configs.get(&job.queue) else { return };
         let Some(pool) = self.pools.get(&queue.pool) else { return };
         let listed = pool.iter().filter_map(|n| self.workers[n.0].listed.as_ref());
-        let sizes: Vec<Size> = listed.map(|l| l.size).collect();
+        let sizes: Vec<Size> = listed.map(|l| l.capacity).collect();
         let room = |s: &Step| {
-            sizes.iter().fold(0, |sum: u64, size| sum.saturating_add(s.counted().count(size)))
+            sizes.iter().fold(0, |sum: u64, size| sum.saturating_add(s.reserved().count(size)))
         };
-        job.waves = job.job.steps.iter().map(|s| waves(s.count, room(s))).collect();
+        job.waves = job.job.steps.iter().map(|s| round_count(s.count, room(s))).collect();
     }
 
     fn make_ready(&mut self, key: StepKey, rank: Rank, now: Time) {
@@ -87,12 +89,14 @@
             Some(old) if old == rank => return,
             Some(old) => drop(self.ready.remove(&(old, key))),
             None => {
-                if let Some(step_state) =
-                    self.jobs.get_mut(&key.job).and_then(|j| j.parts.get_mut(&(key.time, key.step)))
+                if let Some(step_state) = self
+                    .jobs
+                    .get_mut(&key.job)
+                    .and_then(|j| j.step_states.get_mut(&(key.time, key.step)))
                 {
-                    step_state.ready.get_or_insert(now);
+                    step_state.ready_since.get_or_insert(now);
                 }
-                self.stir = true;
+                self.round_due = true;
             }
         }
         self.ready.insert((rank, key));
@@ -107,7 +111,8 @@
 
     /// Like [`Self::unready`], if all tasks of the step are placed.
     pub(super) fn unready_if_placed(&mut self, key: &StepKey) {
-        let step_state = self.jobs.get(&key.job).and_then(|j| j.parts.get(&(key.time, key.step)));
+        let step_state =
+            self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
         if step_state.is_none_or(|p| p.waiting == 0) {
             self.unready(key);
         }
@@ -117,7 +122,7 @@
     pub(super) fn rerank_ready(&mut self, now: Time) {
         let jobs: FxHashSet<JobNo> = self.ranks.keys().map(|k| k.job).collect();
         for no in jobs {
-            self.review(no, now);
+            self.update_ready(no, now);
         }
     }
 
@@ -135,19 +140,21 @@
         let (mut all, mut absent) = (vec![], vec![]);
         for (rank, key) in self.ready.iter().rev() {
             let Some(job) = self.jobs.get(&key.job) else { continue };
-            let Some(queue) = self.known.get(&job.queue) else { continue };
+            let Some(queue) = self.queue_configs.get(&job.queue) else { continue };
             if job.step(key).is_some_and(|s| s.lasts) {
                 let since = self.away_since(key);
                 absent.extend(since.filter(|t| *t + AWAY_LIMIT <= now).map(|t| (t, *key)));
                 continue;
             }
-            let quiet = round.quiet.contains(&queue.pool);
+            let quiet = round.underused.contains(&queue.pool);
             if !quiet && rank.class() < 2 {
                 continue;
             }
             let patience = if quiet { STARVING_AFTER.0 } else { STARVING_AFTER.1 };
-            let step_state = job.parts.get(&(key.time, key.step));
-            if let Some(since) = step_state.and_then(|p| p.ready).filter(|t| *t + patience <= now) {
+            let step_state = job.step_states.get(&(key.time, key.step));
+            if let Some(since) =
+                step_state.and_then(|p| p.ready_since).filter(|t| *t + patience <= now)
+            {
                 all.push((since, *key));
             }
         }
@@ -164,38 +171,39 @@
     ///
     /// A step that waits for workers which do not exist yet must not come before all others.
     fn can_ever_start(&self, key: &StepKey, round: &Round, now: Time) -> bool {
-        let (Some(turn), Some(step_state)) = (self.turn(key, round, now), self.part(key)) else {
+        let (Some(turn), Some(step_state)) = (self.turn(key, round, now), self.step_state(key))
+        else {
             return false;
         };
         let asked = &step_state.tickets.asked;
         let wanted = if turn.step.gang { u64::from(turn.step.count) } else { 1 };
         let more = turn.advice.is_some() && turn.usable.iter().any(|n| !asked.contains(n));
-        more || self.ever_slots(&turn) >= wanted
+        more || self.eventual_slots(&turn) >= wanted
     }
 
     /// The number of tasks of a step that fit on the workers that may run it, once the runs that
     /// end have ended.
-    pub(super) fn ever_slots(&self, turn: &Turn) -> u64 {
+    pub(super) fn eventual_slots(&self, turn: &Turn) -> u64 {
         let step = &turn.step;
         let slots = |no: WorkerNo| {
             let Some(listed) = &self.workers[no.0].listed else { return 0 };
-            if step.needs.as_ref().is_some_and(|label| !listed.has(label)) {
+            if step.needs.as_ref().is_some_and(|label| !listed.has_label(label)) {
                 return 0;
             }
-            let all = step.counted().count(&self.eventual_free(no));
+            let all = step.reserved().count(&self.eventual_free(no));
             match step.apart {
                 0 => all,
-                apart => all.min(apart.saturating_sub(self.same(no, turn.key)).into()),
+                apart => all.min(apart.saturating_sub(self.task_count(no, turn.key)).into()),
             }
         };
-        self.good(turn).into_iter().fold(0, |sum, no| slots(no).saturating_add(sum))
+        self.permitted(turn).into_iter().fold(0, |sum, no| slots(no).saturating_add(sum))
     }
 
     /// Since when the first task of a step has waited, counted from the end of its last run.
     fn away_since(&self, key: &StepKey) -> Option<Time> {
-        let step_state = self.part(key)?;
-        let waiting = step_state.tasks.iter().filter(|t| t.at == At::Waiting);
-        waiting.filter_map(|t| t.left.or(step_state.ready)).min()
+        let step_state = self.step_state(key)?;
+        let waiting = step_state.tasks.iter().filter(|t| t.placement == Placement::Waiting);
+        waiting.filter_map(|t| t.ended_at.or(step_state.ready_since)).min()
     }
 
     /// The workers on which a starving step should wait for capacity: those with the most free
@@ -207,18 +215,19 @@
         now: Time,
     ) -> Vec<(u32, WorkerNo)> {
         let Turn { key, ref step, .. } = *turn;
-        if self.part(key).and_then(|p| p.ready).is_none_or(|t| t + PATIENCE > now) {
+        if self.step_state(key).and_then(|p| p.ready_since).is_none_or(|t| t + ROOM_WAIT > now) {
             return vec![];
         }
-        let size = step.counted();
+        let size = step.reserved();
         let mut all: Vec<&Room> = good.iter().collect();
         all.sort_by_key(|r| Reverse((r.free.accels, r.free.cores)));
         let mut preferred = vec![];
         for room in all {
-            let most = size.count(&self.eventual_free(WorkerNo(room.index))).min(room.most.into());
+            let most =
+                size.count(&self.eventual_free(WorkerNo(room.index))).min(room.max_new.into());
             let cap = match step.apart {
                 0 => most,
-                apart => most.min(apart.saturating_sub(room.same).into()),
+                apart => most.min(apart.saturating_sub(room.same_step).into()),
             };
             for _ in 0..cap {
                 let Some(index) = turn.waiting.get(preferred.len()) else { return preferred };
@@ -231,8 +240,9 @@
     /// The resources of a worker that long-running tasks do not use.
     pub(super) fn eventual_free(&self, no: WorkerNo) -> Size {
         let worker = &self.workers[no.0];
-        let stays = |(t, r): &(&TaskKey, &Run)| r.phase != Phase::Stopping && self.lasts(t);
+        let stays =
+            |(t, r): &(&TaskKey, &Run)| r.phase != Phase::Stopping && self.is_long_running(t);
         let stay = worker.runs.iter().filter(stays).map(|(_, r)| r.size).sum();
-        worker.listed.as_ref().map_or(Size::default(), |l| l.size.saturating_sub(&stay))
+        worker.listed.as_ref().map_or(Size::default(), |l| l.capacity.saturating_sub(&stay))
     }
 }
--- a/src/shard/record.rs
+++ b/src/shard/record.rs
@@ -24,13 +24,13 @@
 };
 
 /// Prefix of the keys that every member watches.
-pub const TABLE: &str = "dwr/t/";
+pub const TABLE_PREFIX: &str = "dwr/t/";
 /// Prefix of the keys of members.
-pub const MEMBERS: &str = "dwr/t/m/";
+pub const MEMBERS_PREFIX: &str = "dwr/t/m/";
 /// Prefix of the keys of shard owners.
-pub const OWNERS: &str = "dwr/t/o/";
+pub const OWNERS_PREFIX: &str = "dwr/t/o/";
 /// Key of the layout.
-pub const LAYOUT: &str = "dwr/t/layout";
+pub const LAYOUT_KEY: &str = "dwr/t/layout";
 
 /// The number of a shard. A shard is a part of the jobs and of the workers, scheduled by one
 /// member.
@@ -89,27 +89,27 @@
 
     /// Key of the owner's row.
     pub fn owner(self) -> Box<str> {
-        format!("{OWNERS}{self}").into()
+        format!("{OWNERS_PREFIX}{self}").into()
     }
 }
 
 /// A range of consecutive shards.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Span(
+pub struct ShardRange(
     /// The first shard.
     pub u16,
     /// The number of shards.
     pub u16,
 );
 
-impl Span {
+impl ShardRange {
     /// Whether a shard is in the range.
-    pub fn has(self, shard: ShardNo) -> bool {
+    pub fn contains(self, shard: ShardNo) -> bool {
         shard.0 >= self.0 && shard.0 - self.0 < self.1
     }
 
     /// The shard of the range that a hash maps to.
-    pub fn of(self, hash: u64) -> ShardNo {
+    pub fn shard_for(self, hash: u64) -> ShardNo {
         ShardNo(self.0 + (hash % u64::from(self.1.max(1))) as u16)
     }
 }
@@ -127,7 +127,7 @@
     pub homes: Vec<(SocketAddr, ShardNo)>,
     /// The shards of each pool that had workers when the layout was made.
     #[serde(default)]
-    pub pools: BTreeMap<PoolId, Span>,
+    pub pools: BTreeMap<PoolId, ShardRange>,
 }
 
 /// A member, as the store's membership table describes it.
@@ -242,22 +242,22 @@
 }
 
 /// Encodes a record for the store.
-pub fn write<T: Serialize>(record: &T) -> Bytes {
+pub fn encode<T: Serialize>(record: &T) -> Bytes {
     serde_json::to_vec(record).expect("records have plain keys and finite numbers").into()
 }
 
 /// Decodes a record; `None` if the value is not one.
-pub fn read<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
+pub fn decode<T: DeserializeOwned>(value: &[u8]) -> Option<T> {
     serde_json::from_slice(value).ok()
 }
 
 /// Key of the [`Closing`] record; all members watch it.
-pub const CLOSING: &str = "dwr/t/closing";
+pub const CLOSING_KEY: &str = "dwr/t/closing";
 
 /// The turn of a worker in a wave of upkeep.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Turn {
+pub enum UpkeepTurn {
     /// The worker has no turn.
     #[default]
     Open,
@@ -275,12 +275,12 @@
     /// The token of the writer, and the number of its earlier writes; the pair only increases.
     pub place: (u64, u64),
     /// The turn of each worker.
-    pub turns: BTreeMap<WorkerId, Turn>,
+    pub turns: BTreeMap<WorkerId, UpkeepTurn>,
 }
 
 impl Closing {
     /// The turn of a worker; `Open` if it is not in the record.
-    pub fn turn(&self, worker: &WorkerId) -> Turn {
+    pub fn turn(&self, worker: &WorkerId) -> UpkeepTurn {
         self.turns.get(worker).copied().unwrap_or_default()
     }
 }
--- a/src/shard/hear.rs
+++ b/src/shard/replies.rs
@@ -3,11 +3,11 @@
 use {
     crate::{
         ids::WorkerId,
-        ports::{ENDS, Fault, Held, Refusal, WorkerCall, WorkerReply},
+        ports::{Fault, Held, MAX_ENDS, Refusal, WorkerCall, WorkerReply},
         shard::{
-            jobs::At,
-            machine::Shard,
-            orders::UNWELL,
+            jobs::Placement,
+            orders::UNWELL_PAUSE,
+            state_machine::Shard,
             workers::{Phase, Run, Worker, WorkerNo},
         },
         time::Time,
@@ -23,7 +23,7 @@
 
 impl Shard {
     /// Processes a worker's reply.
-    pub(super) fn hear(
+    pub(super) fn on_worker_reply(
         &mut self,
         id: &WorkerId,
         sent: Time,
@@ -40,26 +40,26 @@
             Ok(WorkerReply::Other) => return self.end_worker(no, now),
             Ok(WorkerReply::Refused(_, Refusal::Fence)) => return self.depose(),
             Ok(WorkerReply::Done(clock) | WorkerReply::Refused(clock, _)) => {
-                worker.answered(*clock, sent, now);
+                worker.record_answer(*clock, sent, now);
             }
             Ok(WorkerReply::Held(held)) => {
-                worker.answered(held.clock, sent, now);
-                worker.silent = 0;
+                worker.record_answer(held.clock, sent, now);
+                worker.unanswered_calls = 0;
             }
-            Ok(WorkerReply::Unwell) => worker.unwell = now + UNWELL,
-            Err(Fault::Unsent) => worker.silent += 1,
+            Ok(WorkerReply::Unwell) => worker.paused_until = now + UNWELL_PAUSE,
+            Err(Fault::Unsent) => worker.unanswered_calls += 1,
             Err(_) => {
-                worker.unsure += 1;
+                worker.unanswered_orders += 1;
                 let hold = matches!(call, WorkerCall::Hold { .. });
                 // A single unanswered order may merely be slow. Two unanswered orders or an
                 // unanswered hold suggest that the worker is gone.
-                worker.silent += u32::from(hold || worker.unsure > 1);
+                worker.unanswered_calls += u32::from(hold || worker.unanswered_orders > 1);
             }
         }
         match call {
             WorkerCall::Hold { .. } => self.on_hold_reply(no, sent, reply, now),
-            WorkerCall::Start(start) => self.started(no, &start, reply, now),
-            WorkerCall::Stop { task, run, .. } => self.stopped(no, &task, run, &reply, now),
+            WorkerCall::Start(start) => self.on_start_reply(no, &start, reply, now),
+            WorkerCall::Stop { task, run, .. } => self.on_stop_reply(no, &task, run, &reply, now),
             WorkerCall::Pace { task, run, percent, .. } => {
                 if let (Ok(WorkerReply::Done(_)), Some(r)) =
                     (reply, self.workers[no.0].runs.get_mut(&task))
@@ -79,22 +79,22 @@
         now: Time,
     ) {
         let worker = &mut self.workers[no.0];
-        worker.holding = None;
+        worker.hold_sent = None;
         let Ok(WorkerReply::Held(held)) = reply else {
-            let pause = (SILENT_PAUSE.0 * worker.silent.max(1)).min(SILENT_PAUSE.1);
-            worker.next = now + pause;
+            let pause = (SILENT_PAUSE.0 * worker.unanswered_calls.max(1)).min(SILENT_PAUSE.1);
+            worker.next_hold = now + pause;
             return;
         };
-        worker.next = now;
-        let complete = held.ended.len() < ENDS;
+        worker.next_hold = now;
+        let complete = held.ended.len() < MAX_ENDS;
         if !worker.fenced {
-            worker.inherit(held.clock, &self.setup.bounds);
+            worker.inherit_lease(held.clock, &self.setup.bounds);
         }
         let first = !worker.fenced && complete;
         worker.fenced |= complete;
         for end in &held.ended {
-            if end.number > self.workers[no.0].got {
-                self.workers[no.0].got = end.number;
+            if end.number > self.workers[no.0].last_end {
+                self.workers[no.0].last_end = end.number;
                 self.on_run_end(no, end, now);
             }
         }
@@ -102,11 +102,11 @@
         self.drop_missing(no, sent, &held, now);
         self.adjust_filler_pace(no, now);
         let worker = &mut self.workers[no.0];
-        if !worker.pending.is_empty() {
-            worker.next = now + UNSTORED_INTERVAL;
+        if !worker.unstored_ends.is_empty() {
+            worker.next_hold = now + UNSTORED_INTERVAL;
         }
         if first {
-            self.stir = true;
+            self.round_due = true;
         }
     }
 
@@ -117,9 +117,9 @@
             match worker.runs.get_mut(&row.task) {
                 Some(run) if run.run == row.run => {
                     let starting = matches!(run.phase, Phase::Starting | Phase::Unsure);
-                    Worker::look(run, row, now);
+                    Worker::update_run(run, row, now);
                     if starting {
-                        self.begun(&row.task);
+                        self.mark_running(&row.task);
                     }
                     self.stop_if_stuck(no, &row.task, now);
                 }
@@ -131,55 +131,55 @@
     /// Adopts a run that a former owner has started, or stops it if it is not wanted.
     fn adopt(&mut self, no: WorkerNo, row: &crate::ports::Row, now: Time) {
         let job = self.jobs.get_mut(&row.task.step.job);
-        let wanted = job.filter(|j| !j.state.over()).and_then(|j| {
+        let wanted = job.filter(|j| !j.state.is_final()).and_then(|j| {
             let step = j.step(&row.task.step)?.clone();
-            j.part(row.task.step.time, row.task.step.step);
+            j.step_state_mut(row.task.step.time, row.task.step.step);
             let task = j.task(&row.task)?;
-            let fits = task.at == At::Waiting && row.run >= task.run;
+            let fits = task.placement == Placement::Waiting && row.run >= task.run;
             Some((step, fits))
         });
         let blind = wanted.is_none();
         let (step, keep) = wanted.unwrap_or_default();
-        let yields = self.yields(&row.task.step, &step);
+        let yields = self.preemptible_at(&row.task.step, &step);
         let run = Run {
             run: row.run,
-            size: step.counted(),
-            blind,
+            size: step.reserved(),
+            size_unknown: blind,
             phase: if keep { Phase::Running } else { Phase::Stopping },
-            sent: now,
-            known: Some(now),
-            ran: true,
+            sent_at: now,
+            listed_from: Some(now),
+            was_seen: true,
             settled: true,
-            tried: false,
-            began: now,
-            tries: 1,
+            crash_suspect: false,
+            started_at: now,
+            start_count: 1,
             percent: (row.percent, row.percent),
-            looked: now,
-            saved: row.saved.clone(),
-            load: row.load,
+            reported_at: now,
+            checkpoint: row.saved.clone(),
+            tail_ms: row.load,
             // The former owner may have slowed it down.
             pace: None,
-            target: step.target,
+            target_ms: step.target,
             fills: step.fills,
-            yields,
+            preempt_priority: yields,
             estimate: Duration::from_millis(step.estimate),
-            mark: (now, row.percent),
+            earlier_report: (now, row.percent),
         };
-        self.workers[no.0].add(row.task, run);
+        self.workers[no.0].add_run(row.task, run);
         if !keep {
             if !blind {
                 self.strays.insert(row.task);
             }
-            self.tell_stop(no, &row.task, "unwanted");
-            return self.stop(no, &row.task, now);
+            self.log_stop(no, &row.task, "unwanted");
+            return self.stop_run(no, &row.task, now);
         }
         if let Some(job) = self.jobs.get_mut(&row.task.step.job) {
-            job.put(&row.task, At::There(no));
+            job.set_placement(&row.task, Placement::Assigned(no));
             if let Some(task) = job.task(&row.task) {
                 task.run = row.run;
             }
         }
-        self.begun(&row.task);
+        self.mark_running(&row.task);
         self.unready_if_placed(&row.task.step);
     }
 
@@ -191,16 +191,16 @@
         let gone: Vec<_> = self.workers[no.0]
             .runs
             .iter()
-            .filter(|(t, r)| r.known.is_some_and(|k| k < sent) && !there(t, r.run))
+            .filter(|(t, r)| r.listed_from.is_some_and(|k| k < sent) && !there(t, r.run))
             .map(|(t, r)| (*t, r.run))
             .collect();
         for (task, run) in gone {
-            self.lost(no, &task, run, now);
+            self.on_run_lost(no, &task, run, now);
         }
     }
 
     /// Records that work on a task has begun.
-    pub(super) fn begun(&mut self, task: &TaskKey) {
+    pub(super) fn mark_running(&mut self, task: &TaskKey) {
         if let Some(job) = self.jobs.get_mut(&task.step.job)
             && job.state == State::Queued
         {
--- a/src/shard/reserve.rs
+++ b/src/shard/reservation.rs
@@ -4,9 +4,9 @@
 
 /// Room that is reserved for a gang until it starts.
 #[derive(Clone, Debug)]
-pub struct Reserve {
+pub struct GangReservation {
     /// The workers, with the number of members for each.
-    pub each: Vec<(WorkerNo, u32)>,
+    pub members: Vec<(WorkerNo, u32)>,
     /// The resources that one member needs.
     pub size: Size,
     /// The priority of the gang's queue.
@@ -14,7 +14,7 @@
     /// When the reservation was made.
     pub since: Time,
     /// When all of the room is expected to be free.
-    pub at: Time,
+    pub ready_at: Time,
     /// When the reservation was last checked.
-    pub tended: Time,
+    pub checked_at: Time,
 }
--- a/src/shard/round.rs
+++ b/src/shard/round.rs
@@ -3,9 +3,9 @@
 
 use {
     crate::{
-        decide::ahead::Line,
+        decide::ahead::Backlog,
         ids::PoolId,
-        shard::{reserve::Reserve, workers::WorkerNo},
+        shard::{reservation::GangReservation, workers::WorkerNo},
         time::Time,
         units::Size,
         work::{AdviceCost, Step, StepKey},
@@ -28,7 +28,7 @@
     /// enough.
     pub(super) with_draining: FxHashMap<PoolId, Rc<[WorkerNo]>>,
     /// The pools that are underused.
-    pub(super) quiet: FxHashSet<PoolId>,
+    pub(super) underused: FxHashSet<PoolId>,
     /// The steps that come first because they have waited too long.
     pub(super) starving: Vec<StepKey>,
     /// The resources of each worker that are withheld for steps earlier in the order.
@@ -38,12 +38,12 @@
     /// The demand for each worker, in hundredths of a waiting task.
     pub(super) demand: Vec<u32>,
     /// The steps that will soon have room at a worker.
-    pub(super) line: Line<WorkerNo>,
+    pub(super) upcoming: Backlog<WorkerNo>,
     /// The number of steps that have searched beyond the free resources, and how many of those are
     /// long-running.
     deep_searches: (usize, usize),
     /// The queues for whose advice calls no member is free.
-    pub(super) busy: FxHashSet<Box<str>>,
+    pub(super) advice_blocked: FxHashSet<Box<str>>,
 }
 
 /// The resources of one worker that are reserved for a gang.
@@ -99,7 +99,7 @@
     }
 
     /// The resources of a worker that are withheld for steps earlier in this round.
-    pub(super) fn before(&self, no: WorkerNo, key: &StepKey) -> Size {
+    pub(super) fn withheld_before(&self, no: WorkerNo, key: &StepKey) -> Size {
         let passed = self.reservations[no.0].iter().filter(|c| c.passed && c.gang != *key);
         passed.fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
@@ -109,7 +109,7 @@
     /// Resources reserved for a gang are open to tasks that end before the gang can start. The last
     /// of the gang's workers may become available seconds later, and the others would be idle until
     /// then.
-    pub(super) fn claimed(&self, no: WorkerNo, requester: &Requester) -> Size {
+    pub(super) fn unavailable(&self, no: WorkerNo, requester: &Requester) -> Size {
         let holds = |c: &&Reservation| {
             let mine = c.gang == *requester.key;
             let behind =
@@ -124,18 +124,18 @@
     }
 
     /// The resources of a worker that are withheld for earlier steps other than gangs.
-    pub(super) fn kept(&self, no: WorkerNo) -> Size {
+    pub(super) fn withheld(&self, no: WorkerNo) -> Size {
         self.withheld[no.0]
     }
 
     /// The resources of a worker that are withheld or reserved for any step.
-    pub(super) fn all_claims(&self, no: WorkerNo) -> Size {
+    pub(super) fn all_withheld(&self, no: WorkerNo) -> Size {
         self.reservations[no.0].iter().fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
 
     /// Whether one more step may search beyond the free resources. Long-running steps get at most
     /// half of the searches.
-    pub(super) fn try_more(&mut self, lasts: bool) -> bool {
+    pub(super) fn try_deep_search(&mut self, lasts: bool) -> bool {
         if lasts && self.deep_searches.1 >= MAX_DEEP_SEARCHES / 2 {
             return false;
         }
@@ -150,9 +150,14 @@
     }
 
     /// Adds the reservation of a gang.
-    pub(super) fn add_reservation(&mut self, gang: &StepKey, reserve: &Reserve, passed: bool) {
-        let Reserve { size, priority, at, .. } = *reserve;
-        for (no, n) in &reserve.each {
+    pub(super) fn add_reservation(
+        &mut self,
+        gang: &StepKey,
+        reserve: &GangReservation,
+        passed: bool,
+    ) {
+        let GangReservation { size, priority, ready_at: at, .. } = *reserve;
+        for (no, n) in &reserve.members {
             let claims = &mut self.reservations[no.0];
             claims.retain(|c| c.gang != *gang);
             let size = size.times((*n).into());
@@ -161,8 +166,13 @@
     }
 
     /// Ends a gang's turn, replacing its former reservation by the new one.
-    pub(super) fn end_turn(&mut self, gang: &StepKey, old: Option<Reserve>, new: Option<&Reserve>) {
-        for (no, _) in old.iter().flat_map(|r| &r.each) {
+    pub(super) fn end_turn(
+        &mut self,
+        gang: &StepKey,
+        old: Option<GangReservation>,
+        new: Option<&GangReservation>,
+    ) {
+        for (no, _) in old.iter().flat_map(|r| &r.members) {
             self.reservations[no.0].retain(|c| c.gang != *gang);
         }
         if let Some(new) = new {
--- a/src/shard/copy.rs
+++ b/src/shard/speculation.rs
@@ -4,13 +4,13 @@
 use {
     crate::{
         decide::{
-            copies::{Runner, SIBLINGS, most, worth},
-            fit::best,
-            sound::Verdict,
+            copies::{Candidate, MIN_SIBLINGS, copy_worthwhile, max_copies},
+            fit::best_room,
+            health::Verdict,
         },
         shard::{
-            jobs::At,
-            machine::Shard,
+            jobs::Placement,
+            state_machine::Shard,
             workers::{Phase, WorkerNo, millis},
         },
         time::Time,
@@ -25,14 +25,14 @@
 
 impl Shard {
     /// Starts copies of slow tasks on room that nothing waits for.
-    pub(super) fn copy(&mut self, now: Time) {
+    pub(super) fn start_copies(&mut self, now: Time) {
         if !self.may_act(now) {
             return;
         }
         let copyable = |s: &Step| s.copies && !s.gang && !s.lasts && !s.fills;
         let mut all = vec![];
-        for (no, job) in self.jobs.iter().filter(|(_, j)| !j.state.over()) {
-            for (time, step) in job.parts.keys() {
+        for (no, job) in self.jobs.iter().filter(|(_, j)| !j.state.is_final()) {
+            for (time, step) in job.step_states.keys() {
                 let key = StepKey { job: *no, time: *time, step: *step };
                 if job.step(&key).is_some_and(copyable) {
                     all.push(key);
@@ -54,18 +54,18 @@
         let key = &task.step;
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let Some(step) = job.step(key).filter(|s| s.copies) else { return false };
-        let Some(part) = job.parts.get(&(key.time, key.step)) else { return false };
+        let Some(part) = job.step_states.get(&(key.time, key.step)) else { return false };
         let Some(t) = part.tasks.get(task.index as usize) else { return false };
-        let Some(expected) = part.expected(SIBLINGS) else { return false };
+        let Some(expected) = part.expected_duration(MIN_SIBLINGS) else { return false };
         match t.copy {
             Some((at, _)) if at == no => false,
             Some((at, _)) => {
-                let began = self.workers[at.0].runs.get(task).map(|r| r.began);
+                let began = self.workers[at.0].runs.get(task).map(|r| r.started_at);
                 began.is_some_and(|b| now - b < expected * MAX_COPY_FACTOR)
             }
             None => {
                 let copies = part.tasks.iter().filter(|t| t.copy.is_some()).count();
-                let few = copies < most(step.count) as usize;
+                let few = copies < max_copies(step.count) as usize;
                 part.waiting == 0 && few && self.spare_worker(task, step, no, now).is_some()
             }
         }
@@ -74,15 +74,20 @@
     fn start_step_copies(&mut self, key: &StepKey, now: Time) {
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key).cloned() else { return };
-        let Some(part) = job.parts.get(&(key.time, key.step)) else { return };
-        let Some(expected) = part.expected(SIBLINGS).filter(|_| part.waiting == 0) else { return };
+        let Some(part) = job.step_states.get(&(key.time, key.step)) else { return };
+        let Some(expected) = part.expected_duration(MIN_SIBLINGS).filter(|_| part.waiting == 0)
+        else {
+            return;
+        };
         let copies = part.tasks.iter().filter(|t| t.copy.is_some()).count();
-        let allowed = most(step.count).saturating_sub(u32::try_from(copies).unwrap_or(u32::MAX));
+        let allowed =
+            max_copies(step.count).saturating_sub(u32::try_from(copies).unwrap_or(u32::MAX));
         let mut slow: Vec<(Duration, TaskKey, WorkerNo)> = vec![];
         for (index, task) in (0..).zip(&part.tasks) {
             let key = TaskKey { step: *key, index };
             // A copy of a task that has crashed its worker could crash another worker.
-            if let (At::There(at), None, []) = (task.at, task.copy, &task.crashes[..])
+            if let (Placement::Assigned(at), None, []) =
+                (task.placement, task.copy, &task.crashed_runs[..])
                 && let Some(needs) = self.remaining_if_slow(&key, at, expected, now)
             {
                 slow.push((needs, key, at));
@@ -106,8 +111,16 @@
     ) -> Option<Duration> {
         let run = self.workers[at.0].runs.get(task).filter(|r| r.phase == Phase::Running)?;
         let (from, done) = run.percent;
-        let saved = if run.saved.is_empty() { 0 } else { done };
-        worth(Runner { ran: now - run.began, from, done, saved }, expected)
+        let saved = if run.checkpoint.is_empty() { 0 } else { done };
+        copy_worthwhile(
+            Candidate {
+                elapsed: now - run.started_at,
+                initial_percent: from,
+                percent: done,
+                saved_percent: saved,
+            },
+            expected,
+        )
     }
 
     /// A sound worker with room that nothing waits for, other than the worker of the first run.
@@ -120,24 +133,24 @@
     ) -> Option<WorkerNo> {
         let key = &task.step;
         let job = self.jobs.get(&key.job)?;
-        let queue = self.known.get(&job.queue)?;
+        let queue = self.queue_configs.get(&job.queue)?;
         let all = self.pools.get(&queue.pool)?;
-        if !self.quiet(all) {
+        if !self.is_underused(all) {
             return None;
         }
-        let tickets = &job.parts.get(&(key.time, key.step))?.tickets;
+        let tickets = &job.step_states.get(&(key.time, key.step))?.tickets;
         let open = |no: &&WorkerNo| {
             let w = &self.workers[no.0];
-            let valid = || tickets.good.get(*no).is_some_and(|t| t.1 > now);
+            let valid = || tickets.eligible.get(*no).is_some_and(|t| t.1 > now);
             **no != beside
                 && w.usable(now)
-                && w.sound.verdict(now) == Verdict::Sound
+                && w.health.verdict(now) == Verdict::Sound
                 && !w.runs.contains_key(task)
                 && (queue.advice.is_none() || valid())
         };
         let rooms: Vec<_> =
             all.iter().filter(open).filter_map(|no| self.room(*no, key, step, now)).collect();
-        best(step, &rooms).map(|i| WorkerNo(rooms[i].index))
+        best_room(step, &rooms).map(|i| WorkerNo(rooms[i].index))
     }
 
     fn start_copy(
@@ -148,14 +161,14 @@
         step: &Step,
         now: Time,
     ) {
-        let saved = self.workers[beside.0].runs.get(&task).map(|r| r.saved.clone());
+        let saved = self.workers[beside.0].runs.get(&task).map(|r| r.checkpoint.clone());
         let Some(t) = self.jobs.get_mut(&task.step.job).and_then(|j| j.task(&task)) else { return };
-        let saved = saved.filter(|s| !s.is_empty()).unwrap_or_else(|| t.saved.clone());
-        let run = t.last() + 1;
+        let saved = saved.filter(|s| !s.is_empty()).unwrap_or_else(|| t.checkpoint.clone());
+        let run = t.last_run() + 1;
         if self.launch(task, to, run, step, saved, now)
             && let Some(t) = self.jobs.get_mut(&task.step.job).and_then(|j| j.task(&task))
         {
-            (t.copy, t.top) = (Some((to, run)), run);
+            (t.copy, t.last_copy) = (Some((to, run)), run);
         }
     }
 
@@ -167,8 +180,8 @@
         };
         let all: Vec<usize> = (0..self.workers.len()).filter(running).collect();
         for no in all.into_iter().map(WorkerNo) {
-            self.tell_stop(no, task, "another run was first");
-            self.stop(no, task, now);
+            self.log_stop(no, task, "another run was first");
+            self.stop_run(no, task, now);
         }
     }
 }
