--- a/src/shard/machine.rs
+++ b/src/shard/state_machine.rs
@@ -3,21 +3,21 @@
 
 use {
     crate::{
-        decide::{gather::Share, lanes::Lanes, rank::Rank, turns::Turns},
+        decide::{gather::AdviceShare, lanes::Lanes, rank::Rank, turns::AdviceTurns},
         ids::{Incarnation, PoolId, WorkerId},
         ports::Bounds,
         shard::{
-            commit::{After, Commit},
-            event::{Event, Load, Order},
-            flight::Flight,
-            jobs::{Active, Part},
+            commit::{Commit, Outcome},
+            event::{Event, Order, Snapshot},
+            in_flight::InFlight,
+            jobs::{ActiveJob, StepState},
             record::{Closing, Progress, ShardNo},
-            reserve::Reserve,
-            tally::{AdviceStats, Reported, Tally},
+            reservation::GangReservation,
+            stats::{AdviceStats, Reported, Stats},
             workers::{Worker, WorkerNo, millis},
         },
         time::Time,
-        work::{JobNo, Queue, Queues, State, StepKey, TaskKey},
+        work::{JobNo, Queue, QueueConfig, State, StepKey, TaskKey},
     },
     rustc_hash::{FxHashMap, FxHashSet},
     std::{
@@ -44,32 +44,32 @@
     /// The shard.
     pub shard: ShardNo,
     /// The member that owns the shard.
-    pub me: Incarnation,
+    pub member: Incarnation,
     /// The owner's token, which is higher than that of any earlier owner.
     pub token: u64,
     /// The time bounds of this deployment.
     pub bounds: Bounds,
     /// The Unix time at [`Time::ZERO`], in milliseconds.
-    pub unix: u64,
+    pub unix_ms: u64,
 }
 
 /// The state of one shard at the member that owns it.
 pub struct Shard {
     pub(super) setup: Setup,
-    pub(super) queues: Arc<Queues>,
+    pub(super) queues: Arc<QueueConfig>,
     /// The latest configuration of each queue that ever existed, since jobs outlive their queue.
-    pub(super) known: FxHashMap<Box<str>, Queue>,
+    pub(super) queue_configs: FxHashMap<Box<str>, Queue>,
     /// For each queue, the settings stored with its most recent job, and the time at which that job
     /// arrived (Unix milliseconds).
-    pub(super) terms: FxHashMap<Box<str>, (u64, Box<Queue>)>,
-    pub(super) jobs: FxHashMap<JobNo, Active>,
+    pub(super) queue_snapshots: FxHashMap<Box<str>, (u64, Box<Queue>)>,
+    pub(super) jobs: FxHashMap<JobNo, ActiveJob>,
     /// Jobs whose end is stored, with their final state.
-    pub(super) over: FxHashMap<JobNo, State>,
+    pub(super) finished: FxHashMap<JobNo, State>,
     /// Finished jobs by the Unix time in milliseconds at which their progress may be removed.
-    pub(super) purge: VecDeque<(u64, JobNo)>,
-    pub(super) timed: BTreeSet<JobNo>,
+    pub(super) purge_queue: VecDeque<(u64, JobNo)>,
+    pub(super) scheduled: BTreeSet<JobNo>,
     /// Cancelled jobs whose record has not arrived yet.
-    pub(super) early: FxHashSet<JobNo>,
+    pub(super) early_cancels: FxHashSet<JobNo>,
     pub(super) workers: Vec<Worker>,
     pub(super) ids: FxHashMap<WorkerId, WorkerNo>,
     pub(super) pools: FxHashMap<PoolId, Vec<WorkerNo>>,
@@ -78,47 +78,47 @@
     /// Tasks that have an extra run, not the current one, which is being stopped.
     pub(super) strays: FxHashSet<TaskKey>,
     /// When this owner took the shard over.
-    pub(super) begun: Time,
+    pub(super) owned_since: Time,
     /// When most workers of the roster had first answered this owner.
-    pub(super) most: Option<Time>,
+    pub(super) majority_at: Option<Time>,
     /// Whether the former owner's lease had ended, or the shard had been released, when this owner
     /// took over.
-    pub(super) lapsed: bool,
+    pub(super) former_lapsed: bool,
     /// The ready steps in the order of their ranks.
     pub(super) ready: BTreeSet<(Rank, StepKey)>,
     /// The rank of each ready step.
     pub(super) ranks: FxHashMap<StepKey, Rank>,
     /// Whether something has changed that may let a step start.
-    pub(super) stir: bool,
+    pub(super) round_due: bool,
     /// Resources reserved for gangs until they start.
-    pub(super) reserved: BTreeMap<StepKey, Reserve>,
+    pub(super) reservations: BTreeMap<StepKey, GangReservation>,
     /// For each queue, the share of the named workers that advice has approved.
-    pub(super) shares: FxHashMap<Box<str>, Share>,
+    pub(super) advice_shares: FxHashMap<Box<str>, AdviceShare>,
     /// Advice calls per queue, for the log only.
-    pub(super) asked: BTreeMap<Box<str>, AdviceStats>,
+    pub(super) advice_stats: BTreeMap<Box<str>, AdviceStats>,
     /// No dispatch before this time.
-    pub(super) next: Time,
+    pub(super) next_round: Time,
     pub(super) lanes: Lanes,
-    pub(super) turns: Turns,
+    pub(super) turns: AdviceTurns,
     pub(super) commit: Commit,
     /// The sequence number of the last change to a job.
     pub(super) last_change: u64,
     /// Jobs with changes that have not been written.
     pub(super) dirty_jobs: VecDeque<JobNo>,
     /// Whether the roster has to be written.
-    pub(super) roster: bool,
+    pub(super) roster_dirty: bool,
     /// The contents of the write in progress.
-    pub(super) in_flight: Flight,
+    pub(super) in_flight: InFlight,
     /// When the last lease renewal that the store has confirmed was sent.
-    pub(super) confirmed: Time,
+    pub(super) confirmed_at: Time,
     /// Orders that the next round returns.
-    pub(super) out: Vec<Order>,
-    pub(super) told: Reported,
+    pub(super) orders: Vec<Order>,
+    pub(super) reported: Reported,
     pub(super) closing: Arc<Closing>,
-    pub(super) tally: Tally,
+    pub(super) stats: Stats,
     deposed: bool,
     /// When the platform's VM list may be read again; `None` while a read is in progress.
-    pub(super) census: Option<Time>,
+    pub(super) next_vm_list: Option<Time>,
     next_rerank: Time,
     next_check: Time,
     next_summary: Time,
@@ -126,48 +126,48 @@
 
 impl Shard {
     /// Builds the shard's state from the records that its new owner has read.
-    pub fn new(setup: Setup, load: Load, now: Time) -> Self {
-        let commit = Commit::new(load.commit);
+    pub fn new(setup: Setup, load: Snapshot, now: Time) -> Self {
+        let commit = Commit::new(load.commit_revision);
         let mut shard = Shard {
             setup,
             queues: Arc::default(),
-            known: FxHashMap::default(),
-            terms: FxHashMap::default(),
+            queue_configs: FxHashMap::default(),
+            queue_snapshots: FxHashMap::default(),
             jobs: FxHashMap::default(),
-            over: FxHashMap::default(),
-            purge: VecDeque::new(),
-            timed: BTreeSet::new(),
-            early: FxHashSet::default(),
+            finished: FxHashMap::default(),
+            purge_queue: VecDeque::new(),
+            scheduled: BTreeSet::new(),
+            early_cancels: FxHashSet::default(),
             workers: vec![],
             ids: FxHashMap::default(),
             pools: FxHashMap::default(),
             unsettled: FxHashSet::default(),
             strays: FxHashSet::default(),
-            begun: now,
-            most: None,
-            lapsed: load.lapsed,
+            owned_since: now,
+            majority_at: None,
+            former_lapsed: load.lapsed,
             ready: BTreeSet::new(),
             ranks: FxHashMap::default(),
-            stir: true,
-            reserved: BTreeMap::new(),
-            shares: FxHashMap::default(),
-            asked: BTreeMap::new(),
-            next: now,
+            round_due: true,
+            reservations: BTreeMap::new(),
+            advice_shares: FxHashMap::default(),
+            advice_stats: BTreeMap::new(),
+            next_round: now,
             lanes: Lanes::new(),
-            turns: Turns::new(),
+            turns: AdviceTurns::new(),
             commit,
             last_change: 0,
             dirty_jobs: VecDeque::new(),
-            roster: false,
-            in_flight: Flight::default(),
+            roster_dirty: false,
+            in_flight: InFlight::default(),
             // The store may not have confirmed the lease since the shard was taken over.
-            confirmed: Time::ZERO,
-            out: vec![],
-            told: Reported::new(now),
+            confirmed_at: Time::ZERO,
+            orders: vec![],
+            reported: Reported::new(now),
             closing: Arc::default(),
-            tally: Tally::default(),
+            stats: Stats::default(),
             deposed: false,
-            census: Some(now),
+            next_vm_list: Some(now),
             next_rerank: now,
             next_check: now,
             next_summary: now,
@@ -176,22 +176,22 @@
         shard
     }
 
-    fn load(&mut self, load: Load, now: Time) {
+    fn load(&mut self, load: Snapshot, now: Time) {
         for (id, addr) in load.roster.workers {
-            let no = self.worker(&id, addr, now);
+            let no = self.worker_no(&id, addr, now);
             self.workers[no.0].rostered = true;
             self.unsettled.insert(no);
         }
         let progress: FxHashMap<JobNo, Progress> = load.progress.into_iter().collect();
         for (no, p) in &progress {
-            if p.state.over() {
-                self.over.insert(*no, p.state);
-                self.purge.push_back((p.over + self.kept(), *no));
+            if p.state.is_final() {
+                self.finished.insert(*no, p.state);
+                self.purge_queue.push_back((p.over + self.retention_ms(), *no));
             }
         }
-        self.purge.make_contiguous().sort_unstable();
+        self.purge_queue.make_contiguous().sort_unstable();
         for (no, record) in load.jobs {
-            if !self.over.contains_key(&no) {
+            if !self.finished.contains_key(&no) {
                 self.admit(no, record, progress.get(&no), true, now);
             }
         }
@@ -201,19 +201,19 @@
     }
 
     /// Applies one event and returns the resulting orders.
-    pub fn on(&mut self, event: Event, now: Time) -> Vec<Order> {
-        self.take(event, now);
-        self.round(now)
+    pub fn handle(&mut self, event: Event, now: Time) -> Vec<Order> {
+        self.apply(event, now);
+        self.run_round(now)
     }
 
-    /// Applies one event. Its orders are returned by the next [`Self::round`].
-    pub fn take(&mut self, event: Event, now: Time) {
+    /// Applies one event. Its orders are returned by the next [`Self::run_round`].
+    pub fn apply(&mut self, event: Event, now: Time) {
         if self.deposed {
             return;
         }
         match event {
             Event::Job(no, record) => {
-                if !self.jobs.contains_key(&no) && !self.over.contains_key(&no) {
+                if !self.jobs.contains_key(&no) && !self.finished.contains_key(&no) {
                     self.admit(no, *record, None, false, now);
                 }
             }
@@ -221,26 +221,28 @@
                 log::info!(target: "shard", did = "cancelled", job:% = no, known = self.jobs.contains_key(&no); "Cancel of a job was received.");
                 self.cancel(no, now);
             }
-            Event::Listed(list) => self.list(list, now),
+            Event::Listed(list) => self.on_list(list, now),
             Event::Queues(queues) => self.configure(queues, now),
             Event::Worker { worker, sent, call, reply } => {
-                self.hear(&worker, sent, *call, reply, now);
+                self.on_worker_reply(&worker, sent, *call, reply, now);
+            }
+            Event::Advised { call, via, sent, reply } => {
+                self.on_advice(*call, via, sent, reply, now)
             }
-            Event::Advised { call, via, sent, reply } => self.advised(*call, via, sent, reply, now),
             Event::Stored(number, reply) => {
-                let after = self.commit.stored(number, &reply, now);
+                let after = self.commit.on_reply(number, &reply, now);
                 self.after_write(after, now);
             }
-            Event::Reread(row) => {
-                let after = self.commit.reread(row, self.setup.token, now);
+            Event::CommitRead(row) => {
+                let after = self.commit.on_reread(row, self.setup.token, now);
                 self.after_write(after, now);
             }
-            Event::Lives { sent, reply } => self.lives(sent, reply, now),
-            Event::Confirmed(sent) => self.confirm(sent, now),
+            Event::Machines { sent, reply } => self.on_machines(sent, reply, now),
+            Event::Confirmed(sent) => self.on_confirmed(sent, now),
             Event::Peers(mut peers) => {
                 // This member comes first: its own calls need no hop to another member.
-                peers.own.sort_by_key(|p| *p != self.setup.me);
-                self.lanes.members(&peers);
+                peers.own.sort_by_key(|p| *p != self.setup.member);
+                self.lanes.set_members(&peers);
             }
             Event::Closing(closing) => self.close_workers(&closing),
             Event::Tick => self.tick(now),
@@ -252,29 +254,29 @@
     /// A round examines each waiting step and each worker. With one round per event, an owner that
     /// receives hundreds of answers a second would fall behind as soon as much work waits. So all
     /// events that have arrived since the last round share one round.
-    pub fn round(&mut self, now: Time) -> Vec<Order> {
+    pub fn run_round(&mut self, now: Time) -> Vec<Order> {
         if self.deposed {
-            return mem::take(&mut self.out);
+            return mem::take(&mut self.orders);
         }
         self.dispatch(now);
         self.flush(now);
         self.send_holds(now);
-        mem::take(&mut self.out)
+        mem::take(&mut self.orders)
     }
 
     fn tick(&mut self, now: Time) {
         if self.next_check <= now {
             self.next_check = now + CHECK_INTERVAL;
-            for no in self.timed.clone() {
-                self.unfold(no, now);
+            for no in self.scheduled.clone() {
+                self.create_due_steps(no, now);
             }
-            self.expire(now);
+            self.expire_leases(now);
             self.repeat_stops(now);
-            self.leave(now);
-            self.empty(now);
+            self.vacate_leaving(now);
+            self.empty_closing(now);
             self.settle(now);
-            self.doubt(now);
-            self.foresee(now);
+            self.query_machines(now);
+            self.prefetch_advice(now);
             self.check_purge(now);
             self.log_workers(now);
         }
@@ -285,61 +287,62 @@
         if self.next_rerank <= now {
             self.next_rerank = now + RERANK_INTERVAL;
             self.rerank_ready(now);
-            self.copy(now);
-            self.stir = true;
+            self.start_copies(now);
+            self.round_due = true;
         }
-        if self.commit.unclear(now) {
-            self.out.push(Order::Reread);
+        if self.commit.begin_reread(now) {
+            self.orders.push(Order::ReadCommit);
         }
     }
 
-    fn after_write(&mut self, after: After, now: Time) {
+    fn after_write(&mut self, after: Outcome, now: Time) {
         match after {
-            After::Nothing => {}
-            After::Done => self.on_stored(now),
-            After::Again => {
+            Outcome::Nothing => {}
+            Outcome::Done => self.on_stored(now),
+            Outcome::Retry => {
                 log::info!(target: "shard", shard:% = self.setup.shard; "Write was not done; it is made again.");
                 self.on_write_failed();
             }
-            After::Reread => {
+            Outcome::Reread => {
                 log::info!(target: "shard", shard:% = self.setup.shard; "Write has an unclear outcome; the commit row is read.");
-                self.out.push(Order::Reread);
+                self.orders.push(Order::ReadCommit);
             }
-            After::Deposed => self.depose(),
+            Outcome::Deposed => self.depose(),
         }
     }
 
     /// The state of a job as far as it is stored. Returns `None` if the job is unknown here, or if
     /// another owner may have a newer state.
     pub fn state(&self, no: JobNo, now: Time) -> Option<State> {
-        self.known_state(no).filter(|s| s.over() || self.may_tell(now))
+        self.owner_state(no).filter(|s| s.is_final() || self.may_tell(now))
     }
 
     /// Like [`Shard::state`], for a member whose own table shows that it owns the shard.
-    pub fn known_state(&self, no: JobNo) -> Option<State> {
-        match (self.over.get(&no), self.jobs.get(&no)) {
+    pub fn owner_state(&self, no: JobNo) -> Option<State> {
+        match (self.finished.get(&no), self.jobs.get(&no)) {
             // This state is stored, so it holds under any owner.
             (Some(over), _) => Some(*over),
             // The end is not stored yet: after a power failure the job would run again.
-            (None, Some(job)) if job.state.over() => Some(State::Running),
+            (None, Some(job)) if job.state.is_final() => Some(State::Running),
             (None, job) => job.map(|j| j.state),
         }
     }
 
     /// Number of jobs of a queue that have not started.
-    pub fn waiting(&self, queue: &str) -> u64 {
-        let begun =
-            |j: &&Active| *j.queue == *queue && j.state == State::Queued && j.job.times.is_none();
+    pub fn queued_jobs(&self, queue: &str) -> u64 {
+        let begun = |j: &&ActiveJob| {
+            *j.queue == *queue && j.state == State::Queued && j.job.times.is_none()
+        };
         self.jobs.values().filter(begun).count() as u64
     }
 
     /// Whether every change is stored.
-    pub fn idle_commit(&self) -> bool {
+    pub fn is_flushed(&self) -> bool {
         self.deposed || (self.dirty_jobs.is_empty() && !self.commit.busy())
     }
 
     /// Number of jobs whose current state may not be stored yet.
-    pub fn unwritten(&self) -> usize {
+    pub fn unwritten_jobs(&self) -> usize {
         self.dirty_jobs.len() + self.in_flight.jobs.len()
     }
 
@@ -348,54 +351,54 @@
     ///
     /// The release must call this repeatedly: writes are spaced by a minimum interval, and an
     /// answer that arrives within that interval does not begin the next write.
-    pub fn write_rest(&mut self, now: Time) -> Vec<Order> {
+    pub fn flush_rest(&mut self, now: Time) -> Vec<Order> {
         if self.deposed {
             return vec![];
         }
-        if self.commit.unclear(now) {
-            self.out.push(Order::Reread);
+        if self.commit.begin_reread(now) {
+            self.orders.push(Order::ReadCommit);
         }
         self.begin_write(true, now);
-        mem::take(&mut self.out)
+        mem::take(&mut self.orders)
     }
 
     /// The state of a step in one occurrence, once that occurrence is due.
-    pub(super) fn part(&self, key: &StepKey) -> Option<&Part> {
-        self.jobs.get(&key.job)?.parts.get(&(key.time, key.step))
+    pub(super) fn step_state(&self, key: &StepKey) -> Option<&StepState> {
+        self.jobs.get(&key.job)?.step_states.get(&(key.time, key.step))
     }
 
     /// The given time in milliseconds of the Unix clock.
-    pub(super) fn unix(&self, now: Time) -> u64 {
-        self.setup.unix + millis(now - Time::ZERO)
+    pub(super) fn unix_ms(&self, now: Time) -> u64 {
+        self.setup.unix_ms + millis(now - Time::ZERO)
     }
 
-    pub(super) fn kept(&self) -> u64 {
-        millis(self.setup.bounds.keep) + EXTRA_KEEP_MS
+    pub(super) fn retention_ms(&self) -> u64 {
+        millis(self.setup.bounds.state_retention) + EXTRA_KEEP_MS
     }
 
     /// Stops this owner for good: another owner has a higher token, so this state no longer counts.
     pub(super) fn depose(&mut self) {
         log::warn!(target: "shard", did = "deposed", shard:% = self.setup.shard, token = self.setup.token; "Shard has another owner.");
         self.deposed = true;
-        self.out.clear();
-        self.out.push(Order::Deposed);
+        self.orders.clear();
+        self.orders.push(Order::Deposed);
     }
 
     /// Marks a job as changed so that it is stored; returns the sequence number of the change.
-    pub(super) fn touch(&mut self, no: JobNo) -> u64 {
+    pub(super) fn mark_changed(&mut self, no: JobNo) -> u64 {
         self.last_change += 1;
         if let Some(job) = self.jobs.get_mut(&no) {
-            if job.changed <= job.stored {
+            if job.changed_seq <= job.stored_seq {
                 self.dirty_jobs.push_back(no);
             }
-            job.changed = self.last_change;
+            job.changed_seq = self.last_change;
         }
         self.last_change
     }
 
     /// Whether this run is a current run of a task, at this worker, of a job that is not over.
-    pub(super) fn at(&mut self, task: &crate::work::TaskKey, no: WorkerNo, run: u32) -> bool {
+    pub(super) fn has_run(&mut self, task: &crate::work::TaskKey, no: WorkerNo, run: u32) -> bool {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return false };
-        job.task(task).is_some_and(|t| t.has(no, run))
+        job.task(task).is_some_and(|t| t.has_run(no, run))
     }
 }
--- a/src/shard/lapse.rs
+++ b/src/shard/worker_loss.rs
@@ -6,8 +6,8 @@
         ports::Fault,
         shard::{
             event::Order,
-            machine::Shard,
-            orders::ORDER,
+            orders::ORDER_TIMEOUT,
+            state_machine::Shard,
             workers::{Phase, Worker, WorkerNo},
         },
         time::Time,
@@ -28,32 +28,32 @@
         log::info!(target: "shard", worker:% = self.workers[no.0].id, runs = self.workers[no.0].runs.len(); "Worker is over.");
         let suspects = self.suspect_runs(no);
         self.workers[no.0].gone = true;
-        self.roster = true;
+        self.roster_dirty = true;
         self.forget_runs(no, now);
         for (task, run) in suspects {
             self.count_crash(&task, run, now);
         }
-        self.workers[no.0].pending.clear();
+        self.workers[no.0].unstored_ends.clear();
     }
 
     fn forget_runs(&mut self, no: WorkerNo, now: Time) {
         let all: Vec<_> = self.workers[no.0].runs.iter().map(|(t, r)| (*t, r.run)).collect();
         for (task, run) in all {
-            self.lost(no, &task, run, now);
+            self.on_run_lost(no, &task, run, now);
         }
     }
 
     /// Requests the list of machines while a worker on which something may run is silent.
-    pub(super) fn doubt(&mut self, now: Time) {
+    pub(super) fn query_machines(&mut self, now: Time) {
         let (unsettled, workers) = (&self.unsettled, &self.workers);
         let unconfirmed = |n: usize, w: &Worker| {
             let counts = !w.runs.is_empty() || unsettled.contains(&WorkerNo(n));
-            !w.gone && counts && w.silent > 0
+            !w.gone && counts && w.unanswered_calls > 0
         };
-        let due = self.census.is_some_and(|t| t <= now);
+        let due = self.next_vm_list.is_some_and(|t| t <= now);
         if due && workers.iter().enumerate().any(|(n, w)| unconfirmed(n, w)) {
-            self.census = None;
-            self.out.push(Order::Lives);
+            self.next_vm_list = None;
+            self.orders.push(Order::ReadMachines);
         }
     }
 
@@ -62,8 +62,13 @@
     /// A silent worker has ended if two readings at least `MACHINE_LIST_LAG` apart lack it, and its
     /// tasks need not wait for its lease to expire. A worker that is merely cut off and keeps
     /// running is on the list. A new worker may not be on the list yet, but it answers.
-    pub(super) fn lives(&mut self, sent: Time, reply: Result<Vec<WorkerId>, Fault>, now: Time) {
-        self.census = Some(now + READ_INTERVAL);
+    pub(super) fn on_machines(
+        &mut self,
+        sent: Time,
+        reply: Result<Vec<WorkerId>, Fault>,
+        now: Time,
+    ) {
+        self.next_vm_list = Some(now + READ_INTERVAL);
         let Ok(ids) = reply else { return };
         let listed: FxHashSet<&WorkerId> = ids.iter().collect();
         for no in (0..self.workers.len()).map(WorkerNo) {
@@ -71,30 +76,30 @@
             if worker.gone {
                 continue;
             }
-            if listed.contains(&worker.id) || worker.silent == 0 {
-                worker.missed = None;
-            } else if sent - *worker.missed.get_or_insert(sent) >= MACHINE_LIST_LAG {
+            if listed.contains(&worker.id) || worker.unanswered_calls == 0 {
+                worker.missing_since = None;
+            } else if sent - *worker.missing_since.get_or_insert(sent) >= MACHINE_LIST_LAG {
                 self.end_worker(no, now);
             }
         }
     }
 
     /// Forgets the runs of workers whose leases have expired.
-    pub(super) fn expire(&mut self, now: Time) {
+    pub(super) fn expire_leases(&mut self, now: Time) {
         for no in (0..self.workers.len()).map(WorkerNo) {
             let w = &self.workers[no.0];
-            if w.gone || w.lapse(&self.setup.bounds) > now {
+            if w.gone || w.lease_end(&self.setup.bounds) > now {
                 continue;
             }
             if !w.runs.is_empty() {
-                log::info!(target: "shard", worker:% = w.id, runs = w.runs.len(), silent = w.silent; "Worker has lapsed.");
+                log::info!(target: "shard", worker:% = w.id, runs = w.runs.len(), silent = w.unanswered_calls; "Worker has lapsed.");
                 self.forget_runs(no, now);
             }
             let w = &mut self.workers[no.0];
-            let lost = w.listed.is_none() && w.silent > 3;
+            let lost = w.listed.is_none() && w.unanswered_calls > 3;
             if lost && !self.unsettled.contains(&no) {
                 w.gone = true;
-                self.roster = true;
+                self.roster_dirty = true;
             }
         }
     }
@@ -106,13 +111,13 @@
     /// Guards against long-running tasks that are stopped although their worker stays for another
     /// half minute: other workers may be full or being emptied, and a task that was stopped serves
     /// nobody.
-    pub(super) fn leave(&mut self, now: Time) {
+    pub(super) fn vacate_leaving(&mut self, now: Time) {
         let (mut stops, mut allocated) = (vec![], vec![]);
         // Whether there was room for the last task of each step that was examined.
         let mut has_room: FxHashMap<StepKey, bool> = FxHashMap::default();
         for (n, w) in self.workers.iter().enumerate().filter(|(_, w)| !w.gone) {
-            let Some(end) = w.leaving else { continue };
-            let last = end - (self.setup.bounds.stop + ORDER);
+            let Some(end) = w.leaves_at else { continue };
+            let last = end - (self.setup.bounds.stop_time + ORDER_TIMEOUT);
             for (task, _) in w.runs.iter().filter(|(_, r)| r.phase == Phase::Running) {
                 let step = &task.step;
                 let more = match has_room.get(step) {
@@ -120,7 +125,7 @@
                     Some(true) => 1,
                     Some(false) => 0,
                 };
-                if self.lasts(task) && more > 0 {
+                if self.is_long_running(task) && more > 0 {
                     has_room.insert(*step, self.allocate_room(step, more, &mut allocated, now));
                 }
                 if last <= now || has_room.get(step) == Some(&true) {
@@ -129,8 +134,8 @@
             }
         }
         for (no, task) in stops {
-            self.tell_stop(no, &task, "worker leaves");
-            self.stop(no, &task, now);
+            self.log_stop(no, &task, "worker leaves");
+            self.stop_run(no, &task, now);
         }
     }
 }
--- a/src/shard/workers.rs
+++ b/src/shard/workers.rs
@@ -2,26 +2,26 @@
 
 use {
     crate::{
-        decide::{crash::SETTLED, pace::Pace, sound::Sound},
+        decide::{crash::SETTLE_TIME, health::WorkerHealth, pace::Pace},
         ids::{PoolId, WorkerId},
         ports::{Bounds, Row},
-        shard::record::Turn,
+        shard::record::UpkeepTurn,
         time::Time,
         units::Size,
-        work::{JobNo, Listed, TaskKey},
+        work::{JobNo, ListedWorker, TaskKey},
     },
     rustc_hash::FxHashMap,
     std::{collections::VecDeque, net::SocketAddr, time::Duration},
 };
 
 /// The lowest rate at which a worker's clock may run, relative to the owner's.
-pub const SLOW: f64 = 0.98;
+pub const MIN_CLOCK_RATE: f64 = 0.98;
 /// Added to a bound on another machine's clock, for network delay and rounding.
-pub const MARGIN: Duration = Duration::from_millis(250);
+pub const CLOCK_MARGIN: Duration = Duration::from_millis(250);
 /// From this percentage of its work on, a long-running task counts as running.
-pub const AT_WORK: u8 = 100;
+pub const AT_WORK_PERCENT: u8 = 100;
 /// The pace at which a run begins, in percent.
-pub const FULL: u8 = 100;
+pub const FULL_PACE_PERCENT: u8 = 100;
 /// Leases are requested shorter than the bound by this much, so that a worker never truncates them.
 const LEASE_MARGIN: Duration = Duration::from_millis(200);
 /// The longest lease that is requested: the time for which a long-running task may be away. If
@@ -53,45 +53,45 @@
     /// The resources that it uses.
     pub size: Size,
     /// Whether the resources that it uses are unknown.
-    pub blind: bool,
+    pub size_unknown: bool,
     /// What is known of it.
     pub phase: Phase,
     /// When the last order for this run was sent.
-    pub sent: Time,
+    pub sent_at: Time,
     /// From this time on, an answer that does not list the run shows that it is gone.
-    pub known: Option<Time>,
+    pub listed_from: Option<Time>,
     /// Whether the worker has reported it as running.
-    pub ran: bool,
+    pub was_seen: bool,
     /// Whether the worker has reported it so long after its start that the start cannot have
     /// crashed the worker.
     pub settled: bool,
     /// Whether another worker has crashed while it ran this task.
-    pub tried: bool,
+    pub crash_suspect: bool,
     /// When the run was started.
-    pub began: Time,
+    pub started_at: Time,
     /// How often its start was sent.
-    pub tries: u32,
+    pub start_count: u32,
     /// Its progress at the start and at the last report, in percent.
     pub percent: (u8, u8),
     /// When the worker last reported it.
-    pub looked: Time,
+    pub reported_at: Time,
     /// Its last checkpoint.
-    pub saved: Box<str>,
+    pub checkpoint: Box<str>,
     /// The tail latency of a serving task, in milliseconds.
-    pub load: u64,
+    pub tail_ms: u64,
     /// Its pace in percent, if known.
     pub pace: Option<u8>,
     /// The latency target of a serving task, in milliseconds; 0 if it has none.
-    pub target: u64,
+    pub target_ms: u64,
     /// Whether it is a filler: it uses only what other tasks leave free.
     pub fills: bool,
     /// The priority of its queue, if it may be preempted by work of a lower number because it loses
     /// little.
-    pub yields: Option<u8>,
+    pub preempt_priority: Option<u8>,
     /// The expected duration of its work.
     pub estimate: Duration,
     /// An earlier report, some seconds old: its time, and the progress in percent.
-    pub mark: (Time, u8),
+    pub earlier_report: (Time, u8),
 }
 
 /// One incarnation of a worker.
@@ -102,7 +102,7 @@
     /// The address that takes its orders.
     pub addr: SocketAddr,
     /// Its entry in the worker list; `None` once it has left the list.
-    pub listed: Option<Listed>,
+    pub listed: Option<ListedWorker>,
     /// Whether it has answered to this owner's token.
     pub fenced: bool,
     /// Whether the stored roster includes it, so that it may receive starts.
@@ -110,11 +110,11 @@
     /// Whether nothing can run there any more.
     pub gone: bool,
     /// When this owner first learnt of it.
-    pub since: Time,
+    pub first_seen: Time,
     /// When it shuts down, if it is leaving.
-    pub leaving: Option<Time>,
+    pub leaves_at: Option<Time>,
     /// Its turn in a wave of upkeep.
-    pub turn: Turn,
+    pub turn: UpkeepTurn,
     /// The runs that are there, or may be.
     pub runs: FxHashMap<TaskKey, Run>,
     /// The sum of the resources of its runs.
@@ -124,24 +124,24 @@
     /// The number of its runs that serve requests under a latency target.
     pub serving: u32,
     /// The number of its runs whose resources are unknown.
-    pub blind: usize,
+    pub unsized_runs: usize,
     /// The number of the last end of a run that was received.
-    pub got: u64,
+    pub last_end: u64,
     /// The number of the last end of a run that is stored.
-    pub seen: u64,
+    pub stored_end: u64,
     /// Ends that were received and are not stored yet: number, job and sequence number of the
     /// change.
-    pub pending: VecDeque<(u64, JobNo, u64)>,
+    pub unstored_ends: VecDeque<(u64, JobNo, u64)>,
     /// When the hold without an answer so far was sent.
-    pub holding: Option<Time>,
+    pub hold_sent: Option<Time>,
     /// When the next hold is due, if there is no unanswered one.
-    pub next: Time,
+    pub next_hold: Time,
     /// When the worker gave its last answer.
-    pub heard: Option<Time>,
+    pub last_answer: Option<Time>,
     /// The number of unanswered calls since that answer.
-    pub silent: u32,
+    pub unanswered_calls: u32,
     /// The number of unanswered orders since the last answered call.
-    pub unsure: u32,
+    pub unanswered_orders: u32,
     /// The worker's clock in milliseconds, and the latest time at which it can have been read.
     clock: Option<(u64, Time)>,
     /// The worker's clock at its last answer, and when that answer was given.
@@ -149,25 +149,25 @@
     /// The end of the longest lease that was requested, on the worker's clock.
     lease_until: u64,
     /// When the platform's VM list was requested that first lacked this worker.
-    pub missed: Option<Time>,
+    pub missing_since: Option<Time>,
     /// No starts before this time.
-    pub unwell: Time,
+    pub paused_until: Time,
     /// No starts before this time, because a task has just begun there under which another worker
     /// has crashed.
-    pub alone: Time,
+    pub isolated_until: Time,
     /// Its health, judged by failures and speed.
-    pub sound: Sound,
+    pub health: WorkerHealth,
     /// The pace for fillers on this worker.
     pub pace: Pace,
     /// What was last logged about it.
-    pub told: Told,
+    pub reported: Reported,
 }
 
 /// What was last logged about a worker, so that each change is logged once.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct Reported {
     /// Whether it is in quarantine.
-    pub held: bool,
+    pub quarantined: bool,
     /// Whether it is silent.
     pub silent: bool,
 }
@@ -182,31 +182,31 @@
             fenced: false,
             rostered: false,
             gone: false,
-            since: now,
-            leaving: None,
-            turn: Turn::Open,
+            first_seen: now,
+            leaves_at: None,
+            turn: UpkeepTurn::Open,
             runs: FxHashMap::default(),
             used: Size::default(),
             fillers: 0,
             serving: 0,
-            blind: 0,
-            got: 0,
-            seen: 0,
-            pending: VecDeque::new(),
-            holding: None,
-            next: now,
-            heard: None,
-            silent: 0,
-            unsure: 0,
+            unsized_runs: 0,
+            last_end: 0,
+            stored_end: 0,
+            unstored_ends: VecDeque::new(),
+            hold_sent: None,
+            next_hold: now,
+            last_answer: None,
+            unanswered_calls: 0,
+            unanswered_orders: 0,
             clock: None,
             last_clock: None,
             lease_until: 0,
-            missed: None,
-            unwell: Time::ZERO,
-            alone: Time::ZERO,
-            sound: Sound::new(),
+            missing_since: None,
+            paused_until: Time::ZERO,
+            isolated_until: Time::ZERO,
+            health: WorkerHealth::new(),
             pace: Pace::new(),
-            told: Told::default(),
+            reported: Reported::default(),
         }
     }
 
@@ -216,7 +216,7 @@
     /// which go on until they are stopped and use an unknown amount of resources; a start could
     /// exceed the worker's capacity.
     pub fn usable(&self, now: Time) -> bool {
-        self.can_start(now) && !self.closed()
+        self.can_start(now) && !self.is_draining()
     }
 
     /// Whether a task without a place elsewhere may start there while the worker is being drained.
@@ -224,33 +224,33 @@
     /// Only if something runs there: a worker without runs may already have been reported empty,
     /// and its VM may go down at any moment. A worker with runs has never been reported empty.
     pub fn usable_draining(&self, now: Time) -> bool {
-        self.can_start(now) && self.turn == Turn::Closing && !self.runs.is_empty()
+        self.can_start(now) && self.turn == UpkeepTurn::Closing && !self.runs.is_empty()
     }
 
     fn can_start(&self, now: Time) -> bool {
         self.fenced
             && self.rostered
             && !self.gone
-            && self.leaving.is_none()
+            && self.leaves_at.is_none()
             && self.listed.is_some()
-            && self.silent == 0
-            && self.blind == 0
-            && self.unwell <= now
+            && self.unanswered_calls == 0
+            && self.unsized_runs == 0
+            && self.paused_until <= now
     }
 
     /// Whether its turn in a wave of upkeep is still to come.
-    pub fn due(&self) -> bool {
-        self.turn == Turn::Due
+    pub fn upkeep_due(&self) -> bool {
+        self.turn == UpkeepTurn::Due
     }
 
     /// Whether it is being drained.
-    pub fn closed(&self) -> bool {
-        matches!(self.turn, Turn::Closing | Turn::Forced)
+    pub fn is_draining(&self) -> bool {
+        matches!(self.turn, UpkeepTurn::Closing | UpkeepTurn::Forced)
     }
 
     /// Whether the stored roster has to include it, because something may run there.
-    pub fn counts(&self) -> bool {
-        let live = self.listed.is_some() && self.leaving.is_none() && self.silent < 3;
+    pub fn needs_roster(&self) -> bool {
+        let live = self.listed.is_some() && self.leaves_at.is_none() && self.unanswered_calls < 3;
         !self.gone && (live || !self.runs.is_empty() || !self.fenced)
     }
 
@@ -261,7 +261,7 @@
 
     /// Its free resources.
     pub fn free(&self) -> Size {
-        self.listed.as_ref().map_or(Size::default(), |l| l.size.saturating_sub(&self.used))
+        self.listed.as_ref().map_or(Size::default(), |l| l.capacity.saturating_sub(&self.used))
     }
 
     /// Records an answer to a call, given the sending time of the call and the worker's clock in the
@@ -270,16 +270,16 @@
     /// An owner that was suspended must not take old answers for fresh ones: it would act as if
     /// most of its workers still obeyed it, beside its successor. The worker's clock shows how old
     /// an answer is, and no call is answered before it is sent.
-    pub fn answered(&mut self, clock: u64, sent: Time, now: Time) {
-        self.unsure = 0;
+    pub fn record_answer(&mut self, clock: u64, sent: Time, now: Time) {
+        self.unanswered_orders = 0;
         let answered_at = match self.last_clock {
             Some((before, at)) if clock > 0 => {
                 let elapsed = Duration::from_millis(clock.saturating_sub(before) + 1);
-                (at + elapsed.div_f64(SLOW)).max(sent).min(now)
+                (at + elapsed.div_f64(MIN_CLOCK_RATE)).max(sent).min(now)
             }
             _ => sent,
         };
-        self.heard = self.heard.max(Some(answered_at));
+        self.last_answer = self.last_answer.max(Some(answered_at));
         if clock > 0 {
             self.last_clock = Some((clock, answered_at));
         }
@@ -293,7 +293,7 @@
     pub fn extend_lease(&mut self, bounds: &Bounds, from: Time, now: Time) -> Option<u64> {
         let (clock, at) = self.clock?;
         let length =
-            bounds.hold.saturating_sub(LEASE_MARGIN).min(MAX_LEASE).saturating_sub(now - from);
+            bounds.max_lease.saturating_sub(LEASE_MARGIN).min(MAX_LEASE).saturating_sub(now - from);
         let until = clock + millis(now - at) + millis(length);
         self.lease_until = self.lease_until.max(until);
         Some(self.lease_until)
@@ -305,8 +305,8 @@
     /// A new owner that is suspended before it renews the lease would otherwise know of no lease,
     /// take the worker's runs for lapsed and start them a second time. From then on no order of a
     /// former owner counts, since the worker has seen the new token.
-    pub fn inherit(&mut self, clock: u64, bounds: &Bounds) {
-        self.lease_until = self.lease_until.max(clock + millis(bounds.hold));
+    pub fn inherit_lease(&mut self, clock: u64, bounds: &Bounds) {
+        self.lease_until = self.lease_until.max(clock + millis(bounds.max_lease));
     }
 
     /// When the lease of all runs there has certainly ended.
@@ -314,27 +314,27 @@
     /// A run on a worker that is cut off may go on until then and must not start elsewhere before.
     /// Leases are times on the worker's own clock, which may be slow. So the bound counts from the
     /// last reading of that clock, and it holds whenever unanswered renewals arrive.
-    pub fn lapse(&self, bounds: &Bounds) -> Time {
+    pub fn lease_end(&self, bounds: &Bounds) -> Time {
         let Some((clock, at)) = self.clock else {
-            return self.since + bounds.hold.div_f64(SLOW) + MARGIN;
+            return self.first_seen + bounds.max_lease.div_f64(MIN_CLOCK_RATE) + CLOCK_MARGIN;
         };
         let left = Duration::from_millis(self.lease_until.saturating_sub(clock));
-        at + left.div_f64(SLOW) + MARGIN
+        at + left.div_f64(MIN_CLOCK_RATE) + CLOCK_MARGIN
     }
 
     /// Adds a run and its resources.
-    pub fn add(&mut self, task: TaskKey, run: Run) {
+    pub fn add_run(&mut self, task: TaskKey, run: Run) {
         self.used += run.size;
-        self.blind += usize::from(run.blind);
+        self.unsized_runs += usize::from(run.size_unknown);
         self.fillers += u32::from(run.fills);
-        self.serving += u32::from(run.target > 0);
+        self.serving += u32::from(run.target_ms > 0);
         if let Some(old) = self.runs.insert(task, run) {
             self.uncount(&old);
         }
     }
 
     /// Removes a run and returns it, if it has this number.
-    pub fn take(&mut self, task: &TaskKey, run: u32) -> Option<Run> {
+    pub fn remove_run(&mut self, task: &TaskKey, run: u32) -> Option<Run> {
         if self.runs.get(task)?.run != run {
             return None;
         }
@@ -345,9 +345,9 @@
 
     fn uncount(&mut self, run: &Run) {
         self.used = self.used.saturating_sub(&run.size);
-        self.blind -= usize::from(run.blind);
+        self.unsized_runs -= usize::from(run.size_unknown);
         self.fillers -= u32::from(run.fills);
-        self.serving -= u32::from(run.target > 0);
+        self.serving -= u32::from(run.target_ms > 0);
     }
 
     /// Whether a serving task runs there.
@@ -356,18 +356,18 @@
     }
 
     /// Updates a run from the worker's report.
-    pub fn look(run: &mut Run, row: &Row, now: Time) {
+    pub fn update_run(run: &mut Run, row: &Row, now: Time) {
         if matches!(run.phase, Phase::Starting | Phase::Unsure) {
             run.phase = Phase::Running;
         }
-        run.known.get_or_insert(now);
-        run.ran = true;
-        run.settled |= now - run.began >= SETTLED;
+        run.listed_from.get_or_insert(now);
+        run.was_seen = true;
+        run.settled |= now - run.started_at >= SETTLE_TIME;
         run.percent.1 = row.percent;
-        run.looked = now;
-        run.load = row.load;
+        run.reported_at = now;
+        run.tail_ms = row.load;
         if !row.saved.is_empty() {
-            run.saved = row.saved.clone();
+            run.checkpoint = row.saved.clone();
         }
     }
 }
--- a/src/shard/store.rs
+++ b/src/shard/writes.rs
@@ -4,11 +4,11 @@
     crate::{
         ports::{Put, Txn},
         shard::{
-            commit::{FREE, rows},
+            commit::{FREE_ROWS, row_count},
             event::Order,
-            flight::Flight,
-            machine::Shard,
-            record::{CommitRow, Roster, write},
+            in_flight::InFlight,
+            record::{CommitRow, Roster, encode},
+            state_machine::Shard,
             workers::{WorkerNo, millis},
         },
         time::Time,
@@ -27,21 +27,21 @@
     /// soon. The ends of tasks are collected for longer, because each write has a cost and makes
     /// the shard call the workers again.
     pub(super) fn flush(&mut self, now: Time) {
-        let over = |no: &JobNo| self.jobs.get(no).is_some_and(|j| j.state.over());
-        let urgent = self.roster || self.dirty_jobs.iter().any(over);
+        let over = |no: &JobNo| self.jobs.get(no).is_some_and(|j| j.state.is_final());
+        let urgent = self.roster_dirty || self.dirty_jobs.iter().any(over);
         self.begin_write(urgent, now);
     }
 
     /// Like [`Shard::flush`]; `urgent` says whether somebody waits for the write.
     pub(super) fn begin_write(&mut self, urgent: bool, now: Time) {
-        let unix = self.unix(now);
-        let purge = self.purge.front().is_some_and(|(at, _)| *at <= unix);
-        if self.dirty_jobs.is_empty() && !self.roster && !purge {
+        let unix = self.unix_ms(now);
+        let purge = self.purge_queue.front().is_some_and(|(at, _)| *at <= unix);
+        if self.dirty_jobs.is_empty() && !self.roster_dirty && !purge {
             // The end of a run whose job is already stored triggers no write that would acknowledge
             // it.
-            return self.note(now);
+            return self.acknowledge_ends(now);
         }
-        if !self.commit.open(urgent, now) {
+        if !self.commit.may_begin(urgent, now) {
             return;
         }
         let (number, rev) = self.commit.begin(now);
@@ -49,33 +49,35 @@
         let row = CommitRow { token: self.setup.token, number };
         let mut txn = Txn::default();
         txn.expect.push((shard.commit(), rev));
-        txn.puts.push(Put { key: shard.commit(), value: write(&row), lease: 0 });
-        let mut flight = Flight::default();
-        if mem::take(&mut self.roster) {
+        txn.puts.push(Put { key: shard.commit(), value: encode(&row), lease: 0 });
+        let mut flight = InFlight::default();
+        if mem::take(&mut self.roster_dirty) {
             flight.roster = Some(self.write_roster(&mut txn));
         }
         self.write_jobs(&mut txn, &mut flight, unix);
         while flight.purged.len() < MAX_PURGED
-            && rows(&txn) + 2 <= FREE + 2
-            && let Some((at, no)) = self.purge.front().copied()
+            && row_count(&txn) + 2 <= FREE_ROWS + 2
+            && let Some((at, no)) = self.purge_queue.front().copied()
             && at <= unix
         {
-            self.purge.pop_front();
+            self.purge_queue.pop_front();
             flight.purged.push((at, no));
             txn.remove.push(shard.progress(no));
             // A cancel may have arrived after the job was over.
             txn.remove.push(shard.cancel(no));
         }
         self.in_flight = flight;
-        self.out.push(Order::Store(number, txn));
+        self.orders.push(Order::Store(number, txn));
     }
 
     fn write_roster(&mut self, txn: &mut Txn) -> Vec<WorkerNo> {
-        let all: Vec<_> =
-            (0..self.workers.len()).map(WorkerNo).filter(|n| self.workers[n.0].counts()).collect();
+        let all: Vec<_> = (0..self.workers.len())
+            .map(WorkerNo)
+            .filter(|n| self.workers[n.0].needs_roster())
+            .collect();
         let place = |n: &WorkerNo| (self.workers[n.0].id.clone(), self.workers[n.0].addr);
         let roster = Roster { workers: all.iter().map(place).collect() };
-        txn.puts.push(Put { key: self.setup.shard.roster(), value: write(&roster), lease: 0 });
+        txn.puts.push(Put { key: self.setup.shard.roster(), value: encode(&roster), lease: 0 });
         // Workers that the new roster omits must not be used while it is being written.
         for (n, w) in self.workers.iter_mut().enumerate() {
             w.rostered &= all.binary_search(&WorkerNo(n)).is_ok();
@@ -83,21 +85,21 @@
         all
     }
 
-    fn write_jobs(&mut self, txn: &mut Txn, flight: &mut Flight, unix: u64) {
+    fn write_jobs(&mut self, txn: &mut Txn, flight: &mut InFlight, unix: u64) {
         let shard = self.setup.shard;
-        while rows(txn) + 3 <= FREE + 2 {
+        while row_count(txn) + 3 <= FREE_ROWS + 2 {
             let Some(no) = self.dirty_jobs.pop_front() else { break };
             let Some(job) = self.jobs.get_mut(&no) else { continue };
-            let over = job.state.over();
+            let over = job.state.is_final();
             let progress = job.progress(if over { unix } else { 0 });
-            job.stored = job.changed;
-            let value = write(&progress);
+            job.stored_seq = job.changed_seq;
+            let value = encode(&progress);
             txn.puts.push(Put { key: shard.progress(no), value, lease: 0 });
             if over {
                 txn.remove.push(shard.job(no));
                 txn.remove.push(shard.cancel(no));
             }
-            flight.jobs.push((no, job.changed, over.then_some(progress)));
+            flight.jobs.push((no, job.changed_seq, over.then_some(progress)));
         }
     }
 
@@ -107,18 +109,18 @@
         for (no, _, over) in flight.jobs {
             let Some(progress) = over else { continue };
             self.jobs.remove(&no);
-            self.over.insert(no, progress.state);
-            self.purge.push_back((progress.over + self.kept(), no));
+            self.finished.insert(no, progress.state);
+            self.purge_queue.push_back((progress.over + self.retention_ms(), no));
         }
         for (_, no) in flight.purged {
-            self.over.remove(&no);
-            self.early.remove(&no);
+            self.finished.remove(&no);
+            self.early_cancels.remove(&no);
         }
         for no in flight.roster.into_iter().flatten() {
             self.workers[no.0].rostered = true;
-            self.stir = true;
+            self.round_due = true;
         }
-        self.note(now);
+        self.acknowledge_ends(now);
     }
 
     /// Returns the contents of a failed write to the queue, to be written again.
@@ -126,15 +128,15 @@
         let flight = mem::take(&mut self.in_flight);
         for (no, ..) in flight.jobs.into_iter().rev() {
             let Some(job) = self.jobs.get_mut(&no) else { continue };
-            if job.stored == job.changed {
+            if job.stored_seq == job.changed_seq {
                 self.dirty_jobs.push_front(no);
             }
-            job.stored = 0;
+            job.stored_seq = 0;
         }
         for gone in flight.purged.into_iter().rev() {
-            self.purge.push_front(gone);
+            self.purge_queue.push_front(gone);
         }
-        self.roster |= flight.roster.is_some();
+        self.roster_dirty |= flight.roster.is_some();
     }
 
     /// Marks the ends of runs whose jobs are stored, so that the worker's next hold acknowledges
@@ -143,23 +145,23 @@
     /// This waits until the shard is settled. While a worker of the roster has not answered, a
     /// former owner without newer knowledge may start the task there again, once it has heard that
     /// the incarnation in which the task ended is over.
-    pub(super) fn note(&mut self, now: Time) {
+    pub(super) fn acknowledge_ends(&mut self, now: Time) {
         if !self.unsettled.is_empty() {
             return;
         }
         let busy: Vec<JobNo> = self.in_flight.jobs.iter().map(|f| f.0).collect();
         let (jobs, workers) = (&self.jobs, &mut self.workers);
-        let noted = &mut self.tally.noted;
-        for w in workers.iter_mut().filter(|w| !w.pending.is_empty()) {
-            while let Some((number, no, place)) = w.pending.front().copied() {
-                let stored = jobs.get(&no).is_none_or(|j| j.stored >= place);
+        let noted = &mut self.stats.acknowledged;
+        for w in workers.iter_mut().filter(|w| !w.unstored_ends.is_empty()) {
+            while let Some((number, no, place)) = w.unstored_ends.front().copied() {
+                let stored = jobs.get(&no).is_none_or(|j| j.stored_seq >= place);
                 if !stored || busy.contains(&no) {
                     break;
                 }
-                w.seen = number;
+                w.stored_end = number;
                 *noted += 1;
-                w.pending.pop_front();
-                w.next = now;
+                w.unstored_ends.pop_front();
+                w.next_hold = now;
             }
         }
     }
@@ -167,9 +169,9 @@
     /// Warns if the clean-up of finished jobs is late; the rows themselves are removed with the
     /// next writes.
     pub(super) fn check_purge(&mut self, now: Time) {
-        let unix = self.unix(now);
-        let old = millis(self.setup.bounds.keep) * 2;
-        if self.purge.front().is_some_and(|(at, _)| at + old < unix) {
+        let unix = self.unix_ms(now);
+        let old = millis(self.setup.bounds.state_retention) * 2;
+        if self.purge_queue.front().is_some_and(|(at, _)| at + old < unix) {
             log::warn!(target: "shard", "Shard {} is late in removing finished jobs.", self.setup.shard);
         }
     }
--- a/src/decisions.rs
+++ b/src/shard_runner.rs
@@ -7,14 +7,14 @@
 
 use {
     crate::{
-        common::Common,
         ids::WorkerId,
         ports::Fault,
         shard::{
-            Cause, Held, Need, Setup, Shard,
-            event::{Event, Load, Order},
+            Cause, Occupancy, PoolWait, Setup, Shard,
+            event::{Event, Order, Snapshot},
             record::ShardNo,
         },
+        shared_state::SharedState,
         time::Time,
         work::{JobNo, State},
     },
@@ -36,21 +36,21 @@
 /// The number of further inputs that are processed before the shards' orders are passed on.
 const MAX_BATCH: usize = 64;
 
-/// An input of [`Decisions`].
-pub(crate) enum Told {
+/// An input of [`ShardRunner`].
+pub(crate) enum ShardInput {
     /// This member now owns a shard, with this token and this loaded state.
-    Own(ShardNo, u64, Box<Load>),
+    Own(ShardNo, u64, Box<Snapshot>),
     /// An event for a shard; ignored if this member doesn't own the shard with this token.
     Event(ShardNo, u64, Event),
     /// An event that another member sent for a shard, whichever token the shard is owned with.
     PeerEvent(ShardNo, Event),
     /// An event for all shards.
-    All(Event),
+    Broadcast(Event),
     /// The members that the shards may ask to call for them have changed.
-    Peers,
+    PeersChanged,
     /// Another member owns this shard.
-    Forget(ShardNo),
-    /// Finish the writes of all shards and report each with [`Out::Settled`].
+    Lost(ShardNo),
+    /// Finish the writes of all shards and report each with [`ShardOutput::Releasable`].
     Release,
     /// A request for the states of jobs. The reply is `None` for a job that isn't known here. If the
     /// flag is false, also for one whose shard may have another owner; it is true if the asking member
@@ -58,18 +58,22 @@
     JobStates(Box<[(ShardNo, JobNo)]>, bool, oneshot::Sender<Vec<Option<State>>>),
     /// A request for what these workers of these shards hold, and how long work waits. The reply is
     /// `None` if this member doesn't own one of the shards for certain.
-    HeldTasks(Box<[WorkerId]>, Box<[ShardNo]>, oneshot::Sender<Option<(Vec<Held>, Vec<Need>)>>),
+    HeldTasks(
+        Box<[WorkerId]>,
+        Box<[ShardNo]>,
+        oneshot::Sender<Option<(Vec<Occupancy>, Vec<PoolWait>)>>,
+    ),
     /// A request for the number of jobs of a queue that have not begun in these shards. The reply is
     /// `None` if this member doesn't own one of the shards for certain.
     QueueLength(Box<str>, Box<[ShardNo]>, oneshot::Sender<Option<u64>>),
 }
 
-/// An output of [`Decisions`].
-pub(crate) enum Out {
+/// An output of [`ShardRunner`].
+pub(crate) enum ShardOutput {
     /// An order of a shard that is owned with this token.
     Order(ShardNo, u64, Order),
     /// A shard can be released; its writes are done but for this number of jobs.
-    Settled(ShardNo, usize),
+    Releasable(ShardNo, usize),
     /// This member has lost a shard to another owner.
     Deposed(ShardNo),
 }
@@ -83,11 +87,11 @@
 }
 
 /// Runs the shards that this member owns.
-pub(crate) struct Decisions {
-    common: Arc<Common>,
-    input: Receiver<Told>,
-    orders: Sender<Out>,
-    notes: Sender<Out>,
+pub(crate) struct ShardRunner {
+    common: Arc<SharedState>,
+    input: Receiver<ShardInput>,
+    orders: Sender<ShardOutput>,
+    notes: Sender<ShardOutput>,
     shards: BTreeMap<ShardNo, OwnedShard>,
     /// Failure events of orders that found their queue full; processed with the next tick.
     deferred: Vec<(ShardNo, u64, Event)>,
@@ -99,19 +103,19 @@
     release_by: Option<Time>,
 }
 
-impl Decisions {
+impl ShardRunner {
     /// Creates a runner without shards.
     ///
     /// Orders of shards go to `orders`, news of released and lost shards to `notes`.
     pub fn new(
-        common: Arc<Common>,
-        input: Receiver<Told>,
-        orders: Sender<Out>,
-        notes: Sender<Out>,
+        common: Arc<SharedState>,
+        input: Receiver<ShardInput>,
+        orders: Sender<ShardOutput>,
+        notes: Sender<ShardOutput>,
     ) -> Self {
         let (shards, deferred) = (BTreeMap::new(), vec![]);
         let next_metrics = Time::ZERO;
-        Decisions {
+        ShardRunner {
             common,
             input,
             orders,
@@ -157,45 +161,45 @@
         }
     }
 
-    async fn process(&mut self, input: Told) {
+    async fn process(&mut self, input: ShardInput) {
         match input {
-            Told::Own(shard, token, load) => self.own(shard, token, *load).await,
-            Told::Event(shard, token, event) => self.event(shard, token, event),
-            Told::PeerEvent(shard, event) => {
+            ShardInput::Own(shard, token, load) => self.own(shard, token, *load).await,
+            ShardInput::Event(shard, token, event) => self.event(shard, token, event),
+            ShardInput::PeerEvent(shard, event) => {
                 if let Some(token) = self.shards.get(&shard).map(|s| s.token) {
                     self.event(shard, token, event);
                 }
             }
-            Told::All(event) => self.broadcast(event).await,
-            Told::Peers => self.update_peers().await,
-            Told::Forget(shard) => {
+            ShardInput::Broadcast(event) => self.broadcast(event).await,
+            ShardInput::PeersChanged => self.update_peers().await,
+            ShardInput::Lost(shard) => {
                 self.shards.remove(&shard);
             }
-            Told::Release => {
+            ShardInput::Release => {
                 self.release_by = Some(self.common.now() + RELEASE_TIMEOUT);
                 self.release_settled().await;
             }
-            Told::JobStates(jobs, sure, reply) => {
+            ShardInput::JobStates(jobs, sure, reply) => {
                 let now = self.common.now();
                 let state = |(no, job): &(ShardNo, JobNo)| {
                     let shard = &self.shards.get(no)?.shard;
-                    if sure { shard.known_state(*job) } else { shard.state(*job, now) }
+                    if sure { shard.owner_state(*job) } else { shard.state(*job, now) }
                 };
                 let _ = reply.send(jobs.iter().map(state).collect());
             }
-            Told::HeldTasks(workers, shards, reply) => {
+            ShardInput::HeldTasks(workers, shards, reply) => {
                 let now = self.common.now();
                 let one = |s| {
                     let shard = self.certain_shard(s, now)?;
-                    Some((shard.held_at(&workers), shard.needs(now)))
+                    Some((shard.occupancy(&workers), shard.pool_waits(now)))
                 };
                 let all: Option<Vec<_>> = shards.iter().map(one).collect();
                 let all = all.map(|a| a.into_iter().unzip::<_, _, Vec<_>, Vec<_>>());
                 let _ = reply.send(all.map(|(held, needs)| (held.concat(), needs.concat())));
             }
-            Told::QueueLength(queue, shards, reply) => {
+            ShardInput::QueueLength(queue, shards, reply) => {
                 let now = self.common.now();
-                let one = |s| self.certain_shard(s, now).map(|shard| shard.waiting(&queue));
+                let one = |s| self.certain_shard(s, now).map(|shard| shard.queued_jobs(&queue));
                 let _ = reply.send(shards.iter().map(one).sum());
             }
         }
@@ -207,18 +211,18 @@
     }
 
     /// Starts a shard that this member now owns.
-    async fn own(&mut self, no: ShardNo, token: u64, load: Load) {
-        if self.shards.is_empty() && !self.common.stopping() {
+    async fn own(&mut self, no: ShardNo, token: u64, load: Snapshot) {
+        if self.shards.is_empty() && !self.common.is_stopping() {
             // All shards of an earlier release have been released.
             self.release_by = None;
         }
         if self.release_by.is_some() {
-            let _ = self.notes.send(Out::Settled(no, 0)).await;
+            let _ = self.notes.send(ShardOutput::Releasable(no, 0)).await;
             return;
         }
         let bounds = self.common.site.borrow().bounds;
-        let (me, unix) = (self.common.me, self.common.unix);
-        let setup = Setup { shard: no, me, token, bounds, unix };
+        let (me, unix) = (self.common.me, self.common.start_unix_ms);
+        let setup = Setup { shard: no, member: me, token, bounds, unix_ms: unix };
         let shard = Shard::new(setup, load, self.common.now());
         self.shards.insert(no, OwnedShard { token, pending: true, shard });
         let config = self.common.config.borrow().clone();
@@ -226,7 +230,7 @@
             self.event(no, token, Event::Queues(config.queues));
         }
         let view = self.common.view.borrow().clone();
-        self.event(no, token, Event::Peers(view.peers(no)));
+        self.event(no, token, Event::Peers(view.advice_members(no)));
         self.event(no, token, Event::Closing(view.closing.clone()));
         if let Some(at) = self.confirmed {
             self.event(no, token, Event::Confirmed(at));
@@ -249,7 +253,7 @@
         let view = self.common.view.borrow().clone();
         let all: Vec<_> = self.shards.iter().map(|(s, o)| (*s, o.token)).collect();
         for (shard, token) in all {
-            self.event(shard, token, Event::Peers(view.peers(shard)));
+            self.event(shard, token, Event::Peers(view.advice_members(shard)));
         }
     }
 
@@ -278,31 +282,31 @@
         let mut away: BTreeMap<Cause, Duration> = BTreeMap::new();
         let mut oldest = Duration::ZERO;
         for owned in self.shards.values_mut() {
-            metrics.tally(&owned.shard.tally());
-            let levels = owned.shard.levels(now);
+            metrics.add_tally(&owned.shard.take_stats());
+            let levels = owned.shard.gauges(now);
             levels.waiting.iter().for_each(|(p, n)| *waiting.entry(*p).or_default() += n);
             for (cause, time) in levels.away {
                 let longest = away.entry(cause).or_default();
                 *longest = time.max(*longest);
             }
-            oldest = oldest.max(levels.list);
+            oldest = oldest.max(levels.list_age);
         }
-        metrics.waiting(&waiting);
-        metrics.away(&away);
-        metrics.age("workers", oldest);
+        metrics.set_waiting(&waiting);
+        metrics.set_away(&away);
+        metrics.set_age("workers", oldest);
     }
 
-    /// Passes an event to its shard; its orders are passed on by the next [`Self::round`].
+    /// Passes an event to its shard; its orders are passed on by the next [`Self::run_round`].
     ///
     /// A shard that is to be released gets only the results of its writes: anything else that it
     /// started now would be left half done to its next owner.
     fn event(&mut self, no: ShardNo, token: u64, event: Event) {
-        let write_result = matches!(event, Event::Stored(..) | Event::Reread(_));
+        let write_result = matches!(event, Event::Stored(..) | Event::CommitRead(_));
         if self.release_by.is_some() && !write_result {
             return;
         }
         let Some(owned) = self.shards.get_mut(&no).filter(|o| o.token == token) else { return };
-        owned.shard.take(event, self.common.now());
+        owned.shard.apply(event, self.common.now());
         owned.pending = true;
     }
 
@@ -313,14 +317,14 @@
         for (no, token) in pending {
             let Some(owned) = self.shards.get_mut(&no) else { continue };
             owned.pending = false;
-            for order in owned.shard.round(self.common.now()) {
-                let writes = matches!(order, Order::Store(..) | Order::Reread | Order::Deposed);
+            for order in owned.shard.run_round(self.common.now()) {
+                let writes = matches!(order, Order::Store(..) | Order::ReadCommit | Order::Deposed);
                 if self.release_by.is_some() && !writes {
                     continue;
                 }
                 if order == Order::Deposed {
                     self.shards.remove(&no);
-                    let _ = self.notes.send(Out::Deposed(no)).await;
+                    let _ = self.notes.send(ShardOutput::Deposed(no)).await;
                     break;
                 }
                 self.order(no, token, order);
@@ -331,7 +335,7 @@
     /// Starts the remaining writes of the shards that are to be released.
     fn write_rest(&mut self) {
         let now = self.common.now();
-        let each = self.shards.iter_mut().map(|(s, o)| (*s, o.token, o.shard.write_rest(now)));
+        let each = self.shards.iter_mut().map(|(s, o)| (*s, o.token, o.shard.flush_rest(now)));
         let all: Vec<_> = each.collect();
         for (no, token, orders) in all {
             orders.into_iter().for_each(|order| self.order(no, token, order));
@@ -341,10 +345,10 @@
     /// Passes an order on. If the queue is full, the shard gets an event with the next tick that the
     /// order was not carried out.
     fn order(&mut self, no: ShardNo, token: u64, order: Order) {
-        let Err(e) = self.orders.try_send(Out::Order(no, token, order)) else { return };
+        let Err(e) = self.orders.try_send(ShardOutput::Order(no, token, order)) else { return };
         let (TrySendError::Full(out) | TrySendError::Closed(out)) = e;
-        self.common.metrics.full.with_label_values(&["orders"]).inc();
-        let Out::Order(_, _, order) = out else { return };
+        self.common.metrics.ring_full.with_label_values(&["orders"]).inc();
+        let ShardOutput::Order(_, _, order) = out else { return };
         if let Some(event) = unsent_result(order, self.common.now()) {
             self.deferred.push((no, token, event));
         }
@@ -356,12 +360,12 @@
         let done: Vec<(ShardNo, usize)> = self
             .shards
             .iter()
-            .filter(|(_, o)| overdue || o.shard.idle_commit())
-            .map(|(s, o)| (*s, o.shard.unwritten()))
+            .filter(|(_, o)| overdue || o.shard.is_flushed())
+            .map(|(s, o)| (*s, o.shard.unwritten_jobs()))
             .collect();
         for (shard, left) in done {
             self.shards.remove(&shard);
-            let _ = self.notes.send(Out::Settled(shard, left)).await;
+            let _ = self.notes.send(ShardOutput::Releasable(shard, left)).await;
         }
     }
 }
@@ -376,8 +380,8 @@
             Some(Event::Advised { call, via, sent, reply: Err(Fault::Unsent) })
         }
         Order::Store(number, _) => Some(Event::Stored(number, Err(Fault::Unsent))),
-        Order::Reread => Some(Event::Reread(Err(Fault::Unsent))),
-        Order::Lives => Some(Event::Lives { sent: now, reply: Err(Fault::Unsent) }),
+        Order::ReadCommit => Some(Event::CommitRead(Err(Fault::Unsent))),
+        Order::ReadMachines => Some(Event::Machines { sent: now, reply: Err(Fault::Unsent) }),
         Order::Deposed => None,
     }
 }
--- a/src/common.rs
+++ b/src/shared_state.rs
@@ -4,16 +4,16 @@
 use {
     crate::{
         clock,
-        decide::desk::Desk,
+        decide::call_queue::CallQueue,
         ids::Incarnation,
+        member_table::TableView,
         metrics::Metrics,
-        ports::{Forms, Item, Rev, Site, Wave},
-        relay::Ways,
-        store::Outside,
-        table::TableView,
+        ports::{Codec, Item, Rev, Site, Wave},
+        prefix_watch::WatchUpdate,
+        relay::StoreRoutes,
+        service_clients::ServiceClients,
         time::{Time, millis},
-        watch::Seen,
-        work::Queues,
+        work::QueueConfig,
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -39,20 +39,20 @@
     /// The item's revision.
     pub rev: Rev,
     /// The queues and the other contents.
-    pub queues: Arc<Queues>,
+    pub queues: Arc<QueueConfig>,
 }
 
 /// The ordered maintenance waves by the key of their item, each with the item's revision.
 pub(crate) type Waves = BTreeMap<Box<str>, (Rev, Wave)>;
 
 /// The state that the threads of a member share.
-pub(crate) struct Common {
+pub(crate) struct SharedState {
     /// The formats and addresses of the services that the member calls.
-    pub forms: &'static Forms,
+    pub forms: &'static Codec,
     /// The id of this process.
     pub me: Incarnation,
     /// The Unix time, in milliseconds, at [`Time::ZERO`].
-    pub unix: u64,
+    pub start_unix_ms: u64,
     /// The member's metrics.
     pub metrics: Arc<Metrics>,
     /// The settings.
@@ -66,10 +66,10 @@
     /// Whether this member is stopping.
     pub stop: watch::Sender<bool>,
     /// The ways to reach the store: directly or through other members.
-    pub ways: Arc<Ways>,
+    pub ways: Arc<StoreRoutes>,
     /// The advice calls that this member has under way, on behalf of all members that asked for
     /// one.
-    pub desk: Mutex<Desk>,
+    pub desk: Mutex<CallQueue>,
     start: Instant,
     /// When the store last answered; [`Time::ZERO`] if it never has.
     last_answer: AtomicU64,
@@ -84,17 +84,17 @@
 }
 
 /// The Unix time, in milliseconds.
-pub(crate) fn unix() -> u64 {
-    millis(clock::unix())
+pub(crate) fn unix_ms() -> u64 {
+    millis(clock::unix_time())
 }
 
-impl Common {
+impl SharedState {
     /// Creates the state at the start of the member.
-    pub fn new(forms: &'static Forms, site: Site, me: Incarnation, metrics: Arc<Metrics>) -> Self {
-        Common {
+    pub fn new(forms: &'static Codec, site: Site, me: Incarnation, metrics: Arc<Metrics>) -> Self {
+        SharedState {
             forms,
             me,
-            unix: unix(),
+            start_unix_ms: unix_ms(),
             metrics,
             site: watch::Sender::new(Arc::new(site)),
             config: watch::Sender::new(None),
@@ -118,14 +118,19 @@
     }
 
     /// Creates a client for the calling thread that calls all services directly, without a relay.
-    pub fn outside(self: &Arc<Self>) -> Outside {
+    pub fn outside(self: &Arc<Self>) -> ServiceClients {
         let common = self.clone();
         let note_answer = move || common.last_answer.store(common.now().0, Ordering::Relaxed);
-        Outside::new(self.forms, self.site.subscribe(), self.metrics.clone(), Arc::new(note_answer))
+        ServiceClients::new(
+            self.forms,
+            self.site.subscribe(),
+            self.metrics.clone(),
+            Arc::new(note_answer),
+        )
     }
 
     /// When the store last answered; none if it never has.
-    pub fn contact(&self) -> Option<Time> {
+    pub fn last_answer(&self) -> Option<Time> {
         Some(Time(self.last_answer.load(Ordering::Relaxed))).filter(|t| *t > Time::ZERO)
     }
 
@@ -135,17 +140,17 @@
     }
 
     /// Notes that the store has a newer configuration than the one of this revision.
-    pub fn overtake(&self, rev: Rev) {
+    pub fn note_newer_config(&self, rev: Rev) {
         self.outdated_rev.fetch_max(rev, Ordering::Relaxed);
     }
 
     /// Whether the store is known to have a newer configuration than the one known here.
     pub fn config_outdated(&self) -> bool {
-        self.config.borrow().as_ref().is_some_and(|c| self.overtakes(c))
+        self.config.borrow().as_ref().is_some_and(|c| self.is_outdated(c))
     }
 
     /// Whether the store is known to have a newer configuration than this one.
-    pub fn overtakes(&self, config: &Config) -> bool {
+    pub fn is_outdated(&self, config: &Config) -> bool {
         config.rev <= self.outdated_rev.load(Ordering::Relaxed)
     }
 
@@ -155,7 +160,7 @@
     }
 
     /// The last time at which the configuration known here was certainly the store's latest.
-    pub fn confirmed(&self) -> Time {
+    pub fn confirmed_at(&self) -> Time {
         Time(self.confirmed_at.load(Ordering::Relaxed))
     }
 
@@ -164,12 +169,12 @@
     /// Guards against a member that answers by a configuration that was replaced seconds ago,
     /// because no change reaches it or the newer one is still on its way.
     pub fn is_current(&self) -> bool {
-        let bound = self.site.borrow().bounds.config;
-        self.now() - self.confirmed() <= bound - bound / CONFIG_MARGIN_DIVISOR
+        let bound = self.site.borrow().bounds.config_lag;
+        self.now() - self.confirmed_at() <= bound - bound / CONFIG_MARGIN_DIVISOR
     }
 
     /// Whether this member is stopping.
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         *self.stop.borrow()
     }
 
@@ -187,28 +192,28 @@
 
     /// Whether the store has answered this member recently. Every member calls the store at least
     /// twice a second.
-    pub fn in_touch(&self) -> bool {
-        self.contact().is_some_and(|at| self.now() - at <= MAX_STORE_SILENCE)
+    pub fn reaches_store(&self) -> bool {
+        self.last_answer().is_some_and(|at| self.now() - at <= MAX_STORE_SILENCE)
     }
 
     /// Whether this member can serve callers.
     pub fn ready(&self) -> bool {
-        let in_touch = self.in_touch();
+        let in_touch = self.reaches_store();
         let registered = self.registered.load(Ordering::Relaxed);
         let configured = self.config.borrow().is_some() && self.is_current();
-        in_touch && registered && configured && !self.stopping()
+        in_touch && registered && configured && !self.is_stopping()
     }
 
     /// Applies the maintenance waves among the operators' items.
     ///
     /// They arrive with the watch of the configuration, so that a site without waves needs no
     /// further calls.
-    pub fn apply_waves(&self, seen: &Seen) {
-        let prefix = self.forms.waves;
+    pub fn apply_waves(&self, seen: &WatchUpdate) {
+        let prefix = self.forms.wave_prefix;
         let mut waves = self.waves.borrow().clone();
-        let (Seen::All(items, _) | Seen::Changes(items, _)) = seen;
+        let (WatchUpdate::Snapshot(items, _) | WatchUpdate::Changes(items, _)) = seen;
         let items = || items.iter().filter(|i| i.key.starts_with(prefix));
-        if matches!(seen, Seen::All(..)) {
+        if matches!(seen, WatchUpdate::Snapshot(..)) {
             let present: BTreeSet<_> = items().map(|i| &i.key).collect();
             waves.retain(|key, _| present.contains(key));
         }
@@ -217,7 +222,7 @@
                 waves.remove(&item.key);
                 continue;
             };
-            match (self.forms.wave)(value) {
+            match (self.forms.decode_wave)(value) {
                 Ok(wave) => drop(waves.insert(item.key.clone(), (item.rev, wave))),
                 Err(e) => log::error!(target: "upkeep", "A maintenance wave can't be parsed: {e}."),
             }
@@ -233,13 +238,13 @@
     ///
     /// Never goes back to an earlier revision or a lower version. Guards against an item read on
     /// behalf of a caller, which may be older than what the watch has delivered meanwhile.
-    pub fn take_config(&self, item: &Item) {
+    pub fn apply_config(&self, item: &Item) {
         let known = self.config.borrow().clone();
         let Some(value) = &item.value else { return };
         if known.as_ref().is_some_and(|k| k.rev >= item.rev) {
             return;
         }
-        let queues = match (self.forms.queues)(value) {
+        let queues = match (self.forms.decode_config)(value) {
             Ok(queues) => queues,
             Err(e) => {
                 log::error!(target: "config", "The configuration can't be parsed: {e}.");
--- a/src/site.rs
+++ b/src/site.rs
@@ -7,19 +7,18 @@
 use {
     crate::{
         cli::{self, Exit},
-        common::Common,
-        control,
-        decisions::{Decisions, Told},
-        entry::Entry,
         error::{Error, Kind},
         http::{Limits, answer, serve},
         ids::Incarnation,
-        logs,
+        job_api::JobApi,
+        logs, member_rpc,
         membership::Membership,
         metrics::Metrics,
-        owner::OwnedShards,
-        ports::{Forms, Site, StoreCall},
-        registry::{self, TableSync},
+        owned_shards::OwnedShards,
+        ports::{Codec, Site, StoreCall},
+        shard_runner::{ShardInput, ShardRunner},
+        shared_state::SharedState,
+        table_sync::{self, TableSync},
     },
     async_channel::{Receiver, Sender, bounded},
     std::{
@@ -57,9 +56,10 @@
 const CALL_LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// Limits of the server for callers.
 const CALLER_LIMITS: Limits =
-    Limits { body: 1 << 20, connections: 2500, patience: Duration::from_secs(20) };
+    Limits { body: 1 << 20, connections: 2500, read_timeout: Duration::from_secs(20) };
 /// Limits of the servers for readiness and metrics.
-const PAGE_LIMITS: Limits = Limits { body: 0, connections: 64, patience: Duration::from_secs(5) };
+const PAGE_LIMITS: Limits =
+    Limits { body: 0, connections: 64, read_timeout: Duration::from_secs(5) };
 
 /// The addresses that a member listens on.
 struct Listeners {
@@ -77,17 +77,17 @@
 }
 
 /// Runs a member until it is told to stop and has released all its shards.
-pub fn run(forms: &'static Forms, settings: &Path) -> Exit {
-    logs::begin(DEFAULT_LOG_FILTER);
+pub fn run(forms: &'static Codec, settings: &Path) -> Exit {
+    logs::init(DEFAULT_LOG_FILTER);
     let exit = match start(forms, settings) {
         Ok(()) => Exit::Done,
         Err(e) => cli::fail(e.kind().into(), &e.to_string(), false),
     };
-    logs::end();
+    logs::flush();
     exit
 }
 
-fn start(forms: &'static Forms, settings: &Path) -> Result<(), Error> {
+fn start(forms: &'static Codec, settings: &Path) -> Result<(), Error> {
     let failed = |e: io::Error| Error::new(Kind::BadSettings, e.to_string());
     let runtime = runtime().map_err(failed)?;
     // The handlers come first: without them, the signal to reload the settings would end the
@@ -101,8 +101,8 @@
     let me = Incarnation(random_id(&site).max(1));
     seed(me, "shards");
     let metrics = listeners.metrics.local_addr().map_err(failed)?.port();
-    log::info!(target: "site", did = "started", member:% = me, node = &*site.node, zone:% = site.zone, callers:% = site.callers, store:% = site.store, metrics; "Member starts.");
-    let common = Arc::new(Common::new(forms, site, me, Arc::new(Metrics::new())));
+    log::info!(target: "site", did = "started", member:% = me, node = &*site.node, zone:% = site.zone, callers:% = site.caller_addr, store:% = site.store_addr, metrics; "Member starts.");
+    let common = Arc::new(SharedState::new(forms, site, me, Arc::new(Metrics::new())));
     let (decisions, events) = bounded(EVENT_QUEUE_LEN);
     let (ended, end) = oneshot::channel();
     let Listeners { callers, ready, control, metrics } = listeners;
@@ -114,20 +114,21 @@
     })
     .map_err(failed)?;
     let (shared, sender) = (common.clone(), decisions.clone());
-    spawn_thread("control", me, move || control::serve(shared, control, sender)).map_err(failed)?;
+    spawn_thread("control", me, move || member_rpc::serve(shared, control, sender))
+        .map_err(failed)?;
     runtime.block_on(own_shards(common, signals, settings.into(), (decisions, events), end))
 }
 
 /// Owns shards until this member is told to stop, then shuts down in order: shards, callers, lease.
 async fn own_shards(
-    common: Arc<Common>,
+    common: Arc<SharedState>,
     signals: Signals,
     settings: PathBuf,
-    (decisions, events): (Sender<Told>, Receiver<Told>),
+    (decisions, events): (Sender<ShardInput>, Receiver<ShardInput>),
     mut callers: oneshot::Receiver<()>,
 ) -> Result<(), Error> {
-    let peers = control::Peers::new(common.clone());
-    let outside = control::outside(&common, &peers);
+    let peers = member_rpc::PeerClients::new(common.clone());
+    let outside = member_rpc::relaying_clients(&common, &peers);
     let (order_tx, orders) = bounded(ORDER_QUEUE_LEN);
     let (notices, notice_rx) = bounded(ORDER_QUEUE_LEN);
     let owner = OwnedShards::new(
@@ -139,11 +140,11 @@
     );
     let (lease, lease_rx) = watch::channel(0);
     tokio::spawn(signals.handle(common.clone(), settings));
-    tokio::spawn(Decisions::new(common.clone(), events, order_tx, notices).run());
+    tokio::spawn(ShardRunner::new(common.clone(), events, order_tx, notices).run());
     tokio::spawn(owner.clone().poll_workers());
     tokio::spawn(log_calls(common.clone()));
     tokio::spawn(owner.clone().run_orders(orders));
-    tokio::spawn(registry::follow_config(common.clone(), outside.clone(), decisions.clone()));
+    tokio::spawn(table_sync::follow_config(common.clone(), outside.clone(), decisions.clone()));
     let membership = Membership {
         common: common.clone(),
         outside: outside.clone(),
@@ -157,7 +158,7 @@
         () = common.wait_for_stop() => {}
         _ = &mut callers => return Err(Error::new(Kind::BadSettings, "caller server failed")),
     }
-    let grace = common.site.borrow().bounds.grace;
+    let grace = common.site.borrow().bounds.stop_grace;
     let deadline = Instant::now() + grace.saturating_sub(SHUTDOWN_MARGIN);
     if timeout_at(deadline, released).await.is_err() {
         log::warn!(target: "site", "Shards were not released in time; other members will take them over.");
@@ -169,39 +170,39 @@
     if lease != 0 {
         let _ = timeout(
             LEASE_END_TIMEOUT,
-            outside.store(&StoreCall::EndLease { lease }, LEASE_END_TIMEOUT),
+            outside.call_store(&StoreCall::EndLease { lease }, LEASE_END_TIMEOUT),
         )
         .await;
     }
-    log::info!(target: "site", calls = &*common.metrics.calls(), received = &*common.metrics.all_received(); "Calls of the outside so far.");
+    log::info!(target: "site", calls = &*common.metrics.call_totals(), received = &*common.metrics.received_totals(); "Calls of the outside so far.");
     log::info!(target: "site", did = "stopped", member:% = common.me; "Stopped.");
     Ok(())
 }
 
 /// Logs the counts of calls periodically, because a process that is killed loses its counters.
-async fn log_calls(common: Arc<Common>) {
+async fn log_calls(common: Arc<SharedState>) {
     loop {
         sleep(CALL_LOG_INTERVAL).await;
-        log::info!(target: "site", calls = &*common.metrics.calls(), received = &*common.metrics.all_received(); "Calls of the outside so far.");
+        log::info!(target: "site", calls = &*common.metrics.call_totals(), received = &*common.metrics.received_totals(); "Calls of the outside so far.");
     }
 }
 
 /// Serves callers, the load balancer's readiness checks and metrics, until [`CALLER_DRAIN_TIME`]
 /// after the signal to stop.
 async fn serve_callers(
-    common: Arc<Common>,
+    common: Arc<SharedState>,
     callers: TcpListener,
     ready: TcpListener,
     metrics: TcpListener,
-    decisions: Sender<Told>,
+    decisions: Sender<ShardInput>,
 ) -> io::Result<()> {
     let listen = tokio::net::TcpListener::from_std;
     let (callers, ready, metrics) = (listen(callers)?, listen(ready)?, listen(metrics)?);
     let shared = common.clone();
     tokio::spawn(serve(ready, PAGE_LIMITS, pending(), move |head, _| {
         let ready = shared.ready();
-        shared.metrics.ready(ready);
-        let status = match (head.uri.path() == shared.forms.ready, ready) {
+        shared.metrics.set_ready(ready);
+        let status = match (head.uri.path() == shared.forms.ready_path, ready) {
             (true, true) => 200,
             (true, false) => 503,
             (false, _) => 404,
@@ -211,13 +212,13 @@
     let (pages, shared) = (common.metrics.clone(), common.clone());
     tokio::spawn(serve(metrics, PAGE_LIMITS, pending(), move |head, _| {
         let now = shared.now();
-        pages.age("configuration", now - shared.configured_at());
-        pages.age("configuration_confirmed", now - shared.confirmed());
-        pages.age("store", shared.contact().map_or(Duration::MAX, |at| now - at));
+        pages.set_age("configuration", now - shared.configured_at());
+        pages.set_age("configuration_confirmed", now - shared.confirmed_at());
+        pages.set_age("store", shared.last_answer().map_or(Duration::MAX, |at| now - at));
         let page = pages.page(head.uri.path());
         async move { page }
     }));
-    let entry = Arc::new(Entry::new(common.clone(), decisions));
+    let entry = Arc::new(JobApi::new(common.clone(), decisions));
     let stop = async move {
         common.wait_for_stop().await;
         sleep(CALLER_DRAIN_TIME).await;
@@ -236,10 +237,10 @@
             tcp.map_err(|e| Error::new(Kind::BadSettings, format!("{what} at {addr}: {e}")))
         };
         Ok(Listeners {
-            callers: bind(site.callers, "callers")?,
-            ready: bind(site.ready, "ready")?,
-            control: bind(site.control, "control")?,
-            metrics: bind_first(&site.metrics, |addr| bind(addr, "metrics"))?,
+            callers: bind(site.caller_addr, "callers")?,
+            ready: bind(site.ready_addr, "ready")?,
+            control: bind(site.control_addr, "control")?,
+            metrics: bind_first(&site.metrics_addrs, |addr| bind(addr, "metrics"))?,
         })
     }
 }
@@ -269,7 +270,7 @@
     }
 
     /// Reloads the settings or stops the member, as signals demand.
-    async fn handle(mut self, common: Arc<Common>, settings: PathBuf) {
+    async fn handle(mut self, common: Arc<SharedState>, settings: PathBuf) {
         loop {
             tokio::select! {
                 _ = self.hangup.recv() => reload(&common, &settings),
@@ -280,20 +281,20 @@
     }
 }
 
-fn stop(common: &Common) {
+fn stop(common: &SharedState) {
     if !common.stop.send_replace(true) {
         log::info!(target: "site", did = "stopping", member:% = common.me; "Member is stopping.");
     }
 }
 
 /// Reloads the settings. The addresses that this member listens on can't change while it runs.
-fn reload(common: &Common, settings: &Path) {
+fn reload(common: &SharedState, settings: &Path) {
     match read(common.forms, settings) {
         Ok(site) => {
             let old = common.site.send_replace(Arc::new(site.clone()));
-            let same = (old.callers, old.ready, old.control, &old.metrics)
-                == (site.callers, site.ready, site.control, &site.metrics);
-            log::info!(target: "site", did = "reloaded", same_store = old.store == site.store, same_advice = old.advice == site.advice; "Settings were reloaded.");
+            let same = (old.caller_addr, old.ready_addr, old.control_addr, &old.metrics_addrs)
+                == (site.caller_addr, site.ready_addr, site.control_addr, &site.metrics_addrs);
+            log::info!(target: "site", did = "reloaded", same_store = old.store_addr == site.store_addr, same_advice = old.advice_addr == site.advice_addr; "Settings were reloaded.");
             if !same {
                 log::warn!(target: "site", "New addresses to listen on take effect at the next start.");
             }
@@ -304,12 +305,12 @@
     }
 }
 
-fn read(forms: &Forms, settings: &Path) -> Result<Site, Error> {
+fn read(forms: &Codec, settings: &Path) -> Result<Site, Error> {
     let named = |e: &dyn std::fmt::Display| {
         Error::new(Kind::BadSettings, format!("{}: {e}", settings.display()))
     };
     let text = std::fs::read_to_string(settings).map_err(|e| named(&e))?;
-    (forms.settings)(&text)
+    (forms.decode_settings)(&text)
 }
 
 /// Draws an id that no other process draws.
@@ -320,7 +321,7 @@
 fn random_id(site: &Site) -> u64 {
     let time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let random = RandomState::new().hash_one(std::process::id());
-    let what = format!("{} {} {} {random}", site.node, site.control, time.as_nanos());
+    let what = format!("{} {} {} {random}", site.node, site.control_addr, time.as_nanos());
     xxhash_rust::xxh3::xxh3_64(what.as_bytes())
 }
 
--- a/src/registry.rs
+++ b/src/table_sync.rs
@@ -7,22 +7,22 @@
 
 use {
     crate::{
-        common::Common,
-        decisions::{Out, Told},
         ids::Incarnation,
         layout::{ListMonitor, MAX_LIST_WAIT, layout},
+        member_table::{MemberTable, Outcome, Takeover, member_key},
         membership::RENEW_INTERVAL,
-        owner::OwnedShards,
+        owned_shards::OwnedShards,
         ports::{Fault, Item, Put, Rev, StoreCall, StoreReply, Txn},
+        prefix_watch::{Backoff, PrefixWatch, WatchUpdate},
+        service_clients::{CALL_TIMEOUT, ServiceClients},
         shard::{
             event::Event,
-            record::{self, CommitRow, LAYOUT, OwnerRow, ShardNo, TABLE},
+            record::{self, CommitRow, LAYOUT_KEY, OwnerRow, ShardNo, TABLE_PREFIX},
         },
-        store::{CALL, Outside},
-        table::{MemberTable, Outcome, Takeover, member_key},
+        shard_runner::{ShardInput, ShardOutput},
+        shared_state::SharedState,
         time::Time,
-        watch::{Follow, Pause, Seen},
-        work::{Listed, Queues},
+        work::{ListedWorker, QueueConfig},
     },
     async_channel::{Receiver, Sender},
     std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration},
@@ -48,19 +48,23 @@
 const WATCH_PAUSE_PER_MEMBER: Duration = Duration::from_millis(2);
 
 /// Follows the items that the operators write: the configuration and the maintenance waves.
-pub(crate) async fn follow_config(common: Arc<Common>, outside: Outside, decisions: Sender<Told>) {
-    let wait = common.site.borrow().bounds.config / CONFIG_WATCHES;
-    let mut follow = Follow::whole(outside, common.forms.operators, wait);
-    let mut sent: Option<Arc<Queues>> = None;
+pub(crate) async fn follow_config(
+    common: Arc<SharedState>,
+    outside: ServiceClients,
+    decisions: Sender<ShardInput>,
+) {
+    let wait = common.site.borrow().bounds.config_lag / CONFIG_WATCHES;
+    let mut follow = PrefixWatch::from_snapshot(outside, common.forms.operator_prefix, wait);
+    let mut sent: Option<Arc<QueueConfig>> = None;
     loop {
-        match follow.turn().await {
+        match follow.poll().await {
             Some(seen) => apply_operator_items(&common, &seen),
             // A write has shown that the store has a newer configuration than the watch has
             // delivered.
-            None if common.config_outdated() => follow.afresh(),
+            None if common.config_outdated() => follow.restart(),
             None => {}
         }
-        if let Some(at) = follow.current() {
+        if let Some(at) = follow.complete_at() {
             common.confirm(common.now() - at.elapsed());
         }
         // The thread that serves callers may have applied this configuration already, so compare
@@ -69,19 +73,19 @@
         let Some(queues) = queues else { continue };
         if !sent.as_ref().is_some_and(|s| Arc::ptr_eq(s, &queues)) {
             sent = Some(queues.clone());
-            let _ = decisions.send(Told::All(Event::Queues(queues))).await;
+            let _ = decisions.send(ShardInput::Broadcast(Event::Queues(queues))).await;
         }
     }
 }
 
 /// Applies the maintenance waves and the last configuration among the operators' items.
-fn apply_operator_items(common: &Common, seen: &Seen) {
+fn apply_operator_items(common: &SharedState, seen: &WatchUpdate) {
     common.apply_waves(seen);
-    let (Seen::All(items, _) | Seen::Changes(items, _)) = seen;
+    let (WatchUpdate::Snapshot(items, _) | WatchUpdate::Changes(items, _)) = seen;
     // Many versions may arrive per second, so that only the last one is parsed.
-    let last = items.iter().filter(|i| &*i.key == common.forms.config).max_by_key(|i| i.rev);
+    let last = items.iter().filter(|i| &*i.key == common.forms.config_key).max_by_key(|i| i.rev);
     if let Some(item) = last {
-        common.take_config(item);
+        common.apply_config(item);
     }
 }
 
@@ -91,7 +95,7 @@
 /// watch of every member, and each member watches again at once. With 300 members that started and
 /// stopped one by one, these calls used the whole capacity of the store; leases ended because they
 /// could not be renewed, and each end was one more change.
-async fn follow_table(common: Arc<Common>, mut follow: Follow, seen: Sender<Message>) {
+async fn follow_table(common: Arc<SharedState>, mut follow: PrefixWatch, seen: Sender<Message>) {
     loop {
         if seen.send(Message::Seen(follow.next().await)).await.is_err() {
             return;
@@ -103,11 +107,11 @@
 
 /// The task that applies changes of the table and carries out takeovers and releases.
 pub(crate) struct TableSync {
-    common: Arc<Common>,
-    outside: Outside,
+    common: Arc<SharedState>,
+    outside: ServiceClients,
     owned_shards: OwnedShards,
     table: MemberTable,
-    decisions: Sender<Told>,
+    decisions: Sender<ShardInput>,
     /// Sends messages to this task itself.
     sender: Sender<Message>,
     /// Whether a task is creating the layout.
@@ -121,7 +125,7 @@
 /// The messages to the [`TableSync`].
 enum Message {
     /// What the watch of the table has delivered.
-    Seen(Seen),
+    Seen(WatchUpdate),
     TakeoverDone(Takeover, Outcome),
     /// The attempt to create the layout has ended.
     LayoutDone,
@@ -129,7 +133,7 @@
     /// are not settled.
     Released(ShardNo, usize),
     /// A notice of the decisions about a shard.
-    Notice(Out),
+    Notice(ShardOutput),
     /// This member is told to stop.
     Stop,
 }
@@ -137,14 +141,14 @@
 impl TableSync {
     /// Runs until this member has been told to stop and owns no shards.
     pub async fn run(
-        common: Arc<Common>,
-        outside: Outside,
+        common: Arc<SharedState>,
+        outside: ServiceClients,
         owned_shards: OwnedShards,
-        decisions: Sender<Told>,
-        notices: Receiver<Out>,
+        decisions: Sender<ShardInput>,
+        notices: Receiver<ShardOutput>,
     ) {
         let (sender, messages) = async_channel::bounded(256);
-        let follow = Follow::steady(outside.clone(), TABLE, TABLE_WATCH_WAIT);
+        let follow = PrefixWatch::shared(outside.clone(), TABLE_PREFIX, TABLE_WATCH_WAIT);
         tokio::spawn(follow_table(common.clone(), follow, sender.clone()));
         let notice_tx = sender.clone();
         tokio::spawn(async move {
@@ -175,16 +179,16 @@
 
     async fn run_loop(mut self, messages: Receiver<Message>) {
         loop {
-            let unsettled = self.table.has_unowned() || self.common.ways.is_lost();
+            let unsettled = self.table.has_unowned() || self.common.ways.is_direct_lost();
             let interval = if unsettled { CHECK_INTERVAL } else { RENEW_INTERVAL };
             let received = timeout(interval, messages.recv()).await;
-            if let Some(at) = self.common.contact() {
+            if let Some(at) = self.common.last_answer() {
                 self.table.note_answer(at);
             }
             if let Ok(Ok(message)) = received {
                 self.handle(message).await;
             }
-            self.table.set_relayed(self.common.ways.is_lost());
+            self.table.set_relayed(self.common.ways.is_direct_lost());
             self.give_up().await;
             let takeovers = self.table.due_takeovers(self.common.now());
             takeovers.into_iter().for_each(|t| self.spawn_takeover(t));
@@ -202,11 +206,11 @@
     async fn handle(&mut self, message: Message) {
         let now = self.common.now();
         match message {
-            Message::Seen(Seen::All(items, rev)) => {
+            Message::Seen(WatchUpdate::Snapshot(items, rev)) => {
                 let lost = self.table.load(items, rev, now);
                 self.publish(lost).await;
             }
-            Message::Seen(Seen::Changes(items, rev)) => {
+            Message::Seen(WatchUpdate::Changes(items, rev)) => {
                 let lost = self.table.apply_changes(items, rev, now);
                 self.publish(lost).await;
             }
@@ -215,21 +219,21 @@
                 if let Outcome::Done(rev, token) = outcome
                     && self.table.owned().contains_key(&takeover.shard)
                 {
-                    self.common.metrics.moved("taken_over");
+                    self.common.metrics.count_move("taken_over");
                     self.owned_shards.begin(takeover.shard, token, rev, takeover.lapsed);
                 }
                 self.publish(lost).await;
             }
             Message::LayoutDone => self.making_layout = false,
-            Message::Notice(Out::Settled(shard, left)) => self.release(shard, left),
-            Message::Notice(Out::Deposed(shard)) => {
+            Message::Notice(ShardOutput::Releasable(shard, left)) => self.release(shard, left),
+            Message::Notice(ShardOutput::Deposed(shard)) => {
                 self.table.remove_owned(shard, now);
                 self.publish(vec![shard]).await;
             }
-            Message::Notice(Out::Order(..)) => {}
+            Message::Notice(ShardOutput::Order(..)) => {}
             Message::Released(shard, left) => {
                 self.table.remove_owned(shard, now);
-                self.common.metrics.moved("released");
+                self.common.metrics.count_move("released");
                 let after_ms = self.stopping.map_or(0, |s| (now - s).as_millis() as u64);
                 log::info!(target: "table", did = "released", shard:% = shard, after_ms, unwritten = left; "Shard is released.");
                 self.owned_shards.end(shard).await;
@@ -237,7 +241,7 @@
             Message::Stop => {
                 self.stopping = self.stopping.or(Some(now));
                 self.table.stop();
-                let _ = self.decisions.send(Told::Release).await;
+                let _ = self.decisions.send(ShardInput::Release).await;
             }
         }
     }
@@ -247,26 +251,26 @@
         let (now, me) = (self.common.now(), self.common.me);
         let allowed = self.last_give_up.is_none_or(|at| at + GIVE_UP_INTERVAL <= now);
         let owns = self.stopping.is_none() && !self.table.owned().is_empty();
-        let others = || !self.common.view.borrow().relays(me).is_empty();
-        if owns && allowed && self.common.ways.yields() && others() {
+        let others = || !self.common.view.borrow().relay_candidates(me).is_empty();
+        if owns && allowed && self.common.ways.yields_shards() && others() {
             self.last_give_up = Some(now);
             let shards = self.table.owned().len();
             log::warn!(target: "table", did = "yields", shards; "The store doesn't serve this member; its shards are given up.");
-            let _ = self.decisions.send(Told::Release).await;
+            let _ = self.decisions.send(ShardInput::Release).await;
         }
     }
 
     /// Publishes the changed table and notifies the tasks that the change concerns.
     async fn publish(&mut self, lost: Vec<ShardNo>) {
         for shard in lost {
-            self.common.metrics.moved("passed");
+            self.common.metrics.count_move("passed");
             log::info!(target: "table", did = "passed", shard:% = shard, to:? = self.table.view().owners.get(&shard); "Shard is no longer owned by this member.");
             self.owned_shards.end(shard).await;
         }
         let view = self.table.view();
         self.log_members(&view.members.keys().copied().collect());
-        self.common.metrics.level("shards", self.table.owned().len());
-        self.common.metrics.level("members", view.members.len());
+        self.common.metrics.set_level("shards", self.table.owned().len());
+        self.common.metrics.set_level("members", view.members.len());
         let peers = view.available_members();
         let (before, old) = {
             let old = self.common.view.borrow();
@@ -275,10 +279,10 @@
         let closing = view.closing.clone();
         self.common.view.send_replace(Arc::new(view));
         if closing != old {
-            let _ = self.decisions.send(Told::All(Event::Closing(closing))).await;
+            let _ = self.decisions.send(ShardInput::Broadcast(Event::Closing(closing))).await;
         }
         if peers != before {
-            let _ = self.decisions.send(Told::Peers).await;
+            let _ = self.decisions.send(ShardInput::PeersChanged).await;
         }
     }
 
@@ -347,15 +351,21 @@
 }
 
 /// Writes that a shard has no owner. An unclear answer is resolved by the next attempt.
-async fn write_release(outside: &Outside, shard: ShardNo, rev: Rev, row: OwnerRow, attempts: u32) {
+async fn write_release(
+    outside: &ServiceClients,
+    shard: ShardNo,
+    rev: Rev,
+    row: OwnerRow,
+    attempts: u32,
+) {
     let key = shard.owner();
-    let value = record::write(&OwnerRow { owner: None, token: row.token, control: None });
+    let value = record::encode(&OwnerRow { owner: None, token: row.token, control: None });
     let put = Put { key: key.clone(), value, lease: 0 };
     let txn = Txn { expect: vec![(key, rev)], puts: vec![put], remove: vec![] };
     let call = StoreCall::Txn(txn);
-    let mut pause = Pause::default();
+    let mut pause = Backoff::default();
     for attempt in 1..=attempts {
-        match outside.store(&call, CALL).await {
+        match outside.call_store(&call, CALL_TIMEOUT).await {
             // If the row has changed, an earlier attempt has succeeded or another member owns the
             // shard.
             Ok(StoreReply::Done(_) | StoreReply::Conflict(_)) => return,
@@ -369,11 +379,11 @@
 }
 
 /// Writes the layout for the listed workers, once their list has stopped growing.
-async fn make_layout(outside: &Outside, common: &Common) {
+async fn make_layout(outside: &ServiceClients, common: &SharedState) {
     let mut monitor = ListMonitor::new(common.now());
     let mut workers = vec![];
     loop {
-        if let Ok((items, _)) = outside.all(common.forms.workers, false).await {
+        if let Ok((items, _)) = outside.read_prefix(common.forms.worker_prefix, false).await {
             workers = items;
         }
         if common.view.borrow().layout.is_some() || monitor.observe(workers.len(), common.now()) {
@@ -382,33 +392,33 @@
         sleep(RENEW_INTERVAL).await;
     }
     let read = |item: &Item| {
-        let id = item.key.strip_prefix(common.forms.workers)?;
-        (common.forms.listed)(id, item.value.as_ref()?).ok()
+        let id = item.key.strip_prefix(common.forms.worker_prefix)?;
+        (common.forms.decode_listed)(id, item.value.as_ref()?).ok()
     };
-    let workers: Vec<Listed> = workers.iter().filter_map(read).collect();
+    let workers: Vec<ListedWorker> = workers.iter().filter_map(read).collect();
     let secret = format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..)).into();
     let layout = layout(&workers, secret);
     let (count, shards) = (workers.len(), layout.shards);
-    let value = record::write(&layout);
-    let put = Put { key: LAYOUT.into(), value, lease: 0 };
-    let txn = Txn { expect: vec![(LAYOUT.into(), 0)], puts: vec![put], remove: vec![] };
+    let value = record::encode(&layout);
+    let put = Put { key: LAYOUT_KEY.into(), value, lease: 0 };
+    let txn = Txn { expect: vec![(LAYOUT_KEY.into(), 0)], puts: vec![put], remove: vec![] };
     // Whatever the answer, the watch delivers the layout that is in force.
-    let _ = outside.store(&StoreCall::Txn(txn), CALL).await;
+    let _ = outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await;
     log::info!(target: "table", shards, workers = count; "A layout was written, unless another member was first.");
 }
 
 /// Writes a takeover. If the answer is unclear, reads the owner row back.
 async fn take_over(
-    outside: &Outside,
+    outside: &ServiceClients,
     me: Incarnation,
     control: Option<SocketAddr>,
     takeover: &Takeover,
 ) -> Outcome {
-    let Ok(commit) = outside.get(&takeover.shard.commit(), CALL).await else {
+    let Ok(commit) = outside.get(&takeover.shard.commit(), CALL_TIMEOUT).await else {
         return Outcome::NotWritten;
     };
     let row: Option<CommitRow> =
-        commit.as_ref().and_then(|c| record::read(c.value.as_ref().map_or(&[], |v| &v[..])));
+        commit.as_ref().and_then(|c| record::decode(c.value.as_ref().map_or(&[], |v| &v[..])));
     let token = takeover.token.max(row.map_or(0, |r| r.token) + 1);
     let put = |key, value| Put { key, value, lease: 0 };
     // Guards against taking over from an owner that has registered again without this member having
@@ -423,16 +433,18 @@
         puts: vec![
             put(
                 takeover.shard.owner(),
-                record::write(&OwnerRow { owner: Some(me), token, control }),
+                record::encode(&OwnerRow { owner: Some(me), token, control }),
             ),
-            put(takeover.shard.commit(), record::write(&CommitRow { token, number: 0 })),
+            put(takeover.shard.commit(), record::encode(&CommitRow { token, number: 0 })),
         ],
         remove: vec![],
     };
-    match outside.store(&StoreCall::Txn(txn), CALL).await {
+    match outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await {
         Ok(StoreReply::Done(rev)) => Outcome::Done(rev, token),
         Ok(StoreReply::Conflict(items)) => Outcome::Conflict(items),
         Err(Fault::Refused | Fault::Unsent) => Outcome::NotWritten,
-        _ => Outcome::Unclear(outside.get(&takeover.shard.owner(), CALL).await.ok().flatten()),
+        _ => Outcome::Unclear(
+            outside.get(&takeover.shard.owner(), CALL_TIMEOUT).await.ok().flatten(),
+        ),
     }
 }
--- a/src/tasks.rs
+++ b/src/tasks.rs
@@ -19,7 +19,7 @@
 mod show;
 mod urgent;
 
-pub use self::list::Past;
+pub use self::list::History;
 use {
     self::urgent::Urgent,
     crate::{
@@ -28,8 +28,8 @@
             cancel::Cancels,
             estimate::Estimates,
             order::Order,
-            quota::{Ask, BRIEF, Back, Grant, Quotas},
-            suspect::{Outcome, Suspects, Trust, Verdict},
+            quota::{BRIEF_TASK, Grant, QuotaRequest, Quotas, Reclaim},
+            suspect::{FaultTracker, Outcome, Trust, Verdict},
             urgent::Allowances,
         },
         ids::{Bucket, JobId, PoolId, TaskId, TaskIndex, TeamId, WorkerId, team_bucket},
@@ -51,7 +51,7 @@
 /// A task or a whole gang that is to be placed now.
 pub struct Pick {
     /// The tasks, each with the grant from its team's quota.
-    pub asks: Vec<(Ask, Grant)>,
+    pub asks: Vec<(QuotaRequest, Grant)>,
     /// The job.
     pub job: Job,
     /// Whether other work may be stopped to make room for it.
@@ -76,7 +76,7 @@
     plan: Rc<Plan>,
     order: Order,
     quotas: Quotas,
-    suspects: Suspects,
+    suspects: FaultTracker,
     estimates: Estimates,
     cancels: Cancels,
     allowances: Allowances,
@@ -111,7 +111,7 @@
             plan: Rc::default(),
             order: Order::default(),
             quotas: Quotas::default(),
-            suspects: Suspects::new(seed),
+            suspects: FaultTracker::new(seed),
             estimates: Estimates::default(),
             cancels: Cancels::default(),
             allowances: Allowances::default(),
@@ -171,13 +171,15 @@
 
     /// Whether room is still being requested for a task. Returns false once its job or its bucket
     /// is gone.
-    pub fn asked(&self, task: &TaskId) -> bool {
+    pub fn room_requested(&self, task: &TaskId) -> bool {
         self.held.get(task).is_some_and(|h| h.placed_at.is_none())
     }
 
     /// Whether a task for which room was requested is still to be placed.
-    pub fn wanted(&self, task: &TaskId) -> bool {
-        self.asked(task) && self.listed.contains_key(&task.job) && !self.cancels.cancelled(task)
+    pub fn should_place(&self, task: &TaskId) -> bool {
+        self.room_requested(task)
+            && self.listed.contains_key(&task.job)
+            && !self.cancels.cancelled(task)
     }
 
     /// Whether a task is cancelled.
@@ -192,7 +194,7 @@
 
     /// Records that a task was assigned to a worker and that its attempt was created.
     pub fn placed(&mut self, task: &TaskId, worker: &WorkerId, now: Time) {
-        self.suspects.started(now, task, worker);
+        self.suspects.record_start(now, task, worker);
         if let Some(held) = self.held.get_mut(task) {
             held.placed_at = Some(now);
         }
@@ -206,7 +208,7 @@
     }
 
     /// Handles the end of an attempt as it is now recorded.
-    pub fn over(&mut self, item: &EndItem, now: Time) {
+    pub fn attempt_ended(&mut self, item: &EndItem, now: Time) {
         let task = &item.task;
         // A task that is not held is already counted as over.
         let Some(placed_at) = self.held.get(task).map(|h| h.placed_at) else { return };
@@ -224,11 +226,11 @@
         if job.kind == JobKind::Gang && outcome != Outcome::Done {
             self.restart_gang(&task.job, now);
         }
-        match self.suspects.ended(now, task, &item.worker, outcome) {
-            Verdict::Over if job.kind == JobKind::Replicas => {
+        match self.suspects.record_end(now, task, &item.worker, outcome) {
+            Verdict::Completed if job.kind == JobKind::Replicas => {
                 self.delayed.insert((now + RESTART_DELAY, task.clone()));
             }
-            Verdict::Over => self.ended(task, &job, now),
+            Verdict::Completed => self.ended(task, &job, now),
             Verdict::Retry(at) => {
                 self.delayed.insert((at, task.clone()));
             }
@@ -247,8 +249,8 @@
         let (name, used) = (&item.task.job, item.used.unwrap_or(job.size));
         if let (Outcome::Done, Some(ran)) = (outcome, ran) {
             self.estimates.ended(name, ran, used);
-            let run = self.estimates.run(name, job.run);
-            self.order.correct(now, name, run, &self.quotas);
+            let run = self.estimates.run_time(name, job.run);
+            self.order.set_run_time(now, name, run, &self.quotas);
         } else if !used.fits(&job.size) {
             self.estimates.check(name, used, job.size, Size::default());
         }
@@ -279,7 +281,7 @@
     /// that the plan no longer lists.
     pub fn stops(&mut self, now: Time) -> Vec<TaskId> {
         let mut stops = std::mem::take(&mut self.stops);
-        stops.extend(self.quotas.returns(now));
+        stops.extend(self.quotas.tasks_to_return(now));
         stops.extend(self.cancels.tick(now));
         stops
     }
@@ -295,7 +297,7 @@
     }
 
     /// Whether a job was taken in from the plan.
-    pub fn lists(&self, name: &JobId) -> bool {
+    pub fn has_job(&self, name: &JobId) -> bool {
         self.listed.contains_key(name)
     }
 
@@ -303,11 +305,11 @@
     pub fn workers<'a>(&mut self, vms: impl Iterator<Item = &'a Vm>) {
         let mut now = BTreeMap::new();
         for vm in vms {
-            self.suspects.join(&vm.worker, &vm.pool, &vm.rack);
+            self.suspects.add_worker(&vm.worker, &vm.pool, &vm.rack);
             now.insert(vm.worker.clone(), vm.pool.clone());
         }
         for gone in self.worker_pools.keys().filter(|w| !now.contains_key(*w)) {
-            self.suspects.leave(gone);
+            self.suspects.remove_worker(gone);
             self.failed_workers.remove(gone);
         }
         self.worker_pools = now;
@@ -318,7 +320,7 @@
     /// A task that has failed on every worker of a small pool may use them again. If it avoided all
     /// of them, it would wait forever and neither run nor be given up.
     pub fn avoid(&self, task: &TaskId, now: Time) -> Vec<WorkerId> {
-        let held = |w: &&WorkerId| matches!(self.suspects.trust(now, w), Trust::Held(_));
+        let held = |w: &&WorkerId| matches!(self.suspects.trust(now, w), Trust::Blocked(_));
         let mut avoid: BTreeSet<&WorkerId> = self.failed_workers.iter().filter(held).collect();
         let failed = self.suspects.failed_on(task);
         let pool = self.listed.get(&task.job).map(|j| &j.pool);
@@ -336,26 +338,27 @@
     }
 
     /// How the room of a task can be reclaimed, and whether the room is borrowed.
-    pub fn hold(&self, task: &TaskId) -> (Hold, bool) {
+    pub fn reclaim(&self, task: &TaskId) -> (Hold, bool) {
         let hold = match self.listed.get(&task.job).map(reclaim_mode) {
-            Some(Back::Checkpoint) => Hold::Checkpoint,
-            Some(Back::Brief) => Hold::Brief,
-            Some(Back::Never) | None => Hold::Never,
+            Some(Reclaim::Checkpoint) => Hold::Checkpoint,
+            Some(Reclaim::Brief) => Hold::Brief,
+            Some(Reclaim::Never) | None => Hold::Never,
         };
-        (hold, self.quotas.borrows(task))
+        (hold, self.quotas.is_borrowed(task))
     }
 
     /// Whether any task of a job may start now.
     fn may_start(&self, name: &JobId, job: &Job, now: Time) -> bool {
         match self.suspects.job_trust(now, name) {
-            Trust::Held(_) => false,
+            Trust::Blocked(_) => false,
             // The time of the last start is known only once that task has found room. Until then no
             // other task of the job may be requested, or a job on trial would start all its tasks
             // at once.
             Trust::Probe => {
-                !self.held_of(name).any(|(_, h)| h.placed_at.is_none()) && self.ready(job)
+                !self.held_of(name).any(|(_, h)| h.placed_at.is_none())
+                    && self.dependencies_met(job)
             }
-            Trust::Full => self.ready(job),
+            Trust::Full => self.dependencies_met(job),
         }
     }
 
@@ -368,14 +371,14 @@
     fn hold_pending(&mut self, task: &TaskId, job: &Job, urgent: Option<(TeamId, Size)>) -> bool {
         let held = Held { bucket: team_bucket(&job.team), placed_at: None, urgent };
         self.held.insert(task.clone(), held);
-        self.cancels.start(task)
+        self.cancels.try_start(task)
     }
 
     fn release(&mut self, task: &TaskId) {
-        self.quotas.ended(task);
+        self.quotas.record_end(task);
         self.cancels.ended(task);
         if let Some((team, size)) = self.held.remove(task).and_then(|h| h.urgent) {
-            self.allowances.ended(&team, size);
+            self.allowances.record_end(&team, size);
         }
         if !self.listed.contains_key(&task.job) && self.held_of(&task.job).next().is_none() {
             // No task of the job is held any more, so its cancel mark is not needed.
@@ -397,11 +400,11 @@
 
 /// How the room of a job's tasks can be reclaimed. Room of urgent work is not reclaimed: the work
 /// would be stopped because it borrows room and would start again at once, repeatedly.
-fn reclaim_mode(job: &Job) -> Back {
+fn reclaim_mode(job: &Job) -> Reclaim {
     match job.kind {
-        JobKind::Batch if !job.urgent && job.run <= BRIEF => Back::Brief,
-        JobKind::Batch if !job.urgent => Back::Checkpoint,
-        _ => Back::Never,
+        JobKind::Batch if !job.urgent && job.run <= BRIEF_TASK => Reclaim::Brief,
+        JobKind::Batch if !job.urgent => Reclaim::Checkpoint,
+        _ => Reclaim::Never,
     }
 }
 
--- a/src/tasks/gang.rs
+++ b/src/tasks/gang.rs
@@ -6,7 +6,7 @@
         Time,
         decide::{
             order,
-            quota::{Ask, Grant},
+            quota::{Grant, QuotaRequest},
         },
         ids::{JobId, TaskId},
     },
@@ -14,14 +14,14 @@
 
 impl Tasks {
     /// Picks all tasks of a gang, if the team's quota admits all of them.
-    pub(super) fn gang(&mut self, name: &JobId, now: Time) -> Option<Vec<(Ask, Grant)>> {
+    pub(super) fn gang(&mut self, name: &JobId, now: Time) -> Option<Vec<(QuotaRequest, Grant)>> {
         let job = self.listed.get(name)?.clone();
         let asks = self.order.asks(name);
         // Some tasks still run or wait for a delay to end; part of a gang must not start.
         if asks.len() < job.tasks as usize || asks.is_empty() {
             return None;
         }
-        let mut taken: Vec<(Ask, Grant)> = vec![];
+        let mut taken: Vec<(QuotaRequest, Grant)> = vec![];
         for ask in asks {
             let pick = order::Pick { grant: self.quotas.grant(&ask), ask: ask.clone() };
             let grant = self.order.take(now, &pick, &mut self.quotas);
--- a/src/tasks/list.rs
+++ b/src/tasks/list.rs
@@ -19,7 +19,7 @@
 const MAX_TRIES: u32 = 12;
 
 /// The recorded history of a job in its bucket.
-pub struct Past {
+pub struct History {
     /// Rows of its attempts.
     pub rows: Vec<TaskRow>,
     /// Tasks that have ended successfully and have no row any more.
@@ -32,9 +32,9 @@
 
 impl Tasks {
     /// Applies the plan in force: sets the quotas and removes jobs that the plan no longer lists.
-    pub fn planned(&mut self, plan: &Rc<Plan>) {
+    pub fn set_plan(&mut self, plan: &Rc<Plan>) {
         let before = std::mem::replace(&mut self.plan, plan.clone());
-        let all = self.all();
+        let all = self.total_size();
         for (id, team) in &plan.teams {
             self.quotas.set(id, team.quota.unwrap_or(all), team.weight);
         }
@@ -63,7 +63,7 @@
     /// Returns false while tasks of an earlier job of the same name are being stopped or room is
     /// being requested for them: replies for those tasks would be mistaken for replies for the new
     /// job.
-    pub fn list(&mut self, name: &JobId, past: Past, now: Time) -> bool {
+    pub fn add_job(&mut self, name: &JobId, past: History, now: Time) -> bool {
         let Some(job) = self.plan.jobs.get(name).cloned() else { return true };
         if self.busy(name) {
             return false;
@@ -81,11 +81,11 @@
             team: job.team.clone(),
             deadline: left.map_or(Time::NEVER, |left| now + left),
             priority: u8::try_from(job.priority).unwrap_or(u8::MAX),
-            run: self.estimates.run(name, job.run),
+            run_time: self.estimates.run_time(name, job.run),
             width: job.tasks,
             tasks: job.tasks,
             size: job.size,
-            back: reclaim_mode(&job),
+            reclaim: reclaim_mode(&job),
         };
         self.listed.insert(name.clone(), job.clone());
         self.order.push(now, entry, &mut self.quotas);
@@ -102,16 +102,16 @@
     }
 
     /// Holds and cancels the task of a row whose job the plan does not list, so that it is stopped.
-    pub fn orphan(&mut self, row: &TaskRow, bucket: Bucket, now: Time) {
+    pub fn cancel_orphan(&mut self, row: &TaskRow, bucket: Bucket, now: Time) {
         let held = Held { bucket, placed_at: Some(now), urgent: None };
         self.held.insert(row.task.clone(), held);
-        self.cancels.start(&row.task);
-        self.cancels.task(&row.task);
+        self.cancels.try_start(&row.task);
+        self.cancels.cancel_task(&row.task);
     }
 
     /// Drops the tasks of a bucket that passed to another member, which decides on them from now
     /// on.
-    pub fn lost(&mut self, bucket: Bucket) {
+    pub fn drop_bucket(&mut self, bucket: Bucket) {
         let held: Vec<TaskId> =
             self.held.iter().filter(|(_, h)| h.bucket == bucket).map(|(t, _)| t.clone()).collect();
         held.iter().for_each(|t| self.release(t));
@@ -146,8 +146,8 @@
         let kept = |j: &Job| task.index.0 < j.tasks && team_bucket(&j.team) == held.bucket;
         match job {
             // One mark covers all tasks of the job, so the work is bounded whatever their number.
-            None => self.cancels.job(&task.job),
-            Some(job) if !kept(job) => self.cancels.task(task),
+            None => self.cancels.cancel_job(&task.job),
+            Some(job) if !kept(job) => self.cancels.cancel_task(task),
             Some(_) => {}
         }
     }
@@ -156,7 +156,7 @@
         self.held_of(name).any(|(t, h)| h.placed_at.is_none() || self.cancels.cancelled(t))
     }
 
-    fn restore_job(&mut self, name: &JobId, job: &Job, past: Past, now: Time) {
+    fn restore_job(&mut self, name: &JobId, job: &Job, past: History, now: Time) {
         for index in past.done.iter().filter(|i| i.0 < job.tasks) {
             self.restore_ended(&TaskId { job: name.clone(), index }, job, now);
         }
@@ -185,7 +185,7 @@
                 let bucket = team_bucket(&job.team);
                 let held = Held { bucket, placed_at: Some(now), urgent: None };
                 self.held.insert(row.task.clone(), held);
-                self.cancels.start(&row.task);
+                self.cancels.try_start(&row.task);
             }
             TaskState::Ended if job.kind != JobKind::Replicas => {
                 self.restore_ended(&row.task, job, now);
@@ -214,7 +214,7 @@
             // waits again.
             JobKind::Gang => {
                 self.order.adopt(now, task, false, &mut self.quotas);
-                self.quotas.ended(task);
+                self.quotas.record_end(task);
             }
             _ => self.order.adopt(now, task, true, &mut self.quotas),
         }
@@ -223,7 +223,7 @@
     fn drop_job(&mut self, name: &JobId) {
         self.done.remove(name);
         self.faults.remove(name);
-        self.suspects.forget(name);
+        self.suspects.remove_job(name);
         self.estimates.forget(name);
         self.abandoned.retain(|t, _| t.job != *name);
         self.delayed.retain(|(_, t)| t.job != *name);
--- a/src/tasks/show.rs
+++ b/src/tasks/show.rs
@@ -17,7 +17,7 @@
             return Some(format!("given up: {fault}").into());
         }
         let job = self.listed.get(&task.job)?;
-        if !self.ready(job) {
+        if !self.dependencies_met(job) {
             return Some(format!("waits for {}", job.after.join(", ")).into());
         }
         let (own, borrowed) = self.quotas.held(&job.team);
@@ -48,11 +48,11 @@
     pub fn balance(&self) -> Balance {
         let teams = || self.plan.teams.keys();
         let size = teams().map(|t| self.quotas.held(t)).map(|(own, lent)| own + lent).sum();
-        let waits = teams().map(|t| self.quotas.waits(t)).sum();
-        Balance { held: self.held.len(), waiting: self.order.waiting(), size, waits }
+        let waits = teams().map(|t| self.quotas.waiting(t)).sum();
+        Balance { held: self.held.len(), waiting: self.order.waiting_count(), size, waits }
     }
 
-    pub(super) fn ready(&self, job: &Job) -> bool {
+    pub(super) fn dependencies_met(&self, job: &Job) -> bool {
         job.after.iter().all(|name| {
             let id = JobId(name.clone());
             // A dependency on a service or on replicas, which run all the time, counts as met.
@@ -63,7 +63,7 @@
     }
 
     /// Total resources of all workers of the plan.
-    pub(super) fn all(&self) -> Size {
+    pub(super) fn total_size(&self) -> Size {
         self.plan.pools.values().map(|p| p.size.times(u64::from(p.workers))).sum()
     }
 }
--- a/src/tasks/urgent.rs
+++ b/src/tasks/urgent.rs
@@ -4,7 +4,7 @@
     super::{Pick, Tasks},
     crate::{
         Time,
-        decide::quota::{Ask, Grant},
+        decide::quota::{Grant, QuotaRequest},
         ids::{JobId, TaskId, TaskIndex},
         text::{Job, JobKind},
     },
@@ -82,9 +82,13 @@
             JobKind::Batch | JobKind::Replicas => vec![task.clone()],
         };
         let size = job.size.times(tasks.len() as u64);
-        let quota =
-            self.plan.teams.get(&job.team).and_then(|t| t.quota).unwrap_or_else(|| self.all());
-        if !self.allowances.start(now, &job.team, size, quota) {
+        let quota = self
+            .plan
+            .teams
+            .get(&job.team)
+            .and_then(|t| t.quota)
+            .unwrap_or_else(|| self.total_size());
+        if !self.allowances.admit(now, &job.team, size, quota) {
             return None;
         }
         let mut asks = vec![];
@@ -94,7 +98,12 @@
             self.order.adopt(now, task, false, &mut self.quotas);
             admitted &= self.hold_pending(task, &job, Some((job.team.clone(), job.size)));
             let back = super::reclaim_mode(&job);
-            let ask = Ask { team: job.team.clone(), task: task.clone(), size: job.size, back };
+            let ask = QuotaRequest {
+                team: job.team.clone(),
+                task: task.clone(),
+                size: job.size,
+                reclaim: back,
+            };
             asks.push((ask, Grant::Own));
         }
         if !admitted {
--- a/src/text/moved.rs
+++ b/src/text/moved.rs
@@ -13,7 +13,7 @@
     /// bucket, which may have another owner. That owner would start the job's tasks while the
     /// previous owner still stops them, and they would run twice. A job therefore keeps its team
     /// while it is listed.
-    pub fn moved(&self, old: &Plan, text: &str) -> Vec<Fault> {
+    pub fn team_changes(&self, old: &Plan, text: &str) -> Vec<Fault> {
         let team = |name: &JobId| old.jobs.get(name).map(|j| &j.team);
         let moved = self.jobs.iter().filter(|(name, j)| team(name).is_some_and(|t| *t != j.team));
         let fault = |(name, _): (&JobId, _)| Fault {
--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -22,14 +22,16 @@
 mod ledger;
 mod loans;
 
-pub use ledger::{Entry, LEDGER, Ledger, Lent};
+pub use ledger::{LEDGER_KEY, Ledger, LoanEntry, WaveEntry};
 use {
     crate::{
         ids::{PoolId, WaveNo, WorkerId},
-        ports::{Deed, Fault, Fleet, Item, Put, Rev, StoreReply, Txn, Vm, VmCall, VmReply, Wave},
+        ports::{
+            Fault, Item, Put, Rev, StoreReply, Txn, Vm, VmAction, VmCall, VmLimits, VmReply, Wave,
+        },
         shard::{
-            Held, Need,
-            record::{self, CLOSING, Closing},
+            Occupancy, PoolWait,
+            record::{self, CLOSING_KEY, Closing},
         },
         time::{Time, millis},
     },
@@ -64,11 +66,11 @@
     /// Token of the holder, higher than that of any predecessor.
     pub token: u64,
     /// Limits for VM orders.
-    pub fleet: Fleet,
+    pub limits: VmLimits,
     /// Unix time at [`Time::ZERO`], in milliseconds.
-    pub unix: u64,
+    pub unix_ms: u64,
     /// Encodes the state of a wave, given whether it is completed, as key and value.
-    pub told: fn(WaveNo, bool) -> (Box<str>, Bytes),
+    pub encode_state: fn(WaveNo, bool) -> (Box<str>, Bytes),
 }
 
 /// An input of the holder.
@@ -78,15 +80,15 @@
     /// the stored [`Closing`] still names workers to be emptied.
     Waves(Vec<(Rev, Wave)>, bool),
     /// The ledger, or the fault that prevented reading it.
-    Read(Result<Option<Item>, Fault>),
+    LedgerRead(Result<Option<Item>, Fault>),
     /// The store's answer to the write with this number.
-    Stored(u64, Result<StoreReply, Fault>),
+    Written(u64, Result<StoreReply, Fault>),
     /// The list of VMs, and the time at which it was requested.
-    Listed(Time, Result<Vec<Vm>, Fault>),
+    VmsListed(Time, Result<Vec<Vm>, Fault>),
     /// The standby pools.
     Pools(BTreeSet<PoolId>),
     /// The owners' reports on workers and on how long work waits, and the time of the request.
-    Held(Time, Vec<Held>, Vec<Need>),
+    OwnersReported(Time, Vec<Occupancy>, Vec<PoolWait>),
     /// The outcome of an order for a VM.
     Answered(VmCall, Result<VmReply, Fault>),
     /// Time has passed.
@@ -97,15 +99,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Read the ledger.
-    Read,
-    /// Write to the store; the number identifies the write in [`Event::Stored`].
-    Store(u64, Txn),
+    ReadLedger,
+    /// Write to the store; the number identifies the write in [`Event::Written`].
+    Write(u64, Txn),
     /// Read the list of VMs.
-    List,
+    ListVms,
     /// Ask the owners for the state of these workers.
-    Ask(Vec<WorkerId>),
+    AskOwners(Vec<WorkerId>),
     /// Order the maintenance or the move of a VM.
-    Call(VmCall),
+    OrderVm(VmCall),
 }
 
 /// Whether the ledger is known and whether a read or write of it is in flight.
@@ -188,11 +190,11 @@
                 (self.ordered, self.stale_closing) = (waves, stale_closing);
                 self.sync_waves(now);
             }
-            Event::Read(reply) => self.read(reply, now),
-            Event::Stored(number, reply) => self.written(number, &reply, now),
-            Event::Listed(sent, reply) => self.listed(sent, reply),
+            Event::LedgerRead(reply) => self.read(reply, now),
+            Event::Written(number, reply) => self.written(number, &reply, now),
+            Event::VmsListed(sent, reply) => self.listed(sent, reply),
             Event::Pools(standby) => self.loans.set_standby(standby),
-            Event::Held(sent, all, needs) => {
+            Event::OwnersReported(sent, all, needs) => {
                 self.asking = false;
                 self.loans.set_needs(&needs, now);
                 self.reports = all.into_iter().map(|h| (h.worker.clone(), (sent, h))).collect();
@@ -205,7 +207,7 @@
     }
 
     /// Whether another holder has taken over; this one then orders nothing more.
-    pub fn over(&self) -> bool {
+    pub fn is_deposed(&self) -> bool {
         self.deposed
     }
 
@@ -229,7 +231,7 @@
     }
 
     fn unix(&self, now: Time) -> u64 {
-        self.setup.unix + millis(now - Time::ZERO)
+        self.setup.unix_ms + millis(now - Time::ZERO)
     }
 
     /// Starts newly ordered waves and drops withdrawn ones, once the ledger is known.
@@ -238,16 +240,17 @@
             return;
         }
         let unix = self.unix(now);
-        let current: BTreeSet<WaveNo> = self.ordered.iter().map(|(_, w)| w.no).collect();
+        let current: BTreeSet<WaveNo> = self.ordered.iter().map(|(_, w)| w.number).collect();
         self.progress.retain(|no, _| current.contains(no));
         for (rev, wave) in &self.ordered {
-            let known = self.progress.get(&wave.no);
+            let known = self.progress.get(&wave.number);
             if known.is_some_and(|c| c.rev == *rev) {
                 continue;
             }
-            let entry = known.map(WaveProgress::entry).or(self.stored.waves.get(&wave.no).cloned());
+            let entry =
+                known.map(WaveProgress::entry).or(self.stored.waves.get(&wave.number).cloned());
             let progress = WaveProgress::new(wave.clone(), *rev, entry.as_ref(), unix, now);
-            self.progress.insert(wave.no, progress);
+            self.progress.insert(wave.number, progress);
         }
     }
 
@@ -257,7 +260,7 @@
             return;
         };
         let rev = item.as_ref().map_or(0, |i| i.rev);
-        let ledger: Option<Ledger> = item.and_then(|i| record::read(&i.value?));
+        let ledger: Option<Ledger> = item.and_then(|i| record::decode(&i.value?));
         let ledger = ledger.unwrap_or_default();
         if ledger.token > self.setup.token {
             return self.resign("ledger");
@@ -324,7 +327,7 @@
             let unchanged = known.is_some_and(|k| k.over == entry.over && k.rev == entry.rev);
             if unchanged || puts.len() < MAX_STATES {
                 if !unchanged {
-                    let (key, value) = (self.setup.told)(no, entry.over);
+                    let (key, value) = (self.setup.encode_state)(no, entry.over);
                     puts.push(Put { key, value, lease: 0 });
                 }
                 ledger.waves.insert(no, entry);
@@ -332,14 +335,14 @@
                 ledger.waves.insert(no, known.clone());
             }
         }
-        puts.push(Put { key: LEDGER.into(), value: record::write(&ledger), lease: 0 });
+        puts.push(Put { key: LEDGER_KEY.into(), value: record::encode(&ledger), lease: 0 });
         let turns = Some(turns).filter(|_| self.closing_changed());
         if let Some(turns) = &turns {
-            puts.push(Put { key: CLOSING.into(), value: record::write(turns), lease: 0 });
+            puts.push(Put { key: CLOSING_KEY.into(), value: record::encode(turns), lease: 0 });
         }
-        let txn = Txn { expect: vec![(LEDGER.into(), self.rev)], puts, remove: vec![] };
+        let txn = Txn { expect: vec![(LEDGER_KEY.into(), self.rev)], puts, remove: vec![] };
         self.in_flight = (ledger, turns);
-        self.out.push(Order::Store(self.number, txn));
+        self.out.push(Order::Write(self.number, txn));
     }
 
     fn written(&mut self, number: u64, reply: &Result<StoreReply, Fault>, now: Time) {
@@ -349,8 +352,11 @@
         match reply {
             Ok(StoreReply::Done(rev)) => {
                 // A predecessor may have sent its last order just now, by its own clock.
-                let turn =
-                    if self.stored.token > 0 { self.setup.fleet.turn } else { Duration::ZERO };
+                let turn = if self.stored.token > 0 {
+                    self.setup.limits.holder_gap
+                } else {
+                    Duration::ZERO
+                };
                 self.orders_from.get_or_insert(now + turn);
                 let (ledger, closing) = std::mem::take(&mut self.in_flight);
                 self.stored = ledger;
@@ -377,19 +383,19 @@
         }
         self.list = List { sent, all: all.into_iter().map(|m| (m.id.clone(), m)).collect() };
         for progress in self.progress.values_mut().filter(|c| !c.over) {
-            progress.listed(&self.list, &self.setup.fleet);
+            progress.listed(&self.list, &self.setup.limits);
         }
         self.loans.listed(&self.list);
     }
 
     fn answered(&mut self, call: &VmCall, reply: &Result<VmReply, Fault>, now: Time) {
-        match &call.deed {
-            Deed::Upkeep(wave) => {
+        match &call.action {
+            VmAction::Upkeep(wave) => {
                 if let Some(progress) = self.progress.get_mut(wave) {
                     progress.answered(&call.vm, reply, now);
                 }
             }
-            Deed::Move(_) => self.loans.answered(&call.vm, reply, now),
+            VmAction::Move(_) => self.loans.answered(&call.vm, reply, now),
         }
         if *reply == Ok(VmReply::Fence) {
             self.resign("order");
@@ -402,7 +408,7 @@
         }
         if self.stage == Stage::Unread && self.needed() && self.retry_at <= now {
             self.stage = Stage::Reading;
-            self.out.push(Order::Read);
+            self.out.push(Order::ReadLedger);
         }
         if !self.active() {
             // The next wave or loan must not start from outdated data.
@@ -421,7 +427,7 @@
         let active = self.active();
         if active && !self.listing && self.next_list <= now {
             (self.listing, self.next_list) = (true, now + LIST_INTERVAL);
-            self.out.push(Order::List);
+            self.out.push(Order::ListVms);
         }
         let mut workers: Vec<WorkerId> = self.turns().turns.into_keys().collect();
         workers.extend(self.loans.workers().cloned());
@@ -429,7 +435,7 @@
         if wanted && !self.asking && self.next_ask <= now {
             (self.asking, self.next_ask) =
                 (true, now + if active { ASK_INTERVAL } else { IDLE_ASK_INTERVAL });
-            self.out.push(Order::Ask(workers));
+            self.out.push(Order::AskOwners(workers));
         }
     }
 
@@ -437,7 +443,7 @@
         let in_waves = self.progress.values().flat_map(WaveProgress::taken).cloned();
         let mut taken: BTreeSet<_> = in_waves.chain(self.loans.taken().cloned()).collect();
         for progress in self.progress.values_mut().filter(|c| !c.over) {
-            progress.step(&self.list, &self.reports, &taken, &self.setup.fleet, now);
+            progress.step(&self.list, &self.reports, &taken, &self.setup.limits, now);
             taken.extend(progress.taken().cloned());
         }
         let in_waves = self.progress.values().flat_map(WaveProgress::taken).cloned().collect();
@@ -452,14 +458,14 @@
         let mut upkeeps =
             self.progress.iter_mut().filter(|(_, c)| !c.over).filter_map(|(no, c)| {
                 let entry = self.stored.waves.get(no)?;
-                Some((c.next_order(&entry.out, &self.reports, now)?, Deed::Upkeep(*no)))
+                Some((c.next_order(&entry.out, &self.reports, now)?, VmAction::Upkeep(*no)))
             });
         let call = upkeeps.next();
         let call = call.or_else(|| self.loans.next_order(&self.stored.loans, &self.reports, now));
         let Some((vm, deed)) = call else { return };
-        let gap = 1.0 / (self.setup.fleet.rate * RATE_SHARE).max(0.1);
+        let gap = 1.0 / (self.setup.limits.order_rate * RATE_SHARE).max(0.1);
         self.next_call = now + Duration::from_secs_f64(gap);
         let (holder, token) = (self.setup.holder.clone(), self.setup.token);
-        self.out.push(Order::Call(VmCall { vm, deed, holder, token }));
+        self.out.push(Order::OrderVm(VmCall { vm, action: deed, holder, token }));
     }
 }
--- a/src/upkeep/course.rs
+++ b/src/upkeep/course.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        decide::upkeep::{Allowed, Facts, LAG, Plan, Stage, plan},
+        decide::upkeep::{LIST_DELAY, Plan, Stage, VmStatus, WaveLimits, plan},
         ids::{VmId, WorkerId},
-        ports::{Fault, Fleet, Rev, Vm, VmReply, VmState, Wave},
-        shard::{Held, record::Turn},
+        ports::{Fault, Rev, Vm, VmLimits, VmReply, VmState, Wave},
+        shard::{Occupancy, record::UpkeepTurn},
         time::Time,
-        upkeep::ledger::Entry,
+        upkeep::ledger::WaveEntry,
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -33,7 +33,7 @@
 }
 
 /// The owners' last reports on workers, with the time of the request.
-pub(super) type Reports = BTreeMap<WorkerId, (Time, Held)>;
+pub(super) type Reports = BTreeMap<WorkerId, (Time, Occupancy)>;
 
 /// A wave under way or completed.
 #[derive(Debug)]
@@ -86,12 +86,12 @@
 
 impl WaveProgress {
     /// Creates the progress of a wave, continuing from its stored entry if there is one.
-    pub fn new(wave: Wave, rev: Rev, entry: Option<&Entry>, unix: u64, now: Time) -> Self {
+    pub fn new(wave: Wave, rev: Rev, entry: Option<&WaveEntry>, unix: u64, now: Time) -> Self {
         // A wave that the operators have changed starts anew, except that finished VMs stay
         // finished.
         let since = entry.filter(|e| e.rev == rev).map_or(unix, |e| e.since.min(unix));
         let passed = Duration::from_millis(unix - since);
-        let deadline = now + wave.within.saturating_sub(passed);
+        let deadline = now + wave.time_limit.saturating_sub(passed);
         let progress = |m: &VmId| {
             let mut progress = VmProgress::default();
             if let Some(entry) = entry {
@@ -112,12 +112,12 @@
     }
 
     /// The entry of this wave for the ledger.
-    pub fn entry(&self) -> Entry {
+    pub fn entry(&self) -> WaveEntry {
         let out =
             |p: &VmProgress| !p.begun && (p.unsettled || matches!(p.phase, Phase::Ordered(..)));
         let out = self.vms.iter().filter(|(_, p)| out(p)).map(|(m, p)| (m.clone(), p.tries.0));
         let done = self.vms.iter().filter(|(_, p)| p.begun).map(|(m, _)| m.clone());
-        Entry {
+        WaveEntry {
             rev: self.rev,
             since: self.since,
             out: out.collect(),
@@ -133,15 +133,15 @@
     }
 
     /// The workers of the wave's VMs, and their turns.
-    pub fn turns(&self) -> impl Iterator<Item = (WorkerId, Turn)> {
+    pub fn turns(&self) -> impl Iterator<Item = (WorkerId, UpkeepTurn)> {
         self.vms.values().flat_map(|p| {
             let now = p.worker.clone();
             match &p.phase {
-                Phase::Due => vec![(now, Turn::Due)],
-                Phase::Closing(_, false) => vec![(now, Turn::Closing)],
-                Phase::Closing(_, true) => vec![(now, Turn::Forced)],
+                Phase::Due => vec![(now, UpkeepTurn::Due)],
+                Phase::Closing(_, false) => vec![(now, UpkeepTurn::Closing)],
+                Phase::Closing(_, true) => vec![(now, UpkeepTurn::Forced)],
                 Phase::Ordered(worker, ..) => {
-                    vec![(now, Turn::Forced), (worker.clone(), Turn::Forced)]
+                    vec![(now, UpkeepTurn::Forced), (worker.clone(), UpkeepTurn::Forced)]
                 }
                 Phase::Down(..) | Phase::Over => vec![],
             }
@@ -151,11 +151,11 @@
     }
 
     /// Processes a new list of VMs.
-    pub fn listed(&mut self, list: &List, fleet: &Fleet) {
+    pub fn listed(&mut self, list: &List, fleet: &VmLimits) {
         for (m, progress) in &mut self.vms {
             let Some(vm) = list.all.get(m) else {
-                // A VM that is missing from the list for `LAG` is gone and needs no maintenance.
-                if list.sent - *progress.missing_since.get_or_insert(list.sent) >= LAG {
+                // A VM that is missing from the list for `LIST_DELAY` is gone and needs no maintenance.
+                if list.sent - *progress.missing_since.get_or_insert(list.sent) >= LIST_DELAY {
                     progress.phase = Phase::Over;
                     progress.unsettled = false;
                 }
@@ -187,18 +187,18 @@
         list: &List,
         reports: &Reports,
         taken: &BTreeSet<VmId>,
-        fleet: &Fleet,
+        fleet: &VmLimits,
         now: Time,
     ) {
-        let facts: Vec<Facts> =
+        let facts: Vec<VmStatus> =
             self.vms.iter().map(|(m, p)| p.facts(m, list, reports, taken, now)).collect();
         let left = if self.deadline > now { self.deadline - now } else { Duration::ZERO };
-        let allowed = Allowed { left, cap: self.wave.cap, down: fleet.upkeep };
-        let Plan { close, force } = plan(&facts, allowed);
+        let allowed = WaveLimits { left, cap: self.wave.max_down, down: fleet.upkeep_time };
+        let Plan { drain: close, force_stop: force } = plan(&facts, allowed);
         for (i, (m, progress)) in self.vms.iter_mut().enumerate() {
             if close.contains(&i) {
                 progress.phase = Phase::Closing(now, false);
-                log::info!(target: "upkeep", did = "closing", wave:% = self.wave.no, vm:% = m; "VM is emptied.");
+                log::info!(target: "upkeep", did = "closing", wave:% = self.wave.number, vm:% = m; "VM is emptied.");
             } else if let (true, Phase::Closing(_, forced)) =
                 (force.contains(&i), &mut progress.phase)
             {
@@ -214,13 +214,13 @@
         let over = |p: &VmProgress| matches!(p.phase, Phase::Down(..) | Phase::Over);
         if !self.over && self.vms.values().all(over) {
             self.over = true;
-            log::info!(target: "upkeep", did = "completed", wave:% = self.wave.no, late = self.deadline < now; "Wave is completed.");
+            log::info!(target: "upkeep", did = "completed", wave:% = self.wave.number, late = self.deadline < now; "Wave is completed.");
         }
     }
 
     /// Decides on orders for clear VMs, as far as the limit of VMs that are down allows.
     fn decide_orders(&mut self, list: &List, reports: &Reports, now: Time) {
-        let mut slots = self.wave.cap.max(1).saturating_sub(self.down(list));
+        let mut slots = self.wave.max_down.max(1).saturating_sub(self.down(list));
         for (m, progress) in &mut self.vms {
             let Phase::Closing(..) = progress.phase else { continue };
             let Some(vm) = list.all.get(m).filter(|m| m.state == VmState::Up) else {
@@ -268,7 +268,7 @@
 
     /// Processes the outcome of an order.
     pub fn answered(&mut self, m: &VmId, reply: &Result<VmReply, Fault>, now: Time) {
-        log::info!(target: "upkeep", did = "ordered", wave:% = self.wave.no, vm:% = m, reply:? = reply; "Maintenance was ordered.");
+        log::info!(target: "upkeep", did = "ordered", wave:% = self.wave.number, vm:% = m, reply:? = reply; "Maintenance was ordered.");
         let Some(progress) = self.vms.get_mut(m) else { return };
         progress.retry_at = now + RETRY_PAUSE;
         match reply {
@@ -306,7 +306,7 @@
         self.phase = Phase::Down(now, old);
     }
 
-    fn seen(&mut self, vm: &Vm, sent: Time, fleet: &Fleet) {
+    fn seen(&mut self, vm: &Vm, sent: Time, fleet: &VmLimits) {
         self.worker = vm.worker.clone();
         use VmState::{Down, Up, Upkeep};
         match &self.phase {
@@ -319,8 +319,8 @@
             Phase::Down(since, old) => {
                 // A VM whose maintenance was done before the order stays up throughout.
                 let new = sent >= *since && vm.worker != *old;
-                let returned = vm.state == Up && (new || sent >= *since + LAG);
-                let crashed = vm.state == Down && sent >= *since + fleet.upkeep + LAG;
+                let returned = vm.state == Up && (new || sent >= *since + LIST_DELAY);
+                let crashed = vm.state == Down && sent >= *since + fleet.upkeep_time + LIST_DELAY;
                 if returned || crashed {
                     self.phase = Phase::Over;
                 }
@@ -336,21 +336,21 @@
         reports: &Reports,
         taken: &BTreeSet<VmId>,
         now: Time,
-    ) -> Facts {
+    ) -> VmStatus {
         let vm = list.all.get(m);
         let report = vm.and_then(|m| reports.get(m.worker.as_ref()?)).map(|w| &w.1);
         let up = vm.is_some_and(|m| m.state == VmState::Up);
         let stage = match self.phase {
             Phase::Due => Stage::Due,
-            Phase::Closing(since, _) => Stage::Closing(now - since),
+            Phase::Closing(since, _) => Stage::Draining(now - since),
             Phase::Ordered(..) | Phase::Down(..) => Stage::Down,
-            Phase::Over => Stage::Over,
+            Phase::Over => Stage::Done,
         };
-        Facts {
+        VmStatus {
             stage,
-            able: up && !taken.contains(m) && !report.is_some_and(|w| w.leaving),
+            available: up && !taken.contains(m) && !report.is_some_and(|w| w.leaving),
             brief: report.map_or(0, |w| w.brief),
-            lasting: report.map_or(0, |w| w.lasting),
+            long_running: report.map_or(0, |w| w.lasting),
         }
     }
 }
@@ -359,5 +359,7 @@
 /// there. A VM without a worker is clear.
 pub(super) fn clear(worker: Option<&WorkerId>, reports: &Reports, now: Time) -> bool {
     let Some(worker) = worker else { return true };
-    reports.get(worker).is_some_and(|(sent, held)| now - *sent <= MAX_REPORT_AGE && held.clear())
+    reports
+        .get(worker)
+        .is_some_and(|(sent, held)| now - *sent <= MAX_REPORT_AGE && held.is_vacant())
 }
--- a/src/upkeep/ledger.rs
+++ b/src/upkeep/ledger.rs
@@ -10,7 +10,7 @@
 };
 
 /// Key of the ledger.
-pub const LEDGER: &str = "dwr/u";
+pub const LEDGER_KEY: &str = "dwr/u";
 
 /// The state of all waves and loans, as the holder has stored it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -19,15 +19,15 @@
     /// has been deposed.
     pub token: u64,
     /// The waves by number.
-    pub waves: BTreeMap<WaveNo, Entry>,
+    pub waves: BTreeMap<WaveNo, WaveEntry>,
     /// The VMs that are lent, or may be if an order is unanswered.
     #[serde(default)]
-    pub loans: BTreeMap<VmId, Lent>,
+    pub loans: BTreeMap<VmId, LoanEntry>,
 }
 
 /// A VM that is lent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lent {
+pub struct LoanEntry {
     /// The pool from which the VM was lent.
     pub home: PoolId,
     /// The pool to which it is lent.
@@ -40,7 +40,7 @@
 
 /// The progress of one wave.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct WaveEntry {
     /// Revision of the operators' item with which the wave was started.
     pub rev: Rev,
     /// Start of the wave, in milliseconds of Unix time.
--- a/src/upkeep/loans.rs
+++ b/src/upkeep/loans.rs
@@ -2,14 +2,14 @@
 
 use {
     crate::{
-        decide::{standby::Tide, upkeep::LAG},
+        decide::{standby::PoolDemand, upkeep::LIST_DELAY},
         ids::{PoolId, VmId, WorkerId},
-        ports::{Deed, Fault, Vm, VmReply, VmState},
-        shard::{Need, record::Turn},
+        ports::{Fault, Vm, VmAction, VmReply, VmState},
+        shard::{PoolWait, record::UpkeepTurn},
         time::Time,
         upkeep::{
             course::{List, Reports, clear},
-            ledger::Lent,
+            ledger::LoanEntry,
         },
     },
     std::{
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Loans {
     standby: BTreeSet<PoolId>,
-    tides: BTreeMap<PoolId, Tide>,
+    tides: BTreeMap<PoolId, PoolDemand>,
     all: BTreeMap<VmId, Loan>,
     /// Moves that the platform has declined: the VM and the pool to which it can't go.
     barred: BTreeSet<(VmId, PoolId)>,
@@ -75,13 +75,13 @@
 
     /// Whether the list of VMs is needed now.
     pub fn busy(&self) -> bool {
-        let wanted = self.tides.values().any(|t| t.waits());
+        let wanted = self.tides.values().any(|t| t.is_waiting());
         !self.all.is_empty() || (wanted && !self.standby.is_empty())
     }
 
     /// The entries of all loans for the ledger.
-    pub fn entries(&self) -> BTreeMap<VmId, Lent> {
-        let entry = |l: &Loan| Lent {
+    pub fn entries(&self) -> BTreeMap<VmId, LoanEntry> {
+        let entry = |l: &Loan| LoanEntry {
             home: l.home.clone(),
             to: l.to.clone(),
             back: l.phase == Phase::Returning,
@@ -91,7 +91,7 @@
     }
 
     /// Restores the loans from the stored ledger.
-    pub fn load(&mut self, entries: &BTreeMap<VmId, Lent>, now: Time) {
+    pub fn load(&mut self, entries: &BTreeMap<VmId, LoanEntry>, now: Time) {
         for (vm, e) in entries {
             // Whether the last order was carried out is not known. The list shows it, and until
             // then the VM is not used, because the order may still be under way.
@@ -112,10 +112,10 @@
     }
 
     /// The workers at which nothing may start.
-    pub fn turns(&self) -> impl Iterator<Item = (WorkerId, Turn)> {
+    pub fn turns(&self) -> impl Iterator<Item = (WorkerId, UpkeepTurn)> {
         let closed = |l: &&Loan| matches!(l.phase, Phase::Closing(_) | Phase::Returning);
         let all = self.all.values().filter(closed);
-        all.filter_map(|l| Some((l.worker.clone()?, Turn::Closing)))
+        all.filter_map(|l| Some((l.worker.clone()?, UpkeepTurn::Closing)))
     }
 
     /// The workers of lent VMs.
@@ -130,12 +130,12 @@
                 loan.missing_since = None;
                 loan.seen(vm)
             }
-            None => list.sent - *loan.missing_since.get_or_insert(list.sent) < LAG,
+            None => list.sent - *loan.missing_since.get_or_insert(list.sent) < LIST_DELAY,
         });
     }
 
     /// Updates how long the work of each pool has waited.
-    pub fn set_needs(&mut self, needs: &[Need], now: Time) {
+    pub fn set_needs(&mut self, needs: &[PoolWait], now: Time) {
         let mut waits: BTreeMap<&PoolId, Duration> = BTreeMap::new();
         for need in needs {
             let known = waits.entry(&need.pool).or_default();
@@ -145,7 +145,7 @@
             self.tides.entry((*pool).clone()).or_default();
         }
         for (pool, tide) in &mut self.tides {
-            tide.seen(waits.get(pool).copied().unwrap_or_default(), now);
+            tide.record_wait(waits.get(pool).copied().unwrap_or_default(), now);
         }
     }
 
@@ -165,7 +165,7 @@
                 idle && free && standby.contains(&vm.pool) && !barred.contains(&pair)
             };
             let Some(vm) = list.all.values().find(able) else { continue };
-            if tide.borrow(now) {
+            if tide.should_lend(now) {
                 log::info!(target: "upkeep", did = "lent", vm:% = vm.id, home:% = vm.pool, to:% = pool; "VM is lent.");
                 let mut loan = Loan::new(vm.pool.clone(), pool.clone(), Phase::Going);
                 loan.tries.0 = 1;
@@ -177,10 +177,10 @@
     /// Returns an order to be sent now; `stored` are the loans in the stored ledger.
     pub fn next_order(
         &mut self,
-        stored: &BTreeMap<VmId, Lent>,
+        stored: &BTreeMap<VmId, LoanEntry>,
         reports: &Reports,
         now: Time,
-    ) -> Option<(VmId, Deed)> {
+    ) -> Option<(VmId, VmAction)> {
         for (vm, loan) in &mut self.all {
             let (decided, sent) = loan.tries;
             let noted = stored.get(vm).is_some_and(|s| s.tries == decided);
@@ -193,7 +193,7 @@
                 _ => continue,
             };
             (loan.in_flight, loan.tries.1) = (true, decided);
-            return Some((vm.clone(), Deed::Move(to.clone())));
+            return Some((vm.clone(), VmAction::Move(to.clone())));
         }
         None
     }
@@ -252,7 +252,7 @@
     fn step(
         &mut self,
         vm: &VmId,
-        tide: &Tide,
+        tide: &PoolDemand,
         reports: &Reports,
         taken: &BTreeSet<VmId>,
         now: Time,
@@ -264,7 +264,7 @@
                 *empty = idle.then(|| empty.unwrap_or(now));
                 if let Some(since) = *empty
                     && !taken.contains(vm)
-                    && tide.give_back(since, now)
+                    && tide.should_return(since, now)
                 {
                     self.phase = Phase::Closing(now);
                 }
--- a/src/roll.rs
+++ b/src/vm_cache.rs
@@ -18,13 +18,13 @@
 
 /// The VMs, with the time since which each is missing from the list.
 #[derive(Default)]
-pub struct Roll {
+pub struct VmCache {
     vms: BTreeMap<WorkerId, (Vm, Option<Time>)>,
 }
 
-impl Roll {
+impl VmCache {
     /// Applies the list and returns the VMs that count as present.
-    pub fn take(&mut self, list: VmList, now: Time) -> BTreeMap<WorkerId, Vm> {
+    pub fn update(&mut self, list: VmList, now: Time) -> BTreeMap<WorkerId, Vm> {
         for (_, missing) in self.vms.values_mut() {
             missing.get_or_insert(now);
         }
--- a/src/keeper.rs
+++ b/src/wave_driver.rs
@@ -5,14 +5,14 @@
 
 use {
     crate::{
-        common::Common,
-        control::{Peers, held_here},
-        decisions::Told,
         ids::{Incarnation, WorkerId},
+        member_rpc::{PeerClients, local_held_tasks},
         ports::StoreCall,
-        shard::{Held, Need, record::ShardNo},
-        store::{CALL, Outside},
-        upkeep::{Event, LEDGER, Order, Setup, Upkeep},
+        service_clients::{CALL_TIMEOUT, ServiceClients},
+        shard::{Occupancy, PoolWait, record::ShardNo},
+        shard_runner::ShardInput,
+        shared_state::SharedState,
+        upkeep::{Event, LEDGER_KEY, Order, Setup, Upkeep},
     },
     async_channel::Sender,
     std::{collections::BTreeMap, future::pending, net::SocketAddr, sync::Arc, time::Duration},
@@ -34,28 +34,29 @@
 #[derive(Clone)]
 pub(crate) struct WaveDriver {
     /// The state that the threads of this member share.
-    pub common: Arc<Common>,
+    pub common: Arc<SharedState>,
     /// Clients of the store and the VM service.
-    pub outside: Outside,
+    pub outside: ServiceClients,
     /// Clients of the other owners.
-    pub peers: Peers,
+    pub peers: PeerClients,
     /// Sends queries to this member's own shards.
-    pub decisions: Sender<Told>,
+    pub decisions: Sender<ShardInput>,
 }
 
 impl WaveDriver {
     /// Drives the waves, using this token of the shard, until the future is dropped.
     pub async fn drive(self, token: u64) {
         let (common, site) = (&self.common, self.common.site.borrow().clone());
-        let told = common.forms.told_wave;
-        let (holder, fleet, unix) = (site.node.clone(), site.fleet, common.unix);
-        let mut upkeep = Upkeep::new(Setup { holder, token, fleet, unix, told });
+        let told = common.forms.encode_wave;
+        let (holder, fleet, unix) = (site.node.clone(), site.vm_limits, common.start_unix_ms);
+        let mut upkeep =
+            Upkeep::new(Setup { holder, token, limits: fleet, unix_ms: unix, encode_state: told });
         let (sender, events) = async_channel::bounded(QUEUE_LEN);
         let mut waves = common.waves.subscribe();
         waves.mark_changed();
         let mut config = common.config.subscribe();
         config.mark_changed();
-        while !upkeep.over() {
+        while !upkeep.is_deposed() {
             let event = tokio::select! {
                 Ok(()) = waves.changed() => {
                     let all = waves.borrow_and_update().values().cloned().collect();
@@ -84,17 +85,20 @@
     async fn carry(&self, order: Order) -> Event {
         let sent = self.common.now();
         match order {
-            Order::Read => Event::Read(self.outside.get(LEDGER, CALL).await),
-            Order::Store(number, txn) => {
-                Event::Stored(number, self.outside.store(&StoreCall::Txn(txn), CALL).await)
+            Order::ReadLedger => {
+                Event::LedgerRead(self.outside.get(LEDGER_KEY, CALL_TIMEOUT).await)
             }
-            Order::List => Event::Listed(sent, self.outside.vms(VM_TIMEOUT).await),
-            Order::Ask(workers) => {
+            Order::Write(number, txn) => Event::Written(
+                number,
+                self.outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await,
+            ),
+            Order::ListVms => Event::VmsListed(sent, self.outside.list_vms(VM_TIMEOUT).await),
+            Order::AskOwners(workers) => {
                 let (held, needs) = self.collect_held(workers).await;
-                Event::Held(sent, held, needs)
+                Event::OwnersReported(sent, held, needs)
             }
-            Order::Call(call) => {
-                let reply = self.outside.vm(&call, VM_TIMEOUT).await;
+            Order::OrderVm(call) => {
+                let reply = self.outside.call_vm(&call, VM_TIMEOUT).await;
                 Event::Answered(call, reply)
             }
         }
@@ -102,7 +106,7 @@
 
     /// Asks all owners what runs on these workers and how long tasks wait in each pool. Owners that
     /// don't answer in time are left out.
-    async fn collect_held(&self, workers: Vec<WorkerId>) -> (Vec<Held>, Vec<Need>) {
+    async fn collect_held(&self, workers: Vec<WorkerId>) -> (Vec<Occupancy>, Vec<PoolWait>) {
         let view = self.common.view.borrow().clone();
         let mut shards_by_owner: BTreeMap<(Incarnation, SocketAddr), Vec<ShardNo>> =
             BTreeMap::new();
@@ -114,9 +118,9 @@
         let (mut held, mut needs) = (vec![], vec![]);
         for ((owner, addr), shards) in shards_by_owner {
             let answer = if owner == self.common.me {
-                held_here(&self.decisions, workers.clone().into(), shards.into()).await
+                local_held_tasks(&self.decisions, workers.clone().into(), shards.into()).await
             } else {
-                self.peers.held(addr, &workers, &shards, OWNER_TIMEOUT).await
+                self.peers.held_tasks(addr, &workers, &shards, OWNER_TIMEOUT).await
             };
             let answer = answer.unwrap_or_default();
             held.extend(answer.0);
--- a/src/work.rs
+++ b/src/work.rs
@@ -152,7 +152,7 @@
 
 impl Step {
     /// Resources that are reserved at a worker for one task. Fillers reserve no processors.
-    pub fn counted(&self) -> Size {
+    pub fn reserved(&self) -> Size {
         let mut size = self.size;
         if self.fills {
             size.cores = Default::default();
@@ -219,7 +219,7 @@
 
 impl State {
     /// Whether the state is final: nothing of the job will start again.
-    pub fn over(self) -> bool {
+    pub fn is_final(self) -> bool {
         matches!(self, State::Done | State::Failed | State::Cancelled)
     }
 }
@@ -260,15 +260,15 @@
 
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Queues {
+pub struct QueueConfig {
     /// Version number; it rises with each change.
     pub version: u64,
     /// The queues.
-    pub all: Vec<Queue>,
+    pub queues: Vec<Queue>,
     /// The pools.
     pub pools: Vec<Pool>,
     /// Largest body that a caller may send, in bytes.
-    pub body: usize,
+    pub max_body: usize,
 }
 
 /// A pool of workers.
@@ -277,29 +277,29 @@
     /// Name of the pool.
     pub name: PoolId,
     /// Whether its workers refuse tasks for which they have no room.
-    pub guards: bool,
+    pub checks_room: bool,
     /// Whether it is a standby pool, whose VMs are off.
     pub standby: bool,
 }
 
-impl Queues {
+impl QueueConfig {
     /// Returns the queue that accepts `host` and has the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
         let fits = |q: &&Queue| {
             (q.host.is_empty() || q.host.eq_ignore_ascii_case(host)) && path.starts_with(&*q.prefix)
         };
-        self.all.iter().filter(fits).max_by_key(|q| q.prefix.len())
+        self.queues.iter().filter(fits).max_by_key(|q| q.prefix.len())
     }
 
     /// Returns the queue with this name.
-    pub fn named(&self, name: &str) -> Option<&Queue> {
-        self.all.iter().find(|q| *q.name == *name)
+    pub fn by_name(&self, name: &str) -> Option<&Queue> {
+        self.queues.iter().find(|q| *q.name == *name)
     }
 }
 
 /// A worker's entry in the worker list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedWorker {
     /// Id of the worker's present incarnation.
     pub id: crate::ids::WorkerId,
     /// The pool of the worker.
@@ -311,21 +311,21 @@
     /// Whether the worker is leaving.
     pub draining: bool,
     /// Least time for which a leaving worker stays.
-    pub left: Option<Duration>,
+    pub min_stay: Option<Duration>,
     /// Total resources of the worker.
-    pub size: Size,
+    pub capacity: Size,
     /// Labels of the worker.
     pub labels: Box<[Box<str>]>,
 }
 
-impl Listed {
+impl ListedWorker {
     /// The rack of the worker, or the worker's id if its labels name no rack.
     pub fn rack(&self) -> &str {
         self.labels.get(1).map_or(self.id.as_str(), |rack| rack)
     }
 
     /// Whether the worker has this label.
-    pub fn has(&self, label: &str) -> bool {
+    pub fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|l| **l == *label)
     }
 }
--- a/standin/src/experiment.rs
+++ b/standin/src/experiment.rs
@@ -82,7 +82,7 @@
 
 /// Tausi's present workers: 35 for quoting in racks of five, and 13 for engineering in three racks
 /// of three and one rack of four.
-fn today() -> Vec<Fleet> {
+fn present_fleets() -> Vec<Fleet> {
     let quoting = |zone, racks| Fleet {
         pool: "quoting",
         zone,
@@ -112,7 +112,7 @@
 }
 
 /// A scenario text of the present size, without tasks.
-const TODAY: &str = "\
+const PRESENT_SCENARIO: &str = "\
 [pool quoting]
 cores = 16
 memory = 64GB
--- a/standin/src/experiment/config.rs
+++ b/standin/src/experiment/config.rs
@@ -2,7 +2,7 @@
 //! member.
 
 use {
-    super::{Args, TODAY, cell::Cell, today, usage::min_median_max},
+    super::{Args, PRESENT_SCENARIO, cell::Cell, present_fleets, usage::min_median_max},
     crate::Result,
     serde_json::json,
     std::time::{Duration, Instant},
@@ -21,7 +21,7 @@
 /// Prints the table.
 pub async fn run(args: &Args) -> Result<()> {
     let members = args.members.first().copied().unwrap_or(9);
-    let mut cell = Cell::start(members, &today(), TODAY).await?;
+    let mut cell = Cell::start(members, &present_fleets(), PRESENT_SCENARIO).await?;
     println!("\n{members} members, {CHANGES} changes under each condition.\n");
     println!(
         "| condition | accepted after ms: least / median / greatest | accepted to in force on all \
@@ -38,8 +38,11 @@
         cell.kv_fault(json!({"slow": slow})).await?;
         let (mut accepted, mut in_force) = (vec![], vec![]);
         for n in 0..CHANGES {
-            let text =
-                if large { large_text(n) } else { format!("{TODAY}\n; change {name} {n}\n") };
+            let text = if large {
+                large_text(n)
+            } else {
+                format!("{PRESENT_SCENARIO}\n; change {name} {n}\n")
+            };
             let begun = Instant::now();
             cell.submit(&text).await?;
             accepted.push(millis(begun));
@@ -75,7 +78,7 @@
 
 /// A configuration text with many small batch jobs, as it would be after a year of use.
 pub fn large_text(n: usize) -> String {
-    let mut text = format!("{TODAY}\n; change {n}\n");
+    let mut text = format!("{PRESENT_SCENARIO}\n; change {n}\n");
     let mut job = 0;
     while text.len() < LARGE_TEXT_BYTES {
         // Each job has one small task, so that most jobs are waiting or done.
--- a/standin/src/experiment/control.rs
+++ b/standin/src/experiment/control.rs
@@ -2,12 +2,12 @@
 
 use {
     super::{
-        Args, TODAY,
+        Args, PRESENT_SCENARIO,
         cell::{Cell, Fleet, ZONES},
         config::large_text,
         path::quoting_load,
+        present_fleets,
         starts::{TEAM_COUNT, teams_of},
-        today,
         usage::{self, Usage, fit_line, min_median_max},
     },
     crate::{Result, load},
@@ -112,7 +112,7 @@
 }
 
 async fn measure(case: &Case, time: Duration) -> Result<Row> {
-    let fleets = if case.workers == 48 { today() } else { fleets(case.workers) };
+    let fleets = if case.workers == 48 { present_fleets() } else { fleets(case.workers) };
     let mut cell = Cell::start(case.members, &fleets, &case.text).await?;
     let begun = Instant::now();
     while cell.witness("starts").await? < u64::from(case.tasks) {
@@ -152,7 +152,7 @@
 
 fn case_of_size(members: usize, workers: u32, x: u32) -> Case {
     let name = format!("{members} members, {workers} workers");
-    let text = TODAY.replace("workers = 35", &format!("workers = {workers}"));
+    let text = PRESENT_SCENARIO.replace("workers = 35", &format!("workers = {workers}"));
     Case { x: f64::from(x), name, members, workers, text, tasks: 0, load: 0.0 }
 }
 
--- a/standin/src/experiment/faults.rs
+++ b/standin/src/experiment/faults.rs
@@ -2,10 +2,10 @@
 
 use {
     super::{
-        Args, TODAY,
+        Args, PRESENT_SCENARIO,
         cell::{Cell, POLL_INTERVAL},
         path::{quoting_load, workers},
-        today,
+        present_fleets,
         usage::min_median_max,
     },
     crate::{
@@ -68,7 +68,7 @@
                 reasons.push(format!("{name}: {bad} violations witnessed"));
             }
             if !outcome.reasons.is_empty() {
-                reasons.push(format!("{name}: {}", outcome.why()));
+                reasons.push(format!("{name}: {}", outcome.reasons_line()));
             }
             rows.push((outcome, placed));
         }
@@ -83,7 +83,7 @@
 }
 
 async fn measure(fault: Fault, members: usize) -> Result<(Outcome, Option<f64>, u64)> {
-    let mut cell = Cell::start(members, &today(), TODAY).await?;
+    let mut cell = Cell::start(members, &present_fleets(), PRESENT_SCENARIO).await?;
     let time = FAULT_DELAY
         + TIME_AFTER_FAULT
         + if fault == Fault::Outage { OUTAGE } else { Duration::ZERO };
--- a/standin/src/experiment/leaving.rs
+++ b/standin/src/experiment/leaving.rs
@@ -1,7 +1,10 @@
 //! Measures the time from the moment a worker is marked as leaving to its last new request.
 
 use {
-    super::{Args, TODAY, cell::Cell, path::quoting_load, today, usage::min_median_max},
+    super::{
+        Args, PRESENT_SCENARIO, cell::Cell, path::quoting_load, present_fleets,
+        usage::min_median_max,
+    },
     crate::{Result, load},
     dogwoodreach::{
         http::{Client, uri},
@@ -34,7 +37,7 @@
     );
     println!("|---|---|---|---|---|");
     for lag in [0, 3] {
-        let cell = Cell::start(members, &today(), TODAY).await?;
+        let cell = Cell::start(members, &present_fleets(), PRESENT_SCENARIO).await?;
         let list = cell.vms().await?.vms;
         // Waits for one lag, because an older list would be empty: the workers had not entered yet.
         sleep(Duration::from_secs(lag)).await;
--- a/standin/src/experiment/path.rs
+++ b/standin/src/experiment/path.rs
@@ -3,9 +3,9 @@
 
 use {
     super::{
-        Args, TODAY,
+        Args, PRESENT_SCENARIO,
         cell::Cell,
-        today,
+        present_fleets,
         usage::{self, min_median_max},
     },
     crate::{
@@ -77,7 +77,7 @@
             let mut rows = vec![];
             for _ in 0..args.runs {
                 // Each run has its own cell because claims stay in the store for a day.
-                let cell = Cell::start(members, &today(), TODAY).await?;
+                let cell = Cell::start(members, &present_fleets(), PRESENT_SCENARIO).await?;
                 cell.kv_fault(json!({"slow": slow})).await?;
                 let ids: Vec<u32> = cell.members.iter().map(|m| m.id()).collect();
                 let used = || ids.iter().filter_map(|id| usage::cpu(*id)).sum::<f64>();
@@ -94,7 +94,7 @@
             }
             let each =
                 |f: &dyn Fn(&Outcome) -> f64| rows.iter().map(|(o, ..)| f(o)).collect::<Vec<_>>();
-            let reasons: Vec<String> = rows.iter().map(|(o, ..)| o.why()).collect();
+            let reasons: Vec<String> = rows.iter().map(|(o, ..)| o.reasons_line()).collect();
             println!(
                 "| {rate} | {} | {} | {} | {} | {} | {} | {} | {} | {} |",
                 if share == 0.0 { "none" } else { "each" },
@@ -114,11 +114,11 @@
 
 async fn whole_path(args: &Args) -> Result<()> {
     let sizes = if args.members.is_empty() { vec![3, 9] } else { args.members.clone() };
-    let platform_cell = Cell::start(0, &today(), TODAY).await?;
+    let platform_cell = Cell::start(0, &present_fleets(), PRESENT_SCENARIO).await?;
     let straight = workers(&platform_cell).await?;
     let mut cells = vec![];
     for size in &sizes {
-        cells.push(Cell::start(*size, &today(), TODAY).await?);
+        cells.push(Cell::start(*size, &present_fleets(), PRESENT_SCENARIO).await?);
     }
     println!("\nLeast / median / greatest of {} runs of {} s.\n", args.runs, args.time.as_secs());
     println!(
@@ -147,7 +147,7 @@
             print(share, &name, row, &rows[0]);
             wrong += row.iter().map(|(o, _)| o.wrong).sum::<u64>();
             for (o, _) in row.iter().filter(|(o, _)| !o.reasons.is_empty()) {
-                reasons.push(format!("{:.0}% {name}: {}", 100.0 * share, o.why()));
+                reasons.push(format!("{:.0}% {name}: {}", 100.0 * share, o.reasons_line()));
             }
         }
     }
--- a/standin/src/experiment/starts.rs
+++ b/standin/src/experiment/starts.rs
@@ -3,9 +3,9 @@
 
 use {
     super::{
-        Args, TODAY,
+        Args, PRESENT_SCENARIO,
         cell::Cell,
-        today,
+        present_fleets,
         usage::{self, min_median_max},
     },
     crate::Result,
@@ -59,9 +59,9 @@
     {
         let mut rows = vec![];
         for _ in 0..runs {
-            let mut cell = Cell::start(members, &today(), TODAY).await?;
+            let mut cell = Cell::start(members, &present_fleets(), PRESENT_SCENARIO).await?;
             cell.submit(&format!(
-                "{TODAY}{}",
+                "{PRESENT_SCENARIO}{}",
                 batch(jobs, BURST_TASKS / jobs, teams, "100m", "1m")
             ))
             .await?;
@@ -91,11 +91,13 @@
     for (cores, places) in [("500m", 35.0 * 32.0), ("250m", 35.0 * 64.0)] {
         let mut rows = vec![];
         for _ in 0..runs {
-            let mut cell = Cell::start(members, &today(), TODAY).await?;
+            let mut cell = Cell::start(members, &present_fleets(), PRESENT_SCENARIO).await?;
             let ids: Vec<u32> = cell.members.iter().map(|m| m.id()).collect();
             let used = || ids.iter().filter_map(|id| usage::cpu(*id)).sum::<f64>();
-            let text =
-                format!("{TODAY}{}", batch(STREAM_JOBS.0, STREAM_JOBS.1, TEAM_COUNT, cores, "1s"));
+            let text = format!(
+                "{PRESENT_SCENARIO}{}",
+                batch(STREAM_JOBS.0, STREAM_JOBS.1, TEAM_COUNT, cores, "1s")
+            );
             let (writes, cpu) = (cell.writes().await?, used());
             cell.submit(&text).await?;
             let s = wait_started(&cell, 0, all).await?;
@@ -133,8 +135,8 @@
     for (name, tasks) in [("on an empty pool", 0), ("on a full pool", 200)] {
         let mut rows = vec![];
         for _ in 0..runs {
-            let mut cell = Cell::start(members, &today(), TODAY).await?;
-            let mut text = TODAY.to_owned();
+            let mut cell = Cell::start(members, &present_fleets(), PRESENT_SCENARIO).await?;
+            let mut text = PRESENT_SCENARIO.to_owned();
             let full = tasks.min(140);
             if tasks > 0 {
                 text += &batch(1, tasks, 1, "4", "1h");
--- a/standin/src/fleet.rs
+++ b/standin/src/fleet.rs
@@ -46,7 +46,7 @@
             "/fault" => each(&|w, _| w.fault(body)),
             "/link" => each(&|_, l| l.fault(body)),
             "/running" => json(&first.1.witness().tasks()),
-            "/last" => json(&first.1.last(Instant::now())),
+            "/last" => json(&first.1.since_last_start(Instant::now())),
             "/witness" => json(&*first.1.witness()),
             "/witness/ran" => json(&first.1.witness().runs()),
             _ => answer(404, "no such call"),
--- a/standin/src/kv.rs
+++ b/standin/src/kv.rs
@@ -34,13 +34,13 @@
 struct Record {
     revision: u64,
     value: Option<Box<str>>,
-    before: Option<(u64, Box<str>)>,
+    previous: Option<(u64, Box<str>)>,
     lease: u64,
 }
 
 #[derive(Default)]
 struct Store {
-    at: u64,
+    revision: u64,
     records: BTreeMap<Box<str>, Record>,
     leases: HashMap<u64, Instant>,
     faults: Faults,
@@ -152,7 +152,7 @@
         let none = || KvEntry { key: key.into(), revision: Revision(0), value: "".into() };
         let Some(record) = store.records.get(key) else { return none() };
         if store.faults.stale {
-            let Some((revision, value)) = record.before.clone() else { return none() };
+            let Some((revision, value)) = record.previous.clone() else { return none() };
             return KvEntry { key: key.into(), revision: Revision(revision), value };
         }
         let Some(value) = record.value.clone() else { return none() };
@@ -167,10 +167,12 @@
         if current != put.expect.0 || (lease != 0 && !store.leases.contains_key(&lease)) {
             return KvPutReply { done: false, revision: Revision(current) };
         }
-        store.at += 1;
-        let at = store.at;
+        store.revision += 1;
+        let at = store.revision;
         let before = store.records.remove(key).and_then(|r| Some((r.revision, r.value?)));
-        store.records.insert(key.into(), Record { revision: at, value: put.value, before, lease });
+        store
+            .records
+            .insert(key.into(), Record { revision: at, value: put.value, previous: before, lease });
         self.changed.send_replace(at);
         KvPutReply { done: true, revision: Revision(at) }
     }
@@ -183,8 +185,8 @@
             return Some(KvLease { id: ask.id, ttl: 0 });
         }
         let id = if ask.id == 0 {
-            store.at += 1;
-            store.at
+            store.revision += 1;
+            store.revision
         } else {
             store.leases.contains_key(&ask.id).then_some(ask.id)?
         };
@@ -210,7 +212,7 @@
 
     fn list(&self, prefix: &str, after: u64) -> KvList {
         let store = self.lock();
-        let mut list = KvList { at: Revision(store.at), entries: vec![], gone: vec![] };
+        let mut list = KvList { at: Revision(store.revision), entries: vec![], gone: vec![] };
         let under =
             store.records.iter().filter(|(k, r)| k.starts_with(prefix) && r.revision > after);
         for (key, record) in under {
@@ -227,13 +229,13 @@
     }
 
     fn remove_leased(&self, store: &mut Store, id: u64) {
-        let mut at = store.at;
+        let mut at = store.revision;
         for record in store.records.values_mut().filter(|r| r.lease == id && r.value.is_some()) {
             at += 1;
-            record.before = record.value.take().map(|v| (record.revision, v));
+            record.previous = record.value.take().map(|v| (record.revision, v));
             record.revision = at;
         }
-        store.at = at;
+        store.revision = at;
         self.changed.send_replace(at);
     }
 }
--- a/standin/src/load.rs
+++ b/standin/src/load.rs
@@ -104,9 +104,9 @@
     started_at: Instant,
     /// Random number that makes this run's keys differ from those of other runs.
     run: u64,
-    open: AtomicUsize,
-    at: Vec<AtomicU32>,
-    out: Mutex<Vec<Option<Instant>>>,
+    open_total: AtomicUsize,
+    open_by_target: Vec<AtomicU32>,
+    excluded_at: Mutex<Vec<Option<Instant>>>,
     sums: Mutex<Sums>,
 }
 
@@ -171,9 +171,9 @@
         client: Client::new(MAX_OPEN),
         started_at: Instant::now(),
         run: fastrand::u64(..),
-        open: AtomicUsize::new(0),
-        at: load.to.iter().map(|_| AtomicU32::new(0)).collect(),
-        out: Mutex::new(vec![None; load.to.len()]),
+        open_total: AtomicUsize::new(0),
+        open_by_target: load.to.iter().map(|_| AtomicU32::new(0)).collect(),
+        excluded_at: Mutex::new(vec![None; load.to.len()]),
         sums: Mutex::new(sums),
         load,
     });
@@ -217,12 +217,12 @@
 
 impl Shared {
     async fn request(self: Arc<Self>, n: u64, due: Instant) {
-        let end = if self.open.fetch_add(1, Ordering::Relaxed) < MAX_OPEN {
+        let end = if self.open_total.fetch_add(1, Ordering::Relaxed) < MAX_OPEN {
             self.send(n).await
         } else {
             End::Full
         };
-        self.open.fetch_sub(1, Ordering::Relaxed);
+        self.open_total.fetch_sub(1, Ordering::Relaxed);
         self.count(due, end);
     }
 
@@ -234,9 +234,9 @@
             let addr = self.load.to[at];
             let request = if self.load.direct { self.direct(addr, n) } else { self.call(addr, n) };
             let request = request.body(Full::new(body.clone())).expect("the parts are well-formed");
-            self.at[at].fetch_add(1, Ordering::Relaxed);
+            self.open_by_target[at].fetch_add(1, Ordering::Relaxed);
             let sent = self.client.send(request, limit).await;
-            self.at[at].fetch_sub(1, Ordering::Relaxed);
+            self.open_by_target[at].fetch_sub(1, Ordering::Relaxed);
             match sent {
                 Ok((head, got)) => {
                     let whole = got == body && head.headers.contains_key(REQUEST);
@@ -245,7 +245,7 @@
                 // The request was certainly not sent, so the balancer tries the next member, as the
                 // platform's does.
                 Err(Failure::Unsent) if !self.load.direct => {
-                    self.out.lock().expect("no holder panics")[at] = Some(Instant::now());
+                    self.excluded_at.lock().expect("no holder panics")[at] = Some(Instant::now());
                     self.sums.lock().expect("no holder panics").outcome.rerouted += 1;
                 }
                 Err(failure) => return End::Failed(failure),
@@ -259,10 +259,10 @@
         let len = self.load.to.len();
         let turns = (0..len).map(|i| (n + i) % len);
         if self.load.direct {
-            let open = |i: &usize| self.at[*i].load(Ordering::Relaxed);
+            let open = |i: &usize| self.open_by_target[*i].load(Ordering::Relaxed);
             return turns.min_by_key(open).unwrap_or(0);
         }
-        let out = self.out.lock().expect("no holder panics");
+        let out = self.excluded_at.lock().expect("no holder panics");
         let up = |i: &usize| out[*i].is_none_or(|at| at.elapsed() > EXCLUSION_TIME);
         turns.clone().find(up).unwrap_or(n % len)
     }
@@ -346,7 +346,7 @@
 
 impl Outcome {
     /// Refusals and errors by reason, in one line.
-    pub fn why(&self) -> String {
+    pub fn reasons_line(&self) -> String {
         let each = self.reasons.iter().map(|(r, n)| format!("{r} {n}"));
         let all = each.collect::<Vec<_>>().join(", ");
         if all.is_empty() { "none".into() } else { all }
@@ -361,7 +361,7 @@
             "goodput {:.0}/s; statuses {:?}; reasons: {}",
             self.goodput,
             self.statuses,
-            self.why()
+            self.reasons_line()
         );
         println!(
             "ms at p50, p90, p99, p99.9, max: good {:?}, others {:?}",
--- a/standin/src/measure_order.rs
+++ b/standin/src/measure_order.rs
@@ -19,7 +19,7 @@
         Time,
         decide::{
             order::{Job, Order},
-            quota::{Back, Quotas},
+            quota::{Quotas, Reclaim},
         },
         units::Size,
     },
@@ -36,7 +36,7 @@
 const USERS: usize = 31;
 /// Number of users with large jobs. If all users draw from one distribution, these are the tenth
 /// with the largest mean.
-const LARGE: usize = 3;
+const LARGE_USERS: usize = 3;
 const POLICIES: [Policy; 6] =
     [Policy::First, Policy::Fair, Policy::Paper, Policy::Slack, Policy::Own, Policy::Shares];
 const LOADS: [Load; 4] = [Load::Uniform, Load::Heavy, Load::Unlike, Load::Dated];
@@ -122,7 +122,7 @@
 fn large_users(work: &[Work]) -> BTreeSet<usize> {
     let mut means: Vec<_> = (0..USERS).map(|u| (mean_tasks(work, u), u)).collect();
     means.sort_by(|a, b| b.0.total_cmp(&a.0));
-    means.iter().take(LARGE).map(|(_, u)| *u).collect()
+    means.iter().take(LARGE_USERS).map(|(_, u)| *u).collect()
 }
 
 fn mean_tasks(work: &[Work], user: usize) -> f64 {
@@ -144,11 +144,11 @@
             team: team(i % teams),
             deadline: now + Duration::from_secs(rng.u64(3600..36_000)),
             priority: rng.u8(0..3),
-            run: Duration::from_secs(rng.u64(30..600)),
+            run_time: Duration::from_secs(rng.u64(30..600)),
             width: 50,
             tasks: 100,
             size: CORE,
-            back: Back::Checkpoint,
+            reclaim: Reclaim::Checkpoint,
         };
         order.push(now, new, &mut quotas);
     }
@@ -159,7 +159,7 @@
         let begin = Instant::now();
         if running.len() >= teams * 10 {
             let Some(task) = running.pop_front() else { break };
-            quotas.ended(&task);
+            quotas.record_end(&task);
             order.requeue(now, &task, &mut quotas);
         }
         let Some(pick) = order.next(now + Duration::from_micros(i), &quotas) else { break };
--- a/standin/src/measure_order/jobs.rs
+++ b/standin/src/measure_order/jobs.rs
@@ -1,7 +1,7 @@
 //! Generates the jobs on which the scheduling orders are compared.
 
 use {
-    super::{LARGE, Options, USERS},
+    super::{LARGE_USERS, Options, USERS},
     dogwoodreach::Time,
     fastrand::Rng,
     std::time::Duration,
@@ -41,8 +41,8 @@
     let mut work = Vec::new();
     for user in 0..USERS {
         let share = match load {
-            Load::Unlike if user < LARGE => 0.5 / LARGE as f64,
-            Load::Unlike => 0.5 / (USERS - LARGE) as f64,
+            Load::Unlike if user < LARGE_USERS => 0.5 / LARGE_USERS as f64,
+            Load::Unlike => 0.5 / (USERS - LARGE_USERS) as f64,
             Load::Uniform | Load::Heavy | Load::Dated => 1.0 / USERS as f64,
         };
         let mut remaining = total * share;
@@ -61,7 +61,7 @@
         Load::Uniform => rng.u32(10..=30),
         Load::Dated => rng.u32(10..=100),
         Load::Heavy => (4.0 / (1.0 - rng.f64()).powf(1.0 / 1.1)).min(4000.0) as u32,
-        Load::Unlike if user < LARGE => rng.u32(500..=1500),
+        Load::Unlike if user < LARGE_USERS => rng.u32(500..=1500),
         Load::Unlike => rng.u32(2..=10),
     };
     let arrival = Time(rng.u64(0..horizon * 1_000_000));
--- a/standin/src/measure_order/sim.rs
+++ b/standin/src/measure_order/sim.rs
@@ -6,7 +6,7 @@
         Time,
         decide::{
             order::{Job, Order},
-            quota::{Back, Grant, Quotas},
+            quota::{Grant, Quotas, Reclaim},
         },
         ids::{JobId, TaskId, TaskIndex, TeamId},
         units::Size,
@@ -143,11 +143,11 @@
             team: team(w.user),
             deadline: w.deadline,
             priority: 0,
-            run: w.declared,
+            run_time: w.declared,
             width: self.slots.div_ceil(USERS) as u32,
             tasks: w.tasks,
             size: CORE,
-            back: Back::Checkpoint,
+            reclaim: Reclaim::Checkpoint,
         };
         self.order.push(now, new, &mut self.quotas);
     }
@@ -264,7 +264,7 @@
         }
         if self.uses_order() {
             let id = TaskId { job: job(i), index: TaskIndex(task) };
-            self.quotas.ended(&id);
+            self.quotas.record_end(&id);
             self.order.ended(now, &id, &mut self.quotas);
         }
     }
--- a/standin/src/measure_place.rs
+++ b/standin/src/measure_place.rs
@@ -8,7 +8,7 @@
 use {
     dogwoodreach::{
         Time,
-        decide::place::Index,
+        decide::place::PlacementIndex,
         ids::{Attempt, JobId, PoolId, RackId, TaskId, TaskIndex, WorkerId},
         ledger::Ledger,
         units::Size,
@@ -83,7 +83,7 @@
 
 struct Bench {
     /// `None` for the baseline.
-    index: Option<Index>,
+    index: Option<PlacementIndex>,
     ledger: Ledger,
     rooms: Vec<WorkerRoom>,
     running: Vec<Task>,
@@ -95,7 +95,7 @@
 impl Bench {
     fn new(workers: usize, tasks: usize, indexed: bool, seed: u64) -> Self {
         let (mut ledger, mut index, mut rooms) =
-            (Ledger::new(MAX_REPORT_LAG), Index::new(), Vec::new());
+            (Ledger::new(MAX_REPORT_LAG), PlacementIndex::new(), Vec::new());
         for n in 0..workers {
             // Workers with accelerators are spread evenly among the others.
             let accel = n * TARGET_WORKERS.1 / TARGET_WORKERS.0
@@ -212,7 +212,7 @@
         let room = &mut self.rooms[at];
         room.free = self.ledger.worker(&room.worker).map_or(Size::default(), |w| w.room());
         if let Some(index) = &mut self.index {
-            index.set(&room.worker, room.free, true);
+            index.update(&room.worker, room.free, true);
         }
     }
 
--- a/standin/src/site/advice.rs
+++ b/standin/src/site/advice.rs
@@ -48,7 +48,7 @@
 
     /// Accepts a call that arrives now and returns the time of its answer. Errs if the service
     /// is down, the call lists over 100 workers or too many calls wait.
-    pub fn ask(
+    pub fn accept(
         &mut self,
         via: Incarnation,
         call: &AdviceCall,
@@ -88,11 +88,11 @@
                 good.push((worker.clone(), ticket));
             }
         }
-        Advice { good, valid: Some(valid) }
+        Advice { accepted: good, validity: Some(valid) }
     }
 
     /// Whether a ticket is valid for a step at a worker.
-    pub fn holds(&self, ticket: Option<&str>, step: StepKey, id: &WorkerId, now: Time) -> bool {
+    pub fn is_valid(&self, ticket: Option<&str>, step: StepKey, id: &WorkerId, now: Time) -> bool {
         let row = ticket.and_then(|t| self.tickets.get(t));
         row.is_some_and(|(s, w, until)| *s == step && w == id && now < *until)
     }
