--- a/standin/src/site/judge.rs
+++ b/standin/src/site/judge.rs
@@ -11,7 +11,7 @@
     derive_more::Display,
     dogwoodreach::{
         Time,
-        ports::{How, Start},
+        ports::{EndReason, Start},
         shard::record::{JobRecord, Progress, ShardNo, TaskRow},
         work::{JobNo, State, Step, StepKey, TaskKey},
     },
@@ -35,7 +35,7 @@
 /// The scheduler may fail a job after this number of worker crashes under one of its tasks.
 const GIVE_UP_CRASHES: usize = 2;
 /// The Unix clock at [`Time::ZERO`], in milliseconds.
-pub const UNIX: u64 = 1_700_000_000_000;
+pub const UNIX_START_MS: u64 = 1_700_000_000_000;
 
 /// A member may answer that it doesn't know a job for this long after the job was accepted.
 const VISIBLE_WITHIN: Duration = Duration::from_secs(3);
@@ -61,13 +61,13 @@
     /// Seed of the run.
     pub seed: u64,
     /// The Unix clock at [`Time::ZERO`], in milliseconds.
-    pub unix: u64,
+    pub unix_ms: u64,
     /// Whether the rules with a time bound are checked.
-    pub timed: bool,
+    pub time_rules: bool,
     /// The rules with a time bound are suspended until this time.
-    pub trouble: Time,
+    pub suspended_until: Time,
     /// Whether any fault has been injected.
-    pub faults: bool,
+    pub had_faults: bool,
     /// Jobs for which a cancel was sent, with the time of its acknowledgement ([`Time::NEVER`]
     /// until then).
     pub cancels: BTreeMap<JobNo, Time>,
@@ -75,7 +75,7 @@
     pub accepted: BTreeMap<JobNo, Time>,
     refused: BTreeSet<JobNo>,
     /// Final states of jobs, as reported to callers.
-    over: BTreeMap<JobNo, State>,
+    final_states: BTreeMap<JobNo, State>,
     /// Latest token of each shard.
     tokens: BTreeMap<ShardNo, u64>,
     /// Runs that completed: run number, end time, and time of the owner's acknowledgement. An
@@ -89,19 +89,19 @@
     /// Number of worker crashes under each task.
     crashes: BTreeMap<TaskKey, usize>,
     /// Number of starts of each task after [`CRASH_LIMIT`] crashes.
-    more: BTreeMap<TaskKey, usize>,
+    extra_starts: BTreeMap<TaskKey, usize>,
     /// Long-running tasks that aren't running.
-    stays: Absences,
+    absences: Absences,
     /// Jobs that have room but don't run.
     waits: Waits,
     /// Number of starts.
-    pub count: u64,
+    pub start_count: u64,
 }
 
 impl Rules {
     /// Creates the judge of a run that hasn't begun, with all rules enabled.
     pub fn new(seed: u64) -> Self {
-        Rules { seed, unix: UNIX, timed: true, ..Rules::default() }
+        Rules { seed, unix_ms: UNIX_START_MS, time_rules: true, ..Rules::default() }
     }
 
     fn breach(&self, at: Time, text: String) -> Verdict {
@@ -109,9 +109,9 @@
     }
 
     /// Records that a fault is active now.
-    pub fn fault(&mut self, now: Time) {
-        self.faults = true;
-        self.trouble = self.trouble.max(now + FAULT_GRACE);
+    pub fn record_fault(&mut self, now: Time) {
+        self.had_faults = true;
+        self.suspended_until = self.suspended_until.max(now + FAULT_GRACE);
     }
 
     /// Checks the events since the last call and the runs that are active now.
@@ -123,8 +123,8 @@
                 }
                 Note::Crash { task } => *self.crashes.entry(task).or_default() += 1,
                 Note::End { at, end } => self.end(world, at, end.task, end.run, end.how)?,
-                Note::Seen { task, run, how } => self.acknowledge(world, task, run, how)?,
-                Note::Odd(text) => self.breach(world.now, text)?,
+                Note::Acknowledged { task, run, how } => self.acknowledge(world, task, run, how)?,
+                Note::Violation(text) => self.breach(world.now, text)?,
             }
         }
         self.check_running(world)?;
@@ -134,13 +134,13 @@
 
     /// Checks that no long-running task stays down for long while there is room for it.
     fn check_long_running(&mut self, world: &World) -> Verdict {
-        if !self.timed {
+        if !self.time_rules {
             return Ok(());
         }
-        let mut stays = std::mem::take(&mut self.stays);
+        let mut stays = std::mem::take(&mut self.absences);
         let owed = |no| self.is_accepted(no) && !self.cancels.contains_key(&no);
-        let text = stays.overdue(world, self.trouble, owed);
-        self.stays = stays;
+        let text = stays.overdue(world, self.suspended_until, owed);
+        self.absences = stays;
         text.map_or(Ok(()), |text| self.breach(world.now, text))
     }
 
@@ -152,11 +152,11 @@
 
     /// Checks that no job without an active run waits for long while there is room for it.
     fn check_waiting(&mut self, world: &World) -> Verdict {
-        if !self.timed {
+        if !self.time_rules {
             return Ok(());
         }
         let mut waits = std::mem::take(&mut self.waits);
-        let text = waits.overdue(world, self.trouble, |no| self.ready_tasks(world, no));
+        let text = waits.overdue(world, self.suspended_until, |no| self.ready_tasks(world, no));
         self.waits = waits;
         text.map_or(Ok(()), |text| self.breach(world.now, text))
     }
@@ -170,14 +170,15 @@
         if !self.is_accepted(no)
             || self.cancels.contains_key(&no)
             || self.refused.contains(&no)
-            || self.over.contains_key(&no)
+            || self.final_states.contains_key(&no)
             || mine.any(|(_, f)| f.len() >= most)
         {
             return vec![];
         }
         let steps = (0_u16..).zip(&record.job.steps).collect::<Vec<_>>();
         let times = record.job.times.map_or(1, |t| t.count);
-        let came = (0..times).filter(|t| due(record, *t, self.unix).is_none_or(|d| d <= world.now));
+        let came =
+            (0..times).filter(|t| due(record, *t, self.unix_ms).is_none_or(|d| d <= world.now));
         let all = came.flat_map(|time| {
             let key = move |step| StepKey { job: no, time, step };
             let open = |(step, s): &(u16, &Step)| {
@@ -185,7 +186,7 @@
                     .map(|index| TaskKey { step: key(*step), index })
                     .find(|t| !self.done.contains_key(t))?;
                 let noted = |a: &u16| self.step_acknowledged(world, key(*a));
-                let may = !world.hopeless.contains(&(no, *step)) && s.after.iter().all(noted);
+                let may = !world.failing_steps.contains(&(no, *step)) && s.after.iter().all(noted);
                 may.then_some(own)
             };
             steps.iter().filter_map(open).collect::<Vec<_>>()
@@ -206,7 +207,7 @@
     /// (except speculative copies), and that cancelled tasks stop in time.
     fn check_running(&self, world: &World) -> Verdict {
         let mut runs = HashSet::new();
-        let overdue = CANCEL_GRACE + world.bounds.stop;
+        let overdue = CANCEL_GRACE + world.bounds.stop_time;
         for (at, w) in world.workers.iter().enumerate() {
             let used = world.used(at);
             if !used.fits(&w.size) {
@@ -219,9 +220,9 @@
                 if !runs.insert(task) && !copies {
                     return self.breach(world.now, format!("{task} runs twice at once"));
                 }
-                let cancel = self.cancels.get(&task.step.job).filter(|_| self.timed);
+                let cancel = self.cancels.get(&task.step.job).filter(|_| self.time_rules);
                 let Some(cancel) = cancel else { continue };
-                let since = self.trouble.max(*cancel).max(run.since);
+                let since = self.suspended_until.max(*cancel).max(run.started_at);
                 if world.now > since + overdue {
                     return self
                         .breach(world.now, format!("{task} runs on, cancelled at {cancel}"));
@@ -245,7 +246,7 @@
         };
         let (w, record) = (&world.workers[worker], &world.jobs[&task.step.job]);
         let task_key = task_key(world, task);
-        self.count += 1;
+        self.start_count += 1;
         self.starts.insert(task_key, at);
         if *start.text != *record.job.text || task.index >= step.count {
             return self.breach(at, format!("{task} was not asked for like this: {start:?}"));
@@ -265,7 +266,7 @@
             return self.breach(at, format!("{task} started before step {before} was done"));
         }
         if let Some(due) =
-            due(record, task.step.time, self.unix).filter(|d| at + START_TOLERANCE < *d)
+            due(record, task.step.time, self.unix_ms).filter(|d| at + START_TOLERANCE < *d)
         {
             return self.breach(at, format!("{task} started before it was due at {due}"));
         }
@@ -280,10 +281,10 @@
     /// Checks that a task that crashes its workers isn't started again without limit.
     fn check_crash_limit(&mut self, world: &World, at: Time, task: TaskKey) -> Verdict {
         let crashes = self.crashes.get(&task).copied().unwrap_or(0);
-        if !world.poison.contains(&task) || crashes < CRASH_LIMIT {
+        if !world.crashing_tasks.contains(&task) || crashes < CRASH_LIMIT {
             return Ok(());
         }
-        let more = self.more.entry(task).or_default();
+        let more = self.extra_starts.entry(task).or_default();
         *more += 1;
         if *more < EXTRA_STARTS {
             return Ok(());
@@ -300,14 +301,14 @@
         task: TaskKey,
         late: bool,
     ) -> Verdict {
-        if late || at < self.trouble || !self.timed {
+        if late || at < self.suspended_until || !self.time_rules {
             return Ok(());
         }
         if let Some(c) = self.cancels.get(&task.step.job).filter(|c| at > **c + CANCEL_GRACE) {
             return self.breach(at, format!("{task} started, its job was cancelled at {c}"));
         }
-        let leaving = world.workers[worker].draining;
-        if let Some(d) = leaving.filter(|d| at > *d + world.bounds.drain) {
+        let leaving = world.workers[worker].leaving_since;
+        if let Some(d) = leaving.filter(|d| at > *d + world.bounds.drain_time) {
             return self
                 .breach(at, format!("{task} started at {}, leaving at {d}", world.id(worker)));
         }
@@ -337,13 +338,15 @@
         Ok(())
     }
 
-    fn end(&mut self, world: &World, at: Time, task: TaskKey, run: u32, how: How) -> Verdict {
+    fn end(&mut self, world: &World, at: Time, task: TaskKey, run: u32, how: EndReason) -> Verdict {
         let task_key = task_key(world, task);
         match how {
-            How::Done => self.done.entry(task_key).or_default().push((run, at, None)),
-            How::Failed => self.failed.entry(task_key).or_default().push((run, at, None)),
-            How::Alone
-                if self.timed && !self.faults && !self.cancels.contains_key(&task.step.job) =>
+            EndReason::Done => self.done.entry(task_key).or_default().push((run, at, None)),
+            EndReason::Failed => self.failed.entry(task_key).or_default().push((run, at, None)),
+            EndReason::Alone
+                if self.time_rules
+                    && !self.had_faults
+                    && !self.cancels.contains_key(&task.step.job) =>
             {
                 return self.breach(at, format!("{task} ended alone, and nothing was amiss"));
             }
@@ -352,11 +355,11 @@
         Ok(())
     }
 
-    fn acknowledge(&mut self, world: &World, task: TaskKey, run: u32, how: How) -> Verdict {
+    fn acknowledge(&mut self, world: &World, task: TaskKey, run: u32, how: EndReason) -> Verdict {
         let (task_key, now) = (task_key(world, task), world.now);
         let ends = match how {
-            How::Done => self.done.entry(task_key).or_default(),
-            How::Failed => self.failed.entry(task_key).or_default(),
+            EndReason::Done => self.done.entry(task_key).or_default(),
+            EndReason::Failed => self.failed.entry(task_key).or_default(),
             _ => return self.check_repeats(world, now, task_key),
         };
         if let Some(end) = ends.iter_mut().find(|e| e.0 == run) {
@@ -383,12 +386,14 @@
     }
 
     /// Checks a job's state that a caller received or that a member stored.
-    pub fn shown(&self, world: &World, job: JobNo, state: State) -> Verdict {
+    pub fn check_state(&self, world: &World, job: JobNo, state: State) -> Verdict {
         let most = world.queue(job).map_or(0, |q| q.attempts) as usize;
         let mine = self.failed.iter().filter(|(t, _)| t.step.job == job);
         let right = match state {
             State::Done => self.job_done(world, job),
-            State::Failed => mine.into_iter().any(|(_, f)| f.len() >= most) || self.given_up(job),
+            State::Failed => {
+                mine.into_iter().any(|(_, f)| f.len() >= most) || self.may_give_up(job)
+            }
             State::Cancelled => self.cancels.contains_key(&job),
             State::Queued | State::Running => true,
         };
@@ -400,27 +405,27 @@
 
     /// Whether the scheduler may fail a job because workers have crashed under one of its
     /// tasks.
-    fn given_up(&self, job: JobNo) -> bool {
+    fn may_give_up(&self, job: JobNo) -> bool {
         self.crashes.iter().any(|(t, n)| t.step.job == job && *n >= GIVE_UP_CRASHES)
     }
 
     /// Checks a job's state that a caller received. A final state must not change.
-    pub fn told(&mut self, world: &World, job: JobNo, state: State) -> Verdict {
-        self.shown(world, job, state)?;
-        if let Some(before) = self.over.get(&job).filter(|s| **s != state) {
+    pub fn check_reported(&mut self, world: &World, job: JobNo, state: State) -> Verdict {
+        self.check_state(world, job, state)?;
+        if let Some(before) = self.final_states.get(&job).filter(|s| **s != state) {
             return self
                 .breach(world.now, format!("job {job} is {state}, and was {before} before"));
         }
-        if state.over() {
-            self.over.insert(job, state);
+        if state.is_final() {
+            self.final_states.insert(job, state);
         }
         Ok(())
     }
 
     /// Checks the progress that a member stored for a job: it must not list a task as done that
     /// no worker has reported as done.
-    pub fn stored(&self, world: &World, job: JobNo, progress: &Progress) -> Verdict {
-        self.shown(world, job, progress.state)?;
+    pub fn check_progress(&self, world: &World, job: JobNo, progress: &Progress) -> Verdict {
+        self.check_state(world, job, progress.state)?;
         for row in &progress.tasks {
             let step = StepKey { job, time: row.0, step: row.1 };
             let task_key = task_key(world, TaskKey { step, index: row.2 });
@@ -434,13 +439,18 @@
 
     /// Checks the acknowledgement of a task's completion against the job's stored progress. A
     /// worker forgets an end once it is acknowledged, so the store must hold it by then.
-    pub fn noted(&self, world: &World, task: TaskKey, stored: Option<&Progress>) -> Verdict {
+    pub fn check_acknowledged(
+        &self,
+        world: &World,
+        task: TaskKey,
+        stored: Option<&Progress>,
+    ) -> Verdict {
         let Some(step) = world.step(task.step).filter(|s| !s.lasts) else { return Ok(()) };
         let mine = |r: &TaskRow| {
             (r.0, r.1) == (task.step.time, task.step.step) && (step.gang || r.2 == task.index)
         };
         let known = match stored {
-            Some(stored) => stored.state.over() || stored.tasks.iter().any(|r| mine(r) && r.5),
+            Some(stored) => stored.state.is_final() || stored.tasks.iter().any(|r| mine(r) && r.5),
             None => !self.accepted.contains_key(&task.step.job),
         };
         if known {
@@ -469,7 +479,7 @@
     }
 
     /// Checks the answer "no such job" to a request that a caller sent at `asked`.
-    pub fn unknown(&self, asked: Time, job: JobNo) -> Verdict {
+    pub fn check_unknown(&self, asked: Time, job: JobNo) -> Verdict {
         match self.accepted.get(&job) {
             Some(at) if asked > *at + VISIBLE_WITHIN && !self.cancels.contains_key(&job) => {
                 self.breach(asked, format!("job {job} isn't known, accepted at {at}"))
@@ -479,7 +489,7 @@
     }
 
     /// Checks the token of an owner row that was written. A shard's tokens must not decrease.
-    pub fn token(&mut self, at: Time, shard: ShardNo, token: u64) -> Verdict {
+    pub fn check_token(&mut self, at: Time, shard: ShardNo, token: u64) -> Verdict {
         let last = self.tokens.entry(shard).or_insert(token);
         let before = std::mem::replace(last, token);
         if token < before {
@@ -496,7 +506,7 @@
     TaskKey { index: if gang { 0 } else { task.index }, ..task }
 }
 
-/// Due time of an occurrence of a timed job; `unix` is the Unix time at [`Time::ZERO`] in
+/// Due time of an occurrence of a timed job; `unix_ms` is the Unix time at [`Time::ZERO`] in
 /// milliseconds.
 fn due(record: &JobRecord, time: u32, unix: u64) -> Option<Time> {
     let times = record.job.times?;
--- a/standin/src/site/plan.rs
+++ b/standin/src/site/plan.rs
@@ -218,18 +218,18 @@
     /// Specification of the job.
     pub job: Job,
     /// Whether the tasks of the last step always fail.
-    pub hopeless: bool,
+    pub fails: bool,
     /// Time from the job's acceptance to its cancel.
     pub cancel: Option<Duration>,
     /// Whether the caller submits the job again some seconds after its acceptance.
-    pub again: bool,
+    pub resubmit: bool,
 }
 
 /// With at least this number of workers, advice leaves enough suitable workers for every gang.
 const GANG_ADVICE_WORKERS: usize = 16;
 
 /// Draws a job for a cluster of `workers` workers; `unix` is the Unix time in milliseconds.
-pub fn draw(rng: &mut fastrand::Rng, workers: usize, unix: u64) -> DrawnJob {
+pub fn draw_job(rng: &mut fastrand::Rng, workers: usize, unix: u64) -> DrawnJob {
     let queue = ["plain", "urgent", "open", "advised"][rng.usize(0..4)];
     let job = draw_spec(rng, unix);
     let large = workers < GANG_ADVICE_WORKERS && job.steps.iter().any(|s| s.gang);
@@ -245,9 +245,9 @@
         no: rng.u64(..),
         queue,
         job,
-        hopeless: !lasts && rng.u32(0..100) < 4,
+        fails: !lasts && rng.u32(0..100) < 4,
         cancel: cancel.map(Duration::from_millis),
-        again: rng.u32(0..100) < 6,
+        resubmit: rng.u32(0..100) < 6,
     }
 }
 
--- a/standin/src/site/setup.rs
+++ b/standin/src/site/setup.rs
@@ -4,42 +4,47 @@
 use {
     crate::site::worker::Worker,
     dogwoodreach::{
-        ports::{Bounds, Fleet},
+        ports::{Bounds, VmLimits},
         units::Size,
-        work::{AdviceCost, Job, Pool, Queue, Queues, Step},
+        work::{AdviceCost, Job, Pool, Queue, QueueConfig, Step},
     },
     std::{sync::Arc, time::Duration},
 };
 
 /// Limits of the orders to the platform's VM interface.
-pub fn fleet() -> Fleet {
+pub fn fleet() -> VmLimits {
     let ms = Duration::from_millis;
-    Fleet { rate: 60.0, upkeep: ms(2_000), moved: ms(1_500), turn: ms(3_000) }
+    VmLimits {
+        order_rate: 60.0,
+        upkeep_time: ms(2_000),
+        move_time: ms(1_500),
+        holder_gap: ms(3_000),
+    }
 }
 
 /// Time limits with the ratios of a real deployment.
 pub fn bounds() -> Bounds {
     let ms = Duration::from_millis;
     Bounds {
-        hold: ms(8_000),
-        stop: ms(1_000),
-        gang: ms(5_000),
-        keep: ms(300_000),
-        remote: 1.5,
-        save: ms(1_000),
-        restore: ms(500),
-        harm: ms(4_000),
-        notice: ms(2_000),
-        config: ms(3_000),
-        drain: ms(2_000),
-        grace: ms(10_000),
-        ttl: ms(3_000),
+        max_lease: ms(8_000),
+        stop_time: ms(1_000),
+        gang_timeout: ms(5_000),
+        state_retention: ms(300_000),
+        remote_factor: 1.5,
+        checkpoint_interval: ms(1_000),
+        restore_time: ms(500),
+        target_grace: ms(4_000),
+        serving_delay: ms(2_000),
+        config_lag: ms(3_000),
+        drain_time: ms(2_000),
+        stop_grace: ms(10_000),
+        min_ttl: ms(3_000),
     }
 }
 
 /// Four queues: `plain` and `urgent` on the pool `guarded`, whose workers check their room, and
 /// `open` and `advised` on the pool `open`, whose workers don't. Steps of `advised` need advice.
-pub fn queues() -> Arc<Queues> {
+pub fn queues() -> Arc<QueueConfig> {
     let queue = |name: &str, pool: &str, priority| Queue {
         name: name.into(),
         host: "".into(),
@@ -53,17 +58,17 @@
     };
     let ms = Duration::from_millis;
     let cost = AdviceCost { base: ms(20), each: ms(2), valid: ms(3_000) };
-    let pool = |name: &str, guards| Pool { name: name.into(), guards, standby: false };
-    Arc::new(Queues {
+    let pool = |name: &str, guards| Pool { name: name.into(), checks_room: guards, standby: false };
+    Arc::new(QueueConfig {
         version: 1,
-        all: vec![
+        queues: vec![
             queue("plain", "guarded", 1),
             queue("urgent", "guarded", 0),
             queue("open", "open", 1),
             Queue { advice: Some(cost), ..queue("advised", "open", 1) },
         ],
         pools: vec![pool("guarded", true), pool("open", false)],
-        body: 1 << 20,
+        max_body: 1 << 20,
     })
 }
 
@@ -73,8 +78,8 @@
     let one = |i: usize| {
         let pool = if i % 4 < 2 { "guarded" } else { "open" };
         let mut w = Worker::new(pool, ["r1", "r2"][i % 2], Size::new(4, 16_384, 1));
-        w.rate = [1.0, 0.98, 0.99][i % 3];
-        w.offset = 1_000 * (1 + i as u64);
+        w.clock_rate = [1.0, 0.98, 0.99][i % 3];
+        w.clock_offset = 1_000 * (1 + i as u64);
         if i.is_multiple_of(2) {
             w.labels.push("gpu".into());
         }
--- a/standin/src/site/stay.rs
+++ b/standin/src/site/stay.rs
@@ -35,7 +35,7 @@
 /// Since when a task has not run, and since when there has been room for it.
 struct Absence {
     since: Time,
-    room: Option<Time>,
+    room_since: Option<Time>,
 }
 
 impl Absences {
@@ -60,10 +60,11 @@
         let fault_free = fault_free(suspended_until, now);
         for task in absent {
             let room = world.room_for(task) >= ROOM_FACTOR;
-            let absence = self.absences.entry(task).or_insert(Absence { since: now, room: None });
-            absence.room = if room { absence.room.or(Some(now)) } else { None };
+            let absence =
+                self.absences.entry(task).or_insert(Absence { since: now, room_since: None });
+            absence.room_since = if room { absence.room_since.or(Some(now)) } else { None };
             let (since, long) =
-                (absence.since, absence.room.is_some_and(|r| r + ROOM_DURATION <= now));
+                (absence.since, absence.room_since.is_some_and(|r| r + ROOM_DURATION <= now));
             if fault_free && long && since + MAX_ABSENCE + ROOM_DURATION <= now {
                 return Some(format!("{task} lasts and has not run since {since}, beside room"));
             }
@@ -83,11 +84,11 @@
     /// The long-running tasks of a job, in order.
     fn long_running(&self, no: JobNo) -> Vec<TaskKey> {
         let Some(record) = self.jobs.get(&no) else { return vec![] };
-        if self.poison.iter().any(|t| t.step.job == no) {
+        if self.crashing_tasks.iter().any(|t| t.step.job == no) {
             return vec![];
         }
         let steps = (0_u16..).zip(&record.job.steps);
-        let lasts = steps.filter(|(i, s)| s.lasts && !self.hopeless.contains(&(no, *i)));
+        let lasts = steps.filter(|(i, s)| s.lasts && !self.failing_steps.contains(&(no, *i)));
         let tasks = |(step, s): (u16, &Step)| {
             let step = StepKey { job: no, time: 0, step };
             (0..s.count).map(move |index| TaskKey { step, index }).collect::<Vec<_>>()
@@ -105,12 +106,13 @@
         let (Some(step), Some(queue)) = (self.step(task.step), self.queue(task.step.job)) else {
             return 0;
         };
-        let size = step.counted();
+        let size = step.reserved();
         let room = |at: usize| {
             let w = &self.workers[at];
-            let sound = w.up && !w.cut && !w.hung && !w.unwell && !w.grey && w.speed >= 1.0;
+            let sound =
+                w.up && !w.cut_off && !w.unresponsive && !w.unwell && !w.failing && w.speed >= 1.0;
             let labelled = step.needs.as_ref().is_none_or(|l| w.labels.contains(l));
-            if !sound || w.draining.is_some() || w.pool != queue.pool || !labelled {
+            if !sound || w.leaving_since.is_some() || w.pool != queue.pool || !labelled {
                 return 0;
             }
             let free: Size = w.size.saturating_sub(&self.used(at));
--- a/standin/src/site/store.rs
+++ b/standin/src/site/store.rs
@@ -5,7 +5,7 @@
     bytes::Bytes,
     dogwoodreach::{
         Time,
-        ports::{Item, ROWS, Rev, StoreCall, StoreReply, Txn},
+        ports::{Item, MAX_TXN_ROWS, Rev, StoreCall, StoreReply, Txn},
     },
     std::{
         collections::{BTreeMap, VecDeque},
@@ -27,15 +27,15 @@
 
 /// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fate {
+pub enum CallOutcome {
     /// The call is executed and answered.
     Answered,
     /// The call is refused and not executed.
     Refused,
     /// The call is neither executed nor answered.
-    Unheard,
+    Unanswered,
     /// The call is executed after this delay, and its answer is lost.
-    Lost(Duration),
+    AnswerLost(Duration),
 }
 
 /// Maximum number of changes in the history.
@@ -50,15 +50,15 @@
     /// Revision of the latest change.
     pub rev: Rev,
     /// Present health.
-    pub mode: Mode,
+    pub health: Mode,
     /// Items that transactions have written and the judge hasn't checked yet.
-    pub written: Vec<(Box<str>, Bytes)>,
+    pub unjudged_writes: Vec<(Box<str>, Bytes)>,
     /// Number of transactions that were received.
     pub writes: u64,
     /// History of changes, oldest first.
     log: VecDeque<Item>,
     /// Revision of the latest change that the history has dropped.
-    forgotten: Rev,
+    trimmed_to: Rev,
     /// Leases: expiry and time to live from each renewal.
     leases: BTreeMap<u64, (Time, Duration)>,
     last_lease: u64,
@@ -73,11 +73,11 @@
         Store {
             items: BTreeMap::new(),
             rev: 7,
-            mode: Mode::Up,
-            written: Vec::new(),
+            health: Mode::Up,
+            unjudged_writes: Vec::new(),
             writes: 0,
             log: VecDeque::new(),
-            forgotten: 7,
+            trimmed_to: 7,
             leases: BTreeMap::new(),
             last_lease: 0,
             leased: BTreeMap::new(),
@@ -86,19 +86,21 @@
     }
 
     /// Draws the outcome of a call that arrives now.
-    pub fn fate(&mut self) -> Fate {
-        match self.mode {
-            Mode::Up => Fate::Answered,
-            Mode::Down if self.rng.bool() => Fate::Refused,
-            Mode::Down => Fate::Unheard,
-            Mode::Losing(n) if self.rng.u32(0..n) > 0 => Fate::Answered,
-            Mode::Losing(_) if self.rng.bool() => Fate::Lost(Duration::ZERO),
-            Mode::Losing(_) => Fate::Lost(Duration::from_millis(self.rng.u64(500..6_000))),
+    pub fn draw_outcome(&mut self) -> CallOutcome {
+        match self.health {
+            Mode::Up => CallOutcome::Answered,
+            Mode::Down if self.rng.bool() => CallOutcome::Refused,
+            Mode::Down => CallOutcome::Unanswered,
+            Mode::Losing(n) if self.rng.u32(0..n) > 0 => CallOutcome::Answered,
+            Mode::Losing(_) if self.rng.bool() => CallOutcome::AnswerLost(Duration::ZERO),
+            Mode::Losing(_) => {
+                CallOutcome::AnswerLost(Duration::from_millis(self.rng.u64(500..6_000)))
+            }
         }
     }
 
     /// Draws the latency of an answer.
-    pub fn delay(&mut self) -> Duration {
+    pub fn draw_delay(&mut self) -> Duration {
         Duration::from_millis(self.rng.u64(2..15))
     }
 
@@ -118,7 +120,7 @@
     /// match.
     pub fn txn(&mut self, txn: &Txn) -> StoreReply {
         let rows = txn.expect.len() + txn.puts.len() + txn.remove.len();
-        assert!(rows <= ROWS, "a transaction of {rows} rows");
+        assert!(rows <= MAX_TXN_ROWS, "a transaction of {rows} rows");
         assert!(txn.puts.iter().all(|p| p.key.len() <= 200), "a key over 200 bytes");
         self.writes += 1;
         let row = |(key, _): &(Box<str>, Rev)| {
@@ -134,7 +136,7 @@
         self.rev += 1;
         for put in &txn.puts {
             self.set(put.key.clone(), Some(put.value.clone()), put.lease);
-            self.written.push((put.key.clone(), put.value.clone()));
+            self.unjudged_writes.push((put.key.clone(), put.value.clone()));
         }
         txn.remove.iter().for_each(|k| self.set(k.clone(), None, 0));
         StoreReply::Done(self.rev)
@@ -164,31 +166,31 @@
         };
         self.log.push_back(Item { key, value, rev: self.rev });
         if self.log.len() > HISTORY_ITEMS {
-            self.forget(HISTORY_ITEMS);
+            self.trim_history(HISTORY_ITEMS);
         }
     }
 
     /// Drops all changes from the history except the last `keep`.
-    pub fn forget(&mut self, keep: usize) {
+    pub fn trim_history(&mut self, keep: usize) {
         while self.log.len() > keep {
-            self.forgotten = self.log.pop_front().map_or(self.forgotten, |i| i.rev);
+            self.trimmed_to = self.log.pop_front().map_or(self.trimmed_to, |i| i.rev);
         }
     }
 
     /// Executes a call that arrives now. Returns `None` if a watch has to wait for a change.
     pub fn call(&mut self, call: &StoreCall, now: Time) -> Option<StoreReply> {
-        self.lapse(now);
+        self.expire_leases(now);
         Some(match call {
             StoreCall::Get { key } => StoreReply::Item(self.get(key)),
             StoreCall::Range { prefix, after, .. } => self.page(prefix, after),
             StoreCall::Watch { prefix, after, .. } => return self.changes(prefix, *after),
             StoreCall::Txn(txn) => self.txn(txn),
-            StoreCall::Lease { ttl } => {
+            StoreCall::CreateLease { ttl } => {
                 self.last_lease += 1;
                 self.leases.insert(self.last_lease, (now + *ttl, *ttl));
                 StoreReply::Lease(self.last_lease, *ttl)
             }
-            StoreCall::Keep { lease } => match self.leases.get_mut(lease) {
+            StoreCall::RenewLease { lease } => match self.leases.get_mut(lease) {
                 Some((until, ttl)) => {
                     *until = now + *ttl;
                     StoreReply::Kept
@@ -215,7 +217,7 @@
     }
 
     fn changes(&self, prefix: &str, after: Rev) -> Option<StoreReply> {
-        if after < self.forgotten {
+        if after < self.trimmed_to {
             return Some(StoreReply::Forgotten);
         }
         let new = self.log.iter().filter(|i| i.rev > after && i.key.starts_with(prefix));
@@ -224,7 +226,7 @@
     }
 
     /// Ends the leases that have expired.
-    pub fn lapse(&mut self, now: Time) {
+    pub fn expire_leases(&mut self, now: Time) {
         let over: Vec<u64> =
             self.leases.iter().filter(|(_, (until, _))| *until <= now).map(|l| *l.0).collect();
         for lease in over {
--- a/standin/src/site/wait.rs
+++ b/standin/src/site/wait.rs
@@ -22,7 +22,7 @@
 pub struct Waits {
     next: Time,
     /// Since when there has been room for each job.
-    room: BTreeMap<JobNo, Time>,
+    room_since: BTreeMap<JobNo, Time>,
 }
 
 impl Waits {
@@ -45,7 +45,7 @@
         let mut room = BTreeMap::new();
         for no in world.jobs.keys().filter(|no| !runs.contains(*no)) {
             let Some(task) = open(*no).into_iter().find(|t| world.has_room(*t)) else { continue };
-            let since = self.room.get(no).copied().unwrap_or(now);
+            let since = self.room_since.get(no).copied().unwrap_or(now);
             room.insert(*no, since);
             if fault_free(suspended_until, now) && since + ROOM_DURATION <= now {
                 return Some(format!(
@@ -53,7 +53,7 @@
                 ));
             }
         }
-        self.room = room;
+        self.room_since = room;
         None
     }
 }
--- a/standin/src/site/worker.rs
+++ b/standin/src/site/worker.rs
@@ -9,11 +9,12 @@
         Time,
         ids::{PoolId, RackId, WorkerId, Zone},
         ports::{
-            Bounds, ENDS, End, Held, How, Refusal, Row, Start, WorkerCall, WorkerReply as Reply,
+            Bounds, End, EndReason, Held, MAX_ENDS, Refusal, Row, Start, WorkerCall,
+            WorkerReply as Reply,
         },
         shard::record::JobRecord,
         units::Size,
-        work::{JobNo, Listed, Queue, Queues, Step, StepKey, TaskKey},
+        work::{JobNo, ListedWorker, Queue, QueueConfig, Step, StepKey, TaskKey},
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -23,35 +24,35 @@
 };
 
 /// Step by which virtual time advances.
-pub const GRAIN: Duration = Duration::from_millis(10);
+pub const TIME_STEP: Duration = Duration::from_millis(10);
 
 /// Time between the announcement that a worker leaves and its departure.
-pub const NOTICE: Duration = Duration::from_secs(30);
+pub const LEAVE_NOTICE: Duration = Duration::from_secs(30);
 
 /// A task's run at a worker.
 pub struct Run {
     /// The start order.
     pub start: Start,
     /// Time at which the run started.
-    pub since: Time,
+    pub started_at: Time,
     /// Time from which the run makes progress, after its checkpoint was restored.
-    ready: Time,
+    ready_at: Time,
     /// Work done, in milliseconds at full speed.
     pub work: f64,
     /// Work that the last checkpoint covers, in milliseconds.
-    kept: f64,
+    saved_work: f64,
     /// Time at which a requested stop completes.
-    pub stops: Option<Time>,
+    pub stops_at: Option<Time>,
     /// Throttle set by the owner, in percent of full speed.
     pub percent: u8,
     /// Whether all members of its gang have run at the same time.
-    together: bool,
+    assembled: bool,
 }
 
 /// A worker across restarts; each start of its process is an incarnation.
 pub struct Worker {
     /// Number of the present incarnation, from 1.
-    pub life: u32,
+    pub incarnation: u32,
     /// The worker's pool.
     pub pool: PoolId,
     /// The worker's rack.
@@ -61,32 +62,32 @@
     /// Labels that steps can require.
     pub labels: Vec<Box<str>>,
     /// Rate of its clock relative to real time.
-    pub rate: f64,
+    pub clock_rate: f64,
     /// Reading of its clock at [`Time::ZERO`], in milliseconds.
-    pub offset: u64,
+    pub clock_offset: u64,
     /// Whether the worker's process runs.
     pub up: bool,
     /// Whether the worker is cut off from the network. Its runs continue.
-    pub cut: bool,
+    pub cut_off: bool,
     /// Whether the worker is unresponsive and its runs make no progress.
-    pub hung: bool,
+    pub unresponsive: bool,
     /// Whether the worker refuses all calls.
     pub unwell: bool,
     /// Whether every run on the worker fails shortly after its start.
-    pub grey: bool,
+    pub failing: bool,
     /// Speed relative to a healthy worker.
     pub speed: f64,
     /// Time at which the worker announced that it leaves.
-    pub draining: Option<Time>,
+    pub leaving_since: Option<Time>,
     /// Active runs, including those that are being stopped.
     pub runs: Vec<Run>,
     token: u64,
-    until: u64,
-    lapsed: bool,
+    lease_end: u64,
+    lease_lapsed: bool,
     barred: BTreeMap<TaskKey, u32>,
     /// Ends that aren't acknowledged, and whether the lease has lapsed since.
     ended: Vec<(End, bool)>,
-    number: u64,
+    last_end: u64,
 }
 
 /// An event at a worker, recorded for the judge.
@@ -116,16 +117,16 @@
         task: TaskKey,
     },
     /// The owner acknowledged the end of a run.
-    Seen {
+    Acknowledged {
         /// The task.
         task: TaskKey,
         /// Number of the run.
         run: u32,
         /// Result of the run.
-        how: How,
+        how: EndReason,
     },
     /// A violation that a worker detects by itself.
-    Odd(String),
+    Violation(String),
 }
 
 /// All workers, the advice service and the jobs that callers have submitted.
@@ -135,13 +136,13 @@
     /// Time limits of the deployment.
     pub bounds: Bounds,
     /// The configuration of queues and pools.
-    pub queues: Arc<Queues>,
+    pub queues: Arc<QueueConfig>,
     /// Submitted jobs.
     pub jobs: BTreeMap<JobNo, JobRecord>,
     /// Steps whose tasks always fail.
-    pub hopeless: BTreeSet<(JobNo, u16)>,
+    pub failing_steps: BTreeSet<(JobNo, u16)>,
     /// Tasks that crash every worker that starts them.
-    pub poison: BTreeSet<TaskKey>,
+    pub crashing_tasks: BTreeSet<TaskKey>,
     /// The workers.
     pub workers: Vec<Worker>,
     /// The advice service.
@@ -151,7 +152,7 @@
     /// Maximum relative deviation of a task's work from its estimate.
     pub spread: f64,
     /// Checkpoints that workers have reported.
-    saves: BTreeSet<Box<str>>,
+    checkpoints: BTreeSet<Box<str>>,
     rng: fastrand::Rng,
 }
 
@@ -159,78 +160,78 @@
     /// Creates a worker in its first incarnation.
     pub fn new(pool: &str, rack: &str, size: Size) -> Self {
         Worker {
-            life: 1,
+            incarnation: 1,
             pool: pool.into(),
             rack: rack.into(),
             size,
             labels: vec![rack.into()],
-            rate: 1.0,
-            offset: 1_000,
+            clock_rate: 1.0,
+            clock_offset: 1_000,
             up: true,
-            cut: false,
-            hung: false,
+            cut_off: false,
+            unresponsive: false,
             unwell: false,
-            grey: false,
+            failing: false,
             speed: 1.0,
-            draining: None,
+            leaving_since: None,
             runs: Vec::new(),
             token: 0,
-            until: 0,
-            lapsed: true,
+            lease_end: 0,
+            lease_lapsed: true,
             barred: BTreeMap::new(),
             ended: Vec::new(),
-            number: 0,
+            last_end: 0,
         }
     }
 
     /// Reading of the worker's monotonic clock, in milliseconds.
     pub fn clock(&self, now: Time) -> u64 {
-        self.offset + (now.0 as f64 / 1e3 * self.rate) as u64
+        self.clock_offset + (now.0 as f64 / 1e3 * self.clock_rate) as u64
     }
 
     fn extend(&mut self, until: u64, hold: Duration, now: Time) {
         let clock = self.clock(now);
         let most = clock + hold.as_millis() as u64;
-        self.until = self.until.max(until.min(most));
-        self.lapsed &= self.until <= clock;
+        self.lease_end = self.lease_end.max(until.min(most));
+        self.lease_lapsed &= self.lease_end <= clock;
     }
 }
 
 impl World {
     /// Creates a world at [`Time::ZERO`].
-    pub fn new(seed: u64, bounds: Bounds, queues: Arc<Queues>, workers: Vec<Worker>) -> Self {
+    pub fn new(seed: u64, bounds: Bounds, queues: Arc<QueueConfig>, workers: Vec<Worker>) -> Self {
         World {
             now: Time::ZERO,
             bounds,
             queues,
             jobs: BTreeMap::new(),
-            hopeless: BTreeSet::new(),
-            poison: BTreeSet::new(),
+            failing_steps: BTreeSet::new(),
+            crashing_tasks: BTreeSet::new(),
             workers,
             advice: Service::new(seed),
             notes: Vec::new(),
             spread: 0.0,
-            saves: BTreeSet::new(),
+            checkpoints: BTreeSet::new(),
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
     /// Id of a worker's present incarnation.
     pub fn id(&self, at: usize) -> WorkerId {
-        WorkerId(format!("w{at}-{}", self.workers[at].life).into())
+        WorkerId(format!("w{at}-{}", self.workers[at].incarnation).into())
     }
 
     /// A worker's entry in the worker list.
-    pub fn listed(&self, at: usize) -> Listed {
+    pub fn listed(&self, at: usize) -> ListedWorker {
         let w = &self.workers[at];
-        Listed {
+        ListedWorker {
             id: self.id(at),
             pool: w.pool.clone(),
             addr: ([10, 0, 0, 1], 1000 + at as u16).into(),
             zone: Zone::from("z1"),
-            draining: w.draining.is_some(),
-            left: w.draining.map(|d| NOTICE.saturating_sub(self.now.since(d))),
-            size: w.size,
+            draining: w.leaving_since.is_some(),
+            min_stay: w.leaving_since.map(|d| LEAVE_NOTICE.saturating_sub(self.now.since(d))),
+            capacity: w.size,
             labels: w.labels.clone().into(),
         }
     }
@@ -242,12 +243,13 @@
 
     /// Queue of a job.
     pub fn queue(&self, job: JobNo) -> Option<&Queue> {
-        self.queues.named(&self.jobs.get(&job)?.queue)
+        self.queues.by_name(&self.jobs.get(&job)?.queue)
     }
 
     /// Resources used by a worker's runs, including those that are being stopped.
     pub fn used(&self, at: usize) -> Size {
-        let counted = |r: &Run| self.step(r.start.task.step).map(Step::counted).unwrap_or_default();
+        let counted =
+            |r: &Run| self.step(r.start.task.step).map(Step::reserved).unwrap_or_default();
         self.workers[at].runs.iter().map(counted).sum()
     }
 
@@ -261,7 +263,7 @@
     ) -> Option<Reply> {
         let other = self.id(at) != *id;
         let w = &mut self.workers[at];
-        if !w.up || w.cut || w.hung {
+        if !w.up || w.cut_off || w.unresponsive {
             return None;
         }
         if other {
@@ -294,47 +296,48 @@
         let now = self.now;
         let w = &mut self.workers[at];
         if w.runs.iter().any(|r| r.start.task == start.task && r.start.run == start.run) {
-            w.extend(start.until, self.bounds.hold, now);
+            w.extend(start.until, self.bounds.max_lease, now);
             return Ok(());
         }
         if start.until <= w.clock(now) {
             return Err(Refusal::Late);
         }
-        w.extend(start.until, self.bounds.hold, now);
+        w.extend(start.until, self.bounds.max_lease, now);
         if w.barred.get(&start.task).is_some_and(|b| start.run <= *b) {
             return Err(Refusal::Old);
         }
         let Some(step) = self.step(start.task.step).cloned() else {
-            self.notes.push(Note::Odd(format!("{} was asked for by nobody", start.task)));
+            self.notes.push(Note::Violation(format!("{} was asked for by nobody", start.task)));
             return Err(Refusal::Bad);
         };
         let (id, key) = (self.id(at), start.task.step);
         let advised = self.queue(key.job).is_some_and(|q| q.advice.is_some());
-        if advised && !self.advice.holds(start.ticket.as_deref(), key, &id, now) {
+        if advised && !self.advice.is_valid(start.ticket.as_deref(), key, &id, now) {
             return Err(Refusal::Ticket);
         }
         let pool = &self.workers[at].pool;
-        let guards = self.queues.pools.iter().any(|p| p.name == *pool && p.guards);
+        let guards = self.queues.pools.iter().any(|p| p.name == *pool && p.checks_room);
         let mut used = self.used(at);
-        used += step.counted();
+        used += step.reserved();
         if guards && !used.fits(&self.workers[at].size) {
             return Err(Refusal::Room);
         }
         if !start.saved.is_empty() && !self.saved_by(start, &step) {
-            self.notes.push(Note::Odd(format!("{} has no checkpoint {}", start.task, start.saved)));
+            self.notes
+                .push(Note::Violation(format!("{} has no checkpoint {}", start.task, start.saved)));
         }
         let hex = start.saved.split('~').next().unwrap_or_default();
         let work = u64::from_str_radix(hex, 16).unwrap_or(0) as f64;
-        let wait = if start.saved.is_empty() { Duration::ZERO } else { self.bounds.restore };
+        let wait = if start.saved.is_empty() { Duration::ZERO } else { self.bounds.restore_time };
         self.workers[at].runs.push(Run {
             start: start.clone(),
-            since: now,
-            ready: now + wait,
+            started_at: now,
+            ready_at: now + wait,
             work,
-            kept: work,
-            stops: None,
+            saved_work: work,
+            stops_at: None,
             percent: 100,
-            together: false,
+            assembled: false,
         });
         self.notes.push(Note::Start { at: now, worker: at, start: start.clone(), late });
         Ok(())
@@ -342,21 +345,21 @@
 
     /// Whether the task, or a member of its gang, has reported the checkpoint of a start.
     fn saved_by(&self, start: &Start, step: &Step) -> bool {
-        let tail = format!("~{}", name(start.task, step));
-        start.saved.ends_with(&tail) && self.saves.contains(&start.saved)
+        let tail = format!("~{}", checkpoint_suffix(start.task, step));
+        start.saved.ends_with(&tail) && self.checkpoints.contains(&start.saved)
     }
 
     fn stop(&mut self, at: usize, task: TaskKey, run: u32) -> Result<(), Refusal> {
         let saves = self.step(task.step).is_some_and(|s| s.saves);
-        let most = self.bounds.stop.as_millis() as u64;
+        let most = self.bounds.stop_time.as_millis() as u64;
         let over = self.now + Duration::from_millis(self.rng.u64(most / 2..=most));
         let w = &mut self.workers[at];
         let barred = w.barred.entry(task).or_default();
         *barred = run.max(*barred);
         for r in w.runs.iter_mut().filter(|r| r.start.task == task && r.start.run <= run) {
-            r.stops.get_or_insert(over);
+            r.stops_at.get_or_insert(over);
             if saves {
-                r.kept = r.work;
+                r.saved_work = r.work;
             }
         }
         Ok(())
@@ -371,7 +374,7 @@
     }
 
     fn hold(&mut self, at: usize, until: Option<u64>, seen: u64) -> Reply {
-        let (now, hold) = (self.now, self.bounds.hold);
+        let (now, hold) = (self.now, self.bounds.max_lease);
         let w = &mut self.workers[at];
         if let Some(until) = until {
             w.extend(until, hold, now);
@@ -380,7 +383,7 @@
         w.ended = rest;
         let gone: Vec<(End, bool)> = gone;
         for (e, _) in gone.into_iter().filter(|(_, lapsed)| !lapsed) {
-            self.notes.push(Note::Seen { task: e.task, run: e.run, how: e.how });
+            self.notes.push(Note::Acknowledged { task: e.task, run: e.run, how: e.how });
         }
         Reply::Held(self.held(at))
     }
@@ -388,25 +391,25 @@
     /// The worker's report: its clock, active runs and ends that aren't acknowledged.
     pub fn held(&mut self, at: usize) -> Held {
         let rows: Vec<Row> = (0..self.workers[at].runs.len()).map(|i| self.row(at, i)).collect();
-        self.saves.extend(rows.iter().map(|r| r.saved.clone()));
+        self.checkpoints.extend(rows.iter().map(|r| r.saved.clone()));
         let w = &self.workers[at];
-        let ended: Vec<End> = w.ended.iter().take(ENDS).map(|(e, _)| e.clone()).collect();
-        self.saves.extend(ended.iter().map(|e| e.saved.clone()));
+        let ended: Vec<End> = w.ended.iter().take(MAX_ENDS).map(|(e, _)| e.clone()).collect();
+        self.checkpoints.extend(ended.iter().map(|e| e.saved.clone()));
         Held { clock: w.clock(self.now), running: rows, ended }
     }
 
     /// Whether a worker has ends that aren't acknowledged.
-    pub fn has_ended(&self, at: usize) -> bool {
+    pub fn has_ends(&self, at: usize) -> bool {
         !self.workers[at].ended.is_empty()
     }
 
     /// Whether a worker still reports this end.
-    pub fn lists(&self, at: usize, end: &End) -> bool {
+    pub fn reports_end(&self, at: usize, end: &End) -> bool {
         self.workers[at].ended.iter().any(|(e, _)| e == end)
     }
 
     /// Number of active runs of a job.
-    pub fn running(&self, job: JobNo) -> usize {
+    pub fn run_count(&self, job: JobNo) -> usize {
         let runs = self.workers.iter().flat_map(|w| &w.runs);
         runs.filter(|r| r.start.task.step.job == job).count()
     }
@@ -418,8 +421,8 @@
         let beside: u64 =
             self.workers[at].runs.iter().filter(serves).map(|r| u64::from(r.percent)).sum();
         let percent = match step.lasts {
-            true => 100 * u8::from(self.now >= run.since + self.bounds.notice / 2),
-            false => (run.work / self.need(run.start.task) * 100.0).min(99.0) as u8,
+            true => 100 * u8::from(self.now >= run.started_at + self.bounds.serving_delay / 2),
+            false => (run.work / self.task_work(run.start.task) * 100.0).min(99.0) as u8,
         };
         Row {
             task: run.start.task,
@@ -434,7 +437,7 @@
     }
 
     /// Work that a task takes, in milliseconds at full speed.
-    pub fn need(&self, task: TaskKey) -> f64 {
+    pub fn task_work(&self, task: TaskKey) -> f64 {
         let Some(step) = self.step(task.step) else { return 1.0 };
         let (key, index) = (task.step, if step.gang { 0 } else { task.index });
         let parts = [key.job.0, key.time.into(), key.step.into(), index.into()];
@@ -448,12 +451,12 @@
         let fresh = Worker::new(w.pool.as_str(), w.rack.as_str(), w.size);
         let old = std::mem::replace(w, fresh);
         w.labels = old.labels;
-        (w.life, w.rate, w.up) = (old.life + 1, old.rate, false);
-        if old.draining.is_none() {
+        (w.incarnation, w.clock_rate, w.up) = (old.incarnation + 1, old.clock_rate, false);
+        if old.leaving_since.is_none() {
             let tasks = old.runs.iter().map(|r| r.start.task);
             self.notes.extend(tasks.map(|task| Note::Crash { task }));
         }
-        for run in old.runs.iter().filter(|r| r.stops.is_none()) {
+        for run in old.runs.iter().filter(|r| r.stops_at.is_none()) {
             if self.step(run.start.task.step).is_some_and(|s| s.gang) {
                 self.break_gang(run.start.task.step, run.start.run);
             }
@@ -461,21 +464,21 @@
     }
 
     /// Ends all runs of a task as failed.
-    pub fn fail(&mut self, task: TaskKey) {
+    pub fn fail_task(&mut self, task: TaskKey) {
         for at in 0..self.workers.len() {
-            self.end_where(at, How::Failed, |r| r.start.task == task);
+            self.end_where(at, EndReason::Failed, |r| r.start.task == task);
         }
     }
 }
 
 /// Suffix that identifies a task's checkpoints. The members of a gang share their checkpoints.
-fn name(task: TaskKey, step: &Step) -> String {
+fn checkpoint_suffix(task: TaskKey, step: &Step) -> String {
     if step.gang { task.step.to_string() } else { task.to_string() }
 }
 
 fn saved(run: &Run, step: &Step) -> Box<str> {
-    if !step.saves || run.kept <= 0.0 {
+    if !step.saves || run.saved_work <= 0.0 {
         return "".into();
     }
-    format!("{:08x}~{}", run.kept as u64, name(run.start.task, step)).into()
+    format!("{:08x}~{}", run.saved_work as u64, checkpoint_suffix(run.start.task, step)).into()
 }
--- a/standin/src/soak.rs
+++ b/standin/src/soak.rs
@@ -137,13 +137,13 @@
     let begin = Instant::now();
     let playing = play::Play::new(&stage, &members, serving, &callers);
     let mut all = playing.start(&faults, begin, begin + options.length);
-    let load = callers.come(begin + options.length);
+    let load = callers.submit_until(begin + options.length);
     stage.until_breach(load).await;
     let calm = async { while all.join_next().await.is_some() {} };
     stage.until_breach(calm).await;
     finish(&stage, &callers).await;
     members.end(&stage).await;
-    let (breach, starts) = stage.update(|s| (s.breach.clone(), s.rules.count));
+    let (breach, starts) = stage.update(|s| (s.breach.clone(), s.rules.start_count));
     let told = |b: &Breach| [stage.read(|s| s.events_of(&b.text)), members.lines(&b.text)].concat();
     let lines = breach.as_ref().map(told).unwrap_or_default();
     Ok(Report {
--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -106,7 +106,7 @@
     }
 
     /// Submits jobs at random intervals until a time.
-    pub async fn come(&self, until: Instant) {
+    pub async fn submit_until(&self, until: Instant) {
         let mean = 1e3 * WORKERS_PER_RATE / self.workers as f64;
         while Instant::now() < until {
             let gap = self.draw(|r| r.f64()) * 2.0 * mean;
@@ -118,14 +118,14 @@
     /// Submits `count` jobs at once.
     pub fn burst(&self, count: u32) {
         for _ in 0..count {
-            let drawn = self.draw(|r| plan::draw(r, self.workers, unix()));
+            let drawn = self.draw(|r| plan::draw_job(r, self.workers, unix()));
             self.set_waiting(JobNo(drawn.no), "its acceptance".into());
-            tokio::spawn(self.clone().job(drawn));
+            tokio::spawn(self.clone().handle_job(drawn));
         }
     }
 
     /// Starts a cancel wave: each open job is cancelled with a probability of one half.
-    pub fn cancels(&self) {
+    pub fn start_cancel_wave(&self) {
         self.wave.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -136,14 +136,14 @@
     }
 
     /// Handles one job from its submission until it is over.
-    async fn job(self, drawn: DrawnJob) {
+    async fn handle_job(self, drawn: DrawnJob) {
         let no = JobNo(drawn.no);
         self.count(|c| c.asked += 1);
         self.stage.update(|s| {
             let (queue, job) = (drawn.queue.into(), drawn.job.clone());
             s.world.jobs.insert(no, JobRecord { queue, came: unix(), job, terms: None });
-            if drawn.hopeless {
-                s.world.hopeless.insert((no, drawn.job.steps.len() as u16 - 1));
+            if drawn.fails {
+                s.world.failing_steps.insert((no, drawn.job.steps.len() as u16 - 1));
             }
         });
         match self.submit(&drawn).await {
@@ -210,7 +210,7 @@
     async fn follow(&self, drawn: &DrawnJob) {
         let (no, begin) = (JobNo(drawn.no), Instant::now());
         let lasts = drawn.job.steps.iter().any(|s| s.lasts);
-        let again = drawn.again.then(|| self.draw(|r| Duration::from_millis(r.u64(500..6_000))));
+        let again = drawn.resubmit.then(|| self.draw(|r| Duration::from_millis(r.u64(500..6_000))));
         let (mut again, mut wave) = (again, self.wave.load(Ordering::Relaxed));
         let (mut cancelled, mut state) = (false, None);
         loop {
@@ -232,13 +232,13 @@
                 Some((200, body)) => match jobs::state(&body) {
                     Some(told) => {
                         state = Some(told);
-                        self.judge(|s| s.rules.told(&s.world, no, told));
+                        self.judge(|s| s.rules.check_reported(&s.world, no, told));
                     }
                     None => {
                         self.stage.report_breach(format!("job {no}: a state that can't be read"))
                     }
                 },
-                Some((410, _)) => self.judge(|s| s.rules.unknown(asked, no)),
+                Some((410, _)) => self.judge(|s| s.rules.check_unknown(asked, no)),
                 _ => {}
             }
             let (queue, steps) = (drawn.queue, &drawn.job.steps);
@@ -247,7 +247,7 @@
                 no,
                 format!("{queue}, cancelled: {cancelled}, told: {last}, {steps:?}"),
             );
-            if let Some(state) = state.filter(|s| s.over() && again.is_none()) {
+            if let Some(state) = state.filter(|s| s.is_final() && again.is_none()) {
                 return self.count(|c| match state {
                     State::Done => c.done += 1,
                     State::Failed => c.failed += 1,
@@ -289,7 +289,7 @@
             .method(method)
             .uri(uri(to, &path))
             .header("content-type", "application/json")
-            .header(jobs::DEADLINE, DEADLINE_MS.to_string())
+            .header(jobs::DEADLINE_HEADER, DEADLINE_MS.to_string())
             .body(Full::new(body))
             .ok()?;
         self.count(|c| c.calls += 1);
--- a/standin/src/soak/member.rs
+++ b/standin/src/soak/member.rs
@@ -72,7 +72,7 @@
 }
 
 /// The index of the member with this address.
-pub fn place(ip: IpAddr) -> Option<usize> {
+pub fn member_at(ip: IpAddr) -> Option<usize> {
     let IpAddr::V4(ip) = ip else { return None };
     usize::from(ip.octets()[3]).checked_sub(1)
 }
@@ -98,18 +98,18 @@
                 node: format!("member-{no}").into(),
                 zone: Zone::from("z1"),
                 cores: 0.25,
-                callers: at[0],
-                ready: at[1],
-                control: at[2],
-                metrics: [at[3]].into(),
-                store: store.listen().await?,
-                reads: 2_000.0,
-                advice: Some(serving.advice[no]),
-                vms: Some(serving.vms),
-                fleet: setup::fleet(),
+                caller_addr: at[0],
+                ready_addr: at[1],
+                control_addr: at[2],
+                metrics_addrs: [at[3]].into(),
+                store_addr: store.listen().await?,
+                read_rate: 2_000.0,
+                advice_addr: Some(serving.advice[no]),
+                vms_addr: Some(serving.vms),
+                vm_limits: setup::fleet(),
                 bounds: setup::bounds(),
             };
-            let callers = Link::new(site.callers);
+            let callers = Link::new(site.caller_addr);
             let front = callers.listen().await?;
             let (child, wanted, busy, ready) = (None, false, false, false);
             all.push(Member { child, wanted, busy, ready, site, store, callers, front });
@@ -120,7 +120,7 @@
             dir: options.dir.as_path().into(),
         };
         for no in 0..options.members {
-            members.begin(no)?;
+            members.start_process(no)?;
         }
         tokio::spawn(members.clone().watch(stage.clone()));
         let end = Instant::now() + START_TIMEOUT;
@@ -142,14 +142,14 @@
     }
 
     /// Starts a member's process.
-    pub fn begin(&self, no: usize) -> Result<()> {
+    pub fn start_process(&self, no: usize) -> Result<()> {
         let path = self.dir.join(format!("member-{no}.conf"));
         let log = OpenOptions::new().create(true).append(true).open(self.log(no))?;
         self.with_member(no, |m| {
             fs::write(&path, settings::write(&m.site))?;
             let child = Command::new(&*self.binary)
                 .arg("serve")
-                .env(settings::VARIABLE, &path)
+                .env(settings::SETTINGS_VAR, &path)
                 .stdin(Stdio::null())
                 .stdout(log.try_clone()?)
                 .stderr(log)
@@ -161,12 +161,12 @@
 
     /// Acquires a member's process for a fault; only one fault at a time may control it. Returns
     /// whether it was free.
-    pub fn take(&self, no: usize) -> bool {
+    pub fn acquire(&self, no: usize) -> bool {
         self.with_member(no, |m| !std::mem::replace(&mut m.busy, true))
     }
 
-    /// Releases a member that was acquired with [`Members::take`].
-    pub fn give(&self, no: usize) {
+    /// Releases a member that was acquired with [`Members::acquire`].
+    pub fn release(&self, no: usize) {
         self.with_member(no, |m| m.busy = false);
     }
 
@@ -181,7 +181,7 @@
         });
     }
 
-    /// Sends a signal, such as `STOP`, to a member's process.
+    /// Sends a signal, such as `MAX_STOP`, to a member's process.
     pub fn signal(&self, no: usize, name: &str) {
         let Some(id) = self.with_member(no, |m| m.child.as_ref().map(Child::id)) else { return };
         let _ = Command::new("kill").args([&format!("-{name}"), &id.to_string()]).status();
@@ -191,7 +191,7 @@
     pub async fn stop(&self, no: usize, stage: &Stage) {
         self.with_member(no, |m| m.wanted = false);
         self.signal(no, "TERM");
-        let end = Instant::now() + setup::bounds().grace + STOP_SLACK;
+        let end = Instant::now() + setup::bounds().stop_grace + STOP_SLACK;
         loop {
             let ended = self.with_member(no, |m| match m.child.as_mut().map(Child::try_wait) {
                 None => Some(None),
@@ -207,7 +207,7 @@
                 }
                 Some(_) => break,
                 None if Instant::now() > end => {
-                    if stage.read(|s| s.rules.timed) {
+                    if stage.read(|s| s.rules.time_rules) {
                         stage.report_breach(format!("member {no} was told to end, and runs on"));
                     }
                     break;
@@ -219,13 +219,13 @@
     }
 
     /// Assigns new addresses to a member.
-    pub async fn renew(&self, no: usize) -> Result<()> {
+    pub async fn change_addresses(&self, no: usize) -> Result<()> {
         let at = free_ports(member_ip(no))?;
         let callers = Link::new(at[0]);
         let front = callers.listen().await?;
         self.with_member(no, |m| {
-            (m.site.callers, m.site.ready) = (at[0], at[1]);
-            (m.site.control, m.site.metrics) = (at[2], [at[3]].into());
+            (m.site.caller_addr, m.site.ready_addr) = (at[0], at[1]);
+            (m.site.control_addr, m.site.metrics_addrs) = (at[2], [at[3]].into());
             m.callers.set(Mode::Cut);
             (m.callers, m.front) = (callers, front);
         });
@@ -262,8 +262,8 @@
         let mut failures = vec![0; count];
         loop {
             for (no, failed) in failures.iter_mut().enumerate() {
-                let at = self.with_member(no, |m| m.site.ready);
-                let ask = Request::get(uri(at, jobs::READY)).body(Full::default());
+                let at = self.with_member(no, |m| m.site.ready_addr);
+                let ask = Request::get(uri(at, jobs::READY_PATH)).body(Full::default());
                 let answer = match ask {
                     Ok(ask) => client.send(ask, POLL_TIMEOUT).await.ok(),
                     Err(_) => None,
--- a/standin/src/soak/play.rs
+++ b/standin/src/soak/play.rs
@@ -70,18 +70,18 @@
                 sleep_until((begin + planned.at).into()).await;
                 log::info!("{planned}");
                 play.stage.update(|s| s.faults += 1);
-                play.one(planned.fault, (begin + planned.at + planned.lasts).min(end)).await;
+                play.inject(planned.fault, (begin + planned.at + planned.lasts).min(end)).await;
                 play.stage.update(|s| s.faults -= 1);
             });
         }
         all
     }
 
-    fn set(&self, f: impl FnOnce(&mut State)) {
+    fn update_state(&self, f: impl FnOnce(&mut State)) {
         self.stage.update(f);
     }
 
-    async fn one(&self, fault: Fault, until: Instant) {
+    async fn inject(&self, fault: Fault, until: Instant) {
         let owner = || self.stage.read(State::owner);
         let fault = match fault {
             Fault::KillOwner => Fault::Kill(owner()),
@@ -96,9 +96,9 @@
         };
         match fault {
             Fault::Kill(m) | Fault::Freeze(m) | Fault::Stop(m) | Fault::Replace(m) => {
-                if self.members.take(m) {
-                    self.process(fault, m, until).await;
-                    self.members.give(m);
+                if self.members.acquire(m) {
+                    self.disturb_process(fault, m, until).await;
+                    self.members.release(m);
                 } else {
                     self.skipped.fetch_add(1, Ordering::Relaxed);
                 }
@@ -107,15 +107,15 @@
                 let members = self.take_all();
                 members.iter().for_each(|m| self.members.kill(*m));
                 sleep_until(until.into()).await;
-                members.iter().for_each(|m| self.begin(*m));
-                members.iter().for_each(|m| self.members.give(*m));
+                members.iter().for_each(|m| self.start_member(*m));
+                members.iter().for_each(|m| self.members.release(*m));
             }
             Fault::FreezeAll => {
                 let members = self.take_all();
                 members.iter().for_each(|m| self.members.signal(*m, "STOP"));
                 sleep_until(until.into()).await;
                 members.iter().for_each(|m| self.members.signal(*m, "CONT"));
-                members.iter().for_each(|m| self.members.give(*m));
+                members.iter().for_each(|m| self.members.release(*m));
             }
             Fault::Reload(m) => self.members.signal(m, "HUP"),
             Fault::Storm(count) => {
@@ -125,7 +125,7 @@
                 }
             }
             Fault::Config => self.configure(),
-            Fault::Cancels => self.callers.cancels(),
+            Fault::Cancels => self.callers.start_cancel_wave(),
             Fault::Burst(count) => self.callers.burst(count),
             Fault::Crash(w) => self.crash(w, until).await,
             Fault::Leave(w) => self.leave(w, until).await,
@@ -139,11 +139,11 @@
 
     /// Acquires all members that no other fault controls.
     fn take_all(&self) -> Vec<usize> {
-        (0..self.serving.stores.len()).filter(|m| self.members.take(*m)).collect()
+        (0..self.serving.stores.len()).filter(|m| self.members.acquire(*m)).collect()
     }
 
     /// Kills, stops, suspends or replaces a member's process.
-    async fn process(&self, fault: Fault, m: usize, until: Instant) {
+    async fn disturb_process(&self, fault: Fault, m: usize, until: Instant) {
         match fault {
             Fault::Freeze(_) => {
                 self.members.signal(m, "STOP");
@@ -154,16 +154,16 @@
             _ => self.members.kill(m),
         }
         if matches!(fault, Fault::Replace(_))
-            && let Err(e) = self.members.renew(m).await
+            && let Err(e) = self.members.change_addresses(m).await
         {
             self.stage.report_breach(format!("member {m} can't get other addresses: {e}"));
         }
         sleep_until(until.into()).await;
-        self.begin(m);
+        self.start_member(m);
     }
 
-    fn begin(&self, m: usize) {
-        if let Err(e) = self.members.begin(m) {
+    fn start_member(&self, m: usize) {
+        if let Err(e) = self.members.start_process(m) {
             self.stage.report_breach(format!("member {m} doesn't begin: {e}"));
         }
     }
@@ -178,17 +178,17 @@
             Fault::CutCallers(m) => self.members.link_callers(m, cut),
             Fault::SilentCallers(m) => self.members.link_callers(m, silent),
             Fault::Silent(w) => self.serving.links[w].set(silent),
-            _ => self.set(|s| s.toggle(fault, on)),
+            _ => self.update_state(|s| s.toggle(fault, on)),
         }
     }
 
     /// Writes the next version of the configuration, which gives each queue a little more slack.
     fn configure(&self) {
-        self.set(|s| {
+        self.update_state(|s| {
             let mut queues = (*s.world.queues).clone();
             queues.version += 3;
-            queues.all.iter_mut().for_each(|q| q.slack += Duration::from_millis(1));
-            s.store.put(lists::CONFIG.into(), lists::queues(&queues));
+            queues.queues.iter_mut().for_each(|q| q.slack += Duration::from_millis(1));
+            s.store.put(lists::CONFIG_KEY.into(), lists::queues(&queues));
             s.world.queues = Arc::new(queues);
         });
     }
@@ -198,17 +198,17 @@
             return;
         }
         self.serving.links[w].set(LinkMode::Cut);
-        self.set(|s| s.world.crash(w));
+        self.update_state(|s| s.world.crash(w));
         sleep_until(until.into()).await;
         self.serving.links[w].set(LinkMode::Open);
-        self.set(|s| s.world.workers[w].up = true);
+        self.update_state(|s| s.world.workers[w].up = true);
     }
 
     /// A worker announces that it leaves and departs after its notice; another one replaces it at
     /// its address.
     async fn leave(&self, w: usize, until: Instant) {
         let id = self.stage.update(|s| {
-            s.world.workers[w].draining = Some(s.world.now);
+            s.world.workers[w].leaving_since = Some(s.world.now);
             s.world.id(w)
         });
         sleep_until(until.into()).await;
@@ -217,13 +217,13 @@
         }
         let gone: WorkerId = id;
         self.serving.links[w].set(LinkMode::Cut);
-        self.set(|s| {
+        self.update_state(|s| {
             s.world.crash(w);
-            s.store.remove(&lists::key(&gone));
+            s.store.remove(&lists::worker_key(&gone));
         });
         sleep(REPLACE_DELAY).await;
         self.serving.links[w].set(LinkMode::Open);
-        self.set(|s| s.world.workers[w].up = true);
+        self.update_state(|s| s.world.workers[w].up = true);
     }
 }
 
@@ -231,18 +231,18 @@
     /// Begins or ends a fault of the store, the advice service or a worker.
     fn toggle(&mut self, fault: Fault, on: bool) {
         match fault {
-            Fault::CutWorkers(m) => switch(&mut self.apart, m, on),
+            Fault::CutWorkers(m) => switch(&mut self.cut_off, m, on),
             Fault::Refusing(m) => switch(&mut self.refusing, m, on),
-            Fault::Down => self.store.mode = if on { Mode::Down } else { Mode::Up },
-            Fault::Losing(n) => self.store.mode = if on { Mode::Losing(n) } else { Mode::Up },
-            Fault::Slow(ms) => self.slow = Duration::from_millis(if on { ms } else { 0 }),
-            Fault::Forget => self.store.forget(0),
-            Fault::CutOff(w) => self.world.workers[w].cut = on,
-            Fault::Grey(w) => self.world.workers[w].grey = on,
+            Fault::Down => self.store.health = if on { Mode::Down } else { Mode::Up },
+            Fault::Losing(n) => self.store.health = if on { Mode::Losing(n) } else { Mode::Up },
+            Fault::Slow(ms) => self.store_delay = Duration::from_millis(if on { ms } else { 0 }),
+            Fault::Forget => self.store.trim_history(0),
+            Fault::CutOff(w) => self.world.workers[w].cut_off = on,
+            Fault::Grey(w) => self.world.workers[w].failing = on,
             Fault::Unwell(w) => self.world.workers[w].unwell = on,
-            Fault::Hung(w) => self.world.workers[w].hung = on,
+            Fault::Hung(w) => self.world.workers[w].unresponsive = on,
             Fault::Lame(w) => self.world.workers[w].speed = if on { 0.2 } else { 1.0 },
-            Fault::Late(n) => self.late = if on { n } else { 0 },
+            Fault::Late(n) => self.late_orders = if on { n } else { 0 },
             Fault::NoAdvice => self.world.advice.down = on,
             _ => {}
         }
--- a/standin/src/soak/serve.rs
+++ b/standin/src/soak/serve.rs
@@ -17,7 +17,7 @@
     },
     hyper::http::request::Parts,
     platform_standin::{Answer, BAD, REFUSED, advice, lists, store, worker},
-    standin::site::store::{Fate, Mode},
+    standin::site::store::{CallOutcome, Mode},
     std::{
         collections::BTreeMap,
         future::pending,
@@ -90,7 +90,7 @@
         async move { reply(lists::vms(&all)) }
     });
     let vms = vms.await?;
-    stage.update(|s| s.store.put(lists::CONFIG.into(), lists::queues(&s.world.queues)));
+    stage.update(|s| s.store.put(lists::CONFIG_KEY.into(), lists::queues(&s.world.queues)));
     tokio::spawn(beat(stage.clone(), addrs));
     Ok(Serving { stores, advice: advices, vms, links })
 }
@@ -106,19 +106,19 @@
         stage.update(|s| {
             for (at, addr) in addrs.iter().enumerate() {
                 let w = &s.world.workers[at];
-                if !w.up || w.cut || w.hung || s.store.mode == Mode::Down {
+                if !w.up || w.cut_off || w.unresponsive || s.store.health == Mode::Down {
                     continue;
                 }
                 let mut listed = s.world.listed(at);
                 listed.addr = *addr;
                 last_heartbeats.insert(listed.id.clone(), Instant::now());
-                s.store.put(lists::key(&listed.id), lists::listed(&listed, count));
+                s.store.put(lists::worker_key(&listed.id), lists::listed(&listed, count));
             }
             let silent = |seen: &Instant| seen.elapsed() > SILENCE_LIMIT;
             last_heartbeats
                 .iter()
                 .filter(|(_, t)| silent(t))
-                .for_each(|(w, _)| s.store.remove(&lists::key(w)));
+                .for_each(|(w, _)| s.store.remove(&lists::worker_key(w)));
             last_heartbeats.retain(|_, t| !silent(t));
         });
         sleep(HEARTBEAT_INTERVAL).await;
@@ -128,13 +128,14 @@
 async fn ask_store(stage: &Stage, member: usize, head: &Parts, body: &Bytes) -> Answer {
     let (path, query) = (head.uri.path(), head.uri.query().unwrap_or(""));
     let Some(call) = store::call(head.method.as_str(), path, query, body) else { return BAD };
-    let (fate, delay) = stage.update(|s| (s.fate(member), s.store.delay() + s.slow));
+    let (fate, delay) =
+        stage.update(|s| (s.draw_outcome(member), s.store.draw_delay() + s.store_delay));
     sleep(delay).await;
     match fate {
-        Fate::Answered => store::answer(&serve_store(stage, member, call).await),
-        Fate::Refused => REFUSED,
-        Fate::Unheard => pending().await,
-        Fate::Lost(wait) => {
+        CallOutcome::Answered => store::answer(&serve_store(stage, member, call).await),
+        CallOutcome::Refused => REFUSED,
+        CallOutcome::Unanswered => pending().await,
+        CallOutcome::AnswerLost(wait) => {
             let stage = stage.clone();
             tokio::spawn(async move {
                 sleep(wait).await;
@@ -151,9 +152,9 @@
         _ => Instant::now(),
     };
     loop {
-        let moved = stage.moved.notified();
+        let moved = stage.store_changed.notified();
         let (reply, rev, unserved) = stage.update(|s| {
-            let unserved = s.store.mode == Mode::Down || s.refusing.contains(&member);
+            let unserved = s.store.health == Mode::Down || s.refusing.contains(&member);
             let reply = if unserved { None } else { s.store.call(&call, s.world.now) };
             (reply, s.store.rev, unserved)
         });
@@ -172,7 +173,7 @@
     let asked = stage.update(|s| {
         let cost = s.world.queue(call.step.job)?.advice?;
         let (now, via) = (s.world.now, Incarnation(member as u64 + 1));
-        Some((s.world.advice.ask(via, &call, cost, now), cost.valid, now))
+        Some((s.world.advice.accept(via, &call, cost, now), cost.valid, now))
     });
     match asked {
         None => BAD,
@@ -186,7 +187,8 @@
 }
 
 async fn ask_worker(stage: &Stage, at: usize, head: &Parts, body: &Bytes) -> Answer {
-    let incarnation = head.headers.get(worker::LIFE).and_then(|v| v.to_str().ok()).unwrap_or("");
+    let incarnation =
+        head.headers.get(worker::INSTANCE_HEADER).and_then(|v| v.to_str().ok()).unwrap_or("");
     let incarnation = WorkerId::from(incarnation);
     let Some(call) = worker::call(head.uri.path(), body) else { return BAD };
     let token = match &call {
@@ -196,7 +198,7 @@
         | WorkerCall::Hold { token, .. } => *token,
     };
     let (apart, late) = stage.update(|s| {
-        let late = s.late > 0 && s.rng.u32(0..s.late) == 0;
+        let late = s.late_orders > 0 && s.rng.u32(0..s.late_orders) == 0;
         (s.is_cut_off(token), late.then(|| Duration::from_millis(s.rng.u64(2_000..12_000))))
     });
     if apart {
@@ -230,13 +232,16 @@
     wait: Duration,
 ) -> WorkerReply {
     let end = Instant::now() + wait;
-    while Instant::now() < end && !stage.read(|s| s.world.has_ended(at)) {
+    while Instant::now() < end && !stage.read(|s| s.world.has_ends(at)) {
         sleep(POLL_INTERVAL).await;
     }
     let held = stage.update(|s| {
         let w = &s.world.workers[at];
-        let reachable =
-            w.up && !w.cut && !w.hung && s.world.id(at) == *incarnation && !s.is_cut_off(token);
+        let reachable = w.up
+            && !w.cut_off
+            && !w.unresponsive
+            && s.world.id(at) == *incarnation
+            && !s.is_cut_off(token);
         reachable.then(|| s.world.held(at))
     });
     match held {
--- a/standin/src/soak/stage.rs
+++ b/standin/src/soak/stage.rs
@@ -8,15 +8,15 @@
     dogwoodreach::{
         Time,
         ids::WorkerId,
-        ports::{End, How},
-        shard::record::{OWNERS, OwnerRow, Progress, ShardNo, read},
+        ports::{End, EndReason},
+        shard::record::{OWNERS_PREFIX, OwnerRow, Progress, ShardNo, decode},
         work::JobNo,
     },
     serde::Serialize,
     standin::site::{
         judge::{Breach, Rules, Verdict},
         setup,
-        store::{Fate, Mode, Store},
+        store::{CallOutcome, Mode, Store},
         worker::{Note, World},
     },
     std::{
@@ -62,18 +62,18 @@
     /// The first breach.
     pub breach: Option<Breach>,
     /// One in this number of orders is executed late; 0 means none.
-    pub late: u32,
+    pub late_orders: u32,
     /// Members whose calls the store refuses.
     pub refusing: BTreeSet<usize>,
     /// Members that are cut off from the workers.
-    pub apart: BTreeSet<usize>,
+    pub cut_off: BTreeSet<usize>,
     /// Additional latency of the store.
-    pub slow: Duration,
+    pub store_delay: Duration,
     /// Number of active faults.
     pub faults: usize,
     pub rng: fastrand::Rng,
     /// Recorded events of workers, each with its job.
-    seen: VecDeque<(JobNo, String)>,
+    events: VecDeque<(JobNo, String)>,
     /// The member that took over the shard with each token.
     owners: BTreeMap<u64, usize>,
 }
@@ -84,7 +84,7 @@
     begin: Instant,
     state: Arc<Mutex<State>>,
     /// Notified at each change of the store.
-    pub moved: Arc<Notify>,
+    pub store_changed: Arc<Notify>,
 }
 
 impl Stage {
@@ -96,31 +96,31 @@
         world.spread = 0.2;
         world.advice.share = ADVISED_PERCENT;
         let mut rules = Rules::new(seed);
-        rules.timed = options.timed;
-        rules.unix = unix();
+        rules.time_rules = options.timed;
+        rules.unix_ms = unix();
         let state = State {
             world,
             store: Store::new(seed),
             rules,
             breach: None,
-            late: 0,
+            late_orders: 0,
             refusing: BTreeSet::new(),
-            apart: BTreeSet::new(),
-            slow: Duration::ZERO,
+            cut_off: BTreeSet::new(),
+            store_delay: Duration::ZERO,
             faults: 0,
             rng: fastrand::Rng::with_seed(seed),
-            seen: VecDeque::new(),
+            events: VecDeque::new(),
             owners: BTreeMap::new(),
         };
         let (state, moved) = (Arc::new(Mutex::new(state)), Arc::new(Notify::new()));
-        let stage = Stage { begin: Instant::now(), state, moved };
+        let stage = Stage { begin: Instant::now(), state, store_changed: moved };
         let ticking = stage.clone();
         tokio::spawn(async move {
             loop {
                 tokio::time::sleep(TICK).await;
                 ticking.update(|s| {
                     if s.faults > 0 {
-                        s.rules.fault(s.world.now);
+                        s.rules.record_fault(s.world.now);
                     }
                 });
             }
@@ -140,13 +140,13 @@
         let now = self.now();
         state.world.advance(now);
         let now = state.world.now;
-        state.store.lapse(now);
+        state.store.expire_leases(now);
         let done = f(&mut state);
         state.judge();
         let moved = state.store.rev != rev;
         drop(state);
         if moved {
-            self.moved.notify_waiters();
+            self.store_changed.notify_waiters();
         }
         done
     }
@@ -186,14 +186,14 @@
 impl State {
     fn judge(&mut self) {
         self.record_events();
-        if let Err(breach) = self.noted() {
+        if let Err(breach) = self.check_acknowledged() {
             self.keep(breach);
         }
         if let Err(breach) = self.rules.check(&mut self.world) {
             self.keep(breach);
         }
-        for (key, value) in std::mem::take(&mut self.store.written) {
-            if let Err(breach) = self.written(&key, &value) {
+        for (key, value) in std::mem::take(&mut self.store.unjudged_writes) {
+            if let Err(breach) = self.check_written(&key, &value) {
                 self.keep(breach);
             }
         }
@@ -219,26 +219,26 @@
                     );
                     (task.step.job, line)
                 }
-                Note::Seen { task, run, .. } => {
+                Note::Acknowledged { task, run, .. } => {
                     let line = format!("{}: {task} run {run}, its end is noted", self.world.now);
                     (task.step.job, line)
                 }
                 Note::Crash { task } => {
                     (task.step.job, format!("{}: a worker crashes under {task}", self.world.now))
                 }
-                Note::Odd(_) => continue,
+                Note::Violation(_) => continue,
             };
-            self.seen.push_back((job, line));
+            self.events.push_back((job, line));
         }
-        while self.seen.len() > MAX_EVENTS {
-            self.seen.pop_front();
+        while self.events.len() > MAX_EVENTS {
+            self.events.pop_front();
         }
     }
 
     /// The worker at which a run ended.
     fn ended_at(&self, end: &End) -> WorkerId {
         let all = 0..self.world.workers.len();
-        let there = all.into_iter().find(|at| self.world.lists(*at, end));
+        let there = all.into_iter().find(|at| self.world.reports_end(*at, end));
         there.map_or(WorkerId::from("a worker that is gone"), |at| self.world.id(at))
     }
 
@@ -248,16 +248,16 @@
         let of = |(job, line): &&(JobNo, String)| {
             text.contains(&job.to_string()) || worker.is_some_and(|w| line.contains(w))
         };
-        self.seen.iter().filter(of).map(|(_, line)| line.clone()).collect()
+        self.events.iter().filter(of).map(|(_, line)| line.clone()).collect()
     }
 
     /// Checks that the ends that were acknowledged just now are in the store.
-    fn noted(&self) -> Verdict {
+    fn check_acknowledged(&self) -> Verdict {
         for note in &self.world.notes {
-            let Note::Seen { task, how: How::Done, .. } = note else { continue };
+            let Note::Acknowledged { task, how: EndReason::Done, .. } = note else { continue };
             let stored = self.store.get(&SHARD.progress(task.step.job)).and_then(|i| i.value);
-            let progress = stored.and_then(|v| read::<Progress>(&v));
-            self.rules.noted(&self.world, *task, progress.as_ref())?;
+            let progress = stored.and_then(|v| decode::<Progress>(&v));
+            self.rules.check_acknowledged(&self.world, *task, progress.as_ref())?;
         }
         Ok(())
     }
@@ -268,26 +268,28 @@
     }
 
     /// Checks an item that a member has written.
-    fn written(&mut self, key: &str, value: &[u8]) -> Verdict {
+    fn check_written(&mut self, key: &str, value: &[u8]) -> Verdict {
         let now = self.world.now;
-        if let Some(shard) = key.strip_prefix(OWNERS).and_then(|s| s.parse().ok()).map(ShardNo) {
-            let Some(row) = read::<OwnerRow>(value) else { return Ok(()) };
-            let member = row.control.and_then(|a| crate::soak::member::place(a.ip()));
+        if let Some(shard) =
+            key.strip_prefix(OWNERS_PREFIX).and_then(|s| s.parse().ok()).map(ShardNo)
+        {
+            let Some(row) = decode::<OwnerRow>(value) else { return Ok(()) };
+            let member = row.control.and_then(|a| crate::soak::member::member_at(a.ip()));
             self.owners.extend(member.map(|m| (row.token, m)));
-            return self.rules.token(now, shard, row.token);
+            return self.rules.check_token(now, shard, row.token);
         }
         let Some((_, job)) = key.strip_prefix("dwr/p/").and_then(|k| k.split_once('/')) else {
             return Ok(());
         };
-        let (Ok(job), Some(progress)) = (job.parse::<JobNo>(), read::<Progress>(value)) else {
+        let (Ok(job), Some(progress)) = (job.parse::<JobNo>(), decode::<Progress>(value)) else {
             return Ok(());
         };
-        self.rules.stored(&self.world, job, &progress)
+        self.rules.check_progress(&self.world, job, &progress)
     }
 
     /// Whether the owner with this token is cut off from the workers.
     pub fn is_cut_off(&self, token: u64) -> bool {
-        self.owners.get(&token).is_some_and(|m| self.apart.contains(m))
+        self.owners.get(&token).is_some_and(|m| self.cut_off.contains(m))
     }
 
     /// The member that took over last, or member 0 if there was no takeover.
@@ -296,11 +298,11 @@
     }
 
     /// Draws the outcome of a member's call to the store.
-    pub fn fate(&mut self, member: usize) -> Fate {
-        if self.store.mode != Mode::Down && self.refusing.contains(&member) {
-            return if self.rng.bool() { Fate::Refused } else { Fate::Unheard };
+    pub fn draw_outcome(&mut self, member: usize) -> CallOutcome {
+        if self.store.health != Mode::Down && self.refusing.contains(&member) {
+            return if self.rng.bool() { CallOutcome::Refused } else { CallOutcome::Unanswered };
         }
-        self.store.fate()
+        self.store.draw_outcome()
     }
 }
 
--- a/standin/src/web.rs
+++ b/standin/src/web.rs
@@ -13,7 +13,7 @@
 
 /// Limits wide enough that the stand-ins never restrict the system under test.
 pub const LIMITS: Limits =
-    Limits { body: 64 << 20, connections: 8192, patience: Duration::from_secs(60) };
+    Limits { body: 64 << 20, connections: 8192, read_timeout: Duration::from_secs(60) };
 
 /// Serializes a value as a JSON answer.
 pub fn json<T: serde::Serialize>(value: &T) -> Reply {
--- a/standin/src/worker.rs
+++ b/standin/src/worker.rs
@@ -97,7 +97,7 @@
     end: Option<Instant>,
     lease: Instant,
     state: TaskState,
-    over: Option<Instant>,
+    ended_at: Option<Instant>,
 }
 
 #[derive(Default)]
@@ -107,7 +107,7 @@
     tasks: BTreeMap<TaskId, Task>,
     history: VecDeque<(Instant, Report)>,
     faults: Faults,
-    last: Option<Instant>,
+    last_start: Option<Instant>,
 }
 
 /// A stand-in worker.
@@ -166,8 +166,8 @@
     }
 
     /// Milliseconds since the last start of a task or request.
-    pub fn last(&self, now: Instant) -> Option<u64> {
-        let ago = now.saturating_duration_since(self.lock().last?);
+    pub fn since_last_start(&self, now: Instant) -> Option<u64> {
+        let ago = now.saturating_duration_since(self.lock().last_start?);
         u64::try_from(ago.as_millis()).ok()
     }
 
@@ -194,13 +194,13 @@
                 (_, true) => TaskState::Ended,
                 _ => TaskState::Lost,
             };
-            task.over = Some(now);
-            self.leave(&id.to_string());
+            task.ended_at = Some(now);
+            self.record_end(&id.to_string());
             if task.state == TaskState::Ended {
                 self.witness.lock().expect("no holder panics").ended += 1;
             }
         }
-        state.tasks.retain(|_, t| t.over.is_none_or(|o| now - o < REPORT_RETENTION));
+        state.tasks.retain(|_, t| t.ended_at.is_none_or(|o| now - o < REPORT_RETENTION));
         let report = Report {
             age: 0,
             epoch: state.epoch,
@@ -264,8 +264,8 @@
                 && task.state == TaskState::Running
             {
                 task.state = TaskState::Checkpointed;
-                task.over = Some(now);
-                self.leave(&order.task.to_string());
+                task.ended_at = Some(now);
+                self.record_end(&order.task.to_string());
             }
             reply.stopped.push(order);
         }
@@ -289,12 +289,15 @@
         let running = state.tasks.values().filter(|t| t.state == TaskState::Running);
         let used: Size = running.map(|t| t.size).sum();
         if !(used + order.size).fits(&self.vm.size) {
-            self.note(|w| &mut w.over, format!("{} over on {}", order.task, self.vm.worker));
+            self.record_violation(
+                |w| &mut w.over,
+                format!("{} over on {}", order.task, self.vm.worker),
+            );
             reply.refused.push(order);
             return;
         }
         let name = order.task.to_string();
-        self.enter(&name, &format!("attempt {}, epoch {}", order.attempt, state.epoch));
+        self.record_start(&name, &format!("attempt {}, epoch {}", order.attempt, state.epoch));
         self.witness.lock().expect("no holder panics").starts += 1;
         let end = (order.run > 0).then(|| now + Duration::from_millis(order.run));
         let task = Task {
@@ -303,10 +306,10 @@
             end,
             lease,
             state: TaskState::Running,
-            over: None,
+            ended_at: None,
         };
         state.tasks.insert(order.task, task);
-        state.last = Some(now);
+        state.last_start = Some(now);
     }
 
     async fn run(&self, head: &Parts, body: Bytes) -> Reply {
@@ -331,23 +334,26 @@
             }
             state.epoch = epoch;
             if state.requests.len() >= self.vm.slots as usize {
-                self.note(|w| &mut w.over, format!("{id} over slots on {}", self.vm.worker));
+                self.record_violation(
+                    |w| &mut w.over,
+                    format!("{id} over slots on {}", self.vm.worker),
+                );
                 return refuse("no slot");
             }
             state.requests.push(id);
-            state.last = Some(Instant::now());
+            state.last_start = Some(Instant::now());
             let wait = header(head, RUN).parse().unwrap_or(DEFAULT_RUN_MS) + state.faults.slow;
             (wait, state.faults.fail)
         };
         let name = id.to_string();
-        self.enter(&name, &format!("epoch {epoch}"));
+        self.record_start(&name, &format!("epoch {epoch}"));
         self.count(header(head, KEY));
         // The work continues to its end if the connection breaks, as real work would.
         let worker = self.clone();
         let work = tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(wait.min(lease))).await;
             worker.lock().requests.retain(|r| *r != id);
-            worker.leave(&name);
+            worker.record_end(&name);
         });
         let _ = work.await;
         if fail {
@@ -362,7 +368,7 @@
         r
     }
 
-    fn enter(&self, name: &str, order: &str) {
+    fn record_start(&self, name: &str, order: &str) {
         let mut w = self.witness.lock().expect("no holder panics");
         if !name.contains('/') {
             w.requests += 1;
@@ -379,7 +385,7 @@
         }
     }
 
-    fn leave(&self, name: &str) {
+    fn record_end(&self, name: &str) {
         let mut w = self.witness.lock().expect("no holder panics");
         let Some(runs) = w.running.get_mut(name) else { return };
         if let Some(at) = runs.iter().position(|p| p.0 == self.vm.worker) {
@@ -403,7 +409,7 @@
         }
     }
 
-    fn note(&self, counter: impl Fn(&mut Witness) -> &mut u64, text: String) {
+    fn record_violation(&self, counter: impl Fn(&mut Witness) -> &mut u64, text: String) {
         let mut w = self.witness.lock().expect("no holder panics");
         *counter(&mut w) += 1;
         w.notes.push(text.into());
--- a/standin/tests/judge.rs
+++ b/standin/tests/judge.rs
@@ -66,26 +66,26 @@
 fn an_accepted_job_that_is_not_known() {
     let (_, mut rules) = world_with_job();
     let ms = Time::from_millis;
-    assert_eq!(rules.unknown(ms(0), JOB), Ok(()), "nobody has accepted it");
+    assert_eq!(rules.check_unknown(ms(0), JOB), Ok(()), "nobody has accepted it");
     assert_eq!(rules.accepted(ms(1_000), JOB), Ok(()));
-    assert_eq!(rules.unknown(ms(3_900), JOB), Ok(()), "it may not be visible yet");
-    assert_breach(rules.unknown(ms(4_100), JOB), "isn't known");
+    assert_eq!(rules.check_unknown(ms(3_900), JOB), Ok(()), "it may not be visible yet");
+    assert_breach(rules.check_unknown(ms(4_100), JOB), "isn't known");
     rules.cancels.insert(JOB, ms(4_000));
-    assert_eq!(rules.unknown(ms(4_100), JOB), Ok(()), "its caller has cancelled it");
+    assert_eq!(rules.check_unknown(ms(4_100), JOB), Ok(()), "its caller has cancelled it");
 }
 
 #[test]
 fn a_job_that_is_over_and_then_is_not() {
     let (mut world, mut rules) = world_with_job();
-    assert_eq!(rules.told(&world, JOB, State::Running), Ok(()));
-    assert_breach(rules.told(&world, JOB, State::Done), "without cause");
+    assert_eq!(rules.check_reported(&world, JOB, State::Running), Ok(()));
+    assert_breach(rules.check_reported(&world, JOB, State::Done), "without cause");
     start(&mut world);
     world.advance(Time::from_millis(300));
     assert_eq!(rules.check(&mut world), Ok(()));
-    assert_eq!(rules.told(&world, JOB, State::Done), Ok(()));
-    assert_eq!(rules.told(&world, JOB, State::Done), Ok(()));
-    assert_breach(rules.told(&world, JOB, State::Running), "was completed before");
-    assert_breach(rules.told(&world, JobNo(9), State::Queued), "without cause");
+    assert_eq!(rules.check_reported(&world, JOB, State::Done), Ok(()));
+    assert_eq!(rules.check_reported(&world, JOB, State::Done), Ok(()));
+    assert_breach(rules.check_reported(&world, JOB, State::Running), "was completed before");
+    assert_breach(rules.check_reported(&world, JobNo(9), State::Queued), "without cause");
 }
 
 #[test]
@@ -97,33 +97,36 @@
         ..Progress::default()
     };
     assert_eq!(
-        rules.noted(&world, task, None),
+        rules.check_acknowledged(&world, task, None),
         Ok(()),
         "no caller was told that the job is accepted"
     );
     assert_eq!(rules.accepted(Time::ZERO, JOB), Ok(()));
-    assert_breach(rules.noted(&world, task, None), "isn't stored");
-    assert_breach(rules.noted(&world, task, Some(&Progress::default())), "isn't stored");
-    assert_breach(rules.noted(&world, task, Some(&row(false))), "isn't stored");
-    assert_eq!(rules.noted(&world, task, Some(&row(true))), Ok(()));
+    assert_breach(rules.check_acknowledged(&world, task, None), "isn't stored");
+    assert_breach(
+        rules.check_acknowledged(&world, task, Some(&Progress::default())),
+        "isn't stored",
+    );
+    assert_breach(rules.check_acknowledged(&world, task, Some(&row(false))), "isn't stored");
+    assert_eq!(rules.check_acknowledged(&world, task, Some(&row(true))), Ok(()));
     let over = Progress { state: State::Cancelled, ..Progress::default() };
-    assert_eq!(rules.noted(&world, task, Some(&over)), Ok(()));
+    assert_eq!(rules.check_acknowledged(&world, task, Some(&over)), Ok(()));
 }
 
 #[test]
 fn a_token_that_goes_back() {
     let (_, mut rules) = world_with_job();
     for token in [3, 3, 4] {
-        assert_eq!(rules.token(Time::ZERO, ShardNo(0), token), Ok(()));
+        assert_eq!(rules.check_token(Time::ZERO, ShardNo(0), token), Ok(()));
     }
-    assert_eq!(rules.token(Time::ZERO, ShardNo(1), 1), Ok(()), "another shard");
-    assert_breach(rules.token(Time::ZERO, ShardNo(0), 3), "token 3 after 4");
+    assert_eq!(rules.check_token(Time::ZERO, ShardNo(1), 1), Ok(()), "another shard");
+    assert_breach(rules.check_token(Time::ZERO, ShardNo(0), 3), "token 3 after 4");
 }
 
 #[test]
 fn bounds_of_time_may_be_left_out_and_nothing_else() {
     let (mut world, mut rules) = world_with_job();
-    rules.timed = false;
+    rules.time_rules = false;
     rules.cancels.insert(JOB, Time::ZERO);
     let long = |s: &mut Step| s.estimate = 60_000;
     world.jobs.entry(JOB).and_modify(|r| long(&mut r.job.steps[0]));
@@ -137,7 +140,7 @@
 #[test]
 fn times_are_due_by_the_clock_of_the_day() {
     let (mut world, mut rules) = world_with_job();
-    rules.unix = 5_000_000;
+    rules.unix_ms = 5_000_000;
     let times = dogwoodreach::work::Times { count: 1, first: 5_002_000, every: 0 };
     world.jobs.entry(JOB).and_modify(|r| r.job.times = Some(times));
     world.advance(Time::ZERO + Duration::from_millis(1_000));
@@ -159,7 +162,7 @@
     assert_breach(until(&mut world, &mut rules, 3_200), "nothing of its job runs");
 
     let (mut world, mut rules) = world_with_job();
-    rules.fault(Time::ZERO);
+    rules.record_fault(Time::ZERO);
     assert_eq!(
         until(&mut world, &mut rules, 6_900),
         Ok(()),
--- a/standin/tests/plan.rs
+++ b/standin/tests/plan.rs
@@ -1,7 +1,7 @@
 //! Tests that the faults and jobs of a soak depend on its seed alone and include all kinds.
 
 use {
-    standin::site::plan::{draw, faults},
+    standin::site::plan::{draw_job, faults},
     std::{collections::BTreeSet, mem::discriminant, time::Duration},
 };
 
@@ -13,7 +13,7 @@
     assert_ne!(faults(3, LENGTH, 5, 24), faults(4, LENGTH, 5, 24));
     let all = |seed| {
         let mut rng = fastrand::Rng::with_seed(seed);
-        (0..50).map(|_| draw(&mut rng, 24, 0)).collect::<Vec<_>>()
+        (0..50).map(|_| draw_job(&mut rng, 24, 0)).collect::<Vec<_>>()
     };
     assert_eq!(all(3), all(3));
 }
@@ -32,7 +32,7 @@
 #[test]
 fn jobs_of_all_kinds_come_and_may_be_asked_for() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let all: Vec<_> = (0..500).map(|_| draw(&mut rng, 24, 0)).collect();
+    let all: Vec<_> = (0..500).map(|_| draw_job(&mut rng, 24, 0)).collect();
     assert!(all.iter().all(|d| d.job.check().is_ok()));
     let any = |what: &dyn Fn(&dogwoodreach::work::Step) -> bool| {
         assert!(all.iter().any(|d| d.job.steps.iter().any(what)));
@@ -44,6 +44,6 @@
     any(&|s| s.copies);
     any(&|s| s.saves);
     assert!(all.iter().any(|d| d.job.times.is_some()));
-    assert!(all.iter().any(|d| d.hopeless) && all.iter().any(|d| d.again));
+    assert!(all.iter().any(|d| d.fails) && all.iter().any(|d| d.resubmit));
     assert!(all.iter().any(|d| d.cancel.is_some()));
 }
--- a/standin/tests/store.rs
+++ b/standin/tests/store.rs
@@ -34,22 +34,23 @@
 #[test]
 fn keys_end_with_their_lease() {
     let mut store = Store::new(1);
-    let StoreReply::Lease(lease, TTL) = call(&mut store, 0, &StoreCall::Lease { ttl: TTL }) else {
+    let StoreReply::Lease(lease, TTL) = call(&mut store, 0, &StoreCall::CreateLease { ttl: TTL })
+    else {
         panic!("no lease");
     };
     assert!(matches!(call(&mut store, 0, &put("a/1", lease)), StoreReply::Done(_)));
     assert!(matches!(call(&mut store, 0, &put("a/2", lease)), StoreReply::Done(_)));
     assert!(matches!(call(&mut store, 0, &put("a/2", 0)), StoreReply::Done(_)));
-    assert_eq!(call(&mut store, 1_500, &StoreCall::Keep { lease }), StoreReply::Kept);
+    assert_eq!(call(&mut store, 1_500, &StoreCall::RenewLease { lease }), StoreReply::Kept);
     assert!(exists(&mut store, 3_400, "a/1"));
     assert!(!exists(&mut store, 3_500, "a/1"));
     assert!(exists(&mut store, 3_500, "a/2"), "a later write detached it from the lease");
-    assert_eq!(call(&mut store, 3_500, &StoreCall::Keep { lease }), StoreReply::NoLease);
+    assert_eq!(call(&mut store, 3_500, &StoreCall::RenewLease { lease }), StoreReply::NoLease);
     let rev = store.rev;
     assert_eq!(call(&mut store, 3_500, &put("a/3", lease)), StoreReply::NoLease);
     assert_eq!(store.rev, rev, "nothing was done");
 
-    let StoreReply::Lease(lease, _) = call(&mut store, 4_000, &StoreCall::Lease { ttl: TTL })
+    let StoreReply::Lease(lease, _) = call(&mut store, 4_000, &StoreCall::CreateLease { ttl: TTL })
     else {
         panic!("no lease");
     };
@@ -71,7 +72,7 @@
     let gone = Item { key: "a/1".into(), value: None, rev: begin + 3 };
     let both = StoreReply::Events(vec![written, gone.clone()], begin + 3);
     assert_eq!(watch(&mut store, begin), Some(both));
-    store.forget(1);
+    store.trim_history(1);
     assert_eq!(watch(&mut store, begin), Some(StoreReply::Forgotten));
     assert_eq!(watch(&mut store, begin + 2), Some(StoreReply::Events(vec![gone], begin + 3)));
 }
--- a/tests/admit.rs
+++ b/tests/admit.rs
@@ -9,7 +9,7 @@
     },
     fake::{
         ms,
-        slots::{Ask, Door, Fate, Outcome, ask, play, stream},
+        slots::{Admission, Ending, Outcome, TimedRequest, ask, poisson_arrivals, simulate},
     },
     std::{
         collections::{BTreeMap, VecDeque},
@@ -22,15 +22,17 @@
 /// Requests per second that 16 slots can serve at 50 ms each.
 const CAPACITY: f64 = 320.0;
 
-fn gate() -> Door {
-    Door::Gate(Box::new(Gate::new(fastrand::Rng::with_seed(7))), Queue::new(SLOTS, ms(400)))
+fn gate() -> Admission {
+    Admission::Gate(Box::new(Gate::new(fastrand::Rng::with_seed(7))), Queue::new(SLOTS, ms(400)))
 }
 
 /// Arrivals of 20 s from ten callers at `load` times the capacity, each due within half a second.
-fn saturation(load: f64) -> Vec<Ask> {
+fn saturation(load: f64) -> Vec<TimedRequest> {
     let until = Time::from_millis(20_000);
     let rate = CAPACITY * load / 10.0;
-    (0..10).flat_map(|i| stream(i, &format!("caller{i}"), rate, until, 500, RUN)).collect()
+    (0..10)
+        .flat_map(|i| poisson_arrivals(i, &format!("caller{i}"), rate, until, 500, RUN))
+        .collect()
 }
 
 /// Requests answered in time, relative to what the slots can serve in 20 s.
@@ -50,10 +52,10 @@
 #[test]
 fn goodput_holds_under_saturation() {
     for load in [1.5, 3.0] {
-        let ours = play(saturation(load), SLOTS, gate());
-        let plain = play(saturation(load), SLOTS, Door::Plain(VecDeque::new()));
+        let ours = simulate(saturation(load), SLOTS, gate());
+        let plain = simulate(saturation(load), SLOTS, Admission::Fifo(VecDeque::new()));
         let (good, base) = (goodput(&ours), goodput(&plain));
-        let expired = ours.iter().filter(|o| matches!(o.fate, Fate::Expired(_))).count();
+        let expired = ours.iter().filter(|o| matches!(o.ending, Ending::Expired(_))).count();
         let (p50, p99) = (percentile(&ours, 50), percentile(&ours, 99));
         println!("load {load}: goodput {good:.3}, plain {base:.3}; wait {p50:?}, p99 {p99:?}");
         println!("  expired {expired} of {}", ours.len());
@@ -67,16 +69,16 @@
 
 #[test]
 fn refusals_say_why_and_when() {
-    let outcomes = play(saturation(3.0), SLOTS, gate());
+    let outcomes = simulate(saturation(3.0), SLOTS, gate());
     let refused: Vec<_> = outcomes
         .iter()
-        .filter_map(|o| if let Fate::Refused(e) = &o.fate { Some(e) } else { None })
+        .filter_map(|o| if let Ending::Refused(e) = &o.ending { Some(e) } else { None })
         .collect();
     assert!(refused.len() > outcomes.len() / 2);
     for e in refused {
         assert!(matches!(e.kind(), Kind::Late | Kind::OverShare), "{e}");
         assert_eq!(e.kind().answer().ran, Ran::No);
-        let delay = e.back().expect("a retry delay");
+        let delay = e.retry_after().expect("a retry delay");
         assert!(delay > Duration::ZERO && delay < Duration::from_secs(45), "{delay:?}");
     }
 }
@@ -87,11 +89,11 @@
 #[test]
 fn burst_is_served_as_far_as_deadlines_allow() {
     let burst = || (0..300).map(|i| ask(&format!("broker{i}"), Time::ZERO, ms(500), ms(RUN)));
-    let ours = play(burst(), SLOTS, gate());
-    let plain = play(burst(), SLOTS, Door::Plain(VecDeque::new()));
+    let ours = simulate(burst(), SLOTS, gate());
+    let plain = simulate(burst(), SLOTS, Admission::Fifo(VecDeque::new()));
     let good = |outcomes: &[Outcome]| outcomes.iter().filter(|o| o.good()).count();
     let late = |outcomes: &[Outcome]| {
-        let answered = |o: &&Outcome| matches!(o.fate, Fate::Answered { .. });
+        let answered = |o: &&Outcome| matches!(o.ending, Ending::Answered { .. });
         outcomes.iter().filter(answered).filter(|o| !o.good()).count()
     };
     println!("burst: good {} of 300, plain {}", good(&ours), good(&plain));
@@ -106,13 +108,13 @@
 #[test]
 fn refused_callers_come_back_at_the_drain_rate() {
     let burst = (0..2000).map(|i| ask(&format!("broker{i}"), Time::ZERO, ms(500), ms(RUN)));
-    let outcomes = play(burst, SLOTS, gate());
+    let outcomes = simulate(burst, SLOTS, gate());
     let (mut ours, mut fixed) = (BTreeMap::new(), BTreeMap::new());
     for o in &outcomes {
-        let Fate::Refused(e) = &o.fate else { continue };
+        let Ending::Refused(e) = &o.ending else { continue };
         let step = |d: Duration| d.as_millis() / 500;
-        *ours.entry(step(e.back().expect("a retry delay"))).or_insert(0) += 1;
-        *fixed.entry(step(e.kind().answer().back.expect("a retry delay"))).or_insert(0) += 1;
+        *ours.entry(step(e.retry_after().expect("a retry delay"))).or_insert(0) += 1;
+        *fixed.entry(step(e.kind().answer().retry_after.expect("a retry delay"))).or_insert(0) += 1;
     }
     let most = |steps: &BTreeMap<u128, u32>| steps.values().copied().max();
     println!("most returns in half a second: {:?}, fixed {:?}", most(&ours), most(&fixed));
@@ -145,7 +147,7 @@
     admit(41, 60).expect("a gap of 20 ms must not count as a stall");
     let refused = admit(42, 4000).expect_err("nothing has left the queue for four seconds");
     assert_eq!(refused.kind(), Kind::Late);
-    assert!(refused.back() > Some(ms(1000)), "{refused:?}");
+    assert!(refused.retry_after() > Some(ms(1000)), "{refused:?}");
 }
 
 // Two callers send three times what the workers can serve; twenty callers together send a tenth of
@@ -155,8 +157,10 @@
 fn refusals_go_to_who_sends_too_much() {
     let until = Time::from_millis(20_000);
     let asks = || {
-        let heavy = (0..2).flat_map(|i| stream(i, &format!("heavy{i}"), 480.0, until, 500, RUN));
-        let light = (2..22).flat_map(|i| stream(i, &format!("light{i}"), 1.6, until, 500, RUN));
+        let heavy =
+            (0..2).flat_map(|i| poisson_arrivals(i, &format!("heavy{i}"), 480.0, until, 500, RUN));
+        let light =
+            (2..22).flat_map(|i| poisson_arrivals(i, &format!("light{i}"), 1.6, until, 500, RUN));
         heavy.chain(light).collect::<Vec<_>>()
     };
     let served = |outcomes: &[Outcome]| {
@@ -164,8 +168,8 @@
         let good = outcomes.iter().filter(light).filter(|o| o.good()).count();
         good as f64 / outcomes.iter().filter(light).count() as f64
     };
-    let ours = play(asks(), SLOTS, gate());
-    let plain = play(asks(), SLOTS, Door::Plain(VecDeque::new()));
+    let ours = simulate(asks(), SLOTS, gate());
+    let plain = simulate(asks(), SLOTS, Admission::Fifo(VecDeque::new()));
     let (light, base, all) = (served(&ours), served(&plain), goodput(&ours));
     println!("light callers served {light:.3}, plain {base:.3}; goodput {all:.3}");
     assert!(light > 0.95 && all > 0.9);
@@ -178,16 +182,16 @@
 fn long_and_short_are_admitted_apart() {
     let until = Time::from_millis(60_000);
     let asks = || {
-        let long = |i| stream(i, &format!("models{i}"), 0.6, until, 20_000, 2000);
-        let short = stream(30, "quotes", 40.0, until, 200, 20);
+        let long = |i| poisson_arrivals(i, &format!("models{i}"), 0.6, until, 20_000, 2000);
+        let short = poisson_arrivals(30, "quotes", 40.0, until, 200, 20);
         (0..20).flat_map(long).chain(short).collect::<Vec<_>>()
     };
     let good = |outcomes: &[Outcome], who: &str| {
         let of = |o: &&Outcome| o.item.caller.as_str().starts_with(who);
         outcomes.iter().filter(of).filter(|o| o.good()).count()
     };
-    let ours = play(asks(), SLOTS, gate());
-    let plain = play(asks(), SLOTS, Door::Plain(VecDeque::new()));
+    let ours = simulate(asks(), SLOTS, gate());
+    let plain = simulate(asks(), SLOTS, Admission::Fifo(VecDeque::new()));
     let (quotes, models) = (good(&ours, "quotes"), good(&ours, "models"));
     let (plain_quotes, plain_models) = (good(&plain, "quotes"), good(&plain, "models"));
     println!("quotes {quotes}, plain {plain_quotes}; models {models}, {plain_models}");
@@ -200,9 +204,9 @@
 // this: a gate that trusts the expected run times would admit three times what can be served.
 #[test]
 fn drain_rate_is_measured() {
-    let slow = saturation(1.0).into_iter().map(|a| Ask { real: a.real * 3, ..a });
-    let outcomes = play(slow, SLOTS, gate());
-    let expired = outcomes.iter().filter(|o| matches!(o.fate, Fate::Expired(_))).count();
+    let slow = saturation(1.0).into_iter().map(|a| TimedRequest { run_time: a.run_time * 3, ..a });
+    let outcomes = simulate(slow, SLOTS, gate());
+    let expired = outcomes.iter().filter(|o| matches!(o.ending, Ending::Expired(_))).count();
     println!("three times as slow: expired {expired} of {}", outcomes.len());
     assert!(expired * 50 < outcomes.len());
 }
@@ -220,5 +224,5 @@
     let error = gate.expired(&queue, late, now);
     assert_eq!((error.kind(), error.kind().answer().ran), (Kind::Expired, Ran::No));
     // Nothing has left the queue for 451 ms, so this is the expected time per request.
-    assert!(error.back().is_some_and(|b| b >= ms(451) && b <= ms(677)), "{error:?}");
+    assert!(error.retry_after().is_some_and(|b| b >= ms(451) && b <= ms(677)), "{error:?}");
 }
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -7,7 +7,7 @@
     bucket::{Kv, Member, runs},
     dogwoodreach::{
         Time,
-        attempts::{DRIFT, FLIGHT, LEASE, Place, Refused},
+        attempts::{CLOCK_DRIFT, LEASE, MAX_TRANSIT, Place, Refused},
         bucket::Order,
         ids::{Attempt, Epoch, TaskId, TaskIndex, WorkerId},
         messages::{EndItem, TaskReport, TaskRow, TaskState},
@@ -95,7 +95,7 @@
     fn pass(&mut self, time: Duration) {
         self.now = self.now + time;
         // The worker's clock is as slow as the allowance permits.
-        self.running.retain(|run| self.now < run.lease + DRIFT);
+        self.running.retain(|run| self.now < run.lease + CLOCK_DRIFT);
     }
 
     fn start(&mut self, row: TaskRow, until: Time) {
@@ -121,7 +121,7 @@
         match mail {
             Message::Start(row, until) => self.start(row, until),
             Message::Stop(row) => self.stop(&row),
-            Message::End(item) => bucket.heard(&item),
+            Message::End(item) => bucket.update_attempt(&item),
             Message::Report(worker, taken, tasks) => bucket.report(&worker, taken, &tasks),
         }
     }
@@ -151,7 +151,7 @@
         let same = |run: &&Run| run.row.task == row.task && run.row.attempt == row.attempt;
         let until = self.running.iter().find(same).map_or(now, |run| run.lease);
         self.cut.push((row.task.clone(), row.attempt));
-        self.newest().bucket.cut(&row.task, row.attempt, until);
+        self.newest().bucket.cap_lease(&row.task, row.attempt, until);
         Ok(())
     }
 
@@ -160,7 +160,7 @@
     fn move_owner(&mut self, release: bool) {
         if release {
             self.members.pop();
-        } else if self.now < self.lease_end + DRIFT {
+        } else if self.now < self.lease_end + CLOCK_DRIFT {
             return;
         }
         self.epoch += 1;
@@ -227,7 +227,7 @@
         for _ in 0..2 {
             let (kv, now) = (&mut self.kv, &mut self.now);
             self.members.last_mut().expect("there is a member").settle(kv, now);
-            self.pass(FLIGHT * 2);
+            self.pass(MAX_TRANSIT * 2);
             for worker in 0..WORKERS.len() {
                 self.report(worker);
             }
@@ -291,7 +291,7 @@
         assert_eq!(next.bucket.place(place(0, 1), now), Err(Refused::Live));
         next.bucket.report(&WORKERS[0].into(), Time::ZERO, &[]);
         assert_eq!(next.bucket.place(place(0, 1), now), Err(Refused::Live));
-        next.bucket.report(&WORKERS[0].into(), now + FLIGHT + DRIFT, &[]);
+        next.bucket.report(&WORKERS[0].into(), now + MAX_TRANSIT + CLOCK_DRIFT, &[]);
         assert_eq!(next.bucket.place(place(0, 1), now), Ok(Attempt(2)));
     }
 }
@@ -304,12 +304,12 @@
 fn paused_owner_sends_no_start() {
     let (mut kv, mut now, mut old) = (Kv::default(), Time::ZERO, Member::new(1));
     old.settle(&mut kv, &mut now);
-    let lease_end = now + FLIGHT * 2;
+    let lease_end = now + MAX_TRANSIT * 2;
     old.bucket.renew(lease_end);
     assert_eq!(old.bucket.place(place(0, 0), now), Ok(Attempt(1)));
     assert_eq!(old.orders(now), []);
     old.effect(&mut kv);
-    now = lease_end + DRIFT;
+    now = lease_end + CLOCK_DRIFT;
     old.deliver(now);
     assert_eq!(old.orders(now), [], "a start went out without a lease");
 }
--- a/tests/bucket/mod.rs
+++ b/tests/bucket/mod.rs
@@ -141,7 +141,7 @@
     fn answer(&mut self, call: u64, reply: Reply, now: Time) {
         match reply {
             Reply::Read(found) => self.bucket.read(call, Some(found), now),
-            Reply::Write(reply) => self.bucket.wrote(call, Some(&reply), now),
+            Reply::Write(reply) => self.bucket.written(call, Some(&reply), now),
         }
     }
 
@@ -149,7 +149,7 @@
         if read {
             self.bucket.read(call, None, now);
         } else {
-            self.bucket.wrote(call, None, now);
+            self.bucket.written(call, None, now);
         }
     }
 }
--- a/tests/cell/floor.rs
+++ b/tests/cell/floor.rs
@@ -26,7 +26,7 @@
 
 /// The free resources, the reservations and the running tasks of all workers.
 #[derive(Default)]
-pub struct Floor {
+pub struct FakeRacks {
     pub free: BTreeMap<WorkerId, Size>,
     pub reservations: BTreeMap<AttemptKey, (WorkerId, Size, Time)>,
     pub runs: BTreeMap<AttemptKey, StartItem>,
@@ -36,10 +36,10 @@
     stopped: BTreeSet<AttemptKey>,
 }
 
-impl Floor {
+impl FakeRacks {
     pub fn new() -> Self {
         let free = WORKERS.iter().map(|(w, _)| ((*w).into(), Size::new(4, 16 << 10, 0)));
-        Floor { free: free.collect(), ..Floor::default() }
+        FakeRacks { free: free.collect(), ..FakeRacks::default() }
     }
 
     pub fn vms(&self) -> Vec<Vm> {
@@ -169,7 +169,7 @@
     }
 
     /// Ends the running attempt of a task without reporting the end.
-    pub fn vanish(&mut self, task: &TaskId) {
+    pub fn end_unreported(&mut self, task: &TaskId) {
         self.end(task, TaskState::Lost);
         self.unacknowledged.retain(|(t, _), _| t != task);
     }
@@ -190,11 +190,11 @@
     }
 
     /// The states of attempts that the bucket's owner has not acknowledged yet.
-    pub fn tells(&self) -> Vec<(Bucket, EndItem)> {
+    pub fn unacknowledged_ends(&self) -> Vec<(Bucket, EndItem)> {
         self.unacknowledged.values().cloned().collect()
     }
 
-    pub fn told(&mut self, items: &[EndItem]) {
+    pub fn acknowledge(&mut self, items: &[EndItem]) {
         for item in items {
             let key = (item.task.clone(), item.attempt);
             if self.unacknowledged.get(&key).is_some_and(|(_, e)| e.state == item.state) {
--- a/tests/cell/mod.rs
+++ b/tests/cell/mod.rs
@@ -5,7 +5,7 @@
 
 mod floor;
 
-pub use floor::Floor;
+pub use floor::FakeRacks;
 use {
     arbtest::arbitrary::{Result, Unstructured},
     dogwoodreach::{
@@ -13,7 +13,7 @@
         event::{Order, Purpose},
         http::Failure,
         ids::{Bucket, Epoch, Incarnation, JobId, Revision, TaskId, TaskIndex, team_bucket},
-        jobs::{Jobs, Want},
+        jobs::{JobRequest, Jobs},
         messages::{
             EndItem, KvEntry, KvPut, KvPutReply, ProbeAsk, ProbeReply, ReserveAsk, ReserveReply,
             StartAsk, TaskShow, TaskState, Vm,
@@ -36,7 +36,7 @@
     Put(WriteId, Box<str>, KvPut),
     Got(WriteId, Option<KvEntry>),
     Done(WriteId, Option<KvPutReply>),
-    Want(Want),
+    Want(JobRequest),
     /// Starts and stops, with the time after which a start has no effect.
     Start(StartAsk, Time),
     Reserved(ReserveAsk, Option<ReserveReply>),
@@ -50,11 +50,11 @@
 pub struct Cell {
     pub now: Time,
     pub owners: Vec<Jobs>,
-    pub floor: Floor,
+    pub racks: FakeRacks,
     pub plan: Rc<Plan>,
     /// The revision and the text of each key.
     pub store: BTreeMap<Box<str>, (u64, Box<str>)>,
-    pub mail: Vec<(usize, Message)>,
+    pub messages: Vec<(usize, Message)>,
     /// The index of the present owner of all buckets.
     pub owner: usize,
     epoch: u64,
@@ -62,7 +62,7 @@
 }
 
 /// The head of a configuration text: the pool and two teams with quotas. Jobs follow it.
-pub const HEAD: &str = "[pool p]\ncores = 4\nmemory = 16GB\nworkers = 4\n\
+pub const TEXT_HEAD: &str = "[pool p]\ncores = 4\nmemory = 16GB\nworkers = 4\n\
     [team quoting]\ncores = 8\nmemory = 32GB\n[team audit]\ncores = 8\nmemory = 32GB\n";
 
 /// The section of a job of the first team, with tasks of one core each.
@@ -78,17 +78,17 @@
 }
 
 impl Cell {
-    /// Creates a cell with one owner of all buckets and a text made of [`HEAD`] and these jobs.
+    /// Creates a cell with one owner of all buckets and a text made of [`TEXT_HEAD`] and these jobs.
     pub fn new(jobs: &str) -> Self {
-        let floor = Floor::new();
+        let floor = FakeRacks::new();
         let vms = floor.vms();
         let mut cell = Cell {
             now: Time::ZERO,
             owners: vec![],
-            floor,
+            racks: floor,
             plan: Rc::default(),
             store: BTreeMap::new(),
-            mail: vec![],
+            messages: vec![],
             owner: 0,
             epoch: 0,
             vms,
@@ -98,15 +98,15 @@
         cell
     }
 
-    /// Puts a text made of [`HEAD`] and these jobs in force at all owners.
+    /// Puts a text made of [`TEXT_HEAD`] and these jobs in force at all owners.
     pub fn submit(&mut self, jobs: &str) {
-        self.put(&format!("{HEAD}{jobs}"));
+        self.put(&format!("{TEXT_HEAD}{jobs}"));
     }
 
     /// Puts a text in force at all owners.
     pub fn put(&mut self, text: &str) {
         self.plan = Rc::new(Plan::read(text).expect("the text is sound"));
-        self.owners.iter_mut().for_each(|o| o.planned(&self.plan));
+        self.owners.iter_mut().for_each(|o| o.set_plan(&self.plan));
     }
 
     /// Gives all buckets to a new member; the former owner is notified of the loss.
@@ -114,27 +114,27 @@
         let id = Incarnation(self.owners.len() as u64 + 1);
         let mut jobs = Jobs::new(id, UNIX_START_S);
         jobs.workers(self.vms.iter());
-        jobs.planned(&self.plan);
+        jobs.set_plan(&self.plan);
         self.owners.push(jobs);
-        self.pass_to(self.owners.len() - 1);
+        self.give_buckets(self.owners.len() - 1);
     }
 
     /// Gives all buckets to a new member that has no configuration text yet.
     pub fn takeover_unplanned(&mut self) {
         let id = Incarnation(self.owners.len() as u64 + 1);
         self.owners.push(Jobs::new(id, UNIX_START_S));
-        self.pass_to(self.owners.len() - 1);
+        self.give_buckets(self.owners.len() - 1);
     }
 
     /// Gives all buckets to an owner, which may have owned them before.
-    pub fn pass_to(&mut self, owner: usize) {
+    pub fn give_buckets(&mut self, owner: usize) {
         let before = std::mem::replace(&mut self.owner, owner);
         self.epoch += 1;
         for bucket in ["quoting", "audit"].map(|team| team_bucket(&team.into())) {
             if before != owner {
-                self.owners[before].lost(bucket);
+                self.owners[before].remove_bucket(bucket);
             }
-            self.owners[owner].gained(bucket, Epoch(self.epoch));
+            self.owners[owner].add_bucket(bucket, Epoch(self.epoch));
         }
     }
 
@@ -144,21 +144,21 @@
 
     /// Runs a tick of every owner and queues the resulting messages.
     pub fn tick(&mut self) {
-        self.floor.lapse(self.now);
-        let racks = self.floor.loads();
+        self.racks.lapse(self.now);
+        let racks = self.racks.loads();
         for i in 0..self.owners.len() {
             let (mut out, sure) = (vec![], Some(self.now + Duration::from_secs(8)));
             let wants = self.owners[i].tick(self.now, sure, &racks, &mut out);
             self.check_starts(&wants);
             for want in wants {
                 let mail = match want {
-                    Want::Start(ask) => {
+                    JobRequest::Start(ask) => {
                         let until = self.now + Duration::from_millis(ask.left);
                         Message::Start(ask, until)
                     }
                     want => Message::Want(want),
                 };
-                self.mail.push((i, mail));
+                self.messages.push((i, mail));
             }
             for order in out {
                 let mail = match order {
@@ -168,20 +168,21 @@
                     }
                     other => panic!("{other:?}"),
                 };
-                self.mail.push((i, mail));
+                self.messages.push((i, mail));
             }
         }
-        let unread_ends = self.mail.iter().any(|(_, m)| matches!(m, Message::Heard(..)));
-        let ends = if unread_ends { vec![] } else { self.floor.tells() };
-        self.mail.extend(ends.into_iter().map(|(b, e)| (self.owner, Message::Heard(b, vec![e]))));
+        let unread_ends = self.messages.iter().any(|(_, m)| matches!(m, Message::Heard(..)));
+        let ends = if unread_ends { vec![] } else { self.racks.unacknowledged_ends() };
+        self.messages
+            .extend(ends.into_iter().map(|(b, e)| (self.owner, Message::Heard(b, vec![e]))));
     }
 
-    /// Checks two invariants. `Listed`: only tasks that the text lists are started. `Whole`: all
+    /// Checks two invariants. `ListedWorker`: only tasks that the text lists are started. `Message`: all
     /// tasks of a gang are started at once.
-    fn check_starts(&self, wants: &[Want]) {
+    fn check_starts(&self, wants: &[JobRequest]) {
         let mut gangs: BTreeMap<&JobId, u32> = BTreeMap::new();
         for want in wants {
-            let Want::Start(ask) = want else { continue };
+            let JobRequest::Start(ask) = want else { continue };
             for item in &ask.start {
                 let job = self.plan.jobs.get(&item.task.job);
                 let job = job.filter(|j| item.task.index.0 < j.tasks);
@@ -198,7 +199,7 @@
 
     /// Delivers one message; with `lose`, the message or the answer to it is lost.
     pub fn deliver(&mut self, at: usize, lose: bool) {
-        let (i, mail) = self.mail.remove(at);
+        let (i, mail) = self.messages.remove(at);
         let now = self.now;
         let owner = &mut self.owners[i];
         let response = match mail {
@@ -212,33 +213,33 @@
                 Some(Message::Done(at, (!lose).then_some(reply)))
             }
             Message::Got(at, entry) => {
-                owner.got(at, entry.ok_or(Failure::Timeout), now);
+                owner.record_read(at, entry.ok_or(Failure::Timeout), now);
                 None
             }
             Message::Done(at, reply) => {
-                owner.put(at, reply.ok_or(Failure::Timeout), now);
+                owner.record_written(at, reply.ok_or(Failure::Timeout), now);
                 None
             }
-            Message::Want(Want::Reserve(ask)) => {
-                let reply = self.floor.reserve(&ask, now);
+            Message::Want(JobRequest::Reserve(ask)) => {
+                let reply = self.racks.reserve(&ask, now);
                 Some(Message::Reserved(ask, (!lose).then_some(reply)))
             }
-            Message::Want(Want::Release(_, rows)) => {
-                self.floor.release(&rows);
+            Message::Want(JobRequest::Release(_, rows)) => {
+                self.racks.release(&rows);
                 None
             }
             Message::Start(ask, until) if !lose && (ask.start.is_empty() || now <= until) => {
-                let refused = self.floor.start(&ask);
+                let refused = self.racks.start(&ask);
                 ask.start.first().map(|s| Message::Heard(s.bucket, refused))
             }
-            Message::Want(Want::Probe(ask)) if !lose => {
-                let reply = self.floor.probe(&ask);
+            Message::Want(JobRequest::Probe(ask)) if !lose => {
+                let reply = self.racks.probe(&ask);
                 Some(Message::Probed(ask, reply, now))
             }
             Message::Want(_) | Message::Start(..) => None,
             Message::Reserved(ask, reply) => {
                 let wants = owner.reserved(&ask, reply, now);
-                self.mail.extend(wants.into_iter().map(|w| (i, Message::Want(w))));
+                self.messages.extend(wants.into_iter().map(|w| (i, Message::Want(w))));
                 None
             }
             Message::Probed(ask, mut reply, taken) => {
@@ -248,13 +249,13 @@
                 None
             }
             Message::Heard(bucket, items) => {
-                if !lose && owner.heard(bucket, &items, now) {
-                    self.floor.told(&items);
+                if !lose && owner.update_attempts(bucket, &items, now) {
+                    self.racks.acknowledge(&items);
                 }
                 None
             }
         };
-        self.mail.extend(response.map(|b| (i, b)));
+        self.messages.extend(response.map(|b| (i, b)));
     }
 
     fn write(&mut self, key: Box<str>, put: KvPut) -> KvPutReply {
@@ -267,33 +268,33 @@
     }
 
     /// Advances the time and delivers all messages after each step.
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.tick();
-            while !self.mail.is_empty() {
+            while !self.messages.is_empty() {
                 self.deliver(0, false);
             }
             self.now = self.now + STEP;
         }
     }
 
-    pub fn secs(&mut self, n: u64) {
-        self.pass(Duration::from_secs(n));
+    pub fn advance_secs(&mut self, n: u64) {
+        self.advance(Duration::from_secs(n));
     }
 
     /// Takes one random step: delivers or loses a message, runs a tick, or advances the time.
-    pub fn turn(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    pub fn random_step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         match u.int_in_range(0..=9)? {
             0 | 1 => self.tick(),
             2 => {
                 self.now = self.now + Duration::from_millis(u.int_in_range(10..=700)?);
                 self.tick();
             }
-            n if !self.mail.is_empty() => {
+            n if !self.messages.is_empty() => {
                 // Mostly delivers one of the two oldest messages: with a free choice, messages
                 // would wait so long that few exchanges would ever complete.
-                let limit = if n == 4 { self.mail.len() } else { self.mail.len().min(2) };
+                let limit = if n == 4 { self.messages.len() } else { self.messages.len().min(2) };
                 let at = u.choose_index(limit)?;
                 self.deliver(at, n == 3 && u.ratio(1, 2)?);
             }
@@ -304,28 +305,28 @@
 
     /// Ends the running attempt of a task with this state.
     pub fn end(&mut self, task: &TaskId, state: TaskState) {
-        self.floor.end(task, state);
+        self.racks.end(task, state);
     }
 
-    /// Ends all running tasks successfully once a second, for `secs` seconds.
+    /// Ends all running tasks successfully once a second, for `advance_secs` seconds.
     pub fn finish(&mut self, secs: u64) {
         for _ in 0..secs {
-            self.floor.end_all();
-            self.secs(1);
+            self.racks.end_all();
+            self.advance_secs(1);
         }
     }
 
     /// Ends all running tasks of the jobs whose names start with `prefix`.
     pub fn end_all(&mut self, prefix: &str, state: TaskState) {
-        let runs: Vec<TaskId> = self.floor.runs.keys().map(|(t, _)| t.clone()).collect();
+        let runs: Vec<TaskId> = self.racks.runs.keys().map(|(t, _)| t.clone()).collect();
         let runs = runs.iter().filter(|t| t.job.as_str().starts_with(prefix));
-        runs.for_each(|t| self.floor.end(t, state));
+        runs.for_each(|t| self.racks.end(t, state));
     }
 
     /// The jobs of the urgent requests for room that are in transit.
-    pub fn urgent_asks(&self) -> Vec<JobId> {
-        let asks = self.mail.iter().filter_map(|(_, m)| match m {
-            Message::Want(Want::Reserve(ask)) => Some(&ask.items),
+    pub fn urgent_jobs(&self) -> Vec<JobId> {
+        let asks = self.messages.iter().filter_map(|(_, m)| match m {
+            Message::Want(JobRequest::Reserve(ask)) => Some(&ask.items),
             _ => None,
         });
         asks.flatten().filter(|i| i.urgent).map(|i| i.task.job.clone()).collect()
@@ -333,7 +334,7 @@
 
     /// The number of running tasks of a job.
     pub fn running(&self, job: &str) -> usize {
-        self.floor.runs.keys().filter(|(t, _)| t.job.as_str() == job).count()
+        self.racks.runs.keys().filter(|(t, _)| t.job.as_str() == job).count()
     }
 
     pub fn show(&self, task: &TaskId) -> Option<TaskShow> {
@@ -342,7 +343,7 @@
 }
 
 /// Runs `property` with `count` fixed seeds, each with `size` bytes of random choices.
-pub fn runs(count: u64, size: u64, property: impl Fn(&mut Unstructured<'_>) -> Result<()>) {
+pub fn run_seeds(count: u64, size: u64, property: impl Fn(&mut Unstructured<'_>) -> Result<()>) {
     for seed in 0..count {
         let mixed = (seed + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         arbtest::arbtest(&property).seed(mixed << 32 | size);
--- a/tests/choose.rs
+++ b/tests/choose.rs
@@ -8,7 +8,7 @@
         decide::{choose::Scores, eject::Ejector},
         ids::WorkerId,
     },
-    fake::{Agenda, exp, ms},
+    fake::{EventQueue, exponential, ms},
     std::{
         collections::{BTreeMap, VecDeque},
         ops::Range,
@@ -57,10 +57,10 @@
         (Scores::new(fastrand::Rng::with_seed(4)), Ejector::new(WORKERS));
     let mut busy = [0; WORKERS];
     (0..WORKERS).for_each(|i| scores.add(worker(i), SLOTS, Time::ZERO));
-    let (mut agenda, mut waiting) = (Agenda::new(), VecDeque::new());
+    let (mut agenda, mut waiting) = (EventQueue::new(), VecDeque::new());
     let (mut now, gap) = (Time::ZERO, RUN.div_f64(load * f64::from(SLOTS) * WORKERS as f64));
     while now < Time::from_millis(20_000) {
-        now = now + exp(&mut rng, gap);
+        now = now + exponential(&mut rng, gap);
         agenda.add(now, None);
     }
     let mut played = Played { times: Vec::new(), failed: 0, received: BTreeMap::new() };
@@ -98,7 +98,7 @@
             let Some(at) = picked else { break };
             waiting.pop_front();
             busy[at] += 1;
-            let (mut ran, mut failed) = (exp(&mut rng, RUN), false);
+            let (mut ran, mut failed) = (exponential(&mut rng, RUN), false);
             if at == 0 {
                 *played.received.entry(now.0 / 1_000_000).or_insert(0) += 1;
                 match fault(now) {
@@ -225,18 +225,18 @@
         }
     }
     let open = (0..WORKERS).filter(|&i| ejector.allows(&worker(i), 0, Time::ZERO));
-    assert_eq!((open.count(), ejector.out()), (7, 3));
+    assert_eq!((open.count(), ejector.ejected()), (7, 3));
     for i in 0..WORKERS {
         ejector.answered(&worker(i), 100.0, Time::ZERO);
     }
-    assert_eq!(ejector.out(), 3);
+    assert_eq!(ejector.ejected(), 3);
 }
 
 #[test]
 fn far_slower_than_peers_is_taken_out() {
     let mut ejector = Ejector::new(WORKERS);
     ejector.answered(&worker(0), 4.0, Time::ZERO);
-    assert_eq!(ejector.out(), 0);
+    assert_eq!(ejector.ejected(), 0);
     ejector.answered(&worker(0), 9.0, Time::ZERO);
     assert!(!ejector.allows(&worker(0), 0, Time::ZERO));
 }
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -8,7 +8,7 @@
     dogwoodreach::{
         Time,
         bucket::Order,
-        claims::{KV_WAIT, LEASE, ROOM},
+        claims::{COMMIT_TIMEOUT, LEASE, ROWS_MAX_BYTES},
         ids::{Key, RequestId},
         messages::{ClaimAsk, ClaimEnd, ClaimFate, ClaimVerdict},
     },
@@ -116,7 +116,7 @@
 
     /// Executes a member's order. A member that has refused a request must never grant it.
     fn carry(&mut self, m: usize, order: Order, told: &mut Vec<(usize, RequestId)>) {
-        if let Order::Kept { call } = order {
+        if let Order::EndCommitted { call } = order {
             self.ends.retain(|end| end.0 != call);
         }
         let Order::Reply { request, reply } = order else { return };
@@ -142,12 +142,12 @@
                 let i = u.choose_index(self.asks.len())?;
                 let again = self.copies && u.ratio(1, 5)?;
                 let ask = if again { self.asks[i].clone() } else { self.asks.remove(i) };
-                self.members[m].bucket.ask(ask, self.now);
+                self.members[m].bucket.claim(ask, self.now);
             }
             4 if !self.ends.is_empty() => {
                 // An end is sent to the newest owner repeatedly until it is acknowledged.
                 let (call, end) = self.ends[u.choose_index(self.ends.len())?].clone();
-                self.members.last_mut().expect("there is a member").bucket.end(end, call);
+                self.members.last_mut().expect("there is a member").bucket.end_claim(end, call);
             }
             5 if !self.requests.is_empty() => {
                 let i = u.choose_index(self.requests.len())?;
@@ -181,7 +181,7 @@
         self.kv.down = false;
         let last = self.members.len() - 1;
         for ask in std::mem::take(&mut self.asks) {
-            self.members[last].bucket.ask(ask, self.now);
+            self.members[last].bucket.claim(ask, self.now);
         }
         for m in 0..=last {
             for order in self.members[m].settle(&mut self.kv, &mut self.now) {
@@ -194,7 +194,7 @@
             self.settle(last, told);
             let ask = self.request(k);
             let i = self.requests.len() - 1;
-            self.members[last].bucket.ask(ask, self.now);
+            self.members[last].bucket.claim(ask, self.now);
             self.settle(last, told);
             let free = self.ran[k] == Some(i);
             let may_hold = self.copies || died(self, k) || self.ran[k].is_some();
@@ -208,7 +208,7 @@
                 self.carry(m, order, told);
             }
             for (call, end) in self.ends.clone() {
-                self.members[m].bucket.end(end, call);
+                self.members[m].bucket.end_claim(end, call);
             }
         }
         assert!(self.ends.is_empty(), "the owner does not acknowledge ends");
@@ -257,15 +257,15 @@
     let (mut kv, mut now, mut member) = (Kv::default(), Time::ZERO, Member::new(1));
     member.settle(&mut kv, &mut now);
     let ask = |request| ClaimAsk { digest: "d".into(), key: key(0), request: RequestId(request) };
-    member.bucket.ask(ask(1), now);
+    member.bucket.claim(ask(1), now);
     member.orders(now);
     member.effect_then_lose(&mut kv, now);
     assert_eq!(kv.found.as_ref().expect("it was written").1.claims.len(), 1);
     kv.down = true;
-    now = now + KV_WAIT;
+    now = now + COMMIT_TIMEOUT;
     assert_eq!(verdicts(member.orders(now)), [(RequestId(1), ClaimVerdict::KvDown)]);
     kv.down = false;
-    member.bucket.ask(ask(2), now);
+    member.bucket.claim(ask(2), now);
     let orders = member.settle(&mut kv, &mut now);
     assert_eq!(verdicts(orders), [(RequestId(2), ClaimVerdict::Granted)]);
 }
@@ -283,16 +283,16 @@
     };
     let mut full = 0;
     for i in 0..3000 {
-        member.bucket.ask(ask(i), now);
+        member.bucket.claim(ask(i), now);
         let seen = verdicts(member.settle(&mut kv, &mut now));
         full += seen.iter().filter(|v| v.1 == ClaimVerdict::Full).count();
     }
     assert!(full > 1000, "{full} refused");
     let size = serde_json::to_string(&kv.found.as_ref().expect("written").1).expect("json").len();
-    assert!(size < ROOM + 1000, "{size} bytes");
+    assert!(size < ROWS_MAX_BYTES + 1000, "{size} bytes");
     now = now + LEASE + Duration::from_secs(24 * 60 * 60);
     member.settle(&mut kv, &mut now);
-    member.bucket.ask(ask(4000), now);
+    member.bucket.claim(ask(4000), now);
     let seen = verdicts(member.settle(&mut kv, &mut now));
     assert_eq!(seen, [(RequestId(4000), ClaimVerdict::Granted)]);
     assert_eq!(kv.found.as_ref().expect("written").1.claims.len(), 1);
--- a/tests/commit.rs
+++ b/tests/commit.rs
@@ -17,7 +17,7 @@
         let now = Time::from_millis(ms);
         if ms < 10_000 && ms % each == 0 {
             let key = Key(format!("cover-{ms}").into());
-            bucket.ask(ClaimAsk { key, digest: "d".into(), request: RequestId(ms.into()) }, now);
+            bucket.claim(ClaimAsk { key, digest: "d".into(), request: RequestId(ms.into()) }, now);
         }
         loop {
             let orders = bucket.orders(now);
@@ -30,7 +30,7 @@
                     Order::Kv(Call::Write { call, .. }) => {
                         writes += 1;
                         let reply = KvPutReply { done: true, revision: Revision(writes) };
-                        bucket.wrote(call, Some(&reply), now);
+                        bucket.written(call, Some(&reply), now);
                     }
                     Order::Reply { request, reply } => {
                         assert_eq!(reply.verdict, ClaimVerdict::Granted);
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -5,7 +5,7 @@
     arbtest::arbitrary::{Result, Unstructured},
     dogwoodreach::{
         Time,
-        config::{Config, SETTLE, Step},
+        config::{Config, SUBMIT_TIMEOUT, Step},
         ids::{Revision, SubmissionId, Version},
         messages::{ConfigRecord, KvEntry, KvPutReply, Submit, SubmitReply},
         text::Plan,
@@ -103,7 +103,7 @@
                 self.lost += 1;
             }
             None => {
-                assert!(self.now - since > SETTLE, "Unknown: too soon");
+                assert!(self.now - since > SUBMIT_TIMEOUT, "Unknown: too soon");
                 self.unknown += 1;
             }
         }
@@ -236,8 +236,8 @@
         team = a\npool = p\ntasks = 2\ncores = 1\nmemory = 1GB\nrun = 1m\n";
     let two = one.replace("team = a", "team = b");
     let (old, new) = (Plan::read(one).expect("sound"), Plan::read(&two).expect("sound"));
-    let faults: Vec<String> = new.moved(&old, &two).iter().map(|f| f.to_string()).collect();
+    let faults: Vec<String> = new.team_changes(&old, &two).iter().map(|f| f.to_string()).collect();
     assert_eq!(faults.len(), 1);
     assert!(faults[0].starts_with("line 7: the job \"nightly\" changes its team"), "{faults:?}");
-    assert_eq!(old.moved(&old, one), []);
+    assert_eq!(old.team_changes(&old, one), []);
 }
--- a/tests/contact.rs
+++ b/tests/contact.rs
@@ -3,7 +3,7 @@
 use {
     dogwoodreach::{
         Time,
-        contact::{Latency, LatencyChange, Reachability, ReachabilityChange},
+        service_health::{Latency, LatencyChange, Reachability, ReachabilityChange},
     },
     std::time::Duration,
 };
--- a/tests/copies_yard.rs
+++ b/tests/copies_yard.rs
@@ -5,13 +5,13 @@
 
 use {
     dogwoodreach::work::{JobNo, State, Step},
-    yard::{Yard, job, step},
+    yard::{ShardSim, job, step},
 };
 
 /// Runs five jobs one after the other, each with five tasks on workers of their own and another
 /// slow worker. Returns their total duration in milliseconds and the number of starts.
 fn play(seed: u64, copies: bool, speed: f64) -> (u64, usize) {
-    let mut yard = Yard::new(seed, 12);
+    let mut yard = ShardSim::new(seed, 12);
     let (mut elapsed, mut now) = (0, 500);
     yard.run_until(now);
     for no in 1..=5 {
@@ -21,7 +21,8 @@
         let tasks = Step { copies, apart: 1, ..step(5, 2_000) };
         yard.submit(no, "open", job([tasks]));
         let started_at = now;
-        let done = |y: &Yard| y.progress().get(&JobNo(no)).is_some_and(|p| p.state == State::Done);
+        let done =
+            |y: &ShardSim| y.progress().get(&JobNo(no)).is_some_and(|p| p.state == State::Done);
         while !done(&yard) {
             now += 50;
             assert!(now < started_at + 60_000, "seed {seed}: job {no} is not done");
@@ -31,7 +32,7 @@
         now += 1_000;
         yard.run_until(now);
     }
-    (elapsed, yard.rules.count as usize)
+    (elapsed, yard.rules.start_count as usize)
 }
 
 #[test]
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -2,16 +2,17 @@
 
 use dogwoodreach::{
     Time,
-    decide::crash::{Resident, blamed},
+    decide::crash::{CrashedRun, blamed},
 };
 
-const OLD: Resident =
-    Resident { there: true, began: Time::from_millis(10), settled: true, lasts: false };
-const YOUNG: Resident = Resident { began: Time::from_millis(4_500), settled: false, ..OLD };
-const NEW: Resident = Resident { began: Time::from_millis(5_000), ..YOUNG };
-const SENT: Resident = Resident { there: false, ..NEW };
-const LATER: Resident = Resident { began: Time::from_millis(5_300), ..SENT };
-const LASTS: Resident = Resident { lasts: true, ..OLD };
+const OLD: CrashedRun =
+    CrashedRun { reported: true, started_at: Time::from_millis(10), settled: true, lasting: false };
+const YOUNG: CrashedRun =
+    CrashedRun { started_at: Time::from_millis(4_500), settled: false, ..OLD };
+const NEW: CrashedRun = CrashedRun { started_at: Time::from_millis(5_000), ..YOUNG };
+const SENT: CrashedRun = CrashedRun { reported: false, ..NEW };
+const LATER: CrashedRun = CrashedRun { started_at: Time::from_millis(5_300), ..SENT };
+const LASTS: CrashedRun = CrashedRun { lasting: true, ..OLD };
 
 #[test]
 fn a_crash_is_laid_to_what_began_last() {
--- a/tests/estimate.rs
+++ b/tests/estimate.rs
@@ -25,14 +25,14 @@
         let run = Duration::from_secs(rng.u64(240..=360));
         over += u32::from(!used.fits(&e.reserve(&job, DECLARED)));
         plain += u32::from(!used.fits(&DECLARED));
-        late += u32::from(run > e.run(&job, Duration::from_secs(60)));
+        late += u32::from(run > e.run_time(&job, Duration::from_secs(60)));
         plain_late += u32::from(run > Duration::from_secs(60));
         e.ended(&job, run, used);
     }
     println!("over memory {over} (declared {plain}), longer than estimated {late} ({plain_late})");
     assert_eq!((over, plain, plain_late), (1, 200, 200));
     assert!(late <= 30);
-    let run = e.run(&job, Duration::from_secs(60)).as_secs();
+    let run = e.run_time(&job, Duration::from_secs(60)).as_secs();
     assert!((330..=390).contains(&run), "too long, each batch would look late: {run}");
 }
 
@@ -43,9 +43,9 @@
     let mut e = Estimates::default();
     let (job, declared) = ("j".into(), Duration::from_secs(600));
     (0..2).for_each(|_| e.ended(&job, Duration::from_secs(1), Size::new(0, 10, 0)));
-    assert_eq!((e.reserve(&job, DECLARED), e.run(&job, declared)), (DECLARED, declared));
+    assert_eq!((e.reserve(&job, DECLARED), e.run_time(&job, declared)), (DECLARED, declared));
     e.ended(&job, Duration::from_secs(1), Size::new(0, 10, 0));
-    assert!(e.run(&job, declared) < Duration::from_secs(5));
+    assert!(e.run_time(&job, declared) < Duration::from_secs(5));
 }
 
 // Nineteen of twenty tasks use 1 to 3 cores, and one uses 8. If the peak were reserved, workers
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -11,7 +11,7 @@
     },
     fake::{
         ms,
-        slots::{Ask, Door, Outcome, ask, play, stream},
+        slots::{Admission, Outcome, TimedRequest, ask, poisson_arrivals, simulate},
     },
     std::{
         collections::{BTreeMap, VecDeque},
@@ -36,8 +36,8 @@
     waits[waits.len() * 95 / 100]
 }
 
-fn plain() -> Door {
-    Door::Plain(VecDeque::new())
+fn plain() -> Admission {
+    Admission::Fifo(VecDeque::new())
 }
 
 // The whole load is 1.2 times the capacity: two callers send 80% of it, and twenty others a little
@@ -46,12 +46,14 @@
 fn heavy_callers_delay_only_themselves() {
     let until = Time::from_millis(10_000);
     let asks = || {
-        let heavy = (0..2).flat_map(|i| stream(i, &format!("heavy{i}"), 154.0, until, 60_000, 50));
-        let light = (2..22).flat_map(|i| stream(i, &format!("light{i}"), 3.8, until, 60_000, 50));
+        let heavy = (0..2)
+            .flat_map(|i| poisson_arrivals(i, &format!("heavy{i}"), 154.0, until, 60_000, 50));
+        let light =
+            (2..22).flat_map(|i| poisson_arrivals(i, &format!("light{i}"), 3.8, until, 60_000, 50));
         heavy.chain(light).collect::<Vec<_>>()
     };
-    let ours = play(asks(), 16, Door::Fair(Queue::new(16, LONG)));
-    let base = play(asks(), 16, plain());
+    let ours = simulate(asks(), 16, Admission::Fair(Queue::new(16, LONG)));
+    let base = simulate(asks(), 16, plain());
     let (light, plain, heavy) = (wait(&ours, "light"), wait(&base, "light"), wait(&ours, "heavy"));
     println!("light callers wait {light:?}, plain {plain:?}; heavy callers wait {heavy:?}");
     assert!(light < ms(200));
@@ -127,13 +129,13 @@
 fn short_work_finds_room_among_long() {
     let until = Time::from_millis(20_000);
     let asks = || {
-        let long = stream(1, "models", 12.0, until, 60_000, 2000);
-        let short = stream(2, "quotes", 40.0, until, 60_000, 20);
+        let long = poisson_arrivals(1, "models", 12.0, until, 60_000, 2000);
+        let short = poisson_arrivals(2, "quotes", 40.0, until, 60_000, 20);
         long.into_iter().chain(short).collect::<Vec<_>>()
     };
-    let ours = play(asks(), 16, Door::Fair(Queue::new(16, LONG)));
-    let unreserved = play(asks(), 16, Door::Fair(Queue::new(16, Duration::MAX)));
-    let base = play(asks(), 16, plain());
+    let ours = simulate(asks(), 16, Admission::Fair(Queue::new(16, LONG)));
+    let unreserved = simulate(asks(), 16, Admission::Fair(Queue::new(16, Duration::MAX)));
+    let base = simulate(asks(), 16, plain());
     let waits = [&ours, &unreserved, &base].map(|outcomes| wait(outcomes, "quotes"));
     println!("short work waits {waits:?}: ours, no slots reserved, plain");
     assert!(waits[0] < ms(20));
@@ -148,7 +150,7 @@
     for i in 1..=8 {
         queue.push(item(i, "models", ms(2000)), at(0)).expect("room");
     }
-    let first: Vec<_> = std::iter::from_fn(|| queue.pop(at(0))).map(|i| i.run).collect();
+    let first: Vec<_> = std::iter::from_fn(|| queue.pop(at(0))).map(|i| i.run_time).collect();
     assert_eq!(first, [ms(10), ms(2000), ms(2000), ms(2000)]);
     // No short work has arrived for ten seconds.
     assert!(queue.pop(at(11)).is_some());
@@ -199,7 +201,7 @@
             now = now + ms(u.int_in_range(0..=200)?);
             let run = ms(*u.choose(&[1, 50, 400, 900])?);
             let who = *u.choose(&["a", "b", "c"])?;
-            let Ask { item, .. } = ask(who, now, ms(u.int_in_range(0..=2000)?), run);
+            let TimedRequest { item, .. } = ask(who, now, ms(u.int_in_range(0..=2000)?), run);
             let item = Item { id: RequestId(id), team: (*u.choose(&["x", "y"])?).into(), ..item };
             if queue.push(item.clone(), now).is_ok() {
                 inside.insert(item.id, item);
@@ -209,7 +211,7 @@
                 1 => queue.expire(now),
                 2 => queue.cancel(RequestId(u.int_in_range(0..=id)?)).into_iter().collect(),
                 _ => {
-                    running.pop().iter().for_each(|i| queue.done(i, i.run * 2));
+                    running.pop().iter().for_each(|i| queue.done(i, i.run_time * 2));
                     Vec::new()
                 }
             };
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -10,14 +10,14 @@
 };
 
 /// A queue of events, ordered by time and then by insertion.
-pub struct Agenda<E> {
+pub struct EventQueue<E> {
     events: BTreeMap<(Time, u64), E>,
     seq: u64,
 }
 
-impl<E> Agenda<E> {
+impl<E> EventQueue<E> {
     pub fn new() -> Self {
-        Agenda { events: BTreeMap::new(), seq: 0 }
+        EventQueue { events: BTreeMap::new(), seq: 0 }
     }
 
     pub fn add(&mut self, at: Time, event: E) {
@@ -35,6 +35,6 @@
 }
 
 /// Draws an exponentially distributed duration.
-pub fn exp(rng: &mut fastrand::Rng, mean: Duration) -> Duration {
+pub fn exponential(rng: &mut fastrand::Rng, mean: Duration) -> Duration {
     mean.mul_f64(-(1.0 - rng.f64()).ln())
 }
--- a/tests/gang_claim.rs
+++ b/tests/gang_claim.rs
@@ -3,7 +3,7 @@
 use {
     dogwoodreach::{
         Time,
-        decide::gang::{Claim, Order},
+        decide::gang::{Action, Claim},
         ids::{Attempt, JobId, PoolId, RackId, TaskId, TaskIndex, WorkerId},
         ledger::Ledger,
         units::Size,
@@ -65,27 +65,27 @@
         }
     }
 
-    fn execute(&mut self, gang: usize, order: Order, now: Time) {
+    fn execute(&mut self, gang: usize, order: Action, now: Time) {
         let number = |r: &RackId| (0..self.ledgers.len()).find(|n| rack(*n) == *r);
         match order {
-            Order::Reserve(r, hold, round) => {
+            Action::Reserve(r, hold, round) => {
                 let rack = number(&r).expect("a known rack");
                 self.messages.push(Message::Reserve { gang, rack, hold, round });
             }
-            Order::Start => {
+            Action::Start => {
                 for r in &self.claims[gang].1 {
                     let whole = self.ledgers[*r].confirm(&task(gang), Attempt(1), now);
                     assert!(whole, "half a gang would run");
                 }
                 self.ends.insert(gang, now + Duration::from_secs(3));
             }
-            Order::Release(racks, retry_at) => {
+            Action::Release(racks, retry_at) => {
                 for r in racks.iter().filter_map(number).collect::<Vec<_>>() {
                     self.ledgers[r].release(&task(gang), Attempt(1), now);
                 }
                 self.retries.insert(gang, retry_at);
             }
-            Order::Nothing => {}
+            Action::Nothing => {}
         }
     }
 
@@ -193,17 +193,17 @@
     let mut claim = Claim::new(Time::ZERO);
     let racks = vec![rack(1), rack(0)];
     let hold = Duration::from_secs(5);
-    assert_eq!(claim.begin(racks.clone(), secs(0)), Order::Reserve(rack(0), hold, 0));
-    let Order::Release(held, next) = claim.tick(secs(5), &mut rng) else {
+    assert_eq!(claim.begin(racks.clone(), secs(0)), Action::Reserve(rack(0), hold, 0));
+    let Action::Release(held, next) = claim.tick(secs(5), &mut rng) else {
         panic!("it has expired")
     };
     assert!(held == [rack(0)] && next > secs(5));
-    assert_eq!(claim.begin(racks, secs(6)), Order::Reserve(rack(0), hold, 1));
-    assert_eq!(claim.granted(&rack(0), 0, secs(7)), Order::Nothing);
-    let next = Order::Reserve(rack(1), Duration::from_secs(4), 1);
+    assert_eq!(claim.begin(racks, secs(6)), Action::Reserve(rack(0), hold, 1));
+    assert_eq!(claim.granted(&rack(0), 0, secs(7)), Action::Nothing);
+    let next = Action::Reserve(rack(1), Duration::from_secs(4), 1);
     assert_eq!(claim.granted(&rack(0), 1, secs(7)), next);
-    assert_eq!(claim.granted(&rack(1), 1, secs(11)), Order::Nothing, "too late to start");
-    let Order::Release(held, _) = claim.tick(secs(11), &mut rng) else { panic!("it has expired") };
+    assert_eq!(claim.granted(&rack(1), 1, secs(11)), Action::Nothing, "too late to start");
+    let Action::Release(held, _) = claim.tick(secs(11), &mut rng) else { panic!("it has expired") };
     assert_eq!(held, [rack(0), rack(1)]);
 }
 
@@ -216,7 +216,9 @@
             claim.begin(vec![rack(0)], at);
             let now = at;
             let order = claim.refused(&rack(0), n, now, &mut rng);
-            let Order::Release(_, next) = order else { panic!("a refused claim must be released") };
+            let Action::Release(_, next) = order else {
+                panic!("a refused claim must be released")
+            };
             at = next;
             if n == round {
                 return at - now;
--- a/tests/hand/mod.rs
+++ b/tests/hand/mod.rs
@@ -12,16 +12,16 @@
         Time,
         decide::lanes::Peers,
         ids::{Incarnation, WorkerId},
-        ports::{Advice, Bounds, Fault, How, Start, Txn, WorkerCall, WorkerReply},
+        ports::{Advice, Bounds, EndReason, Fault, Start, Txn, WorkerCall, WorkerReply},
         shard::{
             Setup, Shard,
-            event::{Event, Load, Order},
-            record::{CommitRow, JobRecord, Progress, Roster, ShardNo, read, write},
+            event::{Event, Order, Snapshot},
+            record::{CommitRow, JobRecord, Progress, Roster, ShardNo, decode, encode},
         },
         units::Size,
         work::{
-            AdviceCost, Job, JobNo, Listed, Pool, Queue, Queues, State, Step, StepKey, TaskKey,
-            Times,
+            AdviceCost, Job, JobNo, ListedWorker, Pool, Queue, QueueConfig, State, Step, StepKey,
+            TaskKey, Times,
         },
     },
     standin::site::setup,
@@ -31,7 +31,7 @@
         sync::Arc,
         time::Duration,
     },
-    store::{Fate, Store},
+    store::{CallOutcome, Store},
     worker::Worker,
 };
 
@@ -39,38 +39,38 @@
 /// The Unix time at [`Time::ZERO`], in milliseconds.
 const UNIX_MS: u64 = 1_700_000_000_000;
 /// How long an answer takes, and the interval between two ticks.
-pub const STEP: Duration = Duration::from_millis(20);
+pub const TICK: Duration = Duration::from_millis(20);
 /// The longest lease of a worker. It is long enough that 2% of it exceed every safety margin.
-pub const HOLD: Duration = Duration::from_secs(20);
+pub const MAX_LEASE: Duration = Duration::from_secs(20);
 /// The longest time that a worker takes to stop a task.
-pub const STOP: Duration = Duration::from_secs(1);
+pub const MAX_STOP: Duration = Duration::from_secs(1);
 
 /// One shard together with its workers, its store and the calls that are in flight.
-pub struct Hand {
+pub struct Harness {
     pub shard: Shard,
     pub token: u64,
     pub now: Time,
     pub workers: Vec<Worker>,
     pub store: Store,
     /// Outcomes of the next writes, in order. All writes after them succeed and are answered.
-    pub fates: VecDeque<Fate>,
+    pub write_outcomes: VecDeque<CallOutcome>,
     /// How many of the next reads of the commit row get no answer.
-    pub unread: u32,
+    pub lost_reads: u32,
     /// Whether the store answers writes and reads of the commit row.
-    pub answers: bool,
+    pub store_up: bool,
     /// Whether the store confirms the member's lease on every tick.
-    pub confirms: bool,
+    pub lease_confirmed: bool,
     /// Whether the advice service answers. Each ticket holds the time of its issue, in
     /// milliseconds.
-    pub advises: bool,
+    pub advice_up: bool,
     /// How long a call for advice takes.
-    pub call: Duration,
+    pub advice_delay: Duration,
     /// How many calls for advice have been answered or given up.
-    pub calls: u64,
+    pub advice_calls: u64,
     /// Whether the shard has ordered its owner to give it up ([`Order::Deposed`]).
     pub deposed: bool,
     /// Every call that the owner made to a worker: when, the worker's index, and the call.
-    pub log: Vec<(Time, usize, WorkerCall)>,
+    pub call_log: Vec<(Time, usize, WorkerCall)>,
     /// Orders that are not answered yet, with the time when each was given.
     pending: Vec<(Time, Order)>,
     /// Transactions that take effect later, without an answer.
@@ -80,11 +80,11 @@
 }
 
 fn bounds() -> Bounds {
-    Bounds { hold: HOLD, stop: STOP, ..setup::bounds() }
+    Bounds { max_lease: MAX_LEASE, stop_time: MAX_STOP, ..setup::bounds() }
 }
 
 /// The queues `plain` and `advised`, on one pool. Steps of `advised` need advice.
-fn queues() -> Arc<Queues> {
+fn queues() -> Arc<QueueConfig> {
     let ms = Duration::from_millis;
     let queue = |name: &str, advice| Queue {
         name: name.into(),
@@ -98,11 +98,11 @@
         advice,
     };
     let cost = AdviceCost { base: ms(20), each: ms(2), valid: ms(2_000) };
-    Arc::new(Queues {
+    Arc::new(QueueConfig {
         version: 1,
-        all: vec![queue("plain", None), queue("advised", Some(cost))],
-        pools: vec![Pool { name: "pool".into(), guards: false, standby: false }],
-        body: 1 << 20,
+        queues: vec![queue("plain", None), queue("advised", Some(cost))],
+        pools: vec![Pool { name: "pool".into(), checks_room: false, standby: false }],
+        max_body: 1 << 20,
     })
 }
 
@@ -122,70 +122,70 @@
     TaskKey { step: StepKey { job: JobNo(no), time: 0, step: 0 }, index }
 }
 
-impl Hand {
+impl Harness {
     /// An owner with `count` workers, which are all usable when this returns.
     pub fn new(count: usize) -> Self {
         let mut store = Store::new(1);
-        let shard = Shard::new(setup(0), Load::default(), Time::ZERO);
-        store.put(SHARD.roster(), write(&Roster::default()));
-        let mut harness = Hand {
+        let shard = Shard::new(setup(0), Snapshot::default(), Time::ZERO);
+        store.put(SHARD.roster(), encode(&Roster::default()));
+        let mut harness = Harness {
             shard,
             token: 0,
             now: Time::ZERO,
             workers: (0..count).map(Worker::new).collect(),
             store,
-            fates: VecDeque::new(),
-            unread: 0,
-            answers: true,
-            confirms: true,
-            advises: true,
-            call: Duration::ZERO,
-            calls: 0,
+            write_outcomes: VecDeque::new(),
+            lost_reads: 0,
+            store_up: true,
+            lease_confirmed: true,
+            advice_up: true,
+            advice_delay: Duration::ZERO,
+            advice_calls: 0,
             deposed: false,
-            log: vec![],
+            call_log: vec![],
             pending: vec![],
             delayed: vec![],
             crashed: BTreeSet::new(),
         };
-        harness.succeed();
+        harness.take_over();
         harness.run(200);
         harness
     }
 
     /// Replaces the owner with a new one that has a higher token and loads its state from the
     /// store.
-    pub fn succeed(&mut self) {
+    pub fn take_over(&mut self) {
         self.token += 1;
-        let row = write(&CommitRow { token: self.token, number: 0 });
+        let row = encode(&CommitRow { token: self.token, number: 0 });
         let commit = self.store.put(SHARD.commit(), row);
         self.shard = Shard::new(setup(self.token), self.load(commit), self.now);
         self.pending.clear();
-        self.tell(Event::Queues(queues()));
-        self.tell(Event::Peers(Peers { own: vec![Incarnation(self.token)], shared: vec![] }));
-        self.list();
+        self.deliver(Event::Queues(queues()));
+        self.deliver(Event::Peers(Peers { own: vec![Incarnation(self.token)], shared: vec![] }));
+        self.deliver_list();
     }
 
-    fn load(&self, commit: u64) -> Load {
+    fn load(&self, commit: u64) -> Snapshot {
         let tail = |key: &str| key.rsplit('/').next().and_then(|n| n.parse().ok());
         let of = |kind: &str| self.store.range(&format!("{}{kind}/", SHARD.inbox()));
-        let jobs = of("j").into_iter().filter_map(|(k, v)| Some((tail(&k)?, read(&v)?)));
+        let jobs = of("j").into_iter().filter_map(|(k, v)| Some((tail(&k)?, decode(&v)?)));
         let cancels = of("c").into_iter().filter_map(|(k, _)| tail(&k));
         let progress = self.store.range(&SHARD.all_progress()).into_iter();
         let roster = self.store.get(&SHARD.roster()).and_then(|i| i.value);
-        Load {
+        Snapshot {
             jobs: jobs.collect(),
             cancels: cancels.collect(),
-            progress: progress.filter_map(|(k, v)| Some((tail(&k)?, read(&v)?))).collect(),
-            roster: roster.and_then(|v| read(&v)).unwrap_or_default(),
-            commit,
+            progress: progress.filter_map(|(k, v)| Some((tail(&k)?, decode(&v)?))).collect(),
+            roster: roster.and_then(|v| decode(&v)).unwrap_or_default(),
+            commit_revision: commit,
             lapsed: false,
         }
     }
 
     /// The progress of a job as the store has it.
-    pub fn stored(&self, no: u64) -> Progress {
+    pub fn stored_progress(&self, no: u64) -> Progress {
         let item = self.store.get(&SHARD.progress(JobNo(no))).and_then(|i| i.value);
-        item.and_then(|v| read(&v)).unwrap_or_default()
+        item.and_then(|v| decode(&v)).unwrap_or_default()
     }
 
     /// The state of a job as the owner shows it to callers.
@@ -197,11 +197,11 @@
     pub fn submit(&mut self, no: u64, queue: &str, job: Job) {
         let came = UNIX_MS + self.now.0 / 1_000;
         let record = JobRecord { queue: queue.into(), came, job, terms: None };
-        self.store.put(SHARD.job(JobNo(no)), write(&record));
-        self.tell(Event::Job(JobNo(no), Box::new(record)));
+        self.store.put(SHARD.job(JobNo(no)), encode(&record));
+        self.deliver(Event::Job(JobNo(no), Box::new(record)));
     }
 
-    /// Like [`Hand::submit`], for a job that is due `ms` milliseconds later.
+    /// Like [`Harness::submit`], for a job that is due `ms` milliseconds later.
     pub fn submit_due(&mut self, no: u64, ms: u64, job: Job) {
         let first = UNIX_MS + self.now.0 / 1_000 + ms;
         let times = Some(Times { count: 1, first, every: 1 });
@@ -211,17 +211,17 @@
     /// Stores the cancellation of a job and notifies the owner.
     pub fn cancel(&mut self, no: u64) {
         self.store.put(SHARD.cancel(JobNo(no)), "{}".into());
-        self.tell(Event::Cancel(JobNo(no)));
+        self.deliver(Event::Cancel(JobNo(no)));
     }
 
     /// Delivers the current list of workers to the owner.
-    pub fn list(&mut self) {
-        let listed: Vec<Listed> = self.workers.iter().filter_map(Worker::entry).collect();
-        self.tell(Event::Listed(listed));
+    pub fn deliver_list(&mut self) {
+        let listed: Vec<ListedWorker> = self.workers.iter().filter_map(Worker::entry).collect();
+        self.deliver(Event::Listed(listed));
     }
 
     /// Crashes a worker and restarts it at once as a new incarnation. The owner is not told until
-    /// the next [`Hand::list`].
+    /// the next [`Harness::deliver_list`].
     pub fn restart(&mut self, at: usize) {
         self.crashed.insert(self.workers[at].id.clone());
         self.workers[at].crash();
@@ -230,7 +230,7 @@
     /// Crashes a worker, restarts it at once as a new incarnation and delivers the new list.
     pub fn crash(&mut self, at: usize) {
         self.restart(at);
-        self.list();
+        self.deliver_list();
     }
 
     /// The index of a worker, or `None` if this incarnation has crashed. Panics if there has never
@@ -242,12 +242,12 @@
     }
 
     /// Delivers an event to the shard and collects the orders that it gives in return.
-    pub fn tell(&mut self, event: Event) {
-        for order in self.shard.on(event, self.now) {
+    pub fn deliver(&mut self, event: Event) {
+        for order in self.shard.handle(event, self.now) {
             if let Order::Worker { worker, call, .. } = &order
                 && let Some(at) = self.index_of(worker)
             {
-                self.log.push((self.now, at, WorkerCall::clone(call)));
+                self.call_log.push((self.now, at, WorkerCall::clone(call)));
             }
             self.deposed |= order == Order::Deposed;
             self.pending.push((self.now, order));
@@ -258,25 +258,25 @@
     pub fn run(&mut self, ms: u64) {
         let deadline = self.now + Duration::from_millis(ms);
         while self.now < deadline {
-            self.pass();
+            self.tick();
         }
     }
 
     /// Advances time until `condition` holds and returns that time. Panics with `what` if
     /// `condition` does not hold within `ms` milliseconds.
-    pub fn until(&mut self, what: &str, ms: u64, condition: impl Fn(&Hand) -> bool) -> Time {
+    pub fn run_until(&mut self, what: &str, ms: u64, condition: impl Fn(&Harness) -> bool) -> Time {
         let deadline = self.now + Duration::from_millis(ms);
         while !condition(self) {
             assert!(self.now < deadline, "{what}: did not happen within {ms} ms");
-            self.pass();
+            self.tick();
         }
         self.now
     }
 
-    /// Advances time by one [`STEP`]: answers the orders that are in flight, confirms the lease and
+    /// Advances time by one [`TICK`]: answers the orders that are in flight, confirms the lease and
     /// delivers a tick.
-    pub fn pass(&mut self) {
-        self.now = self.now + STEP;
+    pub fn tick(&mut self) {
+        self.now = self.now + TICK;
         for (at, txn) in mem::take(&mut self.delayed) {
             if at <= self.now {
                 self.store.txn(&txn);
@@ -287,10 +287,10 @@
         for (sent, order) in mem::take(&mut self.pending) {
             self.answer(sent, order);
         }
-        if self.confirms {
-            self.tell(Event::Confirmed(self.now));
+        if self.lease_confirmed {
+            self.deliver(Event::Confirmed(self.now));
         }
-        self.tell(Event::Tick);
+        self.deliver(Event::Tick);
     }
 
     fn answer(&mut self, sent: Time, order: Order) {
@@ -303,43 +303,47 @@
                     return self.pending.push((sent, order));
                 }
                 let (worker, call) = (worker.clone(), call.clone());
-                self.tell(Event::Worker { worker, sent, call, reply });
+                self.deliver(Event::Worker { worker, sent, call, reply });
             }
             Order::Advise { via, call, sent, limit, .. } => {
-                let waits = !self.advises && self.now < *sent + *limit;
-                if waits || self.now < *sent + self.call {
+                let waits = !self.advice_up && self.now < *sent + *limit;
+                if waits || self.now < *sent + self.advice_delay {
                     return self.pending.push((*sent, order));
                 }
-                self.calls += 1;
+                self.advice_calls += 1;
                 let ticket: Box<str> = (self.now.0 / 1_000).to_string().into();
                 let good = call.workers.iter().map(|w| (w.clone(), ticket.clone())).collect();
-                let advice = Advice { good, valid: None };
-                let reply = if self.advises { Ok(advice) } else { Err(Fault::Unknown) };
-                self.tell(Event::Advised { call: call.clone(), via: *via, sent: *sent, reply });
+                let advice = Advice { accepted: good, validity: None };
+                let reply = if self.advice_up { Ok(advice) } else { Err(Fault::Unknown) };
+                self.deliver(Event::Advised { call: call.clone(), via: *via, sent: *sent, reply });
+            }
+            Order::Store(..) | Order::ReadCommit if !self.store_up => {
+                self.pending.push((sent, order))
             }
-            Order::Store(..) | Order::Reread if !self.answers => self.pending.push((sent, order)),
             Order::Store(number, txn) => self.write(*number, txn),
-            Order::Reread if self.unread > 0 => {
-                self.unread -= 1;
-                self.tell(Event::Reread(Err(Fault::Unknown)));
+            Order::ReadCommit if self.lost_reads > 0 => {
+                self.lost_reads -= 1;
+                self.deliver(Event::CommitRead(Err(Fault::Unknown)));
             }
-            Order::Reread => {
+            Order::ReadCommit => {
                 let row = self.store.get(&SHARD.commit()).expect("a commit row");
-                let read = read(&row.value.expect("a value")).expect("a row");
-                self.tell(Event::Reread(Ok((row.rev, read))));
+                let read = decode(&row.value.expect("a value")).expect("a row");
+                self.deliver(Event::CommitRead(Ok((row.rev, read))));
             }
             // The harness has no list of machines.
-            Order::Lives => self.tell(Event::Lives { sent, reply: Err(Fault::Unsent) }),
+            Order::ReadMachines => {
+                self.deliver(Event::Machines { sent, reply: Err(Fault::Unsent) })
+            }
             Order::Deposed => {}
         }
     }
 
     fn write(&mut self, number: u64, txn: &Txn) {
-        let reply = match self.fates.pop_front().unwrap_or(Fate::Answered) {
-            Fate::Answered => Ok(self.store.txn(txn)),
-            Fate::Refused => Err(Fault::Refused),
-            Fate::Unheard => Err(Fault::Unknown),
-            Fate::Lost(delay) => {
+        let reply = match self.write_outcomes.pop_front().unwrap_or(CallOutcome::Answered) {
+            CallOutcome::Answered => Ok(self.store.txn(txn)),
+            CallOutcome::Refused => Err(Fault::Refused),
+            CallOutcome::Unanswered => Err(Fault::Unknown),
+            CallOutcome::AnswerLost(delay) => {
                 if delay.is_zero() {
                     self.store.txn(txn);
                 } else {
@@ -348,7 +352,7 @@
                 Err(Fault::Unknown)
             }
         };
-        self.tell(Event::Stored(number, reply));
+        self.deliver(Event::Stored(number, reply));
     }
 
     /// All starts so far: when, the worker's index, and the start.
@@ -357,7 +361,7 @@
             WorkerCall::Start(s) => Some((*at, *w, s.clone())),
             _ => None,
         };
-        self.log.iter().filter_map(start).collect()
+        self.call_log.iter().filter_map(start).collect()
     }
 
     /// All starts of a job so far.
@@ -371,7 +375,7 @@
             WorkerCall::Stop { task, .. } => Some((*at, *w, *task)),
             _ => None,
         };
-        self.log.iter().filter_map(stop).collect()
+        self.call_log.iter().filter_map(stop).collect()
     }
 
     /// All leases that a worker was given: when, and the expiry on the worker's clock, in
@@ -382,31 +386,31 @@
             WorkerCall::Start(s) => Some((*at, s.until)),
             _ => None,
         };
-        self.log.iter().filter(|(_, w, _)| *w == worker).filter_map(lease).collect()
+        self.call_log.iter().filter(|(_, w, _)| *w == worker).filter_map(lease).collect()
     }
 
     /// The highest number of an end that the owner has acknowledged to a worker.
-    pub fn noted(&self, worker: usize) -> u64 {
+    pub fn last_acked_end(&self, worker: usize) -> u64 {
         let seen = |(_, w, call): &(Time, usize, WorkerCall)| match call {
             WorkerCall::Hold { seen, .. } if *w == worker => Some(*seen),
             _ => None,
         };
-        self.log.iter().filter_map(seen).max().unwrap_or(0)
+        self.call_log.iter().filter_map(seen).max().unwrap_or(0)
     }
 
     /// Indices of the workers on which a task runs.
-    pub fn places(&self, task: TaskKey) -> Vec<usize> {
-        let runs_task = |w: &Worker| w.rows.iter().any(|r| r.task == task);
+    pub fn workers_running(&self, task: TaskKey) -> Vec<usize> {
+        let runs_task = |w: &Worker| w.running.iter().any(|r| r.task == task);
         (0..self.workers.len()).filter(|w| runs_task(&self.workers[*w])).collect()
     }
 
     /// Ends a task on the one worker that runs it.
-    pub fn end(&mut self, task: TaskKey, how: How) {
+    pub fn end(&mut self, task: TaskKey, how: EndReason) {
         let ended = self.workers.iter_mut().map(|w| w.end(&task, how));
         assert_eq!(ended.filter(|e| *e).count(), 1, "{task} must run on exactly one worker");
     }
 }
 
 fn setup(token: u64) -> Setup {
-    Setup { shard: SHARD, me: Incarnation(token), token, bounds: bounds(), unix: UNIX_MS }
+    Setup { shard: SHARD, member: Incarnation(token), token, bounds: bounds(), unix_ms: UNIX_MS }
 }
--- a/tests/hand/worker.rs
+++ b/tests/hand/worker.rs
@@ -4,9 +4,11 @@
     dogwoodreach::{
         Time,
         ids::WorkerId,
-        ports::{End, Fault, Held, How, Refusal, Row, Start, WorkerCall, WorkerReply as Reply},
+        ports::{
+            End, EndReason, Fault, Held, Refusal, Row, Start, WorkerCall, WorkerReply as Reply,
+        },
         units::Size,
-        work::{Listed, TaskKey},
+        work::{ListedWorker, TaskKey},
     },
     std::{collections::BTreeMap, time::Duration},
 };
@@ -15,9 +17,9 @@
 pub type Hook = fn(&WorkerCall) -> Option<Result<Reply, Fault>>;
 
 /// Overrides nothing.
-pub const FINE: Hook = |_| None;
+pub const NORMAL: Hook = |_| None;
 /// Gives no answer to any call.
-pub const MUTE: Hook = |_| Some(Err(Fault::Unknown));
+pub const SILENT: Hook = |_| Some(Err(Fault::Unknown));
 
 /// A worker with 4 cores in the pool `pool`, which a test controls by its fields.
 pub struct Worker {
@@ -26,17 +28,17 @@
     /// How many incarnations came before this one.
     restarts: u32,
     /// Whether the list of workers has it.
-    pub there: bool,
+    pub listed: bool,
     /// The time until it leaves, once it has announced that.
-    pub left: Option<Duration>,
+    pub leaves_in: Option<Duration>,
     pub hook: Hook,
     /// The rate of its clock, as a factor of real time.
-    pub rate: f64,
+    pub clock_rate: f64,
     pub token: u64,
-    pub rows: Vec<Row>,
+    pub running: Vec<Row>,
     pub ends: Vec<End>,
     /// The number of the last end.
-    pub count: u64,
+    pub end_count: u64,
     /// The highest run of each task that has ended or was stopped; it and lower ones may not start.
     ended_runs: BTreeMap<TaskKey, u32>,
 }
@@ -47,14 +49,14 @@
             id: WorkerId::from(&*format!("w{index}")),
             index,
             restarts: 0,
-            there: true,
-            left: None,
-            hook: FINE,
-            rate: 1.0,
+            listed: true,
+            leaves_in: None,
+            hook: NORMAL,
+            clock_rate: 1.0,
             token: 0,
-            rows: vec![],
+            running: vec![],
             ends: vec![],
-            count: 0,
+            end_count: 0,
             ended_runs: BTreeMap::new(),
         }
     }
@@ -70,22 +72,22 @@
     }
 
     /// Its entry in the list of workers, if it has one.
-    pub fn entry(&self) -> Option<Listed> {
-        self.there.then(|| Listed {
+    pub fn entry(&self) -> Option<ListedWorker> {
+        self.listed.then(|| ListedWorker {
             id: self.id.clone(),
             pool: "pool".into(),
             addr: ([127, 0, 0, 1], 9_000 + self.index as u16).into(),
             zone: "z".into(),
-            draining: self.left.is_some(),
-            left: self.left,
-            size: Size::new(4, 16_384, 0),
+            draining: self.leaves_in.is_some(),
+            min_stay: self.leaves_in,
+            capacity: Size::new(4, 16_384, 0),
             labels: ["kind".into(), "rack".into()].into(),
         })
     }
 
     /// The time on its clock, in milliseconds.
     pub fn clock(&self, now: Time) -> u64 {
-        1_000 + (now.0 as f64 / 1e3 * self.rate) as u64
+        1_000 + (now.0 as f64 / 1e3 * self.clock_rate) as u64
     }
 
     /// Carries out a call, unless [`Worker::hook`] overrides it, and returns the answer.
@@ -108,11 +110,11 @@
             WorkerCall::Start(start) => return Ok(self.start(start, clock)),
             WorkerCall::Stop { task, run, .. } => {
                 self.forbid_run(task, *run);
-                self.end(task, How::Stopped);
+                self.end(task, EndReason::Stopped);
             }
             WorkerCall::Hold { seen, .. } => {
                 self.ends.retain(|e| e.number > *seen);
-                let (running, ended) = (self.rows.clone(), self.ends.clone());
+                let (running, ended) = (self.running.clone(), self.ends.clone());
                 return Ok(Reply::Held(Held { clock, running, ended }));
             }
             WorkerCall::Pace { .. } => {}
@@ -122,13 +124,13 @@
 
     fn start(&mut self, start: &Start, clock: u64) -> Reply {
         let Start { task, run, saved, .. } = start.clone();
-        if self.rows.iter().any(|r| r.task == task && r.run == run) {
+        if self.running.iter().any(|r| r.task == task && r.run == run) {
             return Reply::Done(clock);
         }
         if self.ended_runs.get(&task).is_some_and(|last| run <= *last) {
             return Reply::Refused(clock, Refusal::Old);
         }
-        self.rows.push(Row { task, run, saved, percent: 0, load: 0 });
+        self.running.push(Row { task, run, saved, percent: 0, load: 0 });
         Reply::Done(clock)
     }
 
@@ -138,17 +140,20 @@
     }
 
     /// Ends a task and returns whether it was running here.
-    pub fn end(&mut self, task: &TaskKey, how: How) -> bool {
-        let Some(at) = self.rows.iter().position(|r| r.task == *task) else { return false };
-        let Row { task, run, saved, .. } = self.rows.remove(at);
-        self.count += 1;
-        self.ends.push(End { number: self.count, task, run, how, saved });
+    pub fn end(&mut self, task: &TaskKey, how: EndReason) -> bool {
+        let Some(at) = self.running.iter().position(|r| r.task == *task) else { return false };
+        let Row { task, run, saved, .. } = self.running.remove(at);
+        self.end_count += 1;
+        self.ends.push(End { number: self.end_count, task, run, how, saved });
         self.forbid_run(&task, run);
         true
     }
 
     /// The row of a task that runs here, to be changed. Panics if it doesn't run here.
-    pub fn row(&mut self, task: &TaskKey) -> &mut Row {
-        self.rows.iter_mut().find(|r| r.task == *task).expect("task must be running on this worker")
+    pub fn row_mut(&mut self, task: &TaskKey) -> &mut Row {
+        self.running
+            .iter_mut()
+            .find(|r| r.task == *task)
+            .expect("task must be running on this worker")
     }
 }
--- a/tests/jobs.rs
+++ b/tests/jobs.rs
@@ -4,7 +4,7 @@
 
 use {
     arbtest::arbitrary::{Result, Unstructured},
-    cell::{Cell, HEAD, job, task},
+    cell::{Cell, TEXT_HEAD, job, task},
     dogwoodreach::{
         Time,
         gangs::{Gangs, Step},
@@ -21,13 +21,13 @@
 #[test]
 fn shrunk_replicas_are_still_replaced() {
     let mut cell = Cell::new(&job("replicas", "feed", 6, ""));
-    cell.secs(3);
+    cell.advance_secs(3);
     assert_eq!(cell.running("feed"), 6);
     cell.submit(&job("replicas", "feed", 3, ""));
-    cell.secs(5);
+    cell.advance_secs(5);
     assert_eq!(cell.running("feed"), 3);
     cell.end(&task("feed", 0), TaskState::Failed);
-    cell.secs(10);
+    cell.advance_secs(10);
     assert_eq!(cell.running("feed"), 3);
 }
 
@@ -38,17 +38,17 @@
     let mut cell = Cell::new(&job("batch", "nightly", 3, ""));
     cell.finish(5);
     cell.submit("");
-    cell.secs(3);
+    cell.advance_secs(3);
     cell.submit(&job("batch", "nightly", 3, ""));
     cell.finish(5);
-    assert_eq!(cell.floor.starts.len(), 6);
+    assert_eq!(cell.racks.starts.len(), 6);
 }
 
 // Part of the configuration is removed while its tasks are still stopping, and restored at once.
 #[test]
 fn a_job_listed_again_waits_for_its_old_tasks() {
     let mut cell = Cell::new(&job("batch", "nightly", 3, ""));
-    cell.secs(3);
+    cell.advance_secs(3);
     cell.submit("");
     cell.tick();
     cell.submit(&job("batch", "nightly", 3, ""));
@@ -61,20 +61,20 @@
 #[test]
 fn a_job_resized_while_room_is_asked_leaves_no_count() {
     let mut cell = Cell::new(&job("batch", "nightly", 6, ""));
-    cell.pass(cell::STEP);
-    cell.pass(cell::STEP);
+    cell.advance(cell::STEP);
+    cell.advance(cell::STEP);
     for n in 0..20 {
         cell.tick();
         let text = job("batch", "nightly", 6, &format!("priority = {}", n % 2));
         cell.submit(&text);
         cell.tick();
-        cell.pass(cell::STEP * 3);
+        cell.advance(cell::STEP * 3);
     }
     cell.finish(10);
     cell.submit("");
-    cell.secs(3);
+    cell.advance_secs(3);
     cell.submit(&job("gang", "model", 8, ""));
-    cell.secs(5);
+    cell.advance_secs(5);
     assert_eq!(cell.running("model"), 8, "the team's whole quota is free");
 }
 
@@ -83,15 +83,15 @@
 #[test]
 fn a_lost_bucket_leaves_no_count() {
     let mut cell = Cell::new(&job("batch", "nightly", 8, ""));
-    cell.secs(3);
+    cell.advance_secs(3);
     cell.submit("");
     cell.tick();
     cell.takeover();
-    cell.secs(5);
-    assert_eq!(cell.floor.runs.len(), 0);
-    cell.pass_to(0);
+    cell.advance_secs(5);
+    assert_eq!(cell.racks.runs.len(), 0);
+    cell.give_buckets(0);
     cell.submit(&job("gang", "model", 8, ""));
-    cell.secs(5);
+    cell.advance_secs(5);
     assert_eq!(cell.running("model"), 8, "the team's whole quota is free");
 }
 
@@ -100,15 +100,15 @@
 #[test]
 fn an_owner_without_a_text_stops_nothing() {
     let mut cell = Cell::new(&job("replicas", "feed", 4, ""));
-    cell.secs(3);
+    cell.advance_secs(3);
     let plan = std::mem::take(&mut cell.plan);
     cell.takeover_unplanned();
-    cell.secs(3);
+    cell.advance_secs(3);
     assert_eq!(cell.running("feed"), 4);
     cell.plan = plan.clone();
-    cell.jobs().planned(&plan);
-    cell.secs(5);
-    assert_eq!((cell.running("feed"), cell.floor.starts.len()), (4, 4));
+    cell.jobs().set_plan(&plan);
+    cell.advance_secs(5);
+    assert_eq!((cell.running("feed"), cell.racks.starts.len()), (4, 4));
 }
 
 // A gang runs on eight cores; one task fails after another has ended. Guards against restarting the
@@ -116,14 +116,14 @@
 #[test]
 fn a_gang_that_fails_starts_anew_whole() {
     let mut cell = Cell::new(&job("gang", "model", 4, ""));
-    cell.secs(3);
+    cell.advance_secs(3);
     cell.end(&task("model", 0), TaskState::Ended);
-    cell.secs(1);
+    cell.advance_secs(1);
     cell.end(&task("model", 1), TaskState::Failed);
-    cell.secs(10);
+    cell.advance_secs(10);
     assert_eq!(cell.running("model"), 4);
     cell.finish(5);
-    assert_eq!(cell.floor.starts.len(), 8);
+    assert_eq!(cell.racks.starts.len(), 8);
 }
 
 // A task of a gang is lost with its worker's process. The bucket's owner records that and dies
@@ -131,16 +131,16 @@
 #[test]
 fn half_a_gang_is_stopped_by_a_new_owner() {
     let mut cell = Cell::new(&job("gang", "model", 4, ""));
-    cell.secs(3);
-    cell.floor.vanish(&task("model", 1));
+    cell.advance_secs(3);
+    cell.racks.end_unreported(&task("model", 1));
     while !cell.store.values().any(|(_, text)| text.contains("lost")) {
-        cell.pass(cell::STEP);
+        cell.advance(cell::STEP);
     }
-    cell.mail.clear();
+    cell.messages.clear();
     cell.takeover();
-    cell.secs(15);
+    cell.advance_secs(15);
     assert_eq!(cell.running("model"), 4);
-    let again = cell.floor.starts.iter().filter(|(_, a)| *a == Attempt(2)).count();
+    let again = cell.racks.starts.iter().filter(|(_, a)| *a == Attempt(2)).count();
     assert_eq!(again, 4);
 }
 
@@ -152,10 +152,10 @@
         text.replace("memory = 1GB", "memory = 100MB").replace("quoting", team)
     };
     let mut cell = Cell::new("");
-    cell.secs(1);
+    cell.advance_secs(1);
     cell.submit(&(urgent("aaa", "quoting") + &urgent("bbb", "audit")));
     cell.tick();
-    let asked = cell.urgent_asks();
+    let asked = cell.urgent_jobs();
     assert!(asked.contains(&"aaa".into()) && asked.contains(&"bbb".into()), "{asked:?}");
 }
 
@@ -168,15 +168,15 @@
     for _ in 0..20 {
         cell.end_all("bad", TaskState::Failed);
         cell.end_all("feed", TaskState::Ended);
-        cell.secs(2);
+        cell.advance_secs(2);
     }
     let starts =
-        |cell: &Cell| cell.floor.starts.iter().filter(|(t, _)| t.job.as_str() == "bad").count();
+        |cell: &Cell| cell.racks.starts.iter().filter(|(t, _)| t.job.as_str() == "bad").count();
     let all = starts(&cell);
     for _ in 0..60 {
         let before = starts(&cell);
         cell.end_all("bad", TaskState::Failed);
-        cell.secs(1);
+        cell.advance_secs(1);
         let n = starts(&cell) - before;
         assert!(n <= 1, "{n} starts at once of a job on trial");
     }
@@ -188,10 +188,10 @@
 #[test]
 fn a_team_that_is_gone_lends_nothing() {
     let mut cell = Cell::new("");
-    cell.secs(1);
-    let one = HEAD.replace("[team audit]\ncores = 8\nmemory = 32GB\n", "");
+    cell.advance_secs(1);
+    let one = TEXT_HEAD.replace("[team audit]\ncores = 8\nmemory = 32GB\n", "");
     cell.put(&(one + &job("batch", "nightly", 16, "")));
-    cell.secs(5);
+    cell.advance_secs(5);
     assert_eq!(cell.running("nightly"), 8, "the quota, and nothing lent");
 }
 
@@ -203,15 +203,15 @@
     let small = job("batch", "branch", 4000, "").replace("cores = 1", "cores = 0.01");
     let mut cell = Cell::new(&small.replace("1GB", "10MB"));
     for n in 0..60 {
-        cell.floor.end_all();
-        cell.pass(cell::STEP * 8);
+        cell.racks.end_all();
+        cell.advance(cell::STEP * 8);
         if n == 10 {
             cell.takeover();
         }
     }
     let rows = cell.jobs().show();
     let ended = rows.iter().filter(|r| &*r.state == "ended").count();
-    assert_eq!((ended, cell.floor.starts.len()), (4000, 4000));
+    assert_eq!((ended, cell.racks.starts.len()), (4000, 4000));
 }
 
 // A batch with a deadline of one hour has waited for fifty minutes when its bucket changes owner.
@@ -221,19 +221,19 @@
     let block = job("replicas", "block", 8, "");
     let old = job("batch", "old", 8, "deadline = 60m");
     let fresh = job("batch", "fresh", 8, "deadline = 30m");
-    let head = HEAD.replace("[team audit]\ncores = 8\nmemory = 32GB\n", "");
+    let head = TEXT_HEAD.replace("[team audit]\ncores = 8\nmemory = 32GB\n", "");
     let mut cell = Cell::new("");
     cell.put(&format!("{head}{block}"));
-    cell.secs(3);
+    cell.advance_secs(3);
     cell.put(&format!("{head}{block}{old}"));
-    cell.secs(3);
+    cell.advance_secs(3);
     cell.now = cell.now + Duration::from_secs(50 * 60);
     cell.takeover();
     cell.put(&format!("{head}{block}{old}{fresh}"));
-    cell.secs(3);
+    cell.advance_secs(3);
     cell.put(&format!("{head}{old}{fresh}"));
-    cell.secs(5);
-    let first = cell.floor.starts.iter().find(|(t, _)| t.job.as_str() != "block");
+    cell.advance_secs(5);
+    let first = cell.racks.starts.iter().find(|(t, _)| t.job.as_str() != "block");
     assert_eq!(first.map(|(t, _)| t.job.as_str()), Some("old"));
 }
 
@@ -242,7 +242,7 @@
 #[test]
 fn a_late_answer_counts_for_no_other_round() {
     let at = |secs| Time::ZERO + Duration::from_secs(secs);
-    let floor = cell::Floor::new();
+    let floor = cell::FakeRacks::new();
     let item = |index| ReserveItem {
         attempt: Attempt(1),
         avoid: vec![],
@@ -257,13 +257,13 @@
     let first = gangs.begin(&job, &pool, items.clone(), &floor.loads(), at(0));
     let Step::Ask(ask) = first else { panic!("it asks") };
     assert!(
-        matches!(&gangs.tick(at(6))[..], [Step::Drop(rows, tasks)] if rows.is_empty() && tasks.len() == 4)
+        matches!(&gangs.tick(at(6))[..], [Step::Release(rows, tasks)] if rows.is_empty() && tasks.len() == 4)
     );
     let again = gangs.begin(&job, &pool, items.clone(), &floor.loads(), at(20));
-    assert!(matches!(again, Step::Drop(..)), "its ask is not answered");
-    let reply = cell::Floor::new().reserve(&ask, at(21));
+    assert!(matches!(again, Step::Release(..)), "its ask is not answered");
+    let reply = cell::FakeRacks::new().reserve(&ask, at(21));
     let late = gangs.answered(&ask, Some(reply), at(21));
-    assert!(matches!(late, Step::Drop(rows, tasks) if rows.len() == 2 && tasks.is_empty()));
+    assert!(matches!(late, Step::Release(rows, tasks) if rows.len() == 2 && tasks.is_empty()));
     assert!(matches!(gangs.begin(&job, &pool, items, &floor.loads(), at(22)), Step::Ask(_)));
 }
 
@@ -287,36 +287,36 @@
 
 /// Applies one random event to the cell.
 fn step(cell: &mut Cell, u: &mut Unstructured<'_>) -> Result<()> {
-    let running: Vec<_> = cell.floor.runs.keys().map(|(t, _)| t.clone()).collect();
+    let running: Vec<_> = cell.racks.runs.keys().map(|(t, _)| t.clone()).collect();
     match u.int_in_range(0..=59)? {
         0 => cell.submit(&text(u)?),
         1 if cell.owners.len() < 4 => cell.takeover(),
         2 => {
             let owner = u.choose_index(cell.owners.len())?;
-            cell.pass_to(owner);
+            cell.give_buckets(owner);
         }
         3..=8 if !running.is_empty() => {
             let state = [TaskState::Ended, TaskState::Failed];
             cell.end(u.choose(&running)?, *u.choose(&state)?);
         }
-        9 if !running.is_empty() => cell.floor.vanish(u.choose(&running)?),
-        _ => cell.turn(u)?,
+        9 if !running.is_empty() => cell.racks.end_unreported(u.choose(&running)?),
+        _ => cell.random_step(u)?,
     }
     Ok(())
 }
 
 // Configurations, ends, failures, takeovers, lost calls and late replies in any order.
-// `OneAttempt`, `Listed`, `Whole` and `NoOvercommit` are checked at each step. When all is over,
+// `OneAttempt`, `ListedWorker`, `Message` and `NoOvercommit` are checked at each step. When all is over,
 // every listed job has ended; once nothing is listed any more, nothing is counted or recorded.
 #[test]
 fn any_order_keeps_the_invariants() {
     let starts = std::cell::Cell::new(0);
-    cell::runs(150, 4000, |u| {
+    cell::run_seeds(150, 4000, |u| {
         let mut cell = Cell::new(&text(u)?);
         while !u.is_empty() {
             step(&mut cell, u)?;
         }
-        starts.set(starts.get() + cell.floor.starts.len());
+        starts.set(starts.get() + cell.racks.starts.len());
         cell.submit(
             &(job("batch", "nightly", 3, "") + &job("gang", "model", 2, "after = nightly")),
         );
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -54,7 +54,7 @@
 
 fn lanes(n: u64) -> Lanes {
     let mut lanes = Lanes::new();
-    lanes.members(&Peers { own: (0..n).map(Incarnation).collect(), shared: vec![] });
+    lanes.set_members(&Peers { own: (0..n).map(Incarnation).collect(), shared: vec![] });
     lanes
 }
 
@@ -226,15 +226,15 @@
         Some((Incarnation(0), Time::from_millis(LONG_MS + SHORT_MS)))
     );
     assert_eq!(lanes.pick(ms(SHORT_MS), now, now), None);
-    lanes.members(&Peers { own: vec![Incarnation(0), Incarnation(1)], shared: vec![] });
-    assert_eq!(lanes.busy(Incarnation(0)), 2, "the state of a member is kept");
+    lanes.set_members(&Peers { own: vec![Incarnation(0), Incarnation(1)], shared: vec![] });
+    assert_eq!(lanes.calls_at(Incarnation(0)), 2, "the state of a member is kept");
     assert_eq!(lanes.pick(ms(SHORT_MS), now, now).map(|p| p.0), Some(Incarnation(1)));
 }
 
 /// Picks a member for a long call and rejects the call; returns the member.
 fn reject_one(lanes: &mut Lanes, now: Time) -> Option<u64> {
     let (via, _) = lanes.pick(ms(LONG_MS), now, now)?;
-    lanes.turned_away(via, now, now + ms(1));
+    lanes.rejected(via, now, now + ms(1));
     Some(via.0)
 }
 
@@ -245,10 +245,10 @@
     // members.
     let mut lanes = Lanes::new();
     let of = |range: std::ops::Range<u64>| range.map(Incarnation).collect();
-    lanes.members(&Peers { own: of(0..2), shared: of(2..4) });
+    lanes.set_members(&Peers { own: of(0..2), shared: of(2..4) });
     let now = Time::ZERO;
     assert_eq!(reject_one(&mut lanes, now), Some(2));
-    assert_eq!(lanes.total(), 0, "a rejected call doesn't count");
+    assert_eq!(lanes.total_calls(), 0, "a rejected call doesn't count");
     assert_eq!(reject_one(&mut lanes, now + ms(5)), Some(3), "the next member is tried at once");
     let (own, end) = lanes.pick(ms(LONG_MS), now, now + ms(10)).expect("an unshared member");
     assert_eq!((own.0, end), (0, now + ms(10 + LONG_MS)));
@@ -306,7 +306,7 @@
 fn short_call_p99(peers: [Peers; 4]) -> u64 {
     let mut callers = peers.map(|p| {
         let mut lanes = Lanes::new();
-        lanes.members(&p);
+        lanes.set_members(&p);
         lanes
     });
     let (mut busy, mut in_flight, mut waiting) = ([0; 16], Vec::new(), Vec::new());
--- a/tests/layout.rs
+++ b/tests/layout.rs
@@ -7,7 +7,7 @@
         ids::{PoolId, WorkerId, Zone},
         layout::{ListMonitor, MAX_LIST_WAIT, STABLE_PERIOD, layout},
         shard::record::ShardNo,
-        work::{JobNo, Listed},
+        work::{JobNo, ListedWorker},
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -20,12 +20,12 @@
 }
 
 /// Workers of two pools over three zones: 756 in racks of 20, 98 in racks of 12.
-fn large_deployment() -> Vec<Listed> {
+fn large_deployment() -> Vec<ListedWorker> {
     two_pools(252)
 }
 
 /// This number of workers of one pool in each zone, and 98 workers of another pool.
-fn two_pools(each: usize) -> Vec<Listed> {
+fn two_pools(each: usize) -> Vec<ListedWorker> {
     let mut all = vec![];
     for (pool, each, rack) in [("quoting", [each; 3], 20), ("engineering", [33, 33, 32], 12)] {
         for (zone, count) in each.into_iter().enumerate() {
@@ -37,15 +37,15 @@
     all
 }
 
-fn worker(no: usize, pool: &str, zone: usize, rack: &str) -> Listed {
-    Listed {
+fn worker(no: usize, pool: &str, zone: usize, rack: &str) -> ListedWorker {
+    ListedWorker {
         id: WorkerId::from(&*format!("w{no}")),
         pool: PoolId::from(pool),
         addr: format!("10.0.{}.{}:7", no / 200, no % 200).parse().expect("an address"),
         zone: Zone::from(&*format!("z{zone}")),
         draining: false,
-        left: None,
-        size: Default::default(),
+        min_stay: None,
+        capacity: Default::default(),
         labels: ["kind", rack].map(Box::from).into(),
     }
 }
@@ -82,7 +82,7 @@
         let layout = layout(&workers, "s".into());
         assert_eq!(layout.shards, 1);
         assert!(workers.iter().all(|w| layout.worker_shard(w) == ShardNo(0)));
-        assert_eq!(layout.of(JobNo(7), &PoolId::from("quoting")), ShardNo(0));
+        assert_eq!(layout.job_shard(JobNo(7), &PoolId::from("quoting")), ShardNo(0));
     }
 }
 
@@ -116,7 +116,7 @@
     let large = crate::layout(&two_pools(1_000), "s".into());
     let mut parts: BTreeMap<ShardNo, usize> = BTreeMap::new();
     large.homes.iter().for_each(|(_, shard)| *parts.entry(*shard).or_default() += 1);
-    let quoting = |s: &ShardNo| large.pools[&PoolId::from("quoting")].has(*s);
+    let quoting = |s: &ShardNo| large.pools[&PoolId::from("quoting")].contains(*s);
     assert!(parts.iter().filter(|(s, _)| quoting(s)).all(|(_, n)| *n >= 250), "{parts:?}");
 }
 
@@ -126,7 +126,7 @@
     let workers = large_deployment();
     let layout = layout(&workers, "s".into());
     for pool in ["engineering", "quoting", "later"].map(PoolId::from) {
-        let jobs: BTreeSet<_> = (0..500).map(|n| layout.of(JobNo(n), &pool)).collect();
+        let jobs: BTreeSet<_> = (0..500).map(|n| layout.job_shard(JobNo(n), &pool)).collect();
         let there: BTreeSet<_> =
             workers.iter().filter(|w| w.pool == pool).map(|w| layout.worker_shard(w)).collect();
         let later = (0..3).map(ShardNo).collect();
@@ -144,7 +144,7 @@
     // had a third of a pool and another none of it, so that its jobs never ran.
     let workers = large_deployment();
     let layout = layout(&workers, "s".into());
-    let mut of: BTreeMap<ShardNo, Vec<&Listed>> = BTreeMap::new();
+    let mut of: BTreeMap<ShardNo, Vec<&ListedWorker>> = BTreeMap::new();
     for w in workers.iter().filter(|w| w.pool.as_str() == "quoting") {
         of.entry(layout.worker_shard(w)).or_default().push(w);
     }
@@ -162,7 +162,7 @@
     let workers = large_deployment();
     let layout = layout(&workers, "s".into());
     for w in &workers {
-        let next = Listed { id: WorkerId::from("next"), ..w.clone() };
+        let next = ListedWorker { id: WorkerId::from("next"), ..w.clone() };
         assert_eq!(layout.worker_shard(&next), layout.worker_shard(w));
     }
 }
@@ -178,7 +178,7 @@
     };
     for w in &workers {
         for pool in ["quoting", "engineering"] {
-            let next = Listed { id: WorkerId::from("next"), pool: pool.into(), ..w.clone() };
+            let next = ListedWorker { id: WorkerId::from("next"), pool: pool.into(), ..w.clone() };
             assert!(there(pool).contains(&layout.worker_shard(&next)));
         }
     }
@@ -192,7 +192,7 @@
         (0..20).map(|n| layout.worker_shard(&worker(1000 + n, pool, 1, "r1-3"))).collect();
     assert_eq!(shards.len(), 1);
     let alone: BTreeSet<_> = (0..20)
-        .map(|n| Listed { labels: [].into(), ..worker(1000 + n, pool, 1, "") })
+        .map(|n| ListedWorker { labels: [].into(), ..worker(1000 + n, pool, 1, "") })
         .map(|w| layout.worker_shard(&w))
         .collect();
     assert!(alone.len() > 1);
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -3,7 +3,7 @@
 use {
     dogwoodreach::{
         Time,
-        logs::{Budget, Ring, line, stamp},
+        logs::{Budget, Ring, format_time, line},
     },
     log::{Level, Record},
     std::time::{Duration, SystemTime, UNIX_EPOCH},
@@ -67,6 +67,6 @@
         (4_107_542_400_000, "2100-03-01T00:00:00.000Z"),
     ];
     for (ms, want) in cases {
-        assert_eq!(stamp(at(ms)), want);
+        assert_eq!(format_time(at(ms)), want);
     }
 }
