--- a/tests/order.rs
+++ b/tests/order.rs
@@ -5,7 +5,7 @@
         Time,
         decide::{
             order::{Job, Order},
-            quota::{Back, Grant, Quotas},
+            quota::{Grant, Quotas, Reclaim},
             urgent::{self, Allowances, Kind, Place, Running},
         },
         ids::{JobId, TaskId, TaskIndex},
@@ -30,11 +30,11 @@
         team: team.into(),
         deadline: Time::NEVER,
         priority: 0,
-        run: MINUTE * run,
+        run_time: MINUTE * run,
         width: 100,
         tasks,
         size: Size::new(1, 1024, 0),
-        back: Back::Checkpoint,
+        reclaim: Reclaim::Checkpoint,
     }
 }
 
@@ -69,12 +69,12 @@
     }
 
     fn push(&mut self, now: Time, job: Job) {
-        self.runs.insert(job.id.clone(), job.run);
+        self.runs.insert(job.id.clone(), job.run_time);
         let Some(first) = &mut self.first else {
             return self.order.push(now, job, &mut self.quotas);
         };
         let task = |i| TaskId { job: job.id.clone(), index: TaskIndex(i) };
-        first.extend((0..job.tasks).map(|i| (task(i), job.run)));
+        first.extend((0..job.tasks).map(|i| (task(i), job.run_time)));
     }
 
     fn next(&mut self, now: Time) -> Option<TaskId> {
@@ -105,7 +105,7 @@
             now = *at;
             while self.ends.peek().is_some_and(|Reverse((at, _))| *at == now) {
                 let Some(Reverse((_, task))) = self.ends.pop() else { break };
-                self.quotas.ended(&task);
+                self.quotas.record_end(&task);
                 self.order.ended(now, &task, &mut self.quotas);
                 self.finished_at.insert(task.job, now);
             }
@@ -152,7 +152,7 @@
         f.push(Time::ZERO, Job { deadline: minutes(230), width: 10, ..job("t", "far", 100, 10) });
         let near = Job { deadline: minutes(60), width: 10, ..job("t", "near", 20, 10) };
         f.push(Time::ZERO, near);
-        f.order.correct(Time::ZERO, &"far".into(), MINUTE * run, &f.quotas);
+        f.order.set_run_time(Time::ZERO, &"far".into(), MINUTE * run, &f.quotas);
         f.play(Time::ZERO, minutes(1000));
         f
     };
@@ -241,7 +241,8 @@
     f.push(Time::ZERO, job("t", "running", 5, 5));
     f.push(Time::ZERO, job("t", "longer", 5, 8));
     f.fill(Time::ZERO);
-    let large = Job { size: Size::new(8, 8192, 0), back: Back::Never, ..job("t", "large", 1, 5) };
+    let large =
+        Job { size: Size::new(8, 8192, 0), reclaim: Reclaim::Never, ..job("t", "large", 1, 5) };
     f.push(Time::ZERO, large);
     f.push(minutes(2), job("t", "small", 500, 4));
     f.play(minutes(2), minutes(60));
@@ -264,8 +265,8 @@
             size: Size::new(cores, cores * 4096, 0),
             kind,
             borrowed,
-            saved: now - Duration::from_secs(rng.u64(60..7200)),
-            save: Duration::from_millis(if w == 0 { 900 } else { 300 }),
+            last_checkpoint: now - Duration::from_secs(rng.u64(60..7200)),
+            checkpoint_time: Duration::from_millis(if w == 0 { 900 } else { 300 }),
         };
         let running = vec![
             running(0, Kind::Service, false, 4),
@@ -291,18 +292,20 @@
     let plan = urgent::plan(now, need, &places).expect("there are victims");
     let place = places.iter().find(|p| p.worker == plan.worker).unwrap();
     let victim = place.running.iter().find(|r| r.task == plan.victims[0]).unwrap();
-    assert_eq!((plan.victims.len(), plan.cost.owners), (1, 0));
+    assert_eq!((plan.victims.len(), plan.cost.own_quota), (1, 0));
     assert!(victim.kind == Kind::Checkpoint && victim.borrowed);
-    let lost = |r: &Running| now.since(r.saved).as_secs() * r.size.cores.0 / 1000 + 30;
-    let fit = |r: &&Running| r.kind == Kind::Checkpoint && r.borrowed && r.save.as_millis() < 700;
+    let lost = |r: &Running| now.since(r.last_checkpoint).as_secs() * r.size.cores.0 / 1000 + 30;
+    let fit = |r: &&Running| {
+        r.kind == Kind::Checkpoint && r.borrowed && r.checkpoint_time.as_millis() < 700
+    };
     let all: Vec<_> = places.iter().flat_map(|p| p.running.iter().filter(fit).map(lost)).collect();
-    assert_eq!(plan.cost.lost, *all.iter().min().unwrap());
-    println!("lost {} core-seconds, first found {}", plan.cost.lost, all[0]);
-    assert!(plan.cost.lost < all[0], "first found");
+    assert_eq!(plan.cost.lost_work, *all.iter().min().unwrap());
+    println!("lost {} core-seconds, first found {}", plan.cost.lost_work, all[0]);
+    assert!(plan.cost.lost_work < all[0], "first found");
     assert_eq!(urgent::plan(now, need, &places[..1]), None, "w0 checkpoints too slowly");
     assert_eq!(urgent::plan(now, Size::new(8, 8192, 0), &places), None, "services and gangs stay");
     let both = urgent::plan(now, Size::new(6, 8192, 0), &places).expect("two victims suffice");
-    assert_eq!((both.victims.len(), both.cost.owners), (2, 1));
+    assert_eq!((both.victims.len(), both.cost.own_quota), (2, 1));
 }
 
 // A small victim is chosen, and then a large one is needed too that makes enough room alone. The
@@ -314,7 +317,7 @@
     places[0].running[4].borrowed = true;
     let plan = urgent::plan(now, Size::new(4, 8192, 0), &places).unwrap();
     assert_eq!(plan.victims, [places[0].running[3].task.clone()]);
-    (places[0].running[3].borrowed, places[0].running[4].saved) = (false, Time::ZERO);
+    (places[0].running[3].borrowed, places[0].running[4].last_checkpoint) = (false, Time::ZERO);
     let plan = urgent::plan(now, Size::new(2, 8192, 0), &places).unwrap();
     assert_eq!(plan.victims, [places[0].running[4].task.clone()], "borrowed, though more is lost");
     places[0].free = Size::new(4, 8192, 0);
@@ -330,12 +333,12 @@
     let mut started = [0; 3];
     for second in 0..300 {
         let now = Time::from_millis(second * 1000);
-        let n = (0..5000).filter(|_| a.start(now, &team, size, quota)).count();
+        let n = (0..5000).filter(|_| a.admit(now, &team, size, quota)).count();
         started[(second / 100) as usize] += n;
     }
     println!("urgent starts in each 100 s: {started:?}");
     assert_eq!(started, [39, 11, 0], "a burst, then one in 5 s, at most a tenth of the quota");
-    a.ended(&team, size);
-    assert!(a.start(minutes(10), &team, size, quota));
-    assert!(!a.start(minutes(10), &team, Size::new(80, 0, 0), quota));
+    a.record_end(&team, size);
+    assert!(a.admit(minutes(10), &team, size, quota));
+    assert!(!a.admit(minutes(10), &team, Size::new(80, 0, 0), quota));
 }
--- a/tests/pace.rs
+++ b/tests/pace.rs
@@ -3,7 +3,7 @@
 use {
     dogwoodreach::{
         Time,
-        decide::pace::{Pace, UNKNOWN},
+        decide::pace::{Pace, UNKNOWN_RATIO},
     },
     fastrand::Rng,
 };
@@ -62,7 +62,7 @@
         let mean: f64 = window.iter().sum::<f64>() / window.len() as f64;
         let rough = mean * (0.95 + 0.1 * rng.f64());
         let wanted = match policy {
-            Policy::Ours => pace.step(Some(rough), Time::from_millis(t)),
+            Policy::Ours => pace.update(Some(rough), Time::from_millis(t)),
             Policy::Full => 100,
             Policy::Even if rough > HALVE_RATIO => ordered.saturating_sub(10),
             Policy::Even => (ordered + 10).min(100),
@@ -160,14 +160,18 @@
 fn steps_are_as_told() {
     let mut pace = Pace::new();
     let at = |s: u64| Time::from_millis(s * 1000);
-    assert_eq!(pace.step(None, at(0)), 100);
-    assert_eq!(pace.step(Some(UNKNOWN), at(1)), 50, "a task begins to serve");
-    assert_eq!(pace.step(Some(UNKNOWN), at(9)), 50, "without a measurement the speed stays");
-    assert_eq!(pace.step(Some(0.85), at(10)), 20);
-    assert_eq!(pace.step(Some(0.85), at(10)), 20, "the last halving has no effect yet");
-    assert_eq!(pace.step(Some(0.5), at(11)), 20, "not low for long enough");
-    assert_eq!(pace.step(Some(0.5), at(12)), 20);
-    assert_eq!(pace.step(Some(0.5), at(13)), 30);
-    assert_eq!(pace.step(Some(1.01), at(14)), 0);
-    assert_eq!(pace.step(None, at(15)), 100, "no task serves");
+    assert_eq!(pace.update(None, at(0)), 100);
+    assert_eq!(pace.update(Some(UNKNOWN_RATIO), at(1)), 50, "a task begins to serve");
+    assert_eq!(
+        pace.update(Some(UNKNOWN_RATIO), at(9)),
+        50,
+        "without a measurement the speed stays"
+    );
+    assert_eq!(pace.update(Some(0.85), at(10)), 20);
+    assert_eq!(pace.update(Some(0.85), at(10)), 20, "the last halving has no effect yet");
+    assert_eq!(pace.update(Some(0.5), at(11)), 20, "not low for long enough");
+    assert_eq!(pace.update(Some(0.5), at(12)), 20);
+    assert_eq!(pace.update(Some(0.5), at(13)), 30);
+    assert_eq!(pace.update(Some(1.01), at(14)), 0);
+    assert_eq!(pace.update(None, at(15)), 100, "no task serves");
 }
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -15,7 +15,8 @@
     assert_eq!(rows.len(), Kind::ALL.len());
     for (kind, row) in Kind::ALL.into_iter().zip(rows) {
         let answer = kind.answer();
-        let retry_after = answer.back.map_or("-".into(), |d| format!("{} ms", d.as_millis()));
+        let retry_after =
+            answer.retry_after.map_or("-".into(), |d| format!("{} ms", d.as_millis()));
         let (label, status, ran) = (answer.label, answer.status, answer.ran);
         let want = format!("| `{label}` | {status} | {ran} | {retry_after} | {kind} | ");
         assert!(row.starts_with(&want), "{row}\nnot {want}");
--- a/tests/place.rs
+++ b/tests/place.rs
@@ -3,7 +3,7 @@
 use {
     arbtest::{arbitrary, arbtest},
     dogwoodreach::{
-        decide::place::Index,
+        decide::place::PlacementIndex,
         ids::{RackId, WorkerId},
         units::Size,
     },
@@ -25,17 +25,17 @@
     RackId::from(&*format!("r{n}"))
 }
 
-fn index(workers: usize, by_rack: usize, size: Size) -> Index {
-    let mut index = Index::new();
+fn index(workers: usize, by_rack: usize, size: Size) -> PlacementIndex {
+    let mut index = PlacementIndex::new();
     for n in 0..workers {
         index.add(&worker(n), &rack(n / by_rack), size);
     }
     index
 }
 
-fn occupy(index: &mut Index, worker: &WorkerId, size: &Size) {
+fn occupy(index: &mut PlacementIndex, worker: &WorkerId, size: &Size) {
     let left = index.free(worker).and_then(|f| f.checked_sub(size));
-    index.set(worker, left.expect("the index proposed a worker without room"), true);
+    index.update(worker, left.expect("the index proposed a worker without room"), true);
 }
 
 struct WorkerState {
@@ -99,7 +99,7 @@
 
 fn random_change(
     u: &mut arbitrary::Unstructured<'_>,
-    index: &mut Index,
+    index: &mut PlacementIndex,
     scan: &mut Scan,
 ) -> arbitrary::Result<()> {
     let n = u.int_in_range(0..=29usize)?;
@@ -118,7 +118,7 @@
         }
         _ => {
             let open = u.ratio(9, 10)?;
-            index.set(&w, part, open);
+            index.update(&w, part, open);
             if let Some(state) = scan.0.get_mut(&w) {
                 (state.free, state.open) = (part, open);
             }
@@ -131,7 +131,7 @@
 fn the_index_finds_what_a_scan_of_all_workers_finds() {
     for seed in 0..150u64 {
         arbtest(|u| {
-            let (mut index, mut scan) = (Index::new(), Scan::default());
+            let (mut index, mut scan) = (PlacementIndex::new(), Scan::default());
             while !u.is_empty() {
                 random_change(u, &mut index, &mut scan)?;
                 let accels = u.int_in_range(0..=6u64)?.saturating_sub(4);
@@ -182,10 +182,10 @@
     fit.min_by_key(|n| (free[*n] == WHOLE, amounts(&free[*n])[dimension]))
 }
 
-fn pack_with_index(free: &[Size], need: &Size, index: &mut Index) -> Option<usize> {
+fn pack_with_index(free: &[Size], need: &Size, index: &mut PlacementIndex) -> Option<usize> {
     for (n, f) in free.iter().enumerate() {
         if index.free(&worker(n)) != Some(*f) {
-            index.set(&worker(n), *f, true);
+            index.update(&worker(n), *f, true);
         }
     }
     let found = index.pack(need, &[])?;
@@ -245,7 +245,7 @@
         bound += ratio(0).max(ratio(1));
         let mut index = index(100, 5, WHOLE);
         let mut used = BTreeSet::new();
-        for n in index.order(&batch) {
+        for n in index.packing_order(&batch) {
             let w = index.pack(&batch[n], &[]).unwrap().clone();
             occupy(&mut index, &w, &batch[n]);
             used.insert(w);
@@ -297,7 +297,7 @@
     let mut index = index(1, 5, Size::new(16, 65536, 0));
     index.add(&worker(1), &rack(1), Size::new(128, 524_288, 8));
     index.add(&worker(2), &rack(1), Size::new(128, 524_288, 8));
-    index.set(&worker(2), Size::new(128, 524_288, 2), true);
+    index.update(&worker(2), Size::new(128, 524_288, 2), true);
     for want in [0, 0, 2] {
         let w = index.pack(&need, &[]).unwrap().clone();
         assert_eq!(w, worker(want));
@@ -310,7 +310,7 @@
 fn leaving_quarantined_and_avoided_workers_get_nothing() {
     let need = Size::new(1, 1024, 0);
     let mut index = index(3, 1, Size::new(16, 65536, 0));
-    index.set(&worker(0), Size::new(16, 65536, 0), false);
+    index.update(&worker(0), Size::new(16, 65536, 0), false);
     assert_eq!(index.pack(&need, &[worker(1)]), Some(&worker(2)));
     assert_eq!(index.spread(&need, &[], &[worker(1)]), Some(&worker(2)));
     index.remove(&worker(2));
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -2,14 +2,14 @@
 
 use dogwoodreach::{
     Time,
-    decide::quota::{Ask, Back, Grant, Quotas, Refusal},
+    decide::quota::{Grant, QuotaRequest, Quotas, Reclaim, Refusal},
     ids::{TaskId, TaskIndex},
     units::Size,
 };
 
-fn ask(team: &str, index: u32, back: Back) -> Ask {
+fn ask(team: &str, index: u32, back: Reclaim) -> QuotaRequest {
     let task = TaskId { job: team.into(), index: TaskIndex(index) };
-    Ask { team: team.into(), task, size: Size::new(1, 1024, 0), back }
+    QuotaRequest { team: team.into(), task, size: Size::new(1, 1024, 0), reclaim: back }
 }
 
 fn cores(n: u64) -> Size {
@@ -17,11 +17,11 @@
 }
 
 /// Creates teams `a` and `b` with 50 cores each; `a` starts as many of its 200 tasks as it may.
-fn a_alone(back: Back) -> (Quotas, u32) {
+fn a_alone(back: Reclaim) -> (Quotas, u32) {
     let mut q = Quotas::default();
     q.set(&"a".into(), cores(50), 1);
     q.set(&"b".into(), cores(50), 1);
-    q.wait(&"a".into(), cores(1), 200);
+    q.add_waiting(&"a".into(), cores(1), 200);
     let ran = (0..200).filter(|i| q.start(&ask("a", *i, back)) != Grant::Wait).count();
     (q, ran as u32)
 }
@@ -31,44 +31,50 @@
 // seconds; with unrestricted borrowing, it would wait for hours until tasks of a end.
 #[test]
 fn idle_quota_is_lent_and_goes_back_at_a_bounded_rate() {
-    let (_, hard) = a_alone(Back::Never);
-    let (mut q, lent) = a_alone(Back::Checkpoint);
+    let (_, hard) = a_alone(Reclaim::Never);
+    let (mut q, lent) = a_alone(Reclaim::Checkpoint);
     assert_eq!((hard, lent), (50, 100));
-    assert!(q.returns(Time::from_millis(10_000)).is_empty(), "no lender needs its quota yet");
-    q.wait(&"b".into(), cores(1), 50);
+    assert!(
+        q.tasks_to_return(Time::from_millis(10_000)).is_empty(),
+        "no lender needs its quota yet"
+    );
+    q.add_waiting(&"b".into(), cores(1), 50);
     let (mut running, mut seconds) = (0, 0);
     while running < 50 {
-        let back = q.returns(Time::from_millis(10_000 + seconds * 1000));
-        assert!((1..=20).contains(&back.len()) && back.iter().all(|t| q.borrows(t)));
+        let back = q.tasks_to_return(Time::from_millis(10_000 + seconds * 1000));
+        assert!((1..=20).contains(&back.len()) && back.iter().all(|t| q.is_borrowed(t)));
         assert!(
-            q.returns(Time::from_millis(10_000 + seconds * 1000)).is_empty(),
+            q.tasks_to_return(Time::from_millis(10_000 + seconds * 1000)).is_empty(),
             "a task was returned twice"
         );
         for task in &back {
-            q.ended(task);
-            assert_eq!(q.start(&ask("b", running, Back::Never)), Grant::Own);
+            q.record_end(task);
+            assert_eq!(q.start(&ask("b", running, Reclaim::Never)), Grant::Own);
             running += 1;
         }
         seconds += 1;
     }
     assert_eq!((seconds, q.held(&"a".into())), (3, (cores(50), cores(0))));
-    assert!(q.returns(Time::from_millis(60_000)).is_empty());
+    assert!(q.tasks_to_return(Time::from_millis(60_000)).is_empty());
 }
 
 // A service in borrowed room would never return it.
 #[test]
 fn only_work_that_can_be_given_back_may_borrow() {
-    let (mut q, _) = a_alone(Back::Never);
-    assert_eq!(q.start(&ask("a", 300, Back::Never)), Grant::Wait);
-    assert_eq!(q.start(&ask("a", 301, Back::Brief)), Grant::Borrowed);
-    q.wait(&"b".into(), cores(1), 50);
-    assert!(q.returns(Time::from_millis(10_000)).is_empty(), "brief tasks must not be stopped");
+    let (mut q, _) = a_alone(Reclaim::Never);
+    assert_eq!(q.start(&ask("a", 300, Reclaim::Never)), Grant::Wait);
+    assert_eq!(q.start(&ask("a", 301, Reclaim::Brief)), Grant::Borrowed);
+    q.add_waiting(&"b".into(), cores(1), 50);
+    assert!(
+        q.tasks_to_return(Time::from_millis(10_000)).is_empty(),
+        "brief tasks must not be stopped"
+    );
 }
 
 // A gang larger than its team's quota would wait for ever, and the team would not learn why.
 #[test]
 fn a_gang_over_its_quota_is_refused_with_the_figures() {
-    let (q, _) = a_alone(Back::Never);
+    let (q, _) = a_alone(Reclaim::Never);
     assert_eq!(q.check(&"a".into(), cores(50)), Ok(()));
     let refusal = q.check(&"a".into(), Size::new(8, 1024, 1)).unwrap_err();
     let text = "all its tasks at once need 8 cores, 1GB, 1 accelerators, more than the team's quota \
@@ -86,15 +92,16 @@
     for (team, size) in [("a", 20), ("c", 20), ("b", 60)] {
         q.set(&team.into(), cores(size), 1);
     }
-    (0..60).for_each(|i| assert_ne!(q.start(&ask("a", i, Back::Checkpoint)), Grant::Wait));
-    (0..40).for_each(|i| assert_ne!(q.start(&ask("c", i, Back::Checkpoint)), Grant::Wait));
+    (0..60).for_each(|i| assert_ne!(q.start(&ask("a", i, Reclaim::Checkpoint)), Grant::Wait));
+    (0..40).for_each(|i| assert_ne!(q.start(&ask("c", i, Reclaim::Checkpoint)), Grant::Wait));
     assert_eq!((q.held(&"a".into()).1, q.held(&"c".into()).1), (cores(40), cores(20)));
-    q.ended(&ask("a", 0, Back::Never).task);
+    q.record_end(&ask("a", 0, Reclaim::Never).task);
     assert!(
-        !q.borrows(&ask("a", 20, Back::Never).task) && q.borrows(&ask("a", 21, Back::Never).task)
+        !q.is_borrowed(&ask("a", 20, Reclaim::Never).task)
+            && q.is_borrowed(&ask("a", 21, Reclaim::Never).task)
     );
-    q.wait(&"b".into(), cores(1), 5);
-    let back = q.returns(Time::from_millis(10_000));
-    let newest: Vec<_> = (56..60).rev().map(|i| ask("a", i, Back::Never).task).collect();
+    q.add_waiting(&"b".into(), cores(1), 5);
+    let back = q.tasks_to_return(Time::from_millis(10_000));
+    let newest: Vec<_> = (56..60).rev().map(|i| ask("a", i, Reclaim::Never).task).collect();
     assert_eq!(back, newest, "one of the five cores is already idle");
 }
--- a/tests/racks.rs
+++ b/tests/racks.rs
@@ -28,7 +28,7 @@
         racks::Racks,
         units::Size,
     },
-    fake::{BUCKET, rack, start, stop, task, vm, wish, worker},
+    fake::{BUCKET, rack, reserve_ask, start, stop, task, vm, worker},
     std::{collections::BTreeMap, time::Duration},
 };
 
@@ -44,7 +44,7 @@
 
 fn place(b: &mut Bench, member: usize, n: u32) -> ReserveRow {
     let now = b.now;
-    let row = b.members[member].reserve(&wish(n, 1, 1), now).rows.pop().expect("room");
+    let row = b.members[member].reserve(&reserve_ask(n, 1, 1), now).rows.pop().expect("room");
     let reply = b.members[member].start(start(&row, 1), now).expect("the rack's owner");
     assert!(reply.refused.is_empty());
     row
@@ -55,7 +55,13 @@
 }
 
 fn told(racks: &mut Racks) -> Vec<TaskState> {
-    racks.tell().remove(&BUCKET).unwrap_or_default().into_iter().map(|i| i.state).collect()
+    racks
+        .pending_reports()
+        .remove(&BUCKET)
+        .unwrap_or_default()
+        .into_iter()
+        .map(|i| i.state)
+        .collect()
 }
 
 fn probe(b: &mut Bench, member: usize, row: &ReserveRow) -> ProbeRow {
@@ -68,7 +74,7 @@
 
 fn open(b: &mut Bench) -> bool {
     let now = b.now;
-    !b.members[0].reserve(&wish(99, 1, 1), now).rows.is_empty()
+    !b.members[0].reserve(&reserve_ask(99, 1, 1), now).rows.is_empty()
 }
 
 #[test]
@@ -76,7 +82,7 @@
     // A switch fails for 40 s. The task behind it is reported as lost, which must be true by then.
     // The worker must get work again afterwards, so an unresponsive worker must still be polled.
     let (mut b, _) = running();
-    b.fake(0).cut = true;
+    b.fake(0).cut_off = true;
     let lost = |b: &mut Bench| told(&mut b.members[0]).contains(&TaskState::Lost);
     for _ in 0..400 {
         b.run(100);
@@ -84,7 +90,7 @@
     }
     assert!(lost(&mut b));
     assert!(!open(&mut b));
-    b.fake(0).cut = false;
+    b.fake(0).cut_off = false;
     b.run(2000);
     assert!(open(&mut b));
 }
@@ -95,9 +101,9 @@
     // up to a second to arrive and extends the lease from then: a lapse counted from the time of
     // sending was reported while the task still ran.
     let (mut b, row) = running();
-    b.flight = Duration::from_millis(900);
+    b.order_delay = Duration::from_millis(900);
     b.run(12_000);
-    b.fake(0).mute = true;
+    b.fake(0).loses_answers = true;
     while probe(&mut b, 0, &row).cut.is_none() {
         b.run(20);
         assert!(b.now < Time::from_millis(120_000));
@@ -111,7 +117,7 @@
     // worker recovers, the next owner renews its leases, and the bucket's owner starts the task
     // elsewhere at the announced time.
     let (mut b, row) = running();
-    b.fake(0).mute = true;
+    b.fake(0).loses_answers = true;
     let mut announced = Time::NEVER;
     for _ in 0..150 {
         b.run(100);
@@ -119,7 +125,7 @@
             announced = announced.min(b.now + Duration::from_millis(cut));
         }
     }
-    b.fake(0).mute = false;
+    b.fake(0).loses_answers = false;
     b.members[0] = Racks::new(3);
     let now = b.now;
     b.members[1].gained(&rack(), Epoch(2), now);
@@ -140,7 +146,7 @@
     b.members[0].lost(&rack(), Epoch(1));
     b.members[1].gained(&rack(), Epoch(2), now);
     let cut = probe(&mut b, 1, &row).cut;
-    b.list();
+    b.list_vms();
     b.run(25_000);
     assert!(cut.is_none() || !runs(&mut b, 0));
 }
@@ -150,7 +156,7 @@
     // A member and a worker fail together. The next owner never reaches the worker, which stays in
     // the platform's list. Its tasks were not restarted while it stayed there.
     let (mut b, row) = running();
-    b.fake(0).cut = true;
+    b.fake(0).cut_off = true;
     let now = b.now;
     b.members[0] = Racks::new(3);
     b.members[1].gained(&rack(), Epoch(2), now);
@@ -173,7 +179,11 @@
     let now = b.now;
     assert!(b.members[1].handover(&over, now));
     assert!(
-        !b.members[1].reserve(&wish(1, 1, 16), now).rows.iter().any(|r| r.worker == row.worker)
+        !b.members[1]
+            .reserve(&reserve_ask(1, 1, 16), now)
+            .rows
+            .iter()
+            .any(|r| r.worker == row.worker)
     );
 }
 
@@ -185,9 +195,9 @@
     b.run(1000);
     let now = b.now;
     place(&mut b, 0, 0);
-    let row = b.members[0].reserve(&wish(1, 1, 1), now).rows.pop().unwrap();
+    let row = b.members[0].reserve(&reserve_ask(1, 1, 1), now).rows.pop().unwrap();
     b.vms.get_mut(&worker(0)).unwrap().state = VmState::Leaving;
-    b.list();
+    b.list_vms();
     assert_eq!(b.members[0].start(start(&row, 1), now).unwrap().refused.len(), 1);
     b.run(2000);
     assert!(b.fake(0).starts.is_empty());
@@ -200,10 +210,10 @@
     let mut b = Bench::new(1);
     b.run(1000);
     let now = b.now;
-    let mut racks = |cores| b.members[0].reserve(&wish(0, 1, cores), now).rows.pop();
+    let mut racks = |cores| b.members[0].reserve(&reserve_ask(0, 1, cores), now).rows.pop();
     let row = racks(10).expect("room");
     assert!(racks(6).is_some());
-    let other = b.members[0].reserve(&wish(1, 1, 8), now).rows.pop();
+    let other = b.members[0].reserve(&reserve_ask(1, 1, 8), now).rows.pop();
     let refused = |reply: StartReply| reply.refused.len();
     let first = b.members[0].start(start(&row, 10), now).expect("the rack's owner");
     // Only one of the two fits: a worker has fewer than 10 + 8 cores.
@@ -221,10 +231,10 @@
     let mut b = Bench::new(1);
     b.run(1000);
     let now = b.now;
-    let row = b.members[0].reserve(&wish(0, 1, 6), now).rows.pop().expect("room");
+    let row = b.members[0].reserve(&reserve_ask(0, 1, 6), now).rows.pop().expect("room");
     let reply = b.members[0].start(start(&row, 10), now).expect("the rack's owner");
     assert!(reply.refused.is_empty());
-    let left = b.members[0].reserve(&wish(1, 1, 7), now).rows;
+    let left = b.members[0].reserve(&reserve_ask(1, 1, 7), now).rows;
     assert!(left.is_empty(), "what was started is counted as it is");
 }
 
@@ -326,10 +336,10 @@
 fn a_vm_that_is_gone_is_forgotten() {
     // 880 VMs are replaced per day. Each left its link and account in memory permanently.
     let (mut b, _) = running();
-    b.fake(0).cut = true;
+    b.fake(0).cut_off = true;
     b.vms = BTreeMap::from([(worker(1), vm(1))]);
     b.workers.entry(worker(1)).or_default();
-    b.list();
+    b.list_vms();
     b.run(30_000);
     assert_eq!(told(&mut b.members[0]), [TaskState::Lost]);
     assert_eq!(b.members[0].show().len(), 1);
@@ -341,7 +351,7 @@
     // its link, and later reported as lost what the new owner had renewed.
     let (mut b, _) = running();
     b.vms.clear();
-    b.list();
+    b.list_vms();
     assert_eq!(b.members[0].lost(&rack(), Epoch(1)).tasks.len(), 1);
     b.run(30_000);
     assert!(!told(&mut b.members[0]).contains(&TaskState::Lost));
@@ -369,7 +379,7 @@
     // that start arrived.
     let (mut b, row) = running();
     let now = b.now;
-    let next = b.members[0].reserve(&wish(1, 1, 1), now).rows.pop().unwrap();
+    let next = b.members[0].reserve(&reserve_ask(1, 1, 1), now).rows.pop().unwrap();
     b.run(2000);
     assert_eq!(probe(&mut b, 0, &next).age, None);
     assert!(probe(&mut b, 0, &row).age.is_some());
--- a/tests/racks/bench.rs
+++ b/tests/racks/bench.rs
@@ -1,7 +1,7 @@
 //! Runs members and fake workers on one virtual clock, with the messages in transit between them.
 
 use {
-    super::fake::{CALL, Fake, TICK, rack, vm, worker},
+    super::fake::{CALL, FakeWorker, TICK, rack, vm, worker},
     dogwoodreach::{
         Time,
         event::Order,
@@ -28,11 +28,11 @@
     pub now: Time,
     pub members: Vec<Racks>,
     pub leased: Vec<bool>,
-    pub workers: BTreeMap<WorkerId, Fake>,
+    pub workers: BTreeMap<WorkerId, FakeWorker>,
     pub vms: BTreeMap<WorkerId, Vm>,
     pub orders: u64,
     /// The time that an order takes to reach a worker.
-    pub flight: Duration,
+    pub order_delay: Duration,
     in_transit: BTreeMap<(Time, u64), Message>,
     next_seq: u64,
 }
@@ -42,7 +42,7 @@
     pub fn new(count: usize) -> Self {
         let now = Time::from_millis(1000);
         let vms: BTreeMap<_, _> = (0..count).map(|n| (worker(n), vm(n))).collect();
-        let workers = vms.keys().map(|w| (w.clone(), Fake::default())).collect();
+        let workers = vms.keys().map(|w| (w.clone(), FakeWorker::default())).collect();
         let members = vec![Racks::new(1), Racks::new(2)];
         let leased = vec![true; 2];
         let flight = Duration::from_millis(1);
@@ -54,23 +54,23 @@
             workers,
             vms,
             orders: 0,
-            flight,
+            order_delay: flight,
             in_transit,
             next_seq: 0,
         };
-        bench.list();
+        bench.list_vms();
         bench.members[0].gained(&rack(), Epoch(1), now);
         bench
     }
 
     /// Gives the platform's list of VMs to all members.
-    pub fn list(&mut self) {
+    pub fn list_vms(&mut self) {
         for m in &mut self.members {
-            m.listed(self.vms.clone(), self.now);
+            m.update_vms(self.vms.clone(), self.now);
         }
     }
 
-    pub fn fake(&mut self, n: usize) -> &mut Fake {
+    pub fn fake(&mut self, n: usize) -> &mut FakeWorker {
         self.workers.get_mut(&worker(n)).expect("a worker of the bench")
     }
 
@@ -98,7 +98,7 @@
             self.members[n].tick(now, self.leased[n], &mut out);
             self.orders += out.len() as u64;
             for order in out {
-                self.send(now + self.flight, Message::Order(n, order, now));
+                self.send(now + self.order_delay, Message::Order(n, order, now));
             }
         }
     }
@@ -124,7 +124,7 @@
     /// Delivers an order to its worker and sends the answer, or a time-out, to the member.
     fn deliver_order(&mut self, n: usize, order: Order, sent: Time) {
         let w = &self.workers[target(&order)];
-        let (cut, paused_until, mute) = (w.cut, w.paused_until, w.mute);
+        let (cut, paused_until, mute) = (w.cut_off, w.paused_until, w.loses_answers);
         let late = !cut && paused_until > self.now;
         let ok = !cut && !late && !mute && self.now < sent + CALL;
         let at = if ok { self.now + Duration::from_millis(1) } else { sent + CALL };
--- a/tests/racks/fake.rs
+++ b/tests/racks/fake.rs
@@ -51,7 +51,7 @@
     }
 }
 
-pub fn wish(n: u32, attempt: u32, cores: u64) -> ReserveAsk {
+pub fn reserve_ask(n: u32, attempt: u32, cores: u64) -> ReserveAsk {
     let item = ReserveItem {
         attempt: Attempt(attempt),
         avoid: vec![],
@@ -95,7 +95,7 @@
 
 /// A simulated worker with its tasks, its requests and its faults.
 #[derive(Default)]
-pub struct Fake {
+pub struct FakeWorker {
     pub epoch: Epoch,
     pub runs: BTreeMap<(TaskId, Attempt), Run>,
     /// The last state of each attempt that was stopped or whose lease lapsed.
@@ -104,9 +104,9 @@
     pub lag: Duration,
     pub history: Vec<(Time, Report)>,
     /// Whether the worker is cut off, so that no order reaches it.
-    pub cut: bool,
+    pub cut_off: bool,
     /// Whether the worker's answers are lost, although orders reach it.
-    pub mute: bool,
+    pub loses_answers: bool,
     /// The time before which the worker handles no order.
     pub paused_until: Time,
     /// The running requests, with the time at which each ends.
@@ -115,7 +115,7 @@
     pub strict: bool,
 }
 
-impl Fake {
+impl FakeWorker {
     pub fn tick(&mut self, now: Time) {
         let lapsed: Vec<_> = self.runs.extract_if(.., |_, r| r.lease <= now).collect();
         self.ended.extend(lapsed.into_iter().map(|(k, _)| (k, TaskState::Lost)));
--- a/tests/racks/marks.rs
+++ b/tests/racks/marks.rs
@@ -3,7 +3,7 @@
 use {
     super::{
         bench::Bench,
-        fake::{start, wish},
+        fake::{reserve_ask, start},
     },
     dogwoodreach::{ids::Attempt, messages::ReserveAsk},
 };
@@ -13,10 +13,10 @@
     let mut bench = Bench::new(1);
     bench.run(1000);
     let now = bench.now;
-    let row = bench.members[0].reserve(&wish(0, 1, 16), now).rows.pop().expect("room");
+    let row = bench.members[0].reserve(&reserve_ask(0, 1, 16), now).rows.pop().expect("room");
     bench.members[0].start(start(&row, 16), now);
     bench.run(1000);
-    let mut urgent = wish(1, 1, 4);
+    let mut urgent = reserve_ask(1, 1, 4);
     urgent.items[0].urgent = true;
     // A task that has just been started is not preempted: the stop would wait for the start, and so
     // would the urgent work, although other tasks could be stopped at once.
@@ -40,7 +40,7 @@
     // Guards against waiting batch work that takes the room of a preempted task before the urgent
     // work does, which would cause one preemption after another.
     let (mut bench, urgent) = preempted_bench();
-    assert!(!has_room(&mut bench, &wish(2, 1, 1)));
+    assert!(!has_room(&mut bench, &reserve_ask(2, 1, 1)));
     assert!(has_room(&mut bench, &urgent));
 }
 
@@ -50,5 +50,5 @@
     // found room elsewhere.
     let (mut bench, _) = preempted_bench();
     bench.run(5000);
-    assert!(has_room(&mut bench, &wish(2, 1, 1)));
+    assert!(has_room(&mut bench, &reserve_ask(2, 1, 1)));
 }
--- a/tests/racks/owner.rs
+++ b/tests/racks/owner.rs
@@ -1,10 +1,10 @@
 //! A minimal model of a bucket's owner.
 
 use {
-    super::fake::{BUCKET, rack, start, task, wish},
+    super::fake::{BUCKET, rack, reserve_ask, start, task},
     dogwoodreach::{
         Time,
-        attempts::{DRIFT, FLIGHT},
+        attempts::{CLOCK_DRIFT, MAX_TRANSIT},
         ids::{Attempt, TaskId},
         messages::{ProbeAsk, ProbeItem, ProbeReply, ReserveRow, TaskReport, TaskState},
         racks::Racks,
@@ -38,9 +38,11 @@
             return;
         }
         let attempt = self.last_attempt.get(&n).copied().unwrap_or(0) + 1;
-        let Some(row) = racks.reserve(&wish(n, attempt, cores), now).rows.pop() else { return };
+        let Some(row) = racks.reserve(&reserve_ask(n, attempt, cores), now).rows.pop() else {
+            return;
+        };
         self.last_attempt.insert(n, attempt);
-        let settled_at = now + FLIGHT + DRIFT;
+        let settled_at = now + MAX_TRANSIT + CLOCK_DRIFT;
         let refused = racks.start(start(&row, cores), now).map_or(vec![], |r| r.refused);
         self.attempts.insert(n, Live { row, settled_at, lapses_at: None });
         refused.iter().for_each(|i| self.end(i.task.index.0, i.attempt));
@@ -55,11 +57,11 @@
 
     /// Receives the ends that a rack's owner reports, and acknowledges them.
     pub fn receive_ends(&mut self, racks: &mut Racks) {
-        let items = racks.tell().remove(&BUCKET).unwrap_or_default();
+        let items = racks.pending_reports().remove(&BUCKET).unwrap_or_default();
         for i in items.iter().filter(|i| i.state != TaskState::Running) {
             self.end(i.task.index.0, i.attempt);
         }
-        racks.told(&items);
+        racks.acknowledge(&items);
     }
 
     /// Probes a rack's owner for all attempts, and ends those that no longer run.
@@ -88,7 +90,7 @@
                     ended.push((*n, l.row.attempt));
                 }
                 if let Some(cut) = row.cut {
-                    let until = now + Duration::from_millis(cut) + DRIFT;
+                    let until = now + Duration::from_millis(cut) + CLOCK_DRIFT;
                     l.lapses_at = Some(until);
                 }
             }
--- a/tests/racks/random.rs
+++ b/tests/racks/random.rs
@@ -81,7 +81,7 @@
             if now.0.is_multiple_of(PROBE_INTERVAL.as_micros() as u64) {
                 let holder = self.holder;
                 self.owner.probe(&mut self.bench.members[holder], now);
-                self.bench.list();
+                self.bench.list_vms();
             }
             self.owner.tick(now);
             self.check();
@@ -143,7 +143,7 @@
         let at = (0..WORKERS).find(|n| worker(*n) == spot.worker).expect("a worker of the bench");
         let ran = now + Duration::from_millis(u.int_in_range(20..=2900)?);
         let fake = self.bench.fake(at);
-        let (lost, refused) = (fake.cut, spot.epoch < fake.epoch);
+        let (lost, refused) = (fake.cut_off, spot.epoch < fake.epoch);
         if !lost && !refused {
             fake.epoch = spot.epoch;
             fake.requests.insert(id, ran);
@@ -152,7 +152,7 @@
         let outcome = match (lost || u.ratio(1, 4)?, refused) {
             (_, true) => Outcome::Failed(Failure::Unsent),
             (true, _) => Outcome::Failed(Failure::Timeout),
-            _ => Outcome::Answered(Answer { status, kind, body }),
+            _ => Outcome::Answered(Answer { status, content_type: kind, body }),
         };
         let hears_at = if lost || matches!(outcome, Outcome::Failed(_)) { now } else { ran };
         self.answers.insert(id, (n, at, hears_at, outcome));
@@ -163,7 +163,7 @@
         let now = self.bench.now;
         for (id, (n, at, _, outcome)) in self.answers.extract_if(.., |_, a| a.2 <= now) {
             let times = (Duration::from_secs(1), Duration::from_secs(1));
-            self.bench.members[n].ran(id, &worker(at), &outcome, times, now);
+            self.bench.members[n].finish(id, &worker(at), &outcome, times, now);
         }
     }
 
@@ -172,11 +172,11 @@
         let n = u.int_in_range(0..=WORKERS - 1)?;
         let soon = now + Duration::from_millis(u.int_in_range(0..=3000)?);
         match u.int_in_range(0..=8)? {
-            0 => self.bench.fake(n).cut ^= true,
-            1 => self.bench.fake(n).mute ^= true,
+            0 => self.bench.fake(n).cut_off ^= true,
+            1 => self.bench.fake(n).loses_answers ^= true,
             2 => self.bench.fake(n).paused_until = soon,
             3 => self.bench.fake(n).lag = soon - now,
-            4 => self.bench.flight = Duration::from_millis(u.int_in_range(1..=900)?),
+            4 => self.bench.order_delay = Duration::from_millis(u.int_in_range(1..=900)?),
             5 => self.bench.leased[self.holder] ^= true,
             6 => self.change_list(n, u.int_in_range(0..=2)?),
             7 if self.has_no_change() && self.bench.leased[self.holder] => {
@@ -204,7 +204,7 @@
                 }
             }
         }
-        self.bench.list();
+        self.bench.list_vms();
     }
 
     fn step(&mut self, u: &mut arbitrary::Unstructured<'_>) -> arbitrary::Result<()> {
@@ -234,11 +234,11 @@
     /// Ends all faults and checks that every task runs again after some time.
     fn heal(&mut self) {
         self.run(5000);
-        self.bench.workers.values_mut().for_each(|w| (w.cut, w.mute) = (false, false));
+        self.bench.workers.values_mut().for_each(|w| (w.cut_off, w.loses_answers) = (false, false));
         self.bench.vms = (0..WORKERS).map(|n| (worker(n), vm(n))).collect();
         self.bench.leased = vec![true; 2];
-        self.bench.flight = Duration::from_millis(1);
-        self.bench.list();
+        self.bench.order_delay = Duration::from_millis(1);
+        self.bench.list_vms();
         self.run(120_000);
         for n in 0..TASKS {
             let (now, holder) = (self.bench.now, self.holder);
--- a/tests/release.rs
+++ b/tests/release.rs
@@ -7,7 +7,7 @@
         ports::StoreReply,
         shard::{
             Setup, Shard,
-            event::{Event, Load, Order},
+            event::{Event, Order, Snapshot},
             record::{JobRecord, ShardNo},
         },
         work::{Job, JobNo, Step},
@@ -30,20 +30,21 @@
     // write holds about 10 jobs. Guards against waiting with the second write until the time for
     // settling is over.
     let (me, unix) = (Incarnation(1), 1_700_000_000_000);
-    let setup = Setup { shard: ShardNo(0), me, token: 1, bounds: bounds(), unix };
+    let setup = Setup { shard: ShardNo(0), member: me, token: 1, bounds: bounds(), unix_ms: unix };
     let step = Step { count: 1, ..Step::default() };
     let job = Job { steps: [step].into(), ..Job::default() };
     let record = || JobRecord { queue: "/a/".into(), came: unix, job: job.clone(), terms: None };
     let jobs = (1..=60).map(|no| (JobNo(no), record())).collect();
     let cancels = (1..=60).map(JobNo).collect();
-    let mut shard = Shard::new(setup, Load { jobs, cancels, ..Load::default() }, Time::ZERO);
+    let mut shard =
+        Shard::new(setup, Snapshot { jobs, cancels, ..Snapshot::default() }, Time::ZERO);
     let (mut ms, mut rev, mut writes) = (0, 0, 0);
-    while !shard.idle_commit() {
+    while !shard.is_flushed() {
         assert!(ms <= 400, "{writes} writes in {ms} ms, and not done");
-        if let Some(number) = write(&shard.write_rest(Time::from_millis(ms))) {
+        if let Some(number) = write(&shard.flush_rest(Time::from_millis(ms))) {
             (rev, writes) = (rev + 1, writes + 1);
             let done = Event::Stored(number, Ok(StoreReply::Done(rev)));
-            let orders = shard.on(done, Time::from_millis(ms + 5));
+            let orders = shard.handle(done, Time::from_millis(ms + 5));
             assert_eq!(write(&orders), None, "within the pause");
         }
         ms += 20;
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -22,7 +22,7 @@
         let caller = CallerId::from(&*format!("caller{}", i % 50));
         let mut member = rng.usize(..MEMBERS);
         for tries in 0..4 {
-            budgets[member].tried(tries);
+            budgets[member].record_try(tries);
             sum += 1;
             if rng.f64() >= refused {
                 served += 1;
@@ -72,7 +72,7 @@
     let (mut heavy_retries, mut small_retries) = (0, 0);
     for i in 0..60_000 {
         let now = Time::from_millis(i);
-        budget.tried(0);
+        budget.record_try(0);
         heavy_retries += u32::from(budget.retry(&heavy, refused(), 1, now).is_ok());
         if i % 15_000 == 14_999 {
             small_retries += u32::from(budget.retry(&small, refused(), 1, now).is_ok());
@@ -84,7 +84,7 @@
     let spent = budget.retry(&heavy, refused(), 1, Time::from_millis(60_000));
     let spent = spent.expect_err("the budget is exhausted");
     assert_eq!((spent.kind(), spent.kind().answer().ran), (Kind::RetryBudget, Ran::No));
-    assert_eq!(spent.back(), Some(Duration::from_secs(1)));
+    assert_eq!(spent.retry_after(), Some(Duration::from_secs(1)));
 }
 
 // A connection breaks after the request was written: it may have run, and a retry would bind the
@@ -93,7 +93,7 @@
 #[test]
 fn only_what_did_not_run_is_tried_again() {
     let mut budget = Budget::new(Time::ZERO);
-    (0..1000).for_each(|_| budget.tried(0));
+    (0..1000).for_each(|_| budget.record_try(0));
     for kind in Kind::ALL {
         let result = budget.retry(&CallerId::from("a"), Error::from(kind), 1, Time::ZERO);
         assert_eq!(result.is_ok(), can_retry(kind));
--- a/tests/scenario/process.rs
+++ b/tests/scenario/process.rs
@@ -47,7 +47,7 @@
         self.values.contains_key(name)
     }
 
-    /// Sends a signal, given by its name without `SIG`, such as `STOP`.
+    /// Sends a signal, given by its name without `SIG`, such as `MAX_STOP`.
     pub fn signal(&mut self, name: &str) {
         self.paused = name == "STOP";
         let line = format!("kill -{name} {}", self.child.id());
--- a/tests/shard.rs
+++ b/tests/shard.rs
@@ -9,13 +9,13 @@
         work::{Job, JobNo, State, Step, Times},
     },
     std::time::Duration,
-    yard::{Yard, job, rules::UNIX, step, store::Mode},
+    yard::{ShardSim, job, rules::UNIX_START_MS, step, store::Mode},
 };
 
 const SEEDS: std::ops::Range<u64> = 1..4;
 
 /// Submits small jobs with these numbers, one every 100 ms.
-fn submit_small(yard: &mut Yard, queue: &'static str, numbers: std::ops::Range<u64>) {
+fn submit_small(yard: &mut ShardSim, queue: &'static str, numbers: std::ops::Range<u64>) {
     for no in numbers {
         let steps = [step(2, 600), Step { after: [0].into(), ..step(3, 400) }];
         yard.at(100 * (no % 1_000), move |y| y.submit(no, queue, job(steps)));
@@ -36,7 +36,7 @@
 
 /// One job of each kind of step.
 fn jobs_of_each_kind() -> Vec<Job> {
-    let times = Some(Times { count: 3, first: UNIX + 2_000, every: 1_500 });
+    let times = Some(Times { count: 3, first: UNIX_START_MS + 2_000, every: 1_500 });
     let fills = Step { fills: true, image: "sift".into(), ..step(2, 1_000) };
     vec![
         job([step(1, 300), Step { after: [0].into(), ..step(6, 500) }]),
@@ -58,16 +58,16 @@
     // shown as queued, running and completed within its bounds, jobs with a start time must not
     // start before it, and long-running tasks must keep running.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 12);
+        let mut yard = ShardSim::new(seed, 12);
         for (no, job) in (1..).zip(jobs_of_each_kind()) {
             let queue = ["plain", "open", "urgent"][no as usize % 3];
             yard.at(50 * no, move |y| y.submit(no, queue, job));
         }
         submit_small(&mut yard, "advised", 1_001..1_006);
         yard.run_until(1_000);
-        yard.settle(30_000);
+        yard.run_until_settled(30_000);
         yard.run_until(32_000);
-        assert_eq!(yard.owner().shard.waiting("plain"), 0, "seed {seed}");
+        assert_eq!(yard.owner().shard.queued_jobs("plain"), 0, "seed {seed}");
     }
 }
 
@@ -77,12 +77,12 @@
     // same address under another id, without any state. Its tasks must start again elsewhere from
     // their checkpoints, and every job must be completed.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 8);
+        let mut yard = ShardSim::new(seed, 8);
         yard.submit(1, "plain", job([checkpointing(8, 4_000)]));
         yard.submit(2, "plain", job([gang(4, 4_000)]));
-        yard.fault(2_500, |y| y.crash(0, Duration::from_secs(4)));
+        yard.fault(2_500, |y| y.crash_worker(0, Duration::from_secs(4)));
         yard.run_until(3_000);
-        yard.settle(45_000);
+        yard.run_until_settled(45_000);
     }
 }
 
@@ -93,14 +93,14 @@
     // elsewhere as soon as they can't run on it any more, every job must be completed before the
     // worker is back, and nothing may be done twice afterwards.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 8);
-        yard.world.workers[0].rate = 0.98;
+        let mut yard = ShardSim::new(seed, 8);
+        yard.world.workers[0].clock_rate = 0.98;
         yard.submit(1, "plain", job([checkpointing(10, 12_000)]));
         submit_small(&mut yard, "plain", 1_000..1_020);
-        yard.fault(3_000, |y| y.world.workers[0].cut = true);
-        yard.fault(45_000, |y| y.world.workers[0].cut = false);
+        yard.fault(3_000, |y| y.world.workers[0].cut_off = true);
+        yard.fault(45_000, |y| y.world.workers[0].cut_off = false);
         yard.run_until(4_000);
-        yard.settle(44_000);
+        yard.run_until_settled(44_000);
         yard.run_until(50_000);
     }
 }
@@ -110,15 +110,15 @@
     // One of eight orders gets no answer and is carried out 2 to 12 s later, after newer ones. Jobs
     // may take longer, but no task may run twice, and none may start after it was done.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 8);
-        yard.late = 8;
-        yard.rules.fault(yard.now);
+        let mut yard = ShardSim::new(seed, 8);
+        yard.late_one_in = 8;
+        yard.rules.record_fault(yard.now);
         submit_small(&mut yard, "plain", 1_000..1_020);
         submit_small(&mut yard, "open", 2_000..2_020);
         yard.submit(1, "plain", job([gang(3, 1_500)]));
-        yard.at(30_000, |y| y.late = 0);
+        yard.at(30_000, |y| y.late_one_in = 0);
         yard.run_until(2_000);
-        yard.settle(90_000);
+        yard.run_until_settled(90_000);
     }
 }
 
@@ -129,7 +129,7 @@
     // provided that the new owner renews their leases in time, and tasks that ended in between must
     // count.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 8);
+        let mut yard = ShardSim::new(seed, 8);
         yard.submit(
             1,
             "plain",
@@ -137,10 +137,10 @@
         );
         yard.submit(2, "open", job([long_running(3)]));
         submit_small(&mut yard, "open", 1_000..1_030);
-        yard.fault(2_000, Yard::kill);
-        yard.fault(6_000, Yard::take_over);
+        yard.fault(2_000, ShardSim::kill_owner);
+        yard.fault(6_000, ShardSim::take_over);
         yard.run_until(6_100);
-        yard.settle(60_000);
+        yard.run_until_settled(60_000);
     }
 }
 
@@ -150,15 +150,15 @@
     // the former owner resumes, it processes all pending events and still believes that it owns the
     // shard. Its orders and writes must have no effect, and it must give up the shard.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 8);
+        let mut yard = ShardSim::new(seed, 8);
         submit_small(&mut yard, "plain", 1_000..1_060);
         yard.submit(1, "plain", job([checkpointing(4, 9_000)]));
-        yard.fault(2_000, |y| y.pause(0, true));
-        yard.fault(6_000, Yard::take_over);
-        yard.fault(10_000, |y| y.pause(0, false));
+        yard.fault(2_000, |y| y.pause_owner(0, true));
+        yard.fault(6_000, ShardSim::take_over);
+        yard.fault(10_000, |y| y.pause_owner(0, false));
         yard.run_until(20_000);
-        yard.settle(60_000);
-        assert!(yard.owners[0].gone, "seed {seed}: the former owner must give up the shard");
+        yard.run_until_settled(60_000);
+        assert!(yard.owners[0].ended, "seed {seed}: the former owner must give up the shard");
     }
 }
 
@@ -168,13 +168,13 @@
     // must continue, and jobs that are submitted during the outage must be accepted after it and
     // completed.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 8);
+        let mut yard = ShardSim::new(seed, 8);
         submit_small(&mut yard, "plain", 1_000..1_060);
         yard.submit(1, "open", job([long_running(4)]));
-        yard.fault(2_000, |y| y.store.mode = Mode::Down);
-        yard.fault(7_000, |y| y.store.mode = Mode::Up);
+        yard.fault(2_000, |y| y.store.health = Mode::Down);
+        yard.fault(7_000, |y| y.store.health = Mode::Up);
         yard.run_until(8_000);
-        yard.settle(60_000);
+        yard.run_until_settled(60_000);
     }
 }
 
@@ -184,13 +184,13 @@
     // s if its condition still holds. The owner must find out from the commit row which writes took
     // effect, and nothing may be lost or done twice.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 8);
+        let mut yard = ShardSim::new(seed, 8);
         submit_small(&mut yard, "plain", 1_000..1_060);
-        yard.fault(500, |y| y.store.mode = Mode::Losing(4));
-        yard.fault(20_500, |y| y.store.mode = Mode::Up);
+        yard.fault(500, |y| y.store.health = Mode::Losing(4));
+        yard.fault(20_500, |y| y.store.health = Mode::Up);
         yard.run_until(21_000);
-        yard.settle(75_000);
-        assert!(!yard.owners[0].gone, "seed {seed}: the owner must not give up the shard");
+        yard.run_until_settled(75_000);
+        assert!(!yard.owners[0].ended, "seed {seed}: the owner must not give up the shard");
     }
 }
 
@@ -200,13 +200,13 @@
     // after the announcement nothing may start on it, and tasks that can't end in time must start
     // elsewhere.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 8);
+        let mut yard = ShardSim::new(seed, 8);
         submit_small(&mut yard, "plain", 1_000..1_060);
         yard.submit(1, "plain", job([checkpointing(4, 15_000)]));
-        yard.at(2_000, |y| y.world.workers[0].draining = Some(y.now));
-        yard.fault(12_000, |y| y.crash(0, Duration::from_secs(60)));
+        yard.at(2_000, |y| y.world.workers[0].leaving_since = Some(y.now));
+        yard.fault(12_000, |y| y.crash_worker(0, Duration::from_secs(60)));
         yard.run_until(13_000);
-        yard.settle(70_000);
+        yard.run_until_settled(70_000);
     }
 }
 
@@ -216,13 +216,13 @@
     // capacity. In addition, every task of one job fails on any worker. This job must be shown as
     // failed after its third attempt, no other job may fail, and the worker must be avoided.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 12);
-        yard.world.hopeless.insert((JobNo(1), 0));
+        let mut yard = ShardSim::new(seed, 12);
+        yard.world.failing_steps.insert((JobNo(1), 0));
         yard.submit(1, "plain", job([step(2, 800)]));
-        yard.fault(0, |y| y.world.workers[0].grey = true);
+        yard.fault(0, |y| y.world.workers[0].failing = true);
         submit_small(&mut yard, "plain", 1_000..1_040);
         yard.run_until(5_000);
-        yard.settle(60_000);
+        yard.run_until_settled(60_000);
         let progress = yard.progress();
         let failed = progress.iter().filter(|(_, p)| p.state == State::Failed);
         assert_eq!(failed.map(|f| f.0.0).collect::<Vec<_>>(), [1], "seed {seed}");
@@ -235,14 +235,14 @@
     // long-running. None of their tasks may start later than 2 s afterwards, running ones must be
     // stopped, and their capacity must go to the jobs that were not cancelled.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 8);
+        let mut yard = ShardSim::new(seed, 8);
         submit_small(&mut yard, "plain", 1_000..1_060);
         yard.submit(1, "plain", job([gang(4, 60_000)]));
         yard.submit(2, "plain", job([long_running(3)]));
         yard.at(3_000, |y| [1, 2].into_iter().chain(1_010..1_030).for_each(|no| y.cancel(no)));
         yard.run_until(7_000);
-        assert_eq!(yard.running(JobNo(1)) + yard.running(JobNo(2)), 0, "seed {seed}");
-        yard.settle(45_000);
+        assert_eq!(yard.run_count(JobNo(1)) + yard.run_count(JobNo(2)), 0, "seed {seed}");
+        yard.run_until_settled(45_000);
     }
 }
 
@@ -252,11 +252,11 @@
     // of them arrive for another 15 s. Capacity must be reserved for the gang, its members must
     // start together, and no member may wait alone.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 8);
+        let mut yard = ShardSim::new(seed, 8);
         submit_small(&mut yard, "plain", 1_000..1_150);
         yard.at(3_000, |y| y.submit(1, "plain", job([gang(8, 2_000)])));
         yard.run_until(4_000);
-        yard.settle(75_000);
+        yard.run_until_settled(75_000);
     }
 }
 
@@ -266,29 +266,33 @@
     // the pool is so full that many expire before there is capacity. For 4 s the advice service is
     // down. No other worker may be tried, and every job must be completed.
     for seed in SEEDS {
-        let mut yard = Yard::new(seed, 16);
+        let mut yard = ShardSim::new(seed, 16);
         submit_small(&mut yard, "advised", 1_000..1_040);
         yard.at(10, |y| y.submit(1, "advised", job([step(60, 1_500)])));
         yard.fault(5_000, |y| y.world.advice.down = true);
         yard.fault(9_000, |y| y.world.advice.down = false);
         yard.run_until(10_000);
-        yard.settle(90_000);
+        yard.run_until_settled(90_000);
     }
 }
 
 /// Schedules one fault at `at`, which ends within 11 s.
-fn add_fault(yard: &mut Yard, u: &mut Unstructured<'_>, at: u64) -> arbtest::arbitrary::Result<()> {
+fn add_fault(
+    yard: &mut ShardSim,
+    u: &mut Unstructured<'_>,
+    at: u64,
+) -> arbtest::arbitrary::Result<()> {
     let worker = u.choose_index(8)?;
     let end = at + 1_000 * u.int_in_range(1..=10)?;
     match u.int_in_range(0..=9)? {
-        0 => yard.fault(at, move |y| y.crash(worker, Duration::from_secs(3))),
+        0 => yard.fault(at, move |y| y.crash_worker(worker, Duration::from_secs(3))),
         1 => {
-            yard.fault(at, move |y| y.world.workers[worker].cut = true);
-            yard.fault(end, move |y| y.world.workers[worker].cut = false);
+            yard.fault(at, move |y| y.world.workers[worker].cut_off = true);
+            yard.fault(end, move |y| y.world.workers[worker].cut_off = false);
         }
         2 => {
-            yard.fault(at, move |y| y.world.workers[worker].hung = true);
-            yard.fault(end, move |y| y.world.workers[worker].hung = false);
+            yard.fault(at, move |y| y.world.workers[worker].unresponsive = true);
+            yard.fault(end, move |y| y.world.workers[worker].unresponsive = false);
         }
         3 => {
             yard.fault(at, move |y| y.world.workers[worker].speed = 0.2);
@@ -299,27 +303,27 @@
             yard.fault(end, move |y| y.world.workers[worker].unwell = false);
         }
         5 => {
-            yard.fault(at, |y| y.store.mode = Mode::Down);
-            yard.fault(end, |y| y.store.mode = Mode::Up);
+            yard.fault(at, |y| y.store.health = Mode::Down);
+            yard.fault(end, |y| y.store.health = Mode::Up);
         }
         6 => {
-            yard.fault(at, |y| y.store.mode = Mode::Losing(4));
-            yard.fault(end, |y| y.store.mode = Mode::Up);
+            yard.fault(at, |y| y.store.health = Mode::Losing(4));
+            yard.fault(end, |y| y.store.health = Mode::Up);
         }
         7 => {
-            yard.fault(at, |y| y.late = 8);
-            yard.fault(end, |y| y.late = 0);
+            yard.fault(at, |y| y.late_one_in = 8);
+            yard.fault(end, |y| y.late_one_in = 0);
         }
         8 => {
-            yard.fault(at, Yard::kill);
-            yard.fault(at + 4_000, Yard::take_over);
+            yard.fault(at, ShardSim::kill_owner);
+            yard.fault(at + 4_000, ShardSim::take_over);
         }
         _ => {
             yard.fault(at, |y| {
                 let old = y.owners.len() - 1;
-                y.pause(old, true);
-                y.at(y.now.0 / 1_000 + 4_000, Yard::take_over);
-                y.at(y.now.0 / 1_000 + 7_000, move |y| y.pause(old, false));
+                y.pause_owner(old, true);
+                y.at(y.now.0 / 1_000 + 4_000, ShardSim::take_over);
+                y.at(y.now.0 / 1_000 + 7_000, move |y| y.pause_owner(old, false));
             });
         }
     }
@@ -333,7 +337,7 @@
     // invariants must hold, and every job that can be completed must be completed within two
     // minutes.
     let simulate = |u: &mut Unstructured<'_>| {
-        let mut yard = Yard::new(u.arbitrary()?, 12);
+        let mut yard = ShardSim::new(u.arbitrary()?, 12);
         for (no, job) in (1..).zip(jobs_of_each_kind()) {
             let queue = ["plain", "open", "urgent"][u.choose_index(3)?];
             yard.at(u.int_in_range(0..=10_000)?, move |y| y.submit(no, queue, job));
@@ -349,7 +353,7 @@
             add_fault(&mut yard, u, at)?;
         }
         yard.run_until(35_000);
-        yard.settle(120_000);
+        yard.run_until_settled(120_000);
         Ok(())
     };
     for seed in 1..=20_u64 {
--- a/tests/shard_advice.rs
+++ b/tests/shard_advice.rs
@@ -3,16 +3,16 @@
 mod yard;
 
 use {
-    dogwoodreach::work::{AdviceCost, JobNo, Queue, Queues, Step, StepKey, TaskKey},
+    dogwoodreach::work::{AdviceCost, JobNo, Queue, QueueConfig, Step, StepKey, TaskKey},
     std::{sync::Arc, time::Duration},
-    yard::{Yard, job, step, workers},
+    yard::{ShardSim, job, step, workers},
 };
 
 /// Duration of a call of the other owner.
 const OTHER_CALL: Duration = Duration::from_millis(1_700);
 
 /// A queue of long-running tasks, whose calls for advice on 10 workers take 0.83 s.
-fn queues() -> Arc<Queues> {
+fn queues() -> Arc<QueueConfig> {
     let defaults = yard::queues();
     let us = Duration::from_micros;
     let cost = AdviceCost { base: us(728_000), each: us(10_400), valid: Duration::from_secs(2) };
@@ -21,37 +21,37 @@
         prefix: "/feed/".into(),
         priority: 1,
         advice: Some(cost),
-        ..defaults.named("open").expect("a queue").clone()
+        ..defaults.by_name("open").expect("a queue").clone()
     };
-    Arc::new(Queues { all: vec![feed], ..(*defaults).clone() })
+    Arc::new(QueueConfig { queues: vec![feed], ..(*defaults).clone() })
 }
 
 /// A long-running task fails without other faults while workers have capacity for it. Another owner
 /// has two calls for advice in flight at each of `shared` members, which both owners use; `own`
 /// members are used by this owner alone.
 fn task_fails(seed: u64, own: u64, shared: u64) {
-    let mut yard = Yard::with(seed, queues(), workers(60), own);
-    yard.coarse = Duration::from_millis(1);
+    let mut yard = ShardSim::with(seed, queues(), workers(60), own);
+    yard.time_step = Duration::from_millis(1);
     yard.world.advice.share = 30;
-    yard.share(shared, 10_000, OTHER_CALL);
+    yard.add_shared_members(shared, 10_000, OTHER_CALL);
     let step = Step { lasts: true, image: "web".into(), apart: 1, ..step(9, 1) };
     yard.at(1_000, move |y| y.submit(1, "feed", job([step])));
     yard.at(14_000, |y| {
         let step = StepKey { job: JobNo(1), time: 0, step: 0 };
-        y.world.fail(TaskKey { step, index: 0 });
+        y.world.fail_task(TaskKey { step, index: 0 });
     });
     yard.run_until(13_900);
-    assert_eq!(yard.running(JobNo(1)), 9);
-    let rejected_before = yard.turned;
+    assert_eq!(yard.run_count(JobNo(1)), 9);
+    let rejected_before = yard.refused_calls;
     yard.run_until(14_100);
-    assert_eq!(yard.running(JobNo(1)), 8);
-    while yard.running(JobNo(1)) < 9 {
+    assert_eq!(yard.run_count(JobNo(1)), 8);
+    while yard.run_count(JobNo(1)) < 9 {
         yard.run_until(yard.now.0 / 1_000 + 10);
     }
-    let (now, rejected) = (yard.now, yard.turned - rejected_before);
+    let (now, rejected) = (yard.now, yard.refused_calls - rejected_before);
     println!("seed {seed}: the task runs again at {now}, {rejected} calls were rejected");
     yard.run_until(30_000);
-    assert_eq!(yard.running(JobNo(1)), 9);
+    assert_eq!(yard.run_count(JobNo(1)), 9);
 }
 
 #[test]
--- a/tests/shard_away.rs
+++ b/tests/shard_away.rs
@@ -6,13 +6,13 @@
 use {
     dogwoodreach::{
         decide::lanes::Peers,
-        ports::{Fault, How, Refusal, WorkerCall, WorkerReply as Reply},
-        shard::{Away, Bar, Cause, Sight, event::Event},
+        ports::{EndReason, Fault, Refusal, WorkerCall, WorkerReply as Reply},
+        shard::{AbsentStep, Cause, Exclusion, Sight, event::Event},
         work::{Job, JobNo, Step},
     },
     hand::{
-        Hand, job, step, task,
-        worker::{FINE, Hook, MUTE, Worker},
+        Harness, job, step, task,
+        worker::{Hook, NORMAL, SILENT, Worker},
     },
     std::time::Duration,
 };
@@ -29,8 +29,8 @@
 }
 
 /// `count` workers, each of which is filled by one task of job 9.
-fn with_full_workers(count: u32) -> Hand {
-    let mut harness = Hand::new(count as usize);
+fn with_full_workers(count: u32) -> Harness {
+    let mut harness = Harness::new(count as usize);
     harness.submit(9, "plain", job(step(count, 4)));
     harness.run(300);
     assert_eq!(harness.starts_of(9).len(), count as usize);
@@ -38,25 +38,25 @@
 }
 
 /// The report on the only step that has tasks that don't run.
-fn only_report(harness: &Hand) -> Away {
-    let mut all = harness.shard.absent(harness.now);
+fn only_report(harness: &Harness) -> AbsentStep {
+    let mut all = harness.shard.absences(harness.now);
     assert_eq!(all.len(), 1, "{all:?}");
     all.remove(0)
 }
 
 /// The report on the step of job `no`.
-fn report_for(harness: &Hand, no: u64) -> Away {
-    let all = harness.shard.absent(harness.now);
+fn report_for(harness: &Harness, no: u64) -> AbsentStep {
+    let all = harness.shard.absences(harness.now);
     let report = all.iter().find(|a| a.key.job == JobNo(no));
     report.unwrap_or_else(|| panic!("job {no} is not reported: {all:?}")).clone()
 }
 
 /// Ends the task of job 9 on a worker.
-fn end_filler(harness: &mut Hand, worker: usize) {
+fn end_filler(harness: &mut Harness, worker: usize) {
     let index = (0..)
-        .find(|i| harness.places(task(9, *i)) == [worker])
+        .find(|i| harness.workers_running(task(9, *i)) == [worker])
         .expect("the worker must run a task of job 9");
-    harness.end(task(9, index), How::Done);
+    harness.end(task(9, index), EndReason::Done);
 }
 
 #[test]
@@ -67,11 +67,11 @@
     harness.submit(1, "plain", long_running(1, 1));
     harness.submit(2, "plain", job(step(1, 1)));
     harness.run(1_900);
-    assert_eq!(harness.shard.absent(harness.now), []);
+    assert_eq!(harness.shard.absences(harness.now), []);
     harness.run(200);
     let away = only_report(&harness);
     assert_eq!(away.cause, Cause::Room);
-    assert_eq!((away.tasks, away.first, away.class), (1, 0, 0));
+    assert_eq!((away.waiting, away.oldest, away.class), (1, 0, 0));
     let Sight { usable, all, good, full, valid, .. } = away.sight;
     assert_eq!((usable, all, good, full, valid), (2, 2, 2, 2, 0));
     assert!(away.away >= Duration::from_secs(2) && away.away < Duration::from_millis(2_200));
@@ -81,19 +81,19 @@
 fn absence_counts_from_the_last_run_of_the_task() {
     // A task of a step has run for long and fails, and its capacity is taken. Guards against
     // counting its absence from the time when the step could first run.
-    let mut harness = Hand::new(2);
+    let mut harness = Harness::new(2);
     harness.submit(1, "plain", job(Step { apart: 1, lasts: true, ..step(2, 2) }));
     harness.run(5_000);
-    let at = harness.places(task(1, 1))[0];
+    let at = harness.workers_running(task(1, 1))[0];
     harness.submit(9, "plain", job(step(2, 2)));
     harness.run(300);
     harness.workers[at].hook = REFUSE_STARTS;
-    harness.end(task(1, 1), How::Failed);
+    harness.end(task(1, 1), EndReason::Failed);
     harness.run(1_900);
-    assert_eq!(harness.shard.absent(harness.now), []);
+    assert_eq!(harness.shard.absences(harness.now), []);
     harness.run(300);
     let away = only_report(&harness);
-    assert_eq!((away.tasks, away.first), (1, 1));
+    assert_eq!((away.waiting, away.oldest), (1, 1));
     assert!(away.away >= Duration::from_secs(2) && away.away < Duration::from_millis(2_300));
 }
 
@@ -101,12 +101,12 @@
 fn the_workers_are_at_the_bound_of_the_step() {
     // A step with at most one task for each worker has more tasks than there are workers. All
     // workers have capacity, but none may take another task of the step.
-    let mut harness = Hand::new(3);
+    let mut harness = Harness::new(3);
     harness.submit(1, "plain", job(Step { apart: 1, lasts: true, ..step(5, 1) }));
     harness.run(2_500);
     let away = only_report(&harness);
     assert_eq!(away.cause, Cause::Bound);
-    assert_eq!((away.tasks, away.sight.good, away.sight.bound, away.sight.full), (2, 3, 3, 0));
+    assert_eq!((away.waiting, away.sight.good, away.sight.bound, away.sight.full), (2, 3, 3, 0));
 }
 
 #[test]
@@ -137,7 +137,7 @@
     harness.submit(1, "advised", long_running(1, 1));
     harness.run(3_000);
     assert_eq!(only_report(&harness).cause, Cause::Room);
-    harness.advises = false;
+    harness.advice_up = false;
     end_filler(&mut harness, 0);
     harness.run(300);
     let away = only_report(&harness);
@@ -146,8 +146,8 @@
     assert_eq!((asked, good, old, full, valid, calls), (2, 2, 1, 1, 0, 1));
     assert!(away.sight.oldest.is_some_and(|o| o <= Duration::from_millis(300)));
     assert!(away.sight.heard.is_some_and(|h| h >= Duration::from_secs(2)));
-    let failed = |h: &Hand| h.shard.absent(h.now)[0].cause == Cause::Failed;
-    harness.until("the call has failed", 5_000, failed);
+    let failed = |h: &Harness| h.shard.absences(h.now)[0].cause == Cause::Failed;
+    harness.run_until("the call has failed", 5_000, failed);
 }
 
 #[test]
@@ -156,7 +156,7 @@
     let mut harness = with_full_workers(1);
     harness.submit(1, "advised", long_running(1, 1));
     harness.run(3_000);
-    harness.tell(Event::Peers(Peers::default()));
+    harness.deliver(Event::Peers(Peers::default()));
     end_filler(&mut harness, 0);
     harness.run(300);
     let away = only_report(&harness);
@@ -173,11 +173,11 @@
     let mut harness = with_full_workers(1);
     harness.submit(1, "advised", long_running(1, 1));
     harness.run(3_000);
-    harness.tell(Event::Peers(Peers::default()));
+    harness.deliver(Event::Peers(Peers::default()));
     harness.workers.push(Worker::new(1));
-    harness.list();
+    harness.deliver_list();
     harness.run(300);
-    let Away { cause, sight, .. } = only_report(&harness);
+    let AbsentStep { cause, sight, .. } = only_report(&harness);
     assert_eq!(cause, Cause::Member);
     assert_eq!((sight.asked, sight.good, sight.full), (1, 1, 1));
     assert_eq!((sight.unasked, sight.roomy, sight.usable), (1, 1, 2));
@@ -190,11 +190,12 @@
 #[test]
 fn its_first_advice_has_not_arrived() {
     // The advice service gives no answer from the job's arrival on.
-    let mut harness = Hand::new(2);
-    harness.advises = false;
+    let mut harness = Harness::new(2);
+    harness.advice_up = false;
     harness.submit(1, "advised", long_running(1, 1));
-    let first = |h: &Hand| h.shard.absent(h.now).first().is_some_and(|a| a.cause == Cause::First);
-    harness.until("the wait for the first advice", 4_000, first);
+    let first =
+        |h: &Harness| h.shard.absences(h.now).first().is_some_and(|a| a.cause == Cause::First);
+    harness.run_until("the wait for the first advice", 4_000, first);
     let sight = only_report(&harness).sight;
     assert_eq!((sight.asked, sight.good, sight.unasked, sight.calls), (0, 0, 2, 1));
     assert_eq!(sight.heard, None);
@@ -209,7 +210,7 @@
     harness.run(100);
     harness.submit(2, "advised", long_running(1, 4));
     harness.run(3_000);
-    harness.advises = false;
+    harness.advice_up = false;
     end_filler(&mut harness, 0);
     harness.run(300);
     let (first, second) = (report_for(&harness, 1), report_for(&harness, 2));
@@ -222,17 +223,17 @@
 fn a_worker_of_a_former_owner_is_silent() {
     // The owner changes while a worker that may run the task doesn't answer. No task from before
     // the change starts until that worker answers or its lease has expired.
-    let mut harness = Hand::new(3);
+    let mut harness = Harness::new(3);
     harness.submit(1, "plain", long_running(1, 1));
     harness.run(500);
-    let at = harness.places(task(1, 0))[0];
-    harness.workers[at].hook = MUTE;
-    harness.succeed();
+    let at = harness.workers_running(task(1, 0))[0];
+    harness.workers[at].hook = SILENT;
+    harness.take_over();
     harness.run(3_000);
     let away = only_report(&harness);
     assert_eq!(away.cause, Cause::Unsettled);
     assert_eq!((away.sight.unsettled, away.sight.usable), (1, 2));
-    assert_eq!(away.sight.out.get(&Bar::Unfenced), Some(&1));
+    assert_eq!(away.sight.out.get(&Exclusion::Unfenced), Some(&1));
 }
 
 #[test]
@@ -241,18 +242,18 @@
     let mut harness = with_full_workers(2);
     end_filler(&mut harness, 0);
     harness.run(300);
-    harness.workers[0].hook = MUTE;
+    harness.workers[0].hook = SILENT;
     harness.run(3_000);
     harness.submit(1, "plain", long_running(1, 1));
     harness.run(2_500);
-    let Away { cause, sight, .. } = only_report(&harness);
-    assert_eq!(cause, Cause::Bar(Bar::Silent));
+    let AbsentStep { cause, sight, .. } = only_report(&harness);
+    assert_eq!(cause, Cause::Bar(Exclusion::Silent));
     assert_eq!((sight.good, sight.full, sight.barred, sight.usable), (2, 1, 1, 1));
-    assert_eq!(sight.out, [(Bar::Silent, 1)].into());
-    assert_eq!(sight.bars, [(Bar::Silent, 1)].into());
-    harness.workers[0].hook = FINE;
-    harness.until("a start on the worker", 2_000, |h| h.places(task(1, 0)) == [0]);
-    assert_eq!(harness.shard.absent(harness.now), []);
+    assert_eq!(sight.out, [(Exclusion::Silent, 1)].into());
+    assert_eq!(sight.bars, [(Exclusion::Silent, 1)].into());
+    harness.workers[0].hook = NORMAL;
+    harness.run_until("a start on the worker", 2_000, |h| h.workers_running(task(1, 0)) == [0]);
+    assert_eq!(harness.shard.absences(harness.now), []);
 }
 
 #[test]
@@ -264,18 +265,18 @@
     end_filler(&mut harness, 0);
     for no in [20, 21, 22] {
         harness.submit(no, "plain", job(step(1, 4)));
-        harness.until("a start", 4_000, |h| h.places(task(no, 0)) == [0]);
-        harness.end(task(no, 0), How::Failed);
+        harness.run_until("a start", 4_000, |h| h.workers_running(task(no, 0)) == [0]);
+        harness.end(task(no, 0), EndReason::Failed);
         harness.cancel(no);
         harness.run(100);
     }
     harness.submit(1, "plain", long_running(2, 1));
     harness.run(2_500);
     assert_eq!(harness.starts_of(1).len(), 1);
-    let Away { cause, sight, .. } = only_report(&harness);
-    assert_eq!(cause, Cause::Bar(Bar::Quarantined));
+    let AbsentStep { cause, sight, .. } = only_report(&harness);
+    assert_eq!(cause, Cause::Bar(Exclusion::Quarantined));
     assert_eq!((sight.good, sight.full, sight.barred, sight.usable), (3, 2, 1, 2));
-    assert_eq!(sight.out, [(Bar::Quarantined, 1)].into());
+    assert_eq!(sight.out, [(Exclusion::Quarantined, 1)].into());
 }
 
 #[test]
@@ -283,19 +284,19 @@
     // Every task on the only worker of a pool fails. A pool may hold one worker in three in
     // quarantine, so this one counts as usable. It still gets only one long-running task as a
     // trial, 2 s after the last failure, and the other task waits for its result.
-    let mut harness = Hand::new(1);
+    let mut harness = Harness::new(1);
     for no in [20, 21, 22] {
         harness.submit(no, "plain", job(step(1, 4)));
-        harness.until("a start", 4_000, |h| h.places(task(no, 0)) == [0]);
-        harness.end(task(no, 0), How::Failed);
+        harness.run_until("a start", 4_000, |h| h.workers_running(task(no, 0)) == [0]);
+        harness.end(task(no, 0), EndReason::Failed);
         harness.cancel(no);
         harness.run(100);
     }
     harness.submit(1, "plain", long_running(2, 1));
     harness.run(2_500);
     assert_eq!(harness.starts_of(1).len(), 1);
-    let Away { cause, tasks, sight, .. } = only_report(&harness);
-    assert_eq!((cause, tasks), (Cause::Bar(Bar::Unproven), 1));
+    let AbsentStep { cause, waiting: tasks, sight, .. } = only_report(&harness);
+    assert_eq!((cause, tasks), (Cause::Bar(Exclusion::Unproven), 1));
     assert_eq!((sight.all, sight.usable, sight.good, sight.barred), (1, 0, 1, 1));
 }
 
@@ -303,27 +304,27 @@
 fn its_start_has_no_answer() {
     // A start is sent to a worker that has just been cut off, is sent again, and is given up. It
     // may still arrive late, so the task is counted on that worker and runs nowhere.
-    let mut harness = Hand::new(1);
-    harness.workers[0].hook = MUTE;
+    let mut harness = Harness::new(1);
+    harness.workers[0].hook = SILENT;
     harness.submit(1, "plain", long_running(2, 1));
     harness.run(2_200);
     let away = only_report(&harness);
-    assert_eq!((away.cause, away.tasks, away.held), (Cause::Stop, 0, 2));
+    assert_eq!((away.cause, away.waiting, away.unseen), (Cause::Stop, 0, 2));
 }
 
 #[test]
 fn its_worker_is_silent() {
     // The worker of a running task is cut off. The owner has to count the task there until the
     // lease has expired, although the task may be gone.
-    let mut harness = Hand::new(2);
+    let mut harness = Harness::new(2);
     harness.submit(1, "plain", long_running(1, 1));
     harness.run(2_000);
-    let at = harness.places(task(1, 0))[0];
-    assert_eq!(harness.shard.absent(harness.now), []);
-    harness.workers[at].hook = MUTE;
+    let at = harness.workers_running(task(1, 0))[0];
+    assert_eq!(harness.shard.absences(harness.now), []);
+    harness.workers[at].hook = SILENT;
     harness.run(4_000);
     let away = only_report(&harness);
-    assert_eq!((away.cause, away.tasks, away.held), (Cause::Silent, 0, 1));
+    assert_eq!((away.cause, away.waiting, away.unseen), (Cause::Silent, 0, 1));
     assert!(away.away >= Duration::from_secs(2) && away.away <= Duration::from_secs(5));
 }
 
@@ -333,7 +334,7 @@
     // capacity there is.
     let mut harness = with_full_workers(1);
     harness.submit(1, "plain", long_running(1, 1));
-    harness.confirms = false;
+    harness.lease_confirmed = false;
     harness.workers[0].hook = |_| Some(Err(Fault::Unknown));
     harness.run(3_500);
     assert_eq!(only_report(&harness).cause, Cause::Lease);
--- a/tests/shard_blind.rs
+++ b/tests/shard_blind.rs
@@ -4,10 +4,10 @@
 
 use {
     dogwoodreach::{
-        ports::{How, WorkerCall, WorkerReply},
+        ports::{EndReason, WorkerCall, WorkerReply},
         work::State,
     },
-    hand::{Hand, job, step, task, worker::FINE},
+    hand::{Harness, job, step, task, worker::NORMAL},
 };
 
 #[test]
@@ -16,7 +16,7 @@
     // shard. The job's record is gone, so the new owner doesn't know the size of the two tasks.
     // Guards against an owner that gives the worker new work after only one of the two has ended,
     // beyond the worker's capacity.
-    let mut harness = Hand::new(1);
+    let mut harness = Harness::new(1);
     harness.submit(1, "plain", job(step(2, 2)));
     harness.run(300);
     harness.workers[0].hook = |call| match call {
@@ -24,15 +24,16 @@
         _ => None,
     };
     harness.cancel(1);
-    harness.until("the cancel is stored", 500, |h| h.stored(1).state == State::Cancelled);
-    harness.succeed();
+    harness
+        .run_until("the cancel is stored", 500, |h| h.stored_progress(1).state == State::Cancelled);
+    harness.take_over();
     harness.submit(2, "plain", job(step(1, 1)));
     harness.run(1_000);
     assert!(harness.starts_of(2).is_empty(), "both runs are still there");
-    harness.end(task(1, 0), How::Stopped);
+    harness.end(task(1, 0), EndReason::Stopped);
     harness.run(1_000);
     assert!(harness.starts_of(2).is_empty(), "one run is still there");
-    harness.workers[0].hook = FINE;
-    harness.until("the end of both runs", 4_000, |h| h.places(task(1, 1)).is_empty());
-    harness.until("a start in the freed room", 300, |h| !h.starts_of(2).is_empty());
+    harness.workers[0].hook = NORMAL;
+    harness.run_until("the end of both runs", 4_000, |h| h.workers_running(task(1, 1)).is_empty());
+    harness.run_until("a start in the freed room", 300, |h| !h.starts_of(2).is_empty());
 }
--- a/tests/shard_cancel_first.rs
+++ b/tests/shard_cancel_first.rs
@@ -4,7 +4,7 @@
 
 use {
     dogwoodreach::work::State,
-    hand::{Hand, job, step},
+    hand::{Harness, job, step},
 };
 
 #[test]
@@ -12,7 +12,7 @@
     // The store has compacted its history, so the owner reads the whole range again, in which the
     // cancellation precedes its job. Guards against an owner that then runs the job's tasks
     // although the caller was told that the job is cancelled.
-    let mut harness = Hand::new(2);
+    let mut harness = Harness::new(2);
     harness.cancel(1);
     harness.run(500);
     harness.submit(1, "plain", job(step(2, 1)));
@@ -21,5 +21,5 @@
     assert!(harness.starts_of(1).is_empty());
     assert_eq!(harness.starts_of(2).len(), 1, "other jobs must start");
     assert_eq!(harness.state(1), Some(State::Cancelled));
-    assert_eq!(harness.stored(1).state, State::Cancelled);
+    assert_eq!(harness.stored_progress(1).state, State::Cancelled);
 }
--- a/tests/shard_course.rs
+++ b/tests/shard_course.rs
@@ -6,14 +6,14 @@
 use {
     dogwoodreach::{
         Time,
-        shard::{Held, record::Turn},
-        work::{Queues, Step},
+        shard::{Occupancy, record::UpkeepTurn},
+        work::{QueueConfig, Step},
     },
     std::{cell::RefCell, ops::Range, rc::Rc, sync::Arc, time::Duration},
     yard::{
-        Owner, Yard, job, queues, step,
+        Owner, ShardSim, job, queues, step,
         store::Mode,
-        worker::{NOTICE, Worker},
+        worker::{LEAVE_NOTICE, Worker},
         workers,
     },
 };
@@ -35,12 +35,12 @@
 }
 
 impl Event {
-    fn record(&self, yard: &Yard, text: String) {
+    fn record(&self, yard: &ShardSim, text: String) {
         self.log.borrow_mut().push(format!("{}: {text}", yard.now.0 / 1_000));
     }
 
     /// The affected workers. In two of three cases workers with long-running tasks are taken first.
-    fn workers(&self, yard: &Yard) -> Vec<usize> {
+    fn workers(&self, yard: &ShardSim) -> Vec<usize> {
         let mut rng = fastrand::Rng::with_seed(self.seed);
         let long_running = |w: &Worker| {
             w.runs.iter().any(|r| yard.world.step(r.start.task.step).is_some_and(|s| s.lasts))
@@ -56,18 +56,18 @@
 }
 
 /// Lets workers leave as planned; others start at their addresses `gap_ms` milliseconds later.
-fn leave(yard: &mut Yard, event: &Event, gap_ms: u64) {
+fn leave(yard: &mut ShardSim, event: &Event, gap_ms: u64) {
     let (affected, now) = (event.workers(yard), yard.now);
     event.record(yard, format!("leave {affected:?}, replaced after {gap_ms}"));
     for at in affected {
         let w = &mut yard.world.workers[at];
-        if w.up && w.draining.is_none() {
-            w.draining = Some(now);
-            let life = w.life;
-            yard.at((now + NOTICE).0 / 1_000, move |y| {
+        if w.up && w.leaving_since.is_none() {
+            w.leaving_since = Some(now);
+            let life = w.incarnation;
+            yard.at((now + LEAVE_NOTICE).0 / 1_000, move |y| {
                 // The worker may have ended before its time was over.
-                if y.world.workers[at].life == life {
-                    y.replace(at, Duration::from_millis(gap_ms));
+                if y.world.workers[at].incarnation == life {
+                    y.replace_worker(at, Duration::from_millis(gap_ms));
                 }
             });
         }
@@ -76,20 +76,20 @@
 
 /// Takes VMs down for maintenance once they have been drained, and checks again every 300 ms until
 /// the time `until`.
-fn take_down_drained(yard: &mut Yard, until: Time) {
+fn take_down_drained(yard: &mut ShardSim, until: Time) {
     if yard.now >= until {
         return;
     }
-    let active = |o: &Owner| !o.gone && !o.paused && !o.releasing;
+    let active = |o: &Owner| !o.ended && !o.paused && !o.releasing;
     for at in 0..yard.world.workers.len() {
         let id = yard.world.id(at);
         if !active(yard.owner()) {
             break;
         }
-        let held = yard.owner().shard.held_at(std::slice::from_ref(&id));
-        let closed = !matches!(yard.closing.turn(&id), Turn::Open | Turn::Due);
-        if closed && yard.world.workers[at].up && held.first().is_some_and(Held::clear) {
-            yard.replace(at, Duration::from_secs(2));
+        let held = yard.owner().shard.occupancy(std::slice::from_ref(&id));
+        let closed = !matches!(yard.closing.turn(&id), UpkeepTurn::Open | UpkeepTurn::Due);
+        if closed && yard.world.workers[at].up && held.first().is_some_and(Occupancy::is_vacant) {
+            yard.replace_worker(at, Duration::from_secs(2));
         }
     }
     yard.at(yard.now.0 / 1_000 + 300, move |y| take_down_drained(y, until));
@@ -97,9 +97,9 @@
 
 /// Lets another owner take over, unless the newest one still reaches the store: then its lease
 /// would not have expired.
-fn take_over(yard: &mut Yard) {
+fn take_over(yard: &mut ShardSim) {
     let newest = yard.owner();
-    if newest.gone || newest.paused {
+    if newest.ended || newest.paused {
         yard.take_over();
     }
 }
@@ -107,7 +107,7 @@
 /// One simulation. Its events are printed if it breaks an invariant.
 struct Simulation {
     rng: fastrand::Rng,
-    yard: Yard,
+    yard: ShardSim,
     /// The number of workers.
     count: usize,
     log: EventLog,
@@ -127,9 +127,9 @@
 }
 
 /// A configuration of this version, without some of the queues.
-fn configuration(of: &Queues, version: u64, without: &[&str]) -> Arc<Queues> {
-    let kept = of.all.iter().filter(|q| !without.contains(&&*q.name));
-    Arc::new(Queues { version, all: kept.cloned().collect(), ..of.clone() })
+fn configuration(of: &QueueConfig, version: u64, without: &[&str]) -> Arc<QueueConfig> {
+    let kept = of.queues.iter().filter(|q| !without.contains(&&*q.name));
+    Arc::new(QueueConfig { version, queues: kept.cloned().collect(), ..of.clone() })
 }
 
 impl Simulation {
@@ -142,9 +142,9 @@
         if one_pool {
             all.iter_mut().for_each(|w| w.pool = "open".into());
         }
-        let mut yard = Yard::with(seed, queues(), all, 2);
-        yard.often = true;
-        yard.behind = Duration::from_millis(rng.u64(0..900));
+        let mut yard = ShardSim::with(seed, queues(), all, 2);
+        yard.resend_list = true;
+        yard.vm_list_lag = Duration::from_millis(rng.u64(0..900));
         yard.world.advice.share = rng.u64(50..=100);
         let queues = if one_pool { 2 } else { 3 };
         let log = EventLog::default();
@@ -223,7 +223,7 @@
             2 | 3 => {
                 y.at(at, move |y| {
                     event.record(y, format!("release, gap {}", short / 4));
-                    y.release(Duration::from_millis(short / 4));
+                    y.release_shard(Duration::from_millis(short / 4));
                 });
                 at + short / 4 + 1_200
             }
@@ -237,13 +237,13 @@
                             long / 2
                         ),
                     );
-                    y.unread = Duration::from_millis(short / 4);
-                    y.slow = Duration::from_millis(short);
+                    y.initial_delay = Duration::from_millis(short / 4);
+                    y.config_delay = Duration::from_millis(short);
                     y.configure(configuration(&y.world.queues, 2 + at, removed));
                 });
                 y.at(at + long / 2, move |y| {
                     y.configure(configuration(&y.world.queues, 2 + at + long / 2, &[]));
-                    (y.unread, y.slow) = (Duration::ZERO, Duration::ZERO);
+                    (y.initial_delay, y.config_delay) = (Duration::ZERO, Duration::ZERO);
                 });
                 at + long / 2 + short
             }
@@ -251,13 +251,13 @@
                 y.at(at, move |y| {
                     let affected = event.workers(y);
                     event.record(y, format!("drain {affected:?} for {long}"));
-                    let turns = [Turn::Closing, Turn::Due, Turn::Forced];
+                    let turns = [UpkeepTurn::Closing, UpkeepTurn::Due, UpkeepTurn::Forced];
                     let turns: Vec<_> =
                         (0..).zip(affected).map(|(i, w)| (w, turns[i % 3])).collect();
-                    y.close(&turns);
+                    y.set_closing(&turns);
                     take_down_drained(y, Time::from_millis(at + long));
                 });
-                y.at(at + long, |y| y.close(&[]));
+                y.at(at + long, |y| y.set_closing(&[]));
                 at + long
             }
             6 | 7 => {
@@ -267,7 +267,7 @@
                     event.record(y, format!("crash {affected:?}, restart after {downtime}"));
                     affected
                         .into_iter()
-                        .for_each(|at| y.crash(at, Duration::from_millis(downtime)));
+                        .for_each(|at| y.crash_worker(at, Duration::from_millis(downtime)));
                 });
                 at + downtime
             }
@@ -275,16 +275,16 @@
                 y.fault(at, move |y| {
                     let affected = event.workers(y);
                     event.record(y, format!("lose {affected:?}"));
-                    affected.into_iter().for_each(|at| y.lose(at));
+                    affected.into_iter().for_each(|at| y.lose_worker(at));
                 });
                 at
             }
             10..=14 => {
                 let (name, set): (_, fn(&mut Worker, bool)) = match kind {
-                    10 => ("cut", |w, on| w.cut = on),
-                    11 => ("hung", |w, on| w.hung = on),
+                    10 => ("cut", |w, on| w.cut_off = on),
+                    11 => ("hung", |w, on| w.unresponsive = on),
                     12 => ("unwell", |w, on| w.unwell = on),
-                    13 => ("grey", |w, on| w.grey = on),
+                    13 => ("grey", |w, on| w.failing = on),
                     _ => ("slow", |w, on| w.speed = if on { 0.25 } else { 1.0 }),
                 };
                 y.fault(at, move |y| {
@@ -304,11 +304,11 @@
                         y,
                         format!("kill, takeover after {short}, again {again} {}", long / 4),
                     );
-                    y.kill();
+                    y.kill_owner();
                 });
                 y.fault(at + short, take_over);
                 if again {
-                    y.fault(at + short + long / 8, Yard::kill);
+                    y.fault(at + short + long / 8, ShardSim::kill_owner);
                     y.fault(at + short + long / 4, take_over);
                 }
                 at + short + long / 4
@@ -318,8 +318,8 @@
                 y.fault(at, move |y| {
                     event.record(y, format!("pause for {long}; early takeover: {soon}"));
                     let owner = y.owners.len() - 1;
-                    y.pause(owner, true);
-                    y.fault(y.now.0 / 1_000 + long, move |y| y.pause(owner, false));
+                    y.pause_owner(owner, true);
+                    y.fault(y.now.0 / 1_000 + long, move |y| y.pause_owner(owner, false));
                 });
                 if soon {
                     y.fault(at + 4_000, take_over);
@@ -330,20 +330,20 @@
                 let mode = [Mode::Down, Mode::Losing(3)][short as usize % 2];
                 y.fault(at, move |y| {
                     event.record(y, format!("store {mode:?} for {long}"));
-                    y.store.mode = mode;
+                    y.store.health = mode;
                 });
-                y.fault(at + long, |y| y.store.mode = Mode::Up);
+                y.fault(at + long, |y| y.store.health = Mode::Up);
                 at + long
             }
             _ => {
                 y.fault(at, move |y| {
                     event.record(y, format!("late orders for {long}"));
-                    y.late = 4;
+                    y.late_one_in = 4;
                 });
                 for ms in (0..long).step_by(500) {
                     y.fault(at + ms, |_| ());
                 }
-                y.fault(at + long, |y| y.late = 0);
+                y.fault(at + long, |y| y.late_one_in = 0);
                 at + long
             }
         }
--- a/tests/shard_crash.rs
+++ b/tests/shard_crash.rs
@@ -4,7 +4,7 @@
 
 use {
     dogwoodreach::work::{State, Step, TaskKey},
-    hand::{Hand, job, step, task},
+    hand::{Harness, job, step, task},
     std::time::Duration,
 };
 
@@ -14,16 +14,16 @@
 
 /// Crashes the worker of a task whenever the task has started, until the job has failed. Returns
 /// the number of crashes.
-fn crash_until_over(harness: &mut Hand, task: TaskKey) -> usize {
+fn crash_until_over(harness: &mut Harness, task: TaskKey) -> usize {
     for crashes in 0..=MAX_STARTS {
-        let over = |h: &Hand| h.state(task.step.job.0) == Some(State::Failed);
-        harness.until("a start or the end of the job", 20_000, |h| {
-            over(h) || !h.places(task).is_empty()
+        let over = |h: &Harness| h.state(task.step.job.0) == Some(State::Failed);
+        harness.run_until("a start or the end of the job", 20_000, |h| {
+            over(h) || !h.workers_running(task).is_empty()
         });
         if over(harness) {
             return crashes;
         }
-        let at = harness.places(task)[0];
+        let at = harness.workers_running(task)[0];
         // Leaves time for other tasks of the same scheduling round to start on the worker.
         harness.run(100);
         harness.crash(at);
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_task_that_crashes_its_workers_is_given_up() {
-    let mut harness = Hand::new(6);
+    let mut harness = Harness::new(6);
     harness.submit(1, "plain", job(step(1, 1)));
     assert_eq!(crash_until_over(&mut harness, task(1, 0)), 3);
     let starts = harness.starts_of(1).len();
@@ -49,7 +49,7 @@
         Step { copies: true, ..step(2, 1) },
     ];
     for step in steps {
-        let mut harness = Hand::new(6);
+        let mut harness = Harness::new(6);
         harness.submit(1, "plain", job(step));
         assert_eq!(crash_until_over(&mut harness, task(1, 1)), 3);
     }
@@ -57,15 +57,15 @@
 
 #[test]
 fn a_successor_goes_on_counting_crashes() {
-    let mut harness = Hand::new(6);
+    let mut harness = Harness::new(6);
     harness.submit(1, "plain", job(step(1, 1)));
     for _ in 0..2 {
-        harness.until("a start", 20_000, |h| !h.places(task(1, 0)).is_empty());
-        let at = harness.places(task(1, 0))[0];
+        harness.run_until("a start", 20_000, |h| !h.workers_running(task(1, 0)).is_empty());
+        let at = harness.workers_running(task(1, 0))[0];
         harness.crash(at);
         harness.run(300);
     }
-    harness.succeed();
+    harness.take_over();
     assert!(crash_until_over(&mut harness, task(1, 0)) <= 2);
 }
 
@@ -73,7 +73,7 @@
 fn work_beside_a_task_that_crashes_its_worker_is_done() {
     // Tasks that ran before the crashing task are not blamed. Tasks that started together with it
     // are placed apart from it afterwards.
-    let mut harness = Hand::new(6);
+    let mut harness = Harness::new(6);
     harness.submit(1, "plain", job(Step { lasts: true, ..step(4, 1) }));
     harness.submit(2, "plain", job(step(4, 1)));
     harness.run(3_000);
@@ -83,20 +83,21 @@
     harness.run(5_000);
     for (no, count) in [(1, 4), (2, 4), (4, 3)] {
         assert_ne!(harness.state(no), Some(State::Failed), "job {no}");
-        let running = (0..count).filter(|i| !harness.places(task(no, *i)).is_empty()).count();
+        let running =
+            (0..count).filter(|i| !harness.workers_running(task(no, *i)).is_empty()).count();
         assert_eq!(running as u32, count, "tasks of job {no}");
     }
 }
 
 #[test]
 fn a_worker_that_leaves_or_is_cut_off_is_no_crash() {
-    let mut harness = Hand::new(3);
+    let mut harness = Harness::new(3);
     harness.submit(1, "plain", job(Step { lasts: true, ..step(1, 1) }));
     for _ in 0..MAX_STARTS {
-        harness.until("a start", 30_000, |h| !h.places(task(1, 0)).is_empty());
-        let at = harness.places(task(1, 0))[0];
-        harness.workers[at].left = Some(Duration::ZERO);
-        harness.list();
+        harness.run_until("a start", 30_000, |h| !h.workers_running(task(1, 0)).is_empty());
+        let at = harness.workers_running(task(1, 0))[0];
+        harness.workers[at].leaves_in = Some(Duration::ZERO);
+        harness.deliver_list();
         harness.crash(at);
     }
     harness.run(1_000);
@@ -107,15 +108,15 @@
 fn a_crash_between_two_owners_is_counted() {
     // Guards against owners that change as often as workers crash and therefore restart such a task
     // without end.
-    let mut harness = Hand::new(6);
+    let mut harness = Harness::new(6);
     harness.submit(1, "plain", job(step(1, 1)));
     for crashes in 1..=3 {
-        harness.until("a start", 20_000, |h| !h.places(task(1, 0)).is_empty());
+        harness.run_until("a start", 20_000, |h| !h.workers_running(task(1, 0)).is_empty());
         harness.run(300);
-        let at = harness.places(task(1, 0))[0];
+        let at = harness.workers_running(task(1, 0))[0];
         if crashes == 2 {
             harness.restart(at);
-            harness.succeed();
+            harness.take_over();
         } else {
             harness.crash(at);
             harness.run(300);
@@ -127,39 +128,43 @@
 #[test]
 fn task_blamed_for_a_crash_starts_apart_from_tasks_that_have_just_started() {
     // Tasks that start together on a worker are blamed together for its crash.
-    let mut harness = Hand::new(4);
+    let mut harness = Harness::new(4);
     harness.submit(1, "plain", job(Step { lasts: true, ..step(1, 3) }));
     harness.run(2_000);
     harness.submit(2, "plain", job(step(1, 1)));
-    harness.until("a start on the same worker", 1_000, |h| {
-        h.places(task(2, 0)) == h.places(task(1, 0))
+    harness.run_until("a start on the same worker", 1_000, |h| {
+        h.workers_running(task(2, 0)) == h.workers_running(task(1, 0))
     });
     harness.submit(3, "plain", job(step(1, 2)));
-    harness.until("a start elsewhere", 1_000, |h| !h.places(task(3, 0)).is_empty());
-    harness.crash(harness.places(task(2, 0))[0]);
-    harness.until("another start", 1_000, |h| !h.places(task(2, 0)).is_empty());
+    harness.run_until("a start elsewhere", 1_000, |h| !h.workers_running(task(3, 0)).is_empty());
+    harness.crash(harness.workers_running(task(2, 0))[0]);
+    harness.run_until("another start", 1_000, |h| !h.workers_running(task(2, 0)).is_empty());
     harness.run(100);
-    let at = harness.places(task(2, 0));
-    assert!(at != harness.places(task(1, 0)) && at != harness.places(task(3, 0)), "at {at:?}");
+    let at = harness.workers_running(task(2, 0));
+    assert!(
+        at != harness.workers_running(task(1, 0)) && at != harness.workers_running(task(3, 0)),
+        "at {at:?}"
+    );
 }
 
 #[test]
 fn run_known_to_be_gone_is_not_counted_as_a_crash_by_a_successor() {
-    let mut harness = Hand::new(3);
+    let mut harness = Harness::new(3);
     harness.submit(1, "plain", job(step(1, 1)));
-    harness.until("a start", 1_000, |h| !h.places(task(1, 0)).is_empty());
+    harness.run_until("a start", 1_000, |h| !h.workers_running(task(1, 0)).is_empty());
     harness.run(100);
-    harness.crash(harness.places(task(1, 0))[0]);
-    harness.until("another start", 1_000, |h| !h.places(task(1, 0)).is_empty());
+    harness.crash(harness.workers_running(task(1, 0))[0]);
+    harness.run_until("another start", 1_000, |h| !h.workers_running(task(1, 0)).is_empty());
     harness.run(300);
     // No further task can start, and the worker no longer has the run.
-    harness.workers.iter_mut().for_each(|w| w.there = false);
-    harness.list();
-    let at = harness.places(task(1, 0))[0];
-    harness.workers[at].rows.clear();
+    harness.workers.iter_mut().for_each(|w| w.listed = false);
+    harness.deliver_list();
+    let at = harness.workers_running(task(1, 0))[0];
+    harness.workers[at].running.clear();
     harness.run(500);
-    harness.succeed();
+    harness.take_over();
     harness.run(500);
-    let crashes: Vec<usize> = harness.stored(1).crashes.iter().map(|c| c.3.len()).collect();
+    let crashes: Vec<usize> =
+        harness.stored_progress(1).crashes.iter().map(|c| c.3.len()).collect();
     assert_eq!(crashes, [1]);
 }
--- a/tests/shard_cut_off.rs
+++ b/tests/shard_cut_off.rs
@@ -10,29 +10,29 @@
         work::JobNo,
     },
     hand::{
-        Hand, job, step,
-        worker::{FINE, MUTE},
+        Harness, job, step,
+        worker::{NORMAL, SILENT},
     },
     std::time::Duration,
 };
 
 /// An owner that has been without the store for 7 s and hears from `heard` of its five workers. The
 /// call log has the last 3 s.
-fn cut_off(heard: usize) -> Hand {
-    let mut harness = Hand::new(5);
+fn cut_off(heard: usize) -> Harness {
+    let mut harness = Harness::new(5);
     harness.submit(1, "plain", job(step(5, 3)));
     harness.submit_due(2, 5_000, job(step(1, 1)));
     harness.run(500);
-    harness.confirms = false;
-    harness.workers[heard..].iter_mut().for_each(|w| w.hook = MUTE);
+    harness.lease_confirmed = false;
+    harness.workers[heard..].iter_mut().for_each(|w| w.hook = SILENT);
     harness.run(4_000);
-    harness.log.clear();
+    harness.call_log.clear();
     harness.run(3_000);
     harness
 }
 
 /// How many leases the workers were given in the time that the call log covers.
-fn lease_count(harness: &Hand) -> usize {
+fn lease_count(harness: &Harness) -> usize {
     (0..5).map(|w| harness.leases(w).len()).sum()
 }
 
@@ -43,24 +43,24 @@
     // filling the same workers.
     let mut harness = cut_off(2);
     assert_eq!((harness.starts().len(), lease_count(&harness)), (0, 0));
-    harness.confirms = true;
-    harness.until("a start", 500, |h| !h.starts().is_empty());
+    harness.lease_confirmed = true;
+    harness.run_until("a start", 500, |h| !h.starts().is_empty());
     // The owner starts tasks in its next scheduling round; it renews the workers' leases with its
     // next calls to them.
-    harness.until("lease renewals", 1_000, |h| lease_count(h) > 1);
+    harness.run_until("lease renewals", 1_000, |h| lease_count(h) > 1);
 }
 
 #[test]
 fn owner_that_hears_from_few_workers_does_not_repeat_a_start() {
     // As above, with a start that got no answer just before. Guards against sending the start again
     // with a new lease: that would be another start by an owner that may have a successor.
-    let mut harness = Hand::new(5);
+    let mut harness = Harness::new(5);
     harness.run(500);
-    harness.confirms = false;
-    harness.workers[..3].iter_mut().for_each(|w| w.hook = MUTE);
+    harness.lease_confirmed = false;
+    harness.workers[..3].iter_mut().for_each(|w| w.hook = SILENT);
     harness.run(1_800);
     harness.submit(1, "plain", job(step(1, 1)));
-    let first = harness.until("a start", 100, |h| h.starts().len() == 1);
+    let first = harness.run_until("a start", 100, |h| h.starts().len() == 1);
     harness.run(4_000);
     let late = harness.starts().iter().filter(|s| s.0 > first + Duration::from_millis(900)).count();
     assert_eq!(late, 0, "{:?}", harness.starts());
@@ -86,8 +86,8 @@
     harness.submit(3, "plain", job(step(1, 1)));
     harness.run(3_000);
     assert_eq!(harness.starts_of(3).len(), 0);
-    harness.confirms = true;
-    harness.until("a start", 100, |h| h.starts_of(3).len() == 1);
+    harness.lease_confirmed = true;
+    harness.run_until("a start", 100, |h| h.starts_of(3).len() == 1);
 }
 
 #[test]
@@ -96,10 +96,10 @@
     // process resumes, it reads earlier answers of its workers from its sockets. Guards against an
     // owner that concludes from them that most workers answer, and starts tasks and renews leases
     // before any worker has refused its token.
-    let mut harness = Hand::new(5);
+    let mut harness = Harness::new(5);
     harness.submit_due(1, 6_000, job(step(1, 1)));
     harness.run(500);
-    harness.confirms = false;
+    harness.lease_confirmed = false;
     for w in &mut harness.workers {
         w.hook = |call| match call {
             WorkerCall::Hold { .. } => {
@@ -109,28 +109,28 @@
         };
     }
     harness.now = harness.now + Duration::from_secs(8);
-    harness.log.clear();
-    harness.pass();
-    harness.workers.iter_mut().for_each(|w| w.hook = MUTE);
+    harness.call_log.clear();
+    harness.tick();
+    harness.workers.iter_mut().for_each(|w| w.hook = SILENT);
     harness.run(100);
     assert_eq!((harness.starts().len(), lease_count(&harness)), (0, 0));
-    harness.workers.iter_mut().for_each(|w| w.hook = FINE);
-    harness.until("a start once the workers answer", 2_000, |h| !h.starts().is_empty());
+    harness.workers.iter_mut().for_each(|w| w.hook = NORMAL);
+    harness.run_until("a start once the workers answer", 2_000, |h| !h.starts().is_empty());
 }
 
 #[test]
 fn owner_that_is_refused_by_a_fence_gives_up_the_shard() {
     // A worker has seen a higher token. Whatever the owner orders or shows after the refusal is
     // wrong, and orders with the old token break the fencing invariant.
-    let mut harness = Hand::new(5);
+    let mut harness = Harness::new(5);
     harness.submit(1, "plain", job(step(5, 3)));
     harness.run(500);
     harness.workers[3].hook = |call| match call {
         WorkerCall::Hold { .. } => Some(Ok(Reply::Refused(0, Refusal::Fence))),
         _ => None,
     };
-    let at = harness.until("the order to give up the shard", 100, |h| h.deposed);
-    let last_call = |h: &Hand| h.log.last().map_or(Time::ZERO, |l| l.0);
+    let at = harness.run_until("the order to give up the shard", 100, |h| h.deposed);
+    let last_call = |h: &Harness| h.call_log.last().map_or(Time::ZERO, |l| l.0);
     assert!(last_call(&harness) <= at);
     harness.submit(2, "plain", job(step(1, 1)));
     harness.cancel(1);
--- a/tests/shard_dropped.rs
+++ b/tests/shard_dropped.rs
@@ -3,9 +3,9 @@
 mod yard;
 
 use {
-    dogwoodreach::work::{Queues, State, Step},
+    dogwoodreach::work::{QueueConfig, State, Step},
     std::{sync::Arc, time::Duration},
-    yard::{Yard, job, queues, step, workers},
+    yard::{ShardSim, job, queues, step, workers},
 };
 
 #[test]
@@ -17,18 +17,22 @@
     // queue open is queued; its queue is not known").
     for seed in 1..4 {
         for queue in ["open", "advised"] {
-            let mut yard = Yard::with(seed, queues(), workers(8), 2);
+            let mut yard = ShardSim::with(seed, queues(), workers(8), 2);
             let next = Step { after: [0].into(), ..step(2, 500) };
             yard.at(1_000, move |y| y.submit(1, queue, job([step(2, 3_000), next])));
             yard.at(1_500, |y| {
-                let kept = y.world.queues.all.iter().filter(|q| q.pool.as_str() != "open");
+                let kept = y.world.queues.queues.iter().filter(|q| q.pool.as_str() != "open");
                 let all = kept.cloned().collect();
-                y.configure(Arc::new(Queues { version: 2, all, ..(*y.world.queues).clone() }));
+                y.configure(Arc::new(QueueConfig {
+                    version: 2,
+                    queues: all,
+                    ..(*y.world.queues).clone()
+                }));
             });
-            yard.at(2_500, |y| y.release(Duration::from_millis(300)));
+            yard.at(2_500, |y| y.release_shard(Duration::from_millis(300)));
             yard.run_until(5_000);
-            yard.settle(15_000);
-            assert_eq!(yard.stored(1), Some(State::Done));
+            yard.run_until_settled(15_000);
+            assert_eq!(yard.stored_state(1), Some(State::Done));
         }
     }
 }
--- a/tests/shard_fillers.rs
+++ b/tests/shard_fillers.rs
@@ -5,20 +5,20 @@
 use {
     dogwoodreach::{
         Time,
-        ports::{How, WorkerCall},
+        ports::{EndReason, WorkerCall},
         work::{Step, TaskKey},
     },
-    hand::{Hand, job, step, task},
+    hand::{Harness, job, step, task},
     std::time::Duration,
 };
 
 /// All changes of pace so far: when, the task, and the new pace in percent.
-fn paces(harness: &Hand) -> Vec<(Time, TaskKey, u8)> {
+fn paces(harness: &Harness) -> Vec<(Time, TaskKey, u8)> {
     let pace = |(at, _, call): &(Time, usize, WorkerCall)| match call {
         WorkerCall::Pace { task, percent, .. } => Some((*at, *task, *percent)),
         _ => None,
     };
-    harness.log.iter().filter_map(pace).collect()
+    harness.call_log.iter().filter_map(pace).collect()
 }
 
 fn filler() -> Step {
@@ -27,17 +27,17 @@
 
 /// A worker with a serving task whose target is 100 ms and whose tail latency is `load` ms, and a
 /// filler beside it.
-fn with_filler_beside_serving(load: u64) -> Hand {
-    let mut harness = Hand::new(1);
+fn with_filler_beside_serving(load: u64) -> Harness {
+    let mut harness = Harness::new(1);
     harness.submit(1, "plain", job(Step { lasts: true, target: 100, ..step(1, 2) }));
     harness.run(300);
-    harness.workers[0].row(&task(1, 0)).load = load;
+    harness.workers[0].row_mut(&task(1, 0)).load = load;
     harness.submit(2, "plain", job(filler()));
     harness.run(300);
     harness
 }
 
-fn last_pace(harness: &Hand) -> u8 {
+fn last_pace(harness: &Harness) -> u8 {
     paces(harness).last().map_or(100, |p| p.2)
 }
 
@@ -48,11 +48,11 @@
     // raise it again and again.
     let mut harness = with_filler_beside_serving(50);
     assert!(last_pace(&harness) <= 50, "a filler must start at half speed at most");
-    harness.workers[0].row(&task(1, 0)).load = 150;
-    harness.until("a pause", 100, |h| last_pace(h) == 0);
-    harness.workers[0].row(&task(1, 0)).load = 40;
+    harness.workers[0].row_mut(&task(1, 0)).load = 150;
+    harness.run_until("a pause", 100, |h| last_pace(h) == 0);
+    harness.workers[0].row_mut(&task(1, 0)).load = 40;
     let low = harness.now;
-    harness.until("full speed", 20_000, |h| last_pace(h) == 100);
+    harness.run_until("full speed", 20_000, |h| last_pace(h) == 100);
     for (at, _, percent) in paces(&harness).iter().filter(|p| p.0 > low) {
         let limit = 10.0 * (*at - low).as_secs_f64();
         assert!(f64::from(*percent) <= limit, "{percent} at {at}, low since {low}");
@@ -69,9 +69,9 @@
     assert_eq!(last_pace(&harness), 0);
     let now = harness.now;
     harness.submit(3, "plain", job(filler()));
-    harness.until("a start of the second filler", 200, |h| h.starts_of(3).len() == 1);
-    let paced = |h: &Hand| paces(h).iter().any(|p| p.0 > now && p.1 == task(3, 0) && p.2 == 0);
-    harness.until("a pause of the second filler", 100, paced);
+    harness.run_until("a start of the second filler", 200, |h| h.starts_of(3).len() == 1);
+    let paced = |h: &Harness| paces(h).iter().any(|p| p.0 > now && p.1 == task(3, 0) && p.2 == 0);
+    harness.run_until("a pause of the second filler", 100, paced);
 }
 
 #[test]
@@ -82,11 +82,11 @@
     // five tasks of three jobs were still running, and nothing else was, two minutes after they had
     // started.
     let mut harness = with_filler_beside_serving(50);
-    harness.workers[0].row(&task(1, 0)).load = 150;
-    harness.until("a pause", 100, |h| last_pace(h) == 0);
-    harness.succeed();
+    harness.workers[0].row_mut(&task(1, 0)).load = 150;
+    harness.run_until("a pause", 100, |h| last_pace(h) == 0);
+    harness.take_over();
     harness.cancel(1);
-    harness.until("a stop of the serving task", 3_000, |h| !h.stops().is_empty());
-    harness.end(task(1, 0), How::Stopped);
-    harness.until("full speed", 3_000, |h| last_pace(h) == 100);
+    harness.run_until("a stop of the serving task", 3_000, |h| !h.stops().is_empty());
+    harness.end(task(1, 0), EndReason::Stopped);
+    harness.run_until("full speed", 3_000, |h| last_pace(h) == 100);
 }
--- a/tests/shard_gang.rs
+++ b/tests/shard_gang.rs
@@ -5,12 +5,12 @@
 use {
     dogwoodreach::{
         Time,
-        ports::{How, Refusal, Start, WorkerCall, WorkerReply as Reply},
+        ports::{EndReason, Refusal, Start, WorkerCall, WorkerReply as Reply},
         work::Step,
     },
     hand::{
-        Hand, job, step, task,
-        worker::{FINE, Hook, MUTE},
+        Harness, job, step, task,
+        worker::{Hook, NORMAL, SILENT},
     },
     std::collections::BTreeSet,
 };
@@ -22,14 +22,14 @@
 };
 
 /// Submits a gang of three, each of which fills a worker, and returns their starts.
-fn submit_gang(harness: &mut Hand) -> Vec<(Time, usize, Start)> {
+fn submit_gang(harness: &mut Harness) -> Vec<(Time, usize, Start)> {
     harness.submit(1, "plain", job(Step { gang: true, saves: true, ..step(3, 4) }));
-    harness.until("the starts of the gang", 500, |h| h.starts().len() == 3);
+    harness.run_until("the starts of the gang", 500, |h| h.starts().len() == 3);
     harness.starts()
 }
 
 /// The distinct runs and checkpoints of all starts but the first `after`.
-fn restarts(harness: &Hand, after: usize) -> BTreeSet<(u32, Box<str>)> {
+fn restarts(harness: &Harness, after: usize) -> BTreeSet<(u32, Box<str>)> {
     harness.starts()[after..].iter().map(|s| (s.2.run, s.2.saved.clone())).collect()
 }
 
@@ -38,15 +38,18 @@
     // A member's start is refused, as its worker has less capacity than the owner assumed. Guards
     // against the other two members waiting for it until they end for lack of a complete gang,
     // while they occupy their workers.
-    let mut harness = Hand::new(3);
+    let mut harness = Harness::new(3);
     harness.workers[1].hook = REFUSE_STARTS;
     let first = submit_gang(&mut harness);
     let refused = harness.now;
-    harness.until("the stops of the others", 200, |h| h.stops().len() == 2);
+    harness.run_until("the stops of the others", 200, |h| h.stops().len() == 2);
     harness.run(200);
-    assert!((0..3).all(|i| harness.places(task(1, i)).is_empty()), "no member may wait alone");
-    harness.workers[1].hook = FINE;
-    harness.until("the restart of all members", 3_000, |h| h.starts().len() == 6);
+    assert!(
+        (0..3).all(|i| harness.workers_running(task(1, i)).is_empty()),
+        "no member may wait alone"
+    );
+    harness.workers[1].hook = NORMAL;
+    harness.run_until("the restart of all members", 3_000, |h| h.starts().len() == 6);
     assert_eq!(restarts(&harness, 3), [(first[0].2.run + 1, "".into())].into());
     assert_eq!(
         harness.starts()[3].0,
@@ -60,15 +63,15 @@
     // A member fails, and the others, which are stopped, report other checkpoints. Guards against
     // members that start again from different checkpoints: that breaks an invariant and spoils
     // their work.
-    let mut harness = Hand::new(3);
+    let mut harness = Harness::new(3);
     submit_gang(&mut harness);
     harness.run(300);
     for (i, saved) in (0..).zip(["a3", "a4", ""]) {
-        let at = harness.places(task(1, i))[0];
-        harness.workers[at].row(&task(1, i)).saved = saved.into();
+        let at = harness.workers_running(task(1, i))[0];
+        harness.workers[at].row_mut(&task(1, i)).saved = saved.into();
     }
-    harness.end(task(1, 0), How::Failed);
-    harness.until("the restart of all members", 5_000, |h| h.starts().len() == 6);
+    harness.end(task(1, 0), EndReason::Failed);
+    harness.run_until("the restart of all members", 5_000, |h| h.starts().len() == 6);
     let again = restarts(&harness, 3);
     assert_eq!(again.len(), 1, "{again:?}");
     assert!(again.iter().all(|(run, saved)| *run == 2 && !saved.is_empty()), "{again:?}");
@@ -80,23 +83,23 @@
     // capacity. Then the worker becomes reachable again and reports the member's end with a newer
     // checkpoint. Guards against using this checkpoint for that member alone, so that the members
     // start from different ones.
-    let mut harness = Hand::new(3);
+    let mut harness = Harness::new(3);
     submit_gang(&mut harness);
     harness.run(300);
     for i in 0..3 {
-        let at = harness.places(task(1, i))[0];
-        harness.workers[at].row(&task(1, i)).saved = "a3".into();
+        let at = harness.workers_running(task(1, i))[0];
+        harness.workers[at].row_mut(&task(1, i)).saved = "a3".into();
     }
     harness.run(300);
-    let at = harness.places(task(1, 1))[0];
-    harness.workers[at].hook = MUTE;
-    harness.until("the stops of the others", 30_000, |h| h.stops().len() == 2);
+    let at = harness.workers_running(task(1, 1))[0];
+    harness.workers[at].hook = SILENT;
+    harness.run_until("the stops of the others", 30_000, |h| h.stops().len() == 2);
     harness.run(2_000);
     assert_eq!(harness.starts().len(), 3, "there must be no room for the gang");
-    harness.workers[at].row(&task(1, 1)).saved = "a5".into();
-    harness.end(task(1, 1), How::Lapsed);
-    harness.workers[at].hook = FINE;
-    harness.until("the restart of all members", 5_000, |h| h.starts().len() == 6);
+    harness.workers[at].row_mut(&task(1, 1)).saved = "a5".into();
+    harness.end(task(1, 1), EndReason::Lapsed);
+    harness.workers[at].hook = NORMAL;
+    harness.run_until("the restart of all members", 5_000, |h| h.starts().len() == 6);
     let again = restarts(&harness, 3);
     assert_eq!(again.len(), 1, "{again:?}");
 }
@@ -105,16 +108,16 @@
 fn ends_that_a_former_owner_has_not_heard_of_give_one_checkpoint() {
     // The members of a gang end while the shard has no owner, each with a different last
     // checkpoint. The next owner gets the reports of the ends one by one.
-    let mut harness = Hand::new(3);
+    let mut harness = Harness::new(3);
     submit_gang(&mut harness);
     harness.run(300);
     for (i, saved) in (0..).zip(["a3", "a4", "a5"]) {
-        let at = harness.places(task(1, i))[0];
-        harness.workers[at].row(&task(1, i)).saved = saved.into();
-        harness.end(task(1, i), How::Broken);
+        let at = harness.workers_running(task(1, i))[0];
+        harness.workers[at].row_mut(&task(1, i)).saved = saved.into();
+        harness.end(task(1, i), EndReason::Broken);
     }
-    harness.succeed();
-    harness.until("the restart of all members", 5_000, |h| h.starts().len() == 6);
+    harness.take_over();
+    harness.run_until("the restart of all members", 5_000, |h| h.starts().len() == 6);
     let again = restarts(&harness, 3);
     assert_eq!(again.len(), 1, "{again:?}");
 }
--- a/tests/shard_gang_fits.rs
+++ b/tests/shard_gang_fits.rs
@@ -4,7 +4,7 @@
 
 use {
     dogwoodreach::work::{JobNo, State, Step},
-    yard::{Yard, job, step},
+    yard::{ShardSim, job, step},
 };
 
 #[test]
@@ -12,7 +12,7 @@
     // A gang needs the whole capacity of its pool, and small jobs keep arriving. Each task that
     // ends frees room for one task only, which the next small job takes. Guards against a gang that
     // waits for as long as small jobs arrive: its room must be reserved as it is for smaller gangs.
-    let mut yard = Yard::new(3, 4);
+    let mut yard = ShardSim::new(3, 4);
     let gang = Step { gang: true, ..step(8, 700) };
     yard.at(1_000, move |y| y.submit(1, "open", job([gang])));
     for no in 2..400 {
--- a/tests/shard_gang_stuck.rs
+++ b/tests/shard_gang_stuck.rs
@@ -4,7 +4,7 @@
 
 use {
     dogwoodreach::work::{JobNo, State, Step},
-    yard::{Yard, job, step},
+    yard::{ShardSim, job, step},
 };
 
 #[test]
@@ -13,7 +13,7 @@
     // four. The gang can never start. Guards against a reservation for it that keeps small jobs off
     // the workers for good.
     for seed in 1..12 {
-        let mut yard = Yard::new(seed, 6);
+        let mut yard = ShardSim::new(seed, 6);
         let gang = Step { gang: true, ..step(5, 700) };
         yard.at(100, move |y| y.submit(1, "advised", job([gang])));
         for no in 2..8 {
--- a/tests/shard_kept.rs
+++ b/tests/shard_kept.rs
@@ -5,10 +5,10 @@
 use {
     dogwoodreach::{
         units::Size,
-        work::{AdviceCost, Queue, Queues, Step},
+        work::{AdviceCost, Queue, QueueConfig, Step},
     },
     std::{sync::Arc, time::Duration},
-    yard::{Yard, job, step, worker::Worker},
+    yard::{ShardSim, job, step, worker::Worker},
 };
 
 /// The number of members that can call for advice.
@@ -17,7 +17,7 @@
 
 /// Steps of `gangs` are more urgent, late after 3 s and worthless after 9 s. Steps of `tasks` can
 /// still be in time.
-fn queues() -> Arc<Queues> {
+fn queues() -> Arc<QueueConfig> {
     let defaults = yard::queues();
     let ms = Duration::from_millis;
     let queue = |name: &str, priority, slack, cost| Queue {
@@ -27,11 +27,11 @@
         stretch: 1.0,
         slack: ms(slack),
         advice: Some(AdviceCost { base: ms(cost), each: ms(2), valid: ms(2_000) }),
-        ..defaults.named("open").expect("a queue").clone()
+        ..defaults.by_name("open").expect("a queue").clone()
     };
-    let open = defaults.named("open").expect("a queue").clone();
+    let open = defaults.by_name("open").expect("a queue").clone();
     let all = vec![queue("gangs", 0, 0, 900), queue("tasks", 1, 30_000, 280), open];
-    Arc::new(Queues { all, ..(*defaults).clone() })
+    Arc::new(QueueConfig { queues: all, ..(*defaults).clone() })
 }
 
 /// The longest time that a worker may be idle while steps wait: a gang holds a reservation for at
@@ -49,8 +49,9 @@
     for seed in 1..4 {
         let new_worker =
             |at: usize| Worker::new("open", ["r1", "r2"][at % 2], Size::new(16, 65_536, 8));
-        let mut yard = Yard::with(seed, queues(), (0..WORKERS).map(new_worker).collect(), MEMBERS);
-        yard.coarse = Duration::from_millis(1);
+        let mut yard =
+            ShardSim::with(seed, queues(), (0..WORKERS).map(new_worker).collect(), MEMBERS);
+        yard.time_step = Duration::from_millis(1);
         yard.world.advice.share = 50;
         yard.world.spread = 0.0;
         let whole_worker = |count, ms| Step { size: Size::new(16, 4_096, 1), ..step(count, ms) };
--- a/tests/shard_leaving.rs
+++ b/tests/shard_leaving.rs
@@ -4,26 +4,26 @@
 
 use {
     dogwoodreach::{
-        ports::{Fault, How, WorkerCall},
+        ports::{EndReason, Fault, WorkerCall},
         work::Step,
     },
-    hand::{Hand, STOP, job, step, task},
+    hand::{Harness, MAX_STOP, job, step, task},
     std::time::Duration,
 };
 
 /// Two workers: one runs a long-running task and a checkpointing task and leaves in 6 s, the other
 /// is empty. Returns the index of the first as well.
-fn with_leaving_worker() -> (Hand, usize) {
-    let mut harness = Hand::new(2);
+fn with_leaving_worker() -> (Harness, usize) {
+    let mut harness = Harness::new(2);
     harness.submit(1, "plain", job(Step { lasts: true, may_miss: Some(1), ..step(1, 1) }));
     harness.submit(2, "plain", job(Step { saves: true, ..step(1, 1) }));
     harness.run(500);
-    let at = harness.places(task(1, 0))[0];
-    assert_eq!(harness.places(task(2, 0)), [at], "the fuller worker must be preferred");
-    harness.workers[at].row(&task(2, 0)).saved = "a7".into();
+    let at = harness.workers_running(task(1, 0))[0];
+    assert_eq!(harness.workers_running(task(2, 0)), [at], "the fuller worker must be preferred");
+    harness.workers[at].row_mut(&task(2, 0)).saved = "a7".into();
     harness.run(300);
-    harness.workers[at].left = Some(Duration::from_secs(6));
-    harness.list();
+    harness.workers[at].leaves_in = Some(Duration::from_secs(6));
+    harness.deliver_list();
     (harness, at)
 }
 
@@ -45,15 +45,15 @@
 fn unanswered_start_is_not_repeated_on_a_leaving_worker() {
     // A start has got no answer when the worker announces that it is leaving. Guards against
     // sending the start for another second: it would begin work that is lost with the worker.
-    let mut harness = Hand::new(1);
+    let mut harness = Harness::new(1);
     harness.workers[0].hook = |call| match call {
         WorkerCall::Start(_) => Some(Err(Fault::Unknown)),
         _ => None,
     };
     harness.submit(1, "plain", job(step(1, 1)));
     harness.run(100);
-    harness.workers[0].left = Some(Duration::from_secs(6));
-    harness.list();
+    harness.workers[0].leaves_in = Some(Duration::from_secs(6));
+    harness.deliver_list();
     harness.run(5_000);
     assert_eq!(harness.starts().len(), 1);
     assert_eq!(harness.stops().len(), 1, "a stop must bar the start, which may still arrive late");
@@ -66,18 +66,18 @@
     // and can start elsewhere only after its lease has expired.
     let (mut harness, at) = with_leaving_worker();
     let end = harness.now + Duration::from_secs(6);
-    let moved =
-        harness.until("the move of the long-running task", 1_000, |h| h.starts_of(1).len() == 2);
+    let moved = harness
+        .run_until("the move of the long-running task", 1_000, |h| h.starts_of(1).len() == 2);
     assert!(harness.stops().iter().all(|s| s.2 == task(1, 0)), "the other task must keep running");
-    let stop = harness.until("the stop of the other task", 6_000, |h| {
+    let stop = harness.run_until("the stop of the other task", 6_000, |h| {
         h.stops().iter().any(|s| s.2 == task(2, 0))
     });
-    assert!(stop + STOP < end, "stopped too late: at {stop}");
+    assert!(stop + MAX_STOP < end, "stopped too late: at {stop}");
     assert!(stop > moved + Duration::from_secs(2), "stopped too early: at {stop}");
-    harness.until("a start elsewhere", 500, |h| h.places(task(2, 0)) == [1 - at]);
+    harness.run_until("a start elsewhere", 500, |h| h.workers_running(task(2, 0)) == [1 - at]);
     assert_eq!(&*harness.starts_of(2)[1].2.saved, "a7");
-    harness.end(task(2, 0), How::Done);
-    harness.until("the end of the job", 500, |h| h.stored(2).state.over());
+    harness.end(task(2, 0), EndReason::Done);
+    harness.run_until("the end of the job", 500, |h| h.stored_progress(2).state.is_final());
 }
 
 #[test]
@@ -85,28 +85,28 @@
     // A worker with three long-running tasks leaves in 20 s, and there is capacity for one of them
     // elsewhere. Guards against stopping the other two at once as well: they would not run until
     // other tasks end, although their worker could still run them for half a minute.
-    let mut harness = Hand::new(2);
+    let mut harness = Harness::new(2);
     harness.submit(1, "plain", job(Step { lasts: true, may_miss: Some(1), ..step(3, 1) }));
     harness.run(500);
-    let at = harness.places(task(1, 0))[0];
+    let at = harness.workers_running(task(1, 0))[0];
     assert!(
-        (1..3).all(|i| harness.places(task(1, i)) == [at]),
+        (1..3).all(|i| harness.workers_running(task(1, i)) == [at]),
         "the fuller worker must be preferred"
     );
     harness.submit(2, "plain", job(step(1, 1)));
     harness.submit(3, "plain", job(step(1, 3)));
     harness.run(500);
-    assert_eq!(harness.places(task(3, 0)), [1 - at]);
-    harness.workers[at].left = Some(Duration::from_secs(20));
-    harness.list();
+    assert_eq!(harness.workers_running(task(3, 0)), [1 - at]);
+    harness.workers[at].leaves_in = Some(Duration::from_secs(20));
+    harness.deliver_list();
     harness.run(10_000);
-    let run_count = |i| harness.places(task(1, i)).len();
+    let run_count = |i| harness.workers_running(task(1, i)).len();
     assert_eq!((0..3).map(run_count).collect::<Vec<_>>(), [1; 3], "all tasks must run");
-    let moved = (0..3).filter(|i| harness.places(task(1, *i)) == [1 - at]);
+    let moved = (0..3).filter(|i| harness.workers_running(task(1, *i)) == [1 - at]);
     assert_eq!(moved.count(), 1, "one task has capacity elsewhere");
-    harness.end(task(3, 0), How::Done);
+    harness.end(task(3, 0), EndReason::Done);
     harness.run(2_000);
-    let moved = (0..3).filter(|i| harness.places(task(1, *i)) == [1 - at]);
+    let moved = (0..3).filter(|i| harness.workers_running(task(1, *i)) == [1 - at]);
     assert_eq!(moved.count(), 3, "the others must move once there is capacity");
 }
 
@@ -115,21 +115,21 @@
     // Long-running tasks of two jobs run on a worker that leaves in 20 s, and there is capacity for
     // one of them elsewhere. Guards against both steps counting on the same capacity: both tasks
     // would be stopped, and one of them would not run until its worker is gone.
-    let mut harness = Hand::new(2);
+    let mut harness = Harness::new(2);
     let one = || job(Step { lasts: true, may_miss: Some(1), ..step(1, 1) });
     harness.submit(1, "plain", one());
     harness.submit(2, "plain", one());
     harness.run(500);
-    let at = harness.places(task(1, 0))[0];
-    assert_eq!(harness.places(task(2, 0)), [at], "the fuller worker must be preferred");
+    let at = harness.workers_running(task(1, 0))[0];
+    assert_eq!(harness.workers_running(task(2, 0)), [at], "the fuller worker must be preferred");
     harness.submit(3, "plain", job(step(1, 2)));
     harness.submit(4, "plain", job(step(1, 3)));
     harness.run(500);
-    assert_eq!(harness.places(task(4, 0)), [1 - at]);
-    harness.workers[at].left = Some(Duration::from_secs(20));
-    harness.list();
+    assert_eq!(harness.workers_running(task(4, 0)), [1 - at]);
+    harness.workers[at].leaves_in = Some(Duration::from_secs(20));
+    harness.deliver_list();
     harness.run(10_000);
-    let places = |no| harness.places(task(no, 0));
+    let places = |no| harness.workers_running(task(no, 0));
     let mut both = [places(1), places(2)].concat();
     both.sort_unstable();
     assert_eq!(both, [0, 1], "both tasks must run, one of them elsewhere");
--- a/tests/shard_note.rs
+++ b/tests/shard_note.rs
@@ -5,40 +5,40 @@
 use {
     dogwoodreach::{
         Time,
-        ports::{Fault, How, WorkerCall},
+        ports::{EndReason, Fault, WorkerCall},
         work::{JobNo, State},
     },
     hand::{
-        Hand, job, step,
-        store::Fate::{self, Answered, Lost, Refused, Unheard},
+        Harness, job, step,
+        store::CallOutcome::{self, AnswerLost, Answered, Refused, Unanswered},
         task,
-        worker::FINE,
+        worker::NORMAL,
     },
     std::time::Duration,
 };
 
 /// A worker with two tasks, one of which has just ended, while the store does not answer.
-fn one_end_unstored() -> Hand {
-    let mut hand = Hand::new(1);
+fn one_end_unstored() -> Harness {
+    let mut hand = Harness::new(1);
     hand.submit(1, "plain", job(step(2, 1)));
     hand.run(300);
-    hand.end(task(1, 0), How::Done);
-    hand.answers = false;
+    hand.end(task(1, 0), EndReason::Done);
+    hand.store_up = false;
     hand.run(500);
     hand
 }
 
 /// Returns when the store has the end and when the worker receives its acknowledgement; the next
 /// writes have these outcomes.
-fn note_times(fates: &[Fate]) -> (Time, Time) {
+fn note_times(fates: &[CallOutcome]) -> (Time, Time) {
     let mut hand = one_end_unstored();
-    assert_eq!(hand.noted(0), 0, "nothing is written");
-    hand.fates = fates.iter().copied().collect();
-    hand.answers = true;
-    let has = |h: &Hand| h.stored(1).tasks.iter().any(|t| t.5);
-    let stored = hand.until("stored", 5_000, |h| has(h) || h.noted(0) == 1);
+    assert_eq!(hand.last_acked_end(0), 0, "nothing is written");
+    hand.write_outcomes = fates.iter().copied().collect();
+    hand.store_up = true;
+    let has = |h: &Harness| h.stored_progress(1).tasks.iter().any(|t| t.5);
+    let stored = hand.run_until("stored", 5_000, |h| has(h) || h.last_acked_end(0) == 1);
     let stored = if has(&hand) { stored } else { Time::NEVER };
-    (stored, hand.until("told", 5_000, |h| h.noted(0) == 1))
+    (stored, hand.run_until("told", 5_000, |h| h.last_acked_end(0) == 1))
 }
 
 #[test]
@@ -51,10 +51,10 @@
         &[Answered][..],
         &[Refused, Answered],
         &[Refused, Refused, Refused, Answered],
-        &[Unheard, Answered],
-        &[Lost(Duration::ZERO)],
-        &[Lost(late), Answered],
-        &[Unheard, Refused, Lost(Duration::ZERO)],
+        &[Unanswered, Answered],
+        &[AnswerLost(Duration::ZERO)],
+        &[AnswerLost(late), Answered],
+        &[Unanswered, Refused, AnswerLost(Duration::ZERO)],
     ] {
         let (stored, acknowledged) = note_times(fates);
         assert!(
@@ -74,15 +74,17 @@
     // acknowledged the second end too, it would be lost with the owner, because the store doesn't
     // have it.
     let mut hand = one_end_unstored();
-    hand.end(task(1, 1), How::Done);
+    hand.end(task(1, 1), EndReason::Done);
     hand.run(500);
-    hand.fates = [Answered, Refused, Refused, Refused].into();
-    hand.answers = true;
-    hand.until("the first is noted", 500, |h| h.noted(0) > 0);
-    assert_eq!((hand.noted(0), hand.stored(1).state), (1, State::Running));
-    hand.until("the second is stored", 2_000, |h| h.noted(0) > 1 || h.stored(1).state.over());
-    assert_eq!(hand.stored(1).state, State::Done);
-    hand.until("the second is noted", 500, |h| h.noted(0) == 2);
+    hand.write_outcomes = [Answered, Refused, Refused, Refused].into();
+    hand.store_up = true;
+    hand.run_until("the first is noted", 500, |h| h.last_acked_end(0) > 0);
+    assert_eq!((hand.last_acked_end(0), hand.stored_progress(1).state), (1, State::Running));
+    hand.run_until("the second is stored", 2_000, |h| {
+        h.last_acked_end(0) > 1 || h.stored_progress(1).state.is_final()
+    });
+    assert_eq!(hand.stored_progress(1).state, State::Done);
+    hand.run_until("the second is noted", 500, |h| h.last_acked_end(0) == 2);
 }
 
 #[test]
@@ -91,14 +93,14 @@
     // ends that the store doesn't have. If it took the write for not done, it would repeat it, the
     // condition would fail, and the owner would mistake its own write for another owner's and give
     // up the shard.
-    for (fate, writes) in [(Lost(Duration::ZERO), 1), (Unheard, 2)] {
+    for (fate, writes) in [(AnswerLost(Duration::ZERO), 1), (Unanswered, 2)] {
         let mut hand = one_end_unstored();
         let before = hand.store.writes;
-        hand.fates = [fate].into();
-        hand.answers = true;
+        hand.write_outcomes = [fate].into();
+        hand.store_up = true;
         hand.run(1_000);
-        let made = hand.store.writes - before + u64::from(fate == Unheard);
-        assert_eq!((made, hand.noted(0), hand.deposed), (writes, 1, false), "{fate:?}");
+        let made = hand.store.writes - before + u64::from(fate == Unanswered);
+        assert_eq!((made, hand.last_acked_end(0), hand.deposed), (writes, 1, false), "{fate:?}");
     }
 }
 
@@ -107,17 +109,17 @@
     // If a caller is shown a job as completed and the owner ends before that is stored, the last
     // task of the job runs again.
     let mut hand = one_end_unstored();
-    hand.answers = true;
+    hand.store_up = true;
     hand.run(300);
-    hand.answers = false;
-    hand.end(task(1, 1), How::Done);
+    hand.store_up = false;
+    hand.end(task(1, 1), EndReason::Done);
     hand.run(1_000);
     assert_eq!(hand.state(1), Some(State::Running));
-    assert_eq!(hand.shard.waiting("plain"), 0);
-    hand.answers = true;
-    hand.until("completed", 200, |h| h.state(1) == Some(State::Done));
-    assert_eq!(hand.stored(1).state, State::Done);
-    hand.succeed();
+    assert_eq!(hand.shard.queued_jobs("plain"), 0);
+    hand.store_up = true;
+    hand.run_until("completed", 200, |h| h.state(1) == Some(State::Done));
+    assert_eq!(hand.stored_progress(1).state, State::Done);
+    hand.take_over();
     assert_eq!(hand.state(1), Some(State::Done), "job {} is over", JobNo(1));
 }
 
@@ -126,7 +128,7 @@
     // A job is cancelled and stored as such, and its runs end after that. No further write was
     // needed, so no write acknowledged these ends: the worker listed them in each answer and was
     // polled eight times a second until another job changed.
-    let mut hand = Hand::new(1);
+    let mut hand = Harness::new(1);
     hand.submit(1, "plain", job(step(2, 1)));
     hand.run(300);
     hand.workers[0].hook = |call| match call {
@@ -134,9 +136,9 @@
         _ => None,
     };
     hand.cancel(1);
-    hand.until("stored", 1_000, |h| h.state(1) == Some(State::Cancelled));
+    hand.run_until("stored", 1_000, |h| h.state(1) == Some(State::Cancelled));
     hand.run(500);
-    hand.workers[0].hook = FINE;
-    hand.until("the runs have ended", 3_000, |h| h.workers[0].rows.is_empty());
-    hand.until("noted", 1_000, |h| h.workers[0].ends.is_empty());
+    hand.workers[0].hook = NORMAL;
+    hand.run_until("the runs have ended", 3_000, |h| h.workers[0].running.is_empty());
+    hand.run_until("noted", 1_000, |h| h.workers[0].ends.is_empty());
 }
--- a/tests/shard_pools.rs
+++ b/tests/shard_pools.rs
@@ -5,10 +5,10 @@
 use {
     dogwoodreach::{
         units::Size,
-        work::{AdviceCost, Queue, Queues, Step},
+        work::{AdviceCost, Queue, QueueConfig, Step},
     },
     std::{sync::Arc, time::Duration},
-    yard::{Yard, job, step, worker::Worker},
+    yard::{ShardSim, job, step, worker::Worker},
 };
 
 /// Number of members that can call for advice.
@@ -16,7 +16,7 @@
 
 /// Two queues, each with its own pool; an advice call on 10 workers takes 0.6 s. `first` is the
 /// more urgent queue.
-fn queues() -> Arc<Queues> {
+fn queues() -> Arc<QueueConfig> {
     let old = yard::queues();
     let us = Duration::from_micros;
     let cost = AdviceCost { base: us(550_000), each: us(5_000), valid: Duration::from_secs(2) };
@@ -25,19 +25,19 @@
         prefix: format!("/{name}/").into(),
         priority,
         advice: Some(cost),
-        ..old.named(pool).expect("a queue").clone()
+        ..old.by_name(pool).expect("a queue").clone()
     };
     let all = vec![queue("first", "plain", 0), queue("second", "open", 1)];
-    Arc::new(Queues { all, ..(*old).clone() })
+    Arc::new(QueueConfig { queues: all, ..(*old).clone() })
 }
 
 /// Six workers in the pool of `first`, twelve in the other.
-fn pools(seed: u64) -> Yard {
+fn pools(seed: u64) -> ShardSim {
     let one = |at: usize| {
         let pool = if at.is_multiple_of(3) { "guarded" } else { "open" };
         Worker::new(pool, ["r1", "r2"][at % 2], Size::new(4, 16_384, 1))
     };
-    Yard::with(seed, queues(), (0..18).map(one).collect(), MEMBERS)
+    ShardSim::with(seed, queues(), (0..18).map(one).collect(), MEMBERS)
 }
 
 #[test]
--- a/tests/shard_probe.rs
+++ b/tests/shard_probe.rs
@@ -4,17 +4,17 @@
 
 use {
     dogwoodreach::{units::Size, work::Step},
-    yard::{Yard, job, queues, step, worker::Worker},
+    yard::{ShardSim, job, queues, step, worker::Worker},
 };
 
 /// Nine workers of one pool; the first three have the label that a lasting step needs.
-fn labelled(seed: u64) -> Yard {
+fn labelled(seed: u64) -> ShardSim {
     let one = |at: usize| {
         let mut w = Worker::new("open", ["r1", "r2"][at % 2], Size::new(4, 16_384, 1));
         w.labels.extend((at < 3).then(|| "gpu".into()));
         w
     };
-    Yard::with(seed, queues(), (0..9).map(one).collect(), 2)
+    ShardSim::with(seed, queues(), (0..9).map(one).collect(), 2)
 }
 
 fn lasting(count: u32) -> Step {
@@ -36,10 +36,10 @@
             yard.at(1_000 + 100 * no, move |y| y.submit(100 + no, "open", job([step(4, 600)])));
         }
         for at in (0..3).filter(|at| *at != home) {
-            yard.fault(1_500, move |y| y.world.workers[at].grey = true);
-            yard.fault(4_500, move |y| y.world.workers[at].grey = false);
+            yard.fault(1_500, move |y| y.world.workers[at].failing = true);
+            yard.fault(4_500, move |y| y.world.workers[at].failing = false);
         }
-        yard.fault(7_500, move |y| y.lose(home));
+        yard.fault(7_500, move |y| y.lose_worker(home));
         yard.run_until(25_000);
     }
 }
@@ -57,14 +57,14 @@
         yard.run_until(1_000);
         let home = yard.world.workers.iter().position(|w| !w.runs.is_empty()).expect("it runs");
         let quarantined = if home == 8 { 0 } else { 8 };
-        yard.fault(1_000, move |y| y.world.workers[quarantined].grey = true);
+        yard.fault(1_000, move |y| y.world.workers[quarantined].failing = true);
         for no in 0..20 {
             yard.at(1_000 + 100 * no, move |y| y.submit(100 + no, "open", job([step(6, 600)])));
         }
         let fills = Step { fills: true, image: "sift".into(), ..step(24, 60_000) };
         yard.at(7_000, move |y| y.submit(2, "open", job([fills])));
-        yard.fault(5_000, move |y| y.world.workers[quarantined].grey = false);
-        yard.fault(9_000, move |y| y.lose(home));
+        yard.fault(5_000, move |y| y.world.workers[quarantined].failing = false);
+        yard.fault(9_000, move |y| y.lose_worker(home));
         yard.run_until(25_000);
     }
 }
--- a/tests/shard_silent.rs
+++ b/tests/shard_silent.rs
@@ -4,7 +4,7 @@
 
 use {
     dogwoodreach::Time,
-    hand::{Hand, STEP, job, step, task, worker::MUTE},
+    hand::{Harness, TICK, job, step, task, worker::SILENT},
     std::time::Duration,
 };
 
@@ -13,19 +13,19 @@
     // A worker is cut off, and its clock is 2% slow. If each hold call to it carried a new lease,
     // which may arrive late, its tasks would never start elsewhere. If the lease were measured on
     // this machine's clock, they would start elsewhere while they still run there.
-    let mut hand = Hand::new(2);
-    hand.workers.iter_mut().for_each(|w| w.rate = 0.98);
+    let mut hand = Harness::new(2);
+    hand.workers.iter_mut().for_each(|w| w.clock_rate = 0.98);
     hand.run(5_000);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.run(1_000);
-    let at = hand.places(task(1, 0))[0];
-    hand.workers[at].hook = MUTE;
+    let at = hand.workers_running(task(1, 0))[0];
+    hand.workers[at].hook = SILENT;
     let cut = hand.now;
-    let start = hand.until("a start elsewhere", 30_000, |h| h.starts().len() == 2);
+    let start = hand.run_until("a start elsewhere", 30_000, |h| h.starts().len() == 2);
     assert_ne!(hand.starts()[1].1, at);
     let leases = hand.leases(at);
     let last = leases.last().expect("it had one").0;
-    assert!(last <= cut + STEP, "no lease once it is silent, but one at {last}");
+    assert!(last <= cut + TICK, "no lease once it is silent, but one at {last}");
     // Any of the leases may have arrived.
     let until = leases.iter().map(|l| l.1).max().expect("it had one");
     let lease_end = Time((((until - 1_000) as f64 / 0.98) * 1e3) as u64);
@@ -40,10 +40,10 @@
 fn a_start_sent_again_carries_no_new_lease() {
     // The worker stops answering just as a start is sent. If each repeated start carried a new
     // lease, it would delay the end of everything that runs there.
-    let mut hand = Hand::new(1);
+    let mut hand = Harness::new(1);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.run(300);
-    hand.workers[0].hook = MUTE;
+    hand.workers[0].hook = SILENT;
     hand.submit(2, "plain", job(step(1, 1)));
     hand.run(4_000);
     let all: Vec<u64> = hand.starts_of(2).iter().map(|s| s.2.until).collect();
--- a/tests/shard_start_unanswered.rs
+++ b/tests/shard_start_unanswered.rs
@@ -3,10 +3,10 @@
 mod hand;
 
 use {
-    dogwoodreach::ports::{Fault, How, WorkerCall, WorkerReply as Reply},
+    dogwoodreach::ports::{EndReason, Fault, WorkerCall, WorkerReply as Reply},
     hand::{
-        Hand, job, step, task,
-        worker::{FINE, Hook, MUTE},
+        Harness, job, step, task,
+        worker::{Hook, NORMAL, SILENT},
     },
     std::time::Duration,
 };
@@ -21,10 +21,10 @@
 fn a_start_without_an_answer_is_sent_again_then_stopped() {
     // A start gets no answer and may be carried out seconds later. If the task were started
     // elsewhere as soon as a hold call doesn't list it, it would run twice.
-    let mut hand = Hand::new(2);
+    let mut hand = Harness::new(2);
     hand.workers.iter_mut().for_each(|w| w.hook = ONLY_HOLDS);
     hand.submit(1, "plain", job(step(1, 1)));
-    hand.until("a stop", 3_000, |h| !h.stops().is_empty());
+    hand.run_until("a stop", 3_000, |h| !h.stops().is_empty());
     let first = hand.starts();
     let (at, run) = (first[0].1, first[0].2.run);
     assert!(first.len() > 1, "it was sent again");
@@ -32,8 +32,8 @@
     hand.run(3_000);
     assert_eq!(hand.starts().len(), first.len(), "nothing elsewhere before the stop is confirmed");
     assert!(hand.stops().len() > 1, "the stop is sent again");
-    hand.workers.iter_mut().for_each(|w| w.hook = FINE);
-    hand.until("a start", 1_000, |h| h.starts().len() > first.len());
+    hand.workers.iter_mut().for_each(|w| w.hook = NORMAL);
+    hand.run_until("a start", 1_000, |h| h.starts().len() > first.len());
     assert_eq!(hand.starts().last().expect("one").2.run, run + 1);
 }
 
@@ -41,49 +41,49 @@
 fn a_look_from_before_the_stop_shows_nothing() {
     // As above, but a hold call was sent before the stop was answered. It may have reached the
     // worker before a delayed start does, so its not listing the run proves nothing.
-    let mut hand = Hand::new(2);
+    let mut hand = Harness::new(2);
     hand.workers.iter_mut().for_each(|w| w.hook = ONLY_HOLDS);
     hand.submit(1, "plain", job(step(1, 1)));
-    hand.until("a stop", 3_000, |h| !h.stops().is_empty());
+    hand.run_until("a stop", 3_000, |h| !h.stops().is_empty());
     let (at, starts) = (hand.stops()[0].1, hand.starts().len());
-    hand.workers.iter_mut().for_each(|w| w.hook = FINE);
-    hand.workers[at].hook = MUTE;
+    hand.workers.iter_mut().for_each(|w| w.hook = NORMAL);
+    hand.workers[at].hook = SILENT;
     hand.run(100);
     hand.workers[at].hook = |call| match call {
         WorkerCall::Hold { .. } => Some(Err(Fault::Unknown)),
         _ => None,
     };
-    hand.pass();
-    hand.workers[at].hook = FINE;
-    hand.pass();
+    hand.tick();
+    hand.workers[at].hook = NORMAL;
+    hand.tick();
     assert_eq!(hand.starts().len(), starts, "the answer to the earlier hold call starts nothing");
-    hand.until("a start", 200, |h| h.starts().len() > starts);
+    hand.run_until("a start", 200, |h| h.starts().len() > starts);
 }
 
 #[test]
 fn a_start_that_comes_late_is_found_by_the_look() {
     // A start got no answer but was carried out. If it were stopped and begun elsewhere, its work
     // would be lost.
-    let mut hand = Hand::new(2);
+    let mut hand = Harness::new(2);
     hand.workers.iter_mut().for_each(|w| w.hook = ONLY_HOLDS);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.run(100);
     let (_, at, start) = hand.starts().remove(0);
-    hand.workers[at].hook = FINE;
+    hand.workers[at].hook = NORMAL;
     let now = hand.now;
     hand.workers[at].answer(&WorkerCall::Start(start), now).expect("it is carried out");
     hand.run(5_000);
     assert!(hand.stops().is_empty());
-    assert_eq!(hand.places(task(1, 0)), [at]);
-    hand.end(task(1, 0), How::Done);
-    hand.until("done", 500, |h| h.stored(1).state.over());
+    assert_eq!(hand.workers_running(task(1, 0)), [at]);
+    hand.end(task(1, 0), EndReason::Done);
+    hand.run_until("done", 500, |h| h.stored_progress(1).state.is_final());
 }
 
 #[test]
 fn a_stop_that_had_an_answer_and_no_effect_is_sent_again() {
     // A worker answers a stop, but the run goes on. The stop was not sent again, and a task of a
     // cancelled job ran on for ever.
-    let mut hand = Hand::new(1);
+    let mut hand = Harness::new(1);
     hand.submit(1, "plain", job(step(1, 1)));
     hand.run(300);
     hand.workers[0].hook = |call| match call {
@@ -91,14 +91,14 @@
         _ => None,
     };
     hand.cancel(1);
-    hand.until("a third stop", 6_000, |h| h.stops().len() == 3);
+    hand.run_until("a third stop", 6_000, |h| h.stops().len() == 3);
     let stops = hand.stops();
     assert!(
         stops[1].0 >= stops[0].0 + Duration::from_secs(1),
         "a stop has its time to take effect"
     );
-    hand.workers[0].hook = FINE;
-    hand.until("gone", 3_000, |h| h.places(task(1, 0)).is_empty());
+    hand.workers[0].hook = NORMAL;
+    hand.run_until("gone", 3_000, |h| h.workers_running(task(1, 0)).is_empty());
     hand.run(5_000);
     assert!(hand.stops().len() <= 4, "no more stops once the run has ended");
 }
--- a/tests/shard_stay.rs
+++ b/tests/shard_stay.rs
@@ -5,14 +5,14 @@
 use {
     dogwoodreach::{
         units::Size,
-        work::{AdviceCost, JobNo, Queue, Queues, Step, StepKey, TaskKey},
+        work::{AdviceCost, JobNo, Queue, QueueConfig, Step, StepKey, TaskKey},
     },
     std::{
         panic::{AssertUnwindSafe, catch_unwind},
         sync::Arc,
         time::Duration,
     },
-    yard::{Yard, job, step, worker::Worker},
+    yard::{ShardSim, job, step, worker::Worker},
 };
 
 /// Cores and megabytes of a worker of size 100.
@@ -32,7 +32,7 @@
     ("review", 1, 2.2, 310_000, 4_400, 30),
 ];
 
-fn queues() -> Arc<Queues> {
+fn queues() -> Arc<QueueConfig> {
     let old = yard::queues();
     let us = Duration::from_micros;
     let queue = |(name, priority, stretch, base, each, _): (&str, u8, f64, u64, u64, u64)| Queue {
@@ -43,25 +43,25 @@
         slack: Duration::from_secs(1),
         attempts: 4,
         advice: Some(AdviceCost { base: us(base), each: us(each), valid: Duration::from_secs(2) }),
-        ..old.named("open").expect("a queue").clone()
+        ..old.by_name("open").expect("a queue").clone()
     };
-    Arc::new(Queues { all: QUEUES.map(queue).into(), ..(*old).clone() })
+    Arc::new(QueueConfig { queues: QUEUES.map(queue).into(), ..(*old).clone() })
 }
 
 /// Creates a pool of this many workers and members.
-fn pool(seed: u64, workers: usize, members: u64) -> Yard {
+fn pool(seed: u64, workers: usize, members: u64) -> ShardSim {
     let one = |i: usize| {
         let part = SIZES[i % SIZES.len()];
         let size = Size::new(WORKER_SIZE.0 * part / 100, WORKER_SIZE.1 * part / 100, 0);
         Worker::new("open", &format!("r{}", i / 8), size)
     };
-    let mut yard = Yard::with(seed, queues(), (0..workers).map(one).collect(), members);
-    yard.coarse = Duration::from_millis(5);
+    let mut yard = ShardSim::with(seed, queues(), (0..workers).map(one).collect(), members);
+    yard.time_step = Duration::from_millis(5);
     yard
 }
 
 /// Submits a job of one step.
-fn submit(yard: &mut Yard, no: u64, queue: &str, step: Step) {
+fn submit(yard: &mut ShardSim, no: u64, queue: &str, step: Step) {
     let known = QUEUES.iter().find(|q| q.0 == queue).expect("a queue");
     yard.world.advice.shares.insert(JobNo(no), known.5);
     yard.submit(no, queue, job([step]));
@@ -121,7 +121,7 @@
 /// Submits jobs at random times: jobs of this kind take `part` hundredths of the cores of the pool,
 /// and `burst` hundredths more of that during bursts, which fill every third interval of 4 s.
 fn submit_random(
-    yard: &mut Yard,
+    yard: &mut ShardSim,
     first: u64,
     queue: &'static str,
     kind: &Step,
@@ -147,7 +147,7 @@
 
 /// Plans a load: lasting jobs arrive first, then all others, and meanwhile single lasting tasks
 /// fail.
-fn plan(seed: u64, workers: usize, members: u64, load: Load) -> Yard {
+fn plan(seed: u64, workers: usize, members: u64, load: Load) -> ShardSim {
     let mut yard = pool(seed, workers, members);
     let mut rng = fastrand::Rng::with_seed(seed);
     let cores: u64 = yard.world.workers.iter().map(|w| w.size.cores.0).sum();
@@ -179,7 +179,7 @@
             let mut all: Vec<TaskKey> = runs.map(|r| r.start.task).filter(mine).collect();
             all.sort_unstable();
             if !all.is_empty() {
-                y.world.fail(all[random as usize % all.len()]);
+                y.world.fail_task(all[random as usize % all.len()]);
             }
         });
     }
@@ -228,7 +228,7 @@
         submit_random(&mut yard, 10_000, "quote", &quote(), 115, 0);
         yard.at(12_000, |y| {
             let step = StepKey { job: JobNo(1), time: 0, step: 0 };
-            y.world.fail(TaskKey { step, index: 0 });
+            y.world.fail_task(TaskKey { step, index: 0 });
         });
         yard.run_until(LOAD_MS);
     }
--- a/tests/shard_stays.rs
+++ b/tests/shard_stays.rs
@@ -6,10 +6,10 @@
 use {
     dogwoodreach::{
         units::Size,
-        work::{Queues, Step},
+        work::{QueueConfig, Step},
     },
     std::{ops::Range, sync::Arc, time::Duration},
-    yard::{Yard, job, queues, step, worker::Worker},
+    yard::{ShardSim, job, queues, step, worker::Worker},
 };
 
 const SEEDS: Range<u64> = 1..4;
@@ -19,26 +19,26 @@
 }
 
 /// Nine workers of one pool; the first three have the label `gpu`.
-fn open(seed: u64) -> Yard {
+fn open(seed: u64) -> ShardSim {
     let one = |at: usize| {
         let mut w = Worker::new("open", ["r1", "r2"][at % 2], Size::new(4, 16_384, 1));
         w.labels.extend((at < 3).then(|| "gpu".into()));
         w
     };
-    let mut yard = Yard::with(seed, queues(), (0..9).map(one).collect(), 2);
-    yard.often = true;
+    let mut yard = ShardSim::with(seed, queues(), (0..9).map(one).collect(), 2);
+    yard.resend_list = true;
     yard
 }
 
 /// The workers that run tasks of a job.
-fn workers_running(yard: &Yard, no: u64) -> Vec<usize> {
+fn workers_running(yard: &ShardSim, no: u64) -> Vec<usize> {
     let runs = |w: &Worker| w.runs.iter().any(|r| r.start.task.step.job.0 == no);
     let all = yard.world.workers.iter().enumerate();
     all.filter(|(_, w)| runs(w)).map(|(at, _)| at).collect()
 }
 
 /// Submits a small job every 100 ms until `to`.
-fn submit_small_jobs(yard: &mut Yard, to: u64) {
+fn submit_small_jobs(yard: &mut ShardSim, to: u64) {
     for no in 0..to / 100 {
         yard.at(100 * no, move |y| y.submit(1_000 + no, "open", job([step(4, 600)])));
     }
@@ -52,17 +52,17 @@
     for seed in SEEDS {
         for lead in [0, 200, 400, 600, 800, 1_000, 1_300] {
             let mut yard = open(seed);
-            yard.behind = Duration::from_millis(900);
+            yard.vm_list_lag = Duration::from_millis(900);
             yard.submit(1, "open", job([lasting(3)]));
             yard.run_until(500);
             yard.submit(2, "open", job([step(16, 60_000)]));
             yard.run_until(2_000);
             let home = workers_running(&yard, 1)[0];
             let other = *workers_running(&yard, 2).iter().find(|at| **at != home).expect("another");
-            yard.at(3_000, move |y| y.world.workers[other].draining = Some(y.now));
-            yard.at(6_000 - lead, move |y| y.world.workers[home].draining = Some(y.now));
-            yard.at(6_000, move |y| y.replace(other, Duration::from_secs(20)));
-            yard.at(6_000, |y| y.release(Duration::from_millis(300)));
+            yard.at(3_000, move |y| y.world.workers[other].leaving_since = Some(y.now));
+            yard.at(6_000 - lead, move |y| y.world.workers[home].leaving_since = Some(y.now));
+            yard.at(6_000, move |y| y.replace_worker(other, Duration::from_secs(20)));
+            yard.at(6_000, |y| y.release_shard(Duration::from_millis(300)));
             yard.run_until(20_000);
         }
     }
@@ -75,13 +75,13 @@
     for seed in SEEDS {
         for before in [0, 200, 500, 1_000, 1_500, 2_000] {
             let mut yard = open(seed);
-            yard.behind = Duration::from_millis(900);
+            yard.vm_list_lag = Duration::from_millis(900);
             yard.submit(1, "open", job([lasting(3)]));
             yard.run_until(2_000);
             let home = workers_running(&yard, 1)[0];
-            yard.fault(5_000 - before, move |y| y.lose(home));
-            yard.fault(5_000, Yard::kill);
-            yard.fault(8_500, Yard::take_over);
+            yard.fault(5_000 - before, move |y| y.lose_worker(home));
+            yard.fault(5_000, ShardSim::kill_owner);
+            yard.fault(8_500, ShardSim::take_over);
             yard.run_until(25_000);
         }
     }
@@ -96,13 +96,13 @@
         yard.submit(1, "open", job([lasting(3)]));
         yard.run_until(2_000);
         let home = workers_running(&yard, 1)[0];
-        let version = |y: &Yard, version, name: &str| {
-            let all = y.world.queues.all.iter().filter(|q| &*q.name != name).cloned().collect();
-            Arc::new(Queues { version, all, ..Queues::clone(&y.world.queues) })
+        let version = |y: &ShardSim, version, name: &str| {
+            let all = y.world.queues.queues.iter().filter(|q| &*q.name != name).cloned().collect();
+            Arc::new(QueueConfig { version, queues: all, ..QueueConfig::clone(&y.world.queues) })
         };
         yard.at(3_000, move |y| y.configure(version(y, 2, "open")));
-        yard.at(4_000, |y| y.release(Duration::from_millis(300)));
-        yard.at(6_000, move |y| y.world.workers[home].draining = Some(y.now));
+        yard.at(4_000, |y| y.release_shard(Duration::from_millis(300)));
+        yard.at(6_000, move |y| y.world.workers[home].leaving_since = Some(y.now));
         yard.at(11_000, move |y| y.configure(version(y, 3, "")));
         yard.run_until(25_000);
     }
@@ -116,8 +116,10 @@
         let mut yard = open(1);
         yard.submit(1, "open", job([lasting(3)]));
         submit_small_jobs(&mut yard, 20_000 + duration);
-        yard.fault(3_000, |y| y.world.workers.iter_mut().for_each(|w| w.grey = true));
-        yard.fault(3_000 + duration, |y| y.world.workers.iter_mut().for_each(|w| w.grey = false));
+        yard.fault(3_000, |y| y.world.workers.iter_mut().for_each(|w| w.failing = true));
+        yard.fault(3_000 + duration, |y| {
+            y.world.workers.iter_mut().for_each(|w| w.failing = false)
+        });
         yard.run_until(20_000 + duration);
     }
 }
@@ -135,7 +137,7 @@
         yard.fault(3_000, move |y| set(&mut y.world.workers[at], true));
         yard.fault(3_000 + duration, move |y| set(&mut y.world.workers[at], false));
     }
-    yard.fault(3_000 + duration, move |y| y.lose(home));
+    yard.fault(3_000 + duration, move |y| y.lose_worker(home));
     yard.run_until(20_000 + duration);
 }
 
@@ -145,7 +147,7 @@
     // have recovered when a lasting task needs them, but it waited for the end of the quarantine.
     for seed in SEEDS {
         for duration in [5_000, 20_000] {
-            play_unhealthy(seed, duration, |w, on| w.grey = on);
+            play_unhealthy(seed, duration, |w, on| w.failing = on);
         }
     }
 }
--- a/tests/shard_store.rs
+++ b/tests/shard_store.rs
@@ -5,54 +5,54 @@
 use {
     arbtest::{arbitrary::Unstructured, arbtest},
     dogwoodreach::{
-        ports::How,
+        ports::EndReason,
         work::{JobNo, Step, StepKey, TaskKey},
     },
     hand::{
-        Hand, job, step,
-        store::Fate::{self, Answered, Lost, Refused, Unheard},
+        Harness, job, step,
+        store::CallOutcome::{self, AnswerLost, Answered, Refused, Unanswered},
     },
     std::{collections::BTreeMap, time::Duration},
 };
 
 /// Ended runs by worker and by the number of the end at that worker.
-type Ends = BTreeMap<(usize, u64), (TaskKey, u32, How)>;
+type Ends = BTreeMap<(usize, u64), (TaskKey, u32, EndReason)>;
 
 /// Draws the outcome of a write: done, refused, unknown but done, unknown and not done, or done
 /// late.
-fn fate(u: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<Fate> {
+fn fate(u: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<CallOutcome> {
     Ok(match u.int_in_range(0..=5)? {
         0 => Refused,
-        1 => Unheard,
-        2 => Lost(Duration::ZERO),
-        3 => Lost(Duration::from_millis(20 * u.int_in_range(1..=60)?)),
+        1 => Unanswered,
+        2 => AnswerLost(Duration::ZERO),
+        3 => AnswerLost(Duration::from_millis(20 * u.int_in_range(1..=60)?)),
         _ => Answered,
     })
 }
 
 /// Checks that the store has each end that was acknowledged to a worker, and each job that is shown
 /// as over.
-fn check(hand: &Hand, ends: &Ends) {
+fn check(hand: &Harness, ends: &Ends) {
     for ((worker, number), (task, run, how)) in ends {
-        if hand.noted(*worker) < *number {
+        if hand.last_acked_end(*worker) < *number {
             continue;
         }
-        let progress = hand.stored(task.step.job.0);
+        let progress = hand.stored_progress(task.step.job.0);
         let row = progress.tasks.iter().find(|t| t.2 == task.index);
         let there = match how {
-            How::Done => row.is_some_and(|t| t.5),
-            How::Failed => row.is_some_and(|t| t.4.contains(run)),
+            EndReason::Done => row.is_some_and(|t| t.5),
+            EndReason::Failed => row.is_some_and(|t| t.4.contains(run)),
             _ => row.is_some_and(|t| t.3 >= *run),
         };
         assert!(
-            progress.state.over() || there,
+            progress.state.is_final() || there,
             "{task} run {run} has ended as {how}: {progress:?}"
         );
     }
     for no in 1..=3 {
-        if let Some(state) = hand.state(no).filter(|s| s.over()) {
+        if let Some(state) = hand.state(no).filter(|s| s.is_final()) {
             assert_eq!(
-                hand.stored(no).state,
+                hand.stored_progress(no).state,
                 state,
                 "job {no} is shown as over but not stored as such"
             );
@@ -62,19 +62,25 @@
 
 /// Ends one of the running tasks.
 fn end(
-    hand: &mut Hand,
+    hand: &mut Harness,
     ends: &mut Ends,
     u: &mut Unstructured<'_>,
 ) -> arbtest::arbitrary::Result<()> {
     let at = u.choose_index(hand.workers.len())?;
     let worker = &mut hand.workers[at];
-    if worker.rows.is_empty() {
+    if worker.running.is_empty() {
         return Ok(());
     }
-    let row = worker.rows[u.choose_index(worker.rows.len())?].clone();
-    let how = *u.choose(&[How::Done, How::Done, How::Done, How::Failed, How::Stopped])?;
+    let row = worker.running[u.choose_index(worker.running.len())?].clone();
+    let how = *u.choose(&[
+        EndReason::Done,
+        EndReason::Done,
+        EndReason::Done,
+        EndReason::Failed,
+        EndReason::Stopped,
+    ])?;
     worker.end(&row.task, how);
-    ends.insert((at, worker.count), (row.task, row.run, how));
+    ends.insert((at, worker.end_count), (row.task, row.run, how));
     Ok(())
 }
 
@@ -85,29 +91,29 @@
     // told to forget and a job that is shown as over must be in the store; once the store works
     // again, every end is acknowledged.
     let day = |u: &mut Unstructured<'_>| {
-        let (mut hand, mut ends) = (Hand::new(2), Ends::new());
+        let (mut hand, mut ends) = (Harness::new(2), Ends::new());
         for no in 1..=3 {
             hand.submit(no, "plain", job(Step { saves: true, ..step(4, 1) }));
         }
         for _ in 0..40 {
             let fate = fate(u)?;
-            hand.fates.push_back(fate);
+            hand.write_outcomes.push_back(fate);
             if u.ratio(2, 3)? {
                 end(&mut hand, &mut ends, u)?;
             }
             if u.ratio(1, 6)? {
-                hand.unread = u.int_in_range(1..=2)?;
+                hand.lost_reads = u.int_in_range(1..=2)?;
             }
             if u.ratio(1, 20)? {
-                hand.succeed();
+                hand.take_over();
             }
             for _ in 0..u.int_in_range(1..=6)? {
-                hand.pass();
+                hand.tick();
                 check(&hand, &ends);
             }
         }
-        hand.fates.clear();
-        hand.unread = 0;
+        hand.write_outcomes.clear();
+        hand.lost_reads = 0;
         hand.run(8_000);
         check(&hand, &ends);
         assert!(!hand.deposed);
@@ -118,11 +124,11 @@
                 worker.ends
             );
         }
-        for (task, ..) in ends.values().filter(|e| e.2 == How::Done) {
+        for (task, ..) in ends.values().filter(|e| e.2 == EndReason::Done) {
             let StepKey { job: JobNo(no), .. } = task.step;
-            let progress = hand.stored(no);
+            let progress = hand.stored_progress(no);
             let done = progress.tasks.iter().any(|t| t.2 == task.index && t.5);
-            assert!(progress.state.over() || done, "{task} was done");
+            assert!(progress.state.is_final() || done, "{task} was done");
         }
         Ok(())
     };
--- a/tests/shard_told.rs
+++ b/tests/shard_told.rs
@@ -5,8 +5,8 @@
 
 use {
     dogwoodreach::work::{JobNo, State},
-    hand::Hand,
-    yard::{Yard, job, step},
+    hand::Harness,
+    yard::{ShardSim, job, step},
 };
 
 #[test]
@@ -15,15 +15,15 @@
     // that the job is completed. When the former owner resumes, it would tell a caller that the
     // same job is queued, until a worker refuses its token some milliseconds later.
     for seed in 1..6 {
-        let mut yard = Yard::new(seed, 6);
-        yard.fault(2_000, |y| y.pause(0, true));
+        let mut yard = ShardSim::new(seed, 6);
+        yard.fault(2_000, |y| y.pause_owner(0, true));
         yard.at(2_100, |y| y.submit(1, "plain", job([step(2, 300)])));
-        yard.fault(5_500, Yard::take_over);
+        yard.fault(5_500, ShardSim::take_over);
         yard.run_until(5_000);
-        yard.settle(10_000);
-        assert_eq!(yard.stored(1), Some(State::Done));
+        yard.run_until_settled(10_000);
+        assert_eq!(yard.stored_state(1), Some(State::Done));
         let resumed_at = yard.now.0 / 1_000 + 200;
-        yard.fault(resumed_at, |y| y.pause(0, false));
+        yard.fault(resumed_at, |y| y.pause_owner(0, false));
         for ms in resumed_at..resumed_at + 20 {
             yard.run_until(ms + 1);
             yard.check_shown_states();
@@ -37,15 +37,15 @@
     // taken over its shard, and callers ask both. A finished job is final in the store. About
     // unfinished jobs and the number of waiting ones, the former owner may know less than callers
     // were already told.
-    let mut hand = Hand::new(5);
+    let mut hand = Harness::new(5);
     hand.submit(1, "plain", hand::job(hand::step(1, 1)));
     hand.run(300);
-    hand.end(hand::task(1, 0), dogwoodreach::ports::How::Done);
-    hand.until("stored", 500, |h| h.state(1) == Some(State::Done));
+    hand.end(hand::task(1, 0), dogwoodreach::ports::EndReason::Done);
+    hand.run_until("stored", 500, |h| h.state(1) == Some(State::Done));
     hand.submit(2, "plain", hand::job(hand::step(1, 9)));
     assert_eq!(hand.state(2), Some(State::Queued));
     assert!(hand.shard.may_tell(hand.now));
-    hand.confirms = false;
+    hand.lease_confirmed = false;
     hand.run(2_500);
     assert_eq!(hand.state(2), None);
     assert!(
@@ -53,7 +53,7 @@
         "it must not report the number of waiting jobs or its workers' tasks either"
     );
     assert_eq!(hand.state(1), Some(State::Done), "job {} is over", JobNo(1));
-    hand.confirms = true;
+    hand.lease_confirmed = true;
     hand.run(100);
     assert_eq!(hand.state(2), Some(State::Queued));
 }
@@ -62,13 +62,13 @@
 fn an_owner_that_stood_still_as_it_loaded_its_shard_tells_nothing() {
     // A member takes a shard over, and its process is paused while it loads the store. When it
     // resumes, another member has taken the shard over, which it doesn't know yet.
-    let mut hand = Hand::new(5);
+    let mut hand = Harness::new(5);
     hand.submit(1, "plain", hand::job(hand::step(1, 1)));
     hand.run(5_000);
-    hand.confirms = false;
-    hand.succeed();
+    hand.lease_confirmed = false;
+    hand.take_over();
     assert_eq!(hand.state(1), None);
-    hand.confirms = true;
+    hand.lease_confirmed = true;
     hand.run(100);
     assert!(hand.state(1).is_some());
 }
--- a/tests/shard_unlisted.rs
+++ b/tests/shard_unlisted.rs
@@ -5,16 +5,16 @@
 use {
     dogwoodreach::{units::Size, work::Step},
     std::time::Duration,
-    yard::{Yard, job, queues, step, worker::Worker},
+    yard::{ShardSim, job, queues, step, worker::Worker},
 };
 
 /// Nine workers of one pool, no VM list, some lasting tasks, and long tasks on all workers.
-fn unlisted(seed: u64) -> (Yard, usize, usize) {
+fn unlisted(seed: u64) -> (ShardSim, usize, usize) {
     let one = |at: usize| Worker::new("open", ["r1", "r2"][at % 2], Size::new(4, 16_384, 1));
-    let mut yard = Yard::with(seed, queues(), (0..9).map(one).collect(), 2);
-    (yard.often, yard.vm_list_down) = (true, true);
-    yard.world.bounds.hold = Duration::from_secs(6);
-    yard.kill();
+    let mut yard = ShardSim::with(seed, queues(), (0..9).map(one).collect(), 2);
+    (yard.resend_list, yard.vm_list_down) = (true, true);
+    yard.world.bounds.max_lease = Duration::from_secs(6);
+    yard.kill_owner();
     yard.take_over();
     yard.submit(1, "open", job([Step { lasts: true, ..step(3, 1_000) }]));
     yard.run_until(500);
@@ -39,10 +39,10 @@
     for seed in 1..4 {
         for lead in [0, 400, 800, 1_300] {
             let (mut yard, home, other) = unlisted(seed);
-            yard.at(3_000, move |y| y.world.workers[other].draining = Some(y.now));
-            yard.at(6_000 - lead, move |y| y.world.workers[home].draining = Some(y.now));
-            yard.at(6_000, move |y| y.replace(other, Duration::from_secs(20)));
-            yard.at(6_000, |y| y.release(Duration::from_millis(300)));
+            yard.at(3_000, move |y| y.world.workers[other].leaving_since = Some(y.now));
+            yard.at(6_000 - lead, move |y| y.world.workers[home].leaving_since = Some(y.now));
+            yard.at(6_000, move |y| y.replace_worker(other, Duration::from_secs(20)));
+            yard.at(6_000, |y| y.release_shard(Duration::from_millis(300)));
             yard.run_until(20_000);
         }
     }
@@ -55,9 +55,9 @@
     for seed in 1..4 {
         for lead in [0, 500, 1_000, 2_000] {
             let (mut yard, home, _) = unlisted(seed);
-            yard.fault(5_000 - lead, move |y| y.lose(home));
-            yard.fault(5_000, Yard::kill);
-            yard.fault(8_500, Yard::take_over);
+            yard.fault(5_000 - lead, move |y| y.lose_worker(home));
+            yard.fault(5_000, ShardSim::kill_owner);
+            yard.fault(8_500, ShardSim::take_over);
             yard.run_until(25_000);
         }
     }
@@ -69,7 +69,7 @@
     // a job were on it; none of them runs until then.
     for seed in 1..4 {
         let (mut yard, home, _) = unlisted(seed);
-        yard.fault(5_000, move |y| y.lose(home));
+        yard.fault(5_000, move |y| y.lose_worker(home));
         yard.run_until(20_000);
     }
 }
@@ -80,11 +80,11 @@
     // promised.
     for seed in 1..4 {
         let (mut yard, home, _) = unlisted(seed);
-        yard.world.bounds.hold = Duration::from_secs(8);
-        yard.kill();
+        yard.world.bounds.max_lease = Duration::from_secs(8);
+        yard.kill_owner();
         yard.take_over();
         yard.run_until(3_000);
-        yard.fault(5_000, move |y| y.lose(home));
+        yard.fault(5_000, move |y| y.lose_worker(home));
         yard.run_until(20_000);
     }
 }
--- a/tests/shard_unread.rs
+++ b/tests/shard_unread.rs
@@ -5,7 +5,7 @@
 use {
     dogwoodreach::work::{JobNo, State},
     std::time::Duration,
-    yard::{Yard, job, step, store::Mode},
+    yard::{ShardSim, job, step, store::Mode},
 };
 
 #[test]
@@ -14,18 +14,18 @@
     // stored. Its successor learns all failures from the workers, and only afterwards how many the
     // queue allows. It took the missing limit as permission to start the task a fourth time.
     for seed in 1..6 {
-        let mut yard = Yard::new(seed, 6);
+        let mut yard = ShardSim::new(seed, 6);
         yard.at(100, |y| y.submit(1, "open", job([step(1, 600)])));
-        yard.world.hopeless.insert((JobNo(1), 0));
-        yard.fault(300, |y| y.store.mode = Mode::Down);
+        yard.world.failing_steps.insert((JobNo(1), 0));
+        yard.fault(300, |y| y.store.health = Mode::Down);
         yard.fault(6_000, |y| {
-            y.kill();
-            y.store.mode = Mode::Up;
-            y.unread = Duration::from_millis(300);
+            y.kill_owner();
+            y.store.health = Mode::Up;
+            y.initial_delay = Duration::from_millis(300);
             y.take_over();
         });
         yard.run_until(12_000);
-        assert_eq!(yard.rules.count, 3, "seed {seed}: the task starts three times");
+        assert_eq!(yard.rules.start_count, 3, "seed {seed}: the task starts three times");
         assert_eq!(yard.progress()[&JobNo(1)].state, State::Failed, "seed {seed}");
     }
 }
--- a/tests/shard_waits.rs
+++ b/tests/shard_waits.rs
@@ -7,10 +7,10 @@
     dogwoodreach::{
         Time,
         units::Size,
-        work::{AdviceCost, Job, JobNo, Queue, Queues, State, Step, StepKey, Times},
+        work::{AdviceCost, Job, JobNo, Queue, QueueConfig, State, Step, StepKey, Times},
     },
     std::{ops::RangeInclusive, sync::Arc, time::Duration},
-    yard::{Yard, job, rules::UNIX, step, store::Mode, worker::Worker},
+    yard::{ShardSim, job, rules::UNIX_START_MS, step, store::Mode, worker::Worker},
 };
 
 /// Seeds that are always run; among them are loads in which a job once waited beside free room.
@@ -26,7 +26,7 @@
 const MAX_ORDER_DELAY_MS: u64 = 12_000;
 
 /// The queues `plain` and `urgent` need no advice; `quick`, `advised` and `slow` do.
-fn queues(rng: &mut fastrand::Rng) -> Arc<Queues> {
+fn queues(rng: &mut fastrand::Rng) -> Arc<QueueConfig> {
     let old = yard::queues();
     let ms = Duration::from_millis;
     let (base, each) = (rng.u64(10..320), rng.u64(200..5_000));
@@ -40,7 +40,7 @@
         prefix: format!("/{name}/").into(),
         priority,
         advice,
-        ..old.named("open").expect("a queue").clone()
+        ..old.by_name("open").expect("a queue").clone()
     };
     let all = vec![
         queue("plain", 1, None),
@@ -49,7 +49,7 @@
         queue("advised", 1, Some(cost)),
         queue("slow", 2, Some(cost)),
     ];
-    Arc::new(Queues { all, ..(*old).clone() })
+    Arc::new(QueueConfig { queues: all, ..(*old).clone() })
 }
 
 /// Workers of one pool; every third one has accelerators.
@@ -57,8 +57,8 @@
     let one = |i: usize| {
         let (rack, gpu) = (format!("r{}", i / 4), i.is_multiple_of(3));
         let mut w = Worker::new("open", &rack, Size::new(16, 65_536, if gpu { 8 } else { 0 }));
-        w.rate = [1.0, 0.98, 0.99][i % 3];
-        w.offset = 1_000 * (1 + i as u64);
+        w.clock_rate = [1.0, 0.98, 0.99][i % 3];
+        w.clock_offset = 1_000 * (1 + i as u64);
         if gpu {
             w.labels.push("gpu".into());
         }
@@ -68,7 +68,7 @@
 }
 
 /// Number of workers that may run the first step of a job.
-fn suitable_workers(yard: &Yard, no: u64, advised: bool) -> u32 {
+fn suitable_workers(yard: &ShardSim, no: u64, advised: bool) -> u32 {
     let key = StepKey { job: JobNo(no), time: 0, step: 0 };
     let all = 0..yard.world.workers.len();
     let may = |at: &usize| !advised || yard.world.advice.good(key, &yard.world.id(*at));
@@ -97,7 +97,7 @@
         11 => job([Step { near: Some("r1".into()), ..few }]),
         12 => job([Step { copies: true, ..few }]),
         13 => {
-            let (first, every) = (UNIX + now + rng.u64(0..3_000), rng.u64(200..3_000));
+            let (first, every) = (UNIX_START_MS + now + rng.u64(0..3_000), rng.u64(200..3_000));
             Job { times: Some(Times { count: 4, first, every }), ..job([few]) }
         }
         14 => job([Step { fills: true, image: "sift".into(), ..few }]),
@@ -121,30 +121,30 @@
 
 /// Schedules a random fault and its end; late orders and an advice outage are marked as faults for
 /// as long as they may have effects.
-fn fault(yard: &mut Yard, rng: &mut fastrand::Rng, at: u64) {
+fn fault(yard: &mut ShardSim, rng: &mut fastrand::Rng, at: u64) {
     let count = yard.world.workers.len();
     let (one, over) = (rng.usize(0..count), at + rng.u64(500..6_000));
     match rng.u32(0..10) {
-        0 | 1 => yard.fault(at, move |y| y.crash(one, Duration::from_millis(over - at))),
+        0 | 1 => yard.fault(at, move |y| y.crash_worker(one, Duration::from_millis(over - at))),
         2 => {
-            yard.fault(at, move |y| y.world.workers[one].cut = true);
-            yard.fault(over, move |y| y.world.workers[one].cut = false);
+            yard.fault(at, move |y| y.world.workers[one].cut_off = true);
+            yard.fault(over, move |y| y.world.workers[one].cut_off = false);
         }
         3 => {
-            yard.fault(at, move |y| y.world.workers[one].grey = true);
-            yard.fault(over, move |y| y.world.workers[one].grey = false);
+            yard.fault(at, move |y| y.world.workers[one].failing = true);
+            yard.fault(over, move |y| y.world.workers[one].failing = false);
         }
         4 => {
-            yard.fault(at, Yard::kill);
-            yard.fault(at + 4_000, Yard::take_over);
+            yard.fault(at, ShardSim::kill_owner);
+            yard.fault(at + 4_000, ShardSim::take_over);
         }
         5 | 6 => {
-            yard.at(at, move |y| y.world.workers[one].draining = Some(y.now));
-            yard.fault(at + 10_000, move |y| y.crash(one, Duration::from_secs(2)));
+            yard.at(at, move |y| y.world.workers[one].leaving_since = Some(y.now));
+            yard.fault(at + 10_000, move |y| y.crash_worker(one, Duration::from_secs(2)));
         }
         7 => {
-            yard.fault(at, |y| y.late = 8);
-            yard.fault(over, |y| y.late = 0);
+            yard.fault(at, |y| y.late_one_in = 8);
+            yard.fault(over, |y| y.late_one_in = 0);
             (at..over + MAX_ORDER_DELAY_MS).step_by(1_000).for_each(|t| yard.fault(t, |_| ()));
         }
         8 => {
@@ -153,22 +153,22 @@
             (at..over).step_by(1_000).for_each(|t| yard.fault(t, |_| ()));
         }
         _ => {
-            yard.fault(at, |y| y.store.mode = Mode::Down);
-            yard.fault(over, |y| y.store.mode = Mode::Up);
+            yard.fault(at, |y| y.store.health = Mode::Down);
+            yard.fault(over, |y| y.store.health = Mode::Up);
         }
     }
 }
 
 /// Plans a random load: bursts of jobs, a few faults and quiet periods.
-fn plan(seed: u64) -> Yard {
+fn plan(seed: u64) -> ShardSim {
     let mut rng = fastrand::Rng::with_seed(seed);
     let rng = &mut rng;
-    let mut yard = Yard::with(seed, queues(rng), pool(rng.usize(8..=40)), rng.u64(MEMBERS));
+    let mut yard = ShardSim::with(seed, queues(rng), pool(rng.usize(8..=40)), rng.u64(MEMBERS));
     yard.world.advice.share = rng.u64(10..=50);
-    yard.coarse = Duration::from_millis(2);
+    yard.time_step = Duration::from_millis(2);
     let count = yard.world.workers.len() as u32;
     let mut no = 0;
-    let mut submit = |yard: &mut Yard, rng: &mut fastrand::Rng, at: u64, lasting_job: bool| {
+    let mut submit = |yard: &mut ShardSim, rng: &mut fastrand::Rng, at: u64, lasting_job: bool| {
         no += 1;
         let mine = no;
         let queue =
@@ -212,13 +212,13 @@
 
 /// Creates a quiet pool of this many workers; a call for advice names ten workers, a fifth of which
 /// may run a step.
-fn quiet_pool(seed: u64, workers: usize) -> Yard {
+fn quiet_pool(seed: u64, workers: usize) -> ShardSim {
     let mut rng = fastrand::Rng::with_seed(seed);
     let ms = Duration::from_millis;
     let cost = AdviceCost { base: ms(60), each: ms(3), valid: ms(2_500) };
     let mut queues = (*queues(&mut rng)).clone();
-    queues.all.iter_mut().filter(|q| q.advice.is_some()).for_each(|q| q.advice = Some(cost));
-    let mut yard = Yard::with(seed, Arc::new(queues), pool(workers), 8);
+    queues.queues.iter_mut().filter(|q| q.advice.is_some()).for_each(|q| q.advice = Some(cost));
+    let mut yard = ShardSim::with(seed, Arc::new(queues), pool(workers), 8);
     yard.world.advice.share = 20;
     yard
 }
@@ -246,7 +246,7 @@
 }
 
 /// Submits twenty gangs of three, one every `every` milliseconds, from 1 s on.
-fn submit_gangs(yard: &mut Yard, every: u64, apart: u32, cores: u64) {
+fn submit_gangs(yard: &mut ShardSim, every: u64, apart: u32, cores: u64) {
     for no in 1..21 {
         let size = Size::new(cores, 1_024, 0);
         let gang = Step { gang: true, apart, size, ..step(3, 500) };
@@ -264,7 +264,7 @@
         let mut yard = quiet_pool(seed, 40);
         submit_gangs(&mut yard, 1_000, 1, 2);
         yard.run_until(22_000);
-        yard.settle(40_000);
+        yard.run_until_settled(40_000);
     }
 }
 
@@ -281,7 +281,7 @@
         submit_gangs(&mut yard, 0, 0, 4);
         yard.at(1_055, |y| y.submit(21, "plain", job([lasts])));
         yard.run_until(1_100);
-        yard.settle(20_000);
+        yard.run_until_settled(20_000);
     }
 }
 
@@ -316,7 +316,7 @@
     yard.submit(1, "plain", job([lasts]));
     yard.at(8_000, move |y| y.submit(2, "plain", job([gpu(2)])));
     yard.run_until(9_000);
-    assert_eq!(yard.running(JobNo(1)), 4);
+    assert_eq!(yard.run_count(JobNo(1)), 4);
     yard.run_until(20_000);
-    assert_eq!(yard.stored(2), Some(State::Done));
+    assert_eq!(yard.stored_state(2), Some(State::Done));
 }
--- a/tests/shard_wide.rs
+++ b/tests/shard_wide.rs
@@ -6,10 +6,10 @@
 use {
     dogwoodreach::{
         units::Size,
-        work::{AdviceCost, JobNo, Queue, Queues, State, Step},
+        work::{AdviceCost, JobNo, Queue, QueueConfig, State, Step},
     },
     std::{sync::Arc, time::Duration},
-    yard::{Yard, job, step, worker::Worker},
+    yard::{ShardSim, job, step, worker::Worker},
 };
 
 /// Number of workers in the pool.
@@ -21,7 +21,7 @@
 
 /// Wide gangs are submitted to `review`, which is less urgent than `quick` and more urgent than
 /// `check`.
-fn queues() -> Arc<Queues> {
+fn queues() -> Arc<QueueConfig> {
     let old = yard::queues();
     let ms = Duration::from_millis;
     let valid = ms(2_000);
@@ -33,7 +33,7 @@
         slack: ms(1_000),
         attempts: 4,
         advice: Some(cost),
-        ..old.named("open").expect("a queue").clone()
+        ..old.by_name("open").expect("a queue").clone()
     };
     let cost =
         |base, micros| AdviceCost { base: ms(base), each: Duration::from_micros(micros), valid };
@@ -42,18 +42,18 @@
         queue("review", 1, 2.2, cost(310, 4_400)),
         queue("check", 2, 4.0, cost(104, 1_430)),
     ];
-    Arc::new(Queues { all, ..(*old).clone() })
+    Arc::new(QueueConfig { queues: all, ..(*old).clone() })
 }
 
 /// Creates the pool; three in ten workers may run a step.
-fn pool(seed: u64) -> Yard {
+fn pool(seed: u64) -> ShardSim {
     let one = |i: usize| {
         let rack = format!("r{}", i / 8);
         Worker::new("open", &rack, Size::new(WORKER_SIZE.0, WORKER_SIZE.1, 0))
     };
-    let mut yard = Yard::with(seed, queues(), (0..WORKERS).map(one).collect(), MEMBERS);
+    let mut yard = ShardSim::with(seed, queues(), (0..WORKERS).map(one).collect(), MEMBERS);
     yard.world.advice.share = 30;
-    yard.coarse = Duration::from_millis(5);
+    yard.time_step = Duration::from_millis(5);
     yard
 }
 
@@ -64,7 +64,7 @@
 
 /// Submits small tasks from the start until `until`, more than there is room for, so that they fill
 /// every gap.
-fn submit_small_jobs(yard: &mut Yard, until: u64) {
+fn submit_small_jobs(yard: &mut ShardSim, until: u64) {
     let small = Step { saves: true, size: Size::new(7, 10_000, 0), ..step(30, 2_200) };
     for (no, at) in (0..until).step_by(25).enumerate() {
         let small = small.clone();
@@ -73,12 +73,12 @@
 }
 
 /// Whether a job is stored as done.
-fn done(yard: &Yard, no: u64) -> bool {
-    yard.stored(no) == Some(State::Done)
+fn done(yard: &ShardSim, no: u64) -> bool {
+    yard.stored_state(no) == Some(State::Done)
 }
 
 /// Advances time until these jobs are done, and returns when the last one was, in milliseconds.
-fn until_done(yard: &mut Yard, jobs: std::ops::Range<u64>, bound: u64) -> u64 {
+fn until_done(yard: &mut ShardSim, jobs: std::ops::Range<u64>, bound: u64) -> u64 {
     loop {
         let now = yard.now.0 / 1_000;
         let open: Vec<u64> = jobs.clone().filter(|no| !done(yard, *no)).collect();
@@ -91,7 +91,7 @@
 }
 
 /// Number of cores in use.
-fn used_cores(yard: &Yard) -> u64 {
+fn used_cores(yard: &ShardSim) -> u64 {
     (0..WORKERS).map(|at| yard.world.used(at).cores.0 / 1_000).sum()
 }
 
--- a/tests/shard_wish.rs
+++ b/tests/shard_wish.rs
@@ -5,8 +5,8 @@
 
 use {
     dogwoodreach::{units::Size, work::Step},
-    hand::{Hand, job, step, task},
-    yard::{Yard, queues, worker::Worker},
+    hand::{Harness, job, step, task},
+    yard::{ShardSim, queues, worker::Worker},
 };
 
 fn lasting(count: u32, cores: u64) -> Step {
@@ -19,25 +19,25 @@
     // fourth task waits for another worker. As the pool has spare room, room was soon reserved for
     // the task on the three workers, where it may not run. Two lasting tasks of another job were
     // absent beside room for six until another worker joined.
-    let mut hand = Hand::new(3);
+    let mut hand = Harness::new(3);
     hand.submit(1, "plain", job(Step { apart: 1, ..lasting(4, 2) }));
     hand.run(10_000);
-    assert_eq!((0..4).filter(|i| hand.places(task(1, *i)).len() == 1).count(), 3);
+    assert_eq!((0..4).filter(|i| hand.workers_running(task(1, *i)).len() == 1).count(), 3);
     hand.submit(2, "plain", job(lasting(2, 1)));
     hand.run(3_000);
-    assert!((0..2).all(|i| hand.places(task(2, i)).len() == 1), "they run");
+    assert!((0..2).all(|i| hand.workers_running(task(2, i)).len() == 1), "they run");
 }
 
 /// Nine workers of one pool, three of which have the label `gpu`. On each of the three runs a task
 /// of three cores that lasts or takes a minute.
-fn labelled(seed: u64, lasts: bool) -> Yard {
+fn labelled(seed: u64, lasts: bool) -> ShardSim {
     let one = |at: usize| {
         let mut w = Worker::new("open", ["r1", "r2"][at % 2], Size::new(4, 16_384, 1));
         w.labels.extend((at < 3).then(|| "gpu".into()));
         w
     };
-    let mut yard = Yard::with(seed, queues(), (0..9).map(one).collect(), 2);
-    yard.often = true;
+    let mut yard = ShardSim::with(seed, queues(), (0..9).map(one).collect(), 2);
+    yard.resend_list = true;
     yard.submit(1, "open", job(Step { apart: 1, lasts, estimate: 60_000, ..gpu(3, 3) }));
     yard.run_until(2_000);
     yard
--- a/tests/shift.rs
+++ b/tests/shift.rs
@@ -5,11 +5,11 @@
 use {
     dogwoodreach::{
         Time,
-        decide::shift::Spread,
+        decide::forward::PeerSelector,
         ids::{Incarnation, Zone},
         messages::ServiceLoad,
     },
-    fake::{Agenda, exp, ms},
+    fake::{EventQueue, exponential, ms},
     std::{collections::VecDeque, time::Duration},
 };
 
@@ -65,19 +65,19 @@
 }
 
 /// Simulates 20 s of load at `rate` times the capacity, sent by `senders` members to `owners`
-/// owners, the first half of which are in the near zone. Uses `Spread` if `ours`, otherwise the
+/// owners, the first half of which are in the near zone. Uses `PeerSelector` if `ours`, otherwise the
 /// owner that was least loaded by its report, near ones first.
 fn simulate(ours: bool, senders: usize, owners: usize, rate: f64) -> Outcome {
     let slots = SLOTS / owners;
     let mut rng = fastrand::Rng::with_seed(11);
-    let new = |seed| Spread::new("near".into(), fastrand::Rng::with_seed(seed));
+    let new = |seed| PeerSelector::new("near".into(), fastrand::Rng::with_seed(seed));
     let mut spreads: Vec<_> = (0..senders as u64).map(new).collect();
     let mut queues = vec![VecDeque::new(); owners];
     let (mut busy, mut known) = (vec![0; owners], vec![load(slots, slots, 0); owners]);
-    let mut agenda = Agenda::new();
+    let mut agenda = EventQueue::new();
     let (mut now, gap) = (Time::ZERO, RUN.div_f64(rate * SLOTS as f64));
     while now < Time::from_millis(20_000) {
-        now = now + exp(&mut rng, gap);
+        now = now + exponential(&mut rng, gap);
         agenda.add(now, Event::Arrive);
     }
     for i in 0..50 {
@@ -111,7 +111,7 @@
                 for (o, load) in loads.iter().enumerate() {
                     let peer = Incarnation(o as u64);
                     for spread in &mut spreads {
-                        spread.report(peer, &zone(o, owners), load.clone(), REPORT, now);
+                        spread.record_report(peer, &zone(o, owners), load.clone(), REPORT, now);
                     }
                 }
                 known = loads;
@@ -123,7 +123,7 @@
             {
                 busy[owner] += 1;
                 outcome.waits.push(now.since(born));
-                agenda.add(now + exp(&mut rng, RUN), Event::End(owner));
+                agenda.add(now + exponential(&mut rng, RUN), Event::End(owner));
             }
         }
     }
@@ -191,15 +191,15 @@
 
 #[test]
 fn peers_that_are_no_help_are_left_out() {
-    let mut spread = Spread::new("near".into(), fastrand::Rng::with_seed(1));
+    let mut spread = PeerSelector::new("near".into(), fastrand::Rng::with_seed(1));
     let (peer, long) = (Incarnation(1), Duration::from_secs(5));
-    let report = |spread: &mut Spread, free, waiting, at| {
-        spread.report(peer, &"far".into(), load(16, free, waiting), ms(0), at);
+    let report = |spread: &mut PeerSelector, free, waiting, at| {
+        spread.record_report(peer, &"far".into(), load(16, free, waiting), ms(0), at);
     };
     let at = Time::from_millis;
     report(&mut spread, 2, 0, at(0));
     assert_eq!(spread.pick(long, long, at(1)), Some(peer));
-    spread.refused(peer);
+    spread.record_refusal(peer);
     assert_eq!(spread.pick(long, RUN, at(1)), None, "the peer refused a request");
     report(&mut spread, 2, 0, at(100));
     assert_eq!(spread.pick(long, RUN, at(101)), Some(peer));
@@ -208,6 +208,6 @@
     report(&mut spread, 0, 32, at(4000));
     assert_eq!(spread.pick(ms(150), RUN, at(4000)), None);
     assert_eq!(spread.pick(ms(300), RUN, at(4000)), Some(peer));
-    spread.forget(peer);
+    spread.remove_peer(peer);
     assert_eq!(spread.pick(long, RUN, at(4000)), None);
 }
--- a/tests/site.rs
+++ b/tests/site.rs
@@ -160,10 +160,10 @@
     // still exists must keep accepting jobs.
     run(async {
         let member = TestMember::new("removed").await;
-        member.store.suppress_events(FORMS.operators);
-        member.store.put(FORMS.config, r#"[2, ["/b/"]]"#);
+        member.store.suppress_events(FORMS.operator_prefix);
+        member.store.put(FORMS.config_key, r#"[2, ["/b/"]]"#);
         assert_eq!(member.status("POST", "/b/00000000000000b1", JOB).await, 200);
-        member.store.put(FORMS.config, r#"[3, ["/a/"]]"#);
+        member.store.put(FORMS.config_key, r#"[3, ["/a/"]]"#);
         assert_eq!(member.status("POST", "/b/00000000000000b2", JOB).await, 404);
         assert_eq!(member.inbox().len(), 1);
     });
@@ -175,9 +175,9 @@
     // must still accept jobs.
     run(async {
         let member = TestMember::new("back").await;
-        member.store.put(FORMS.config, r#"[5, ["/d/"]]"#);
+        member.store.put(FORMS.config_key, r#"[5, ["/d/"]]"#);
         member.wait_until("version 5", async || member.status("GET", "/d/", "").await == 200).await;
-        member.store.put(FORMS.config, r#"[4, ["/a/"]]"#);
+        member.store.put(FORMS.config_key, r#"[4, ["/a/"]]"#);
         assert_eq!(member.status("POST", "/d/00000000000000d1", JOB).await, 200);
         assert_eq!(member.status("POST", JOB_PATH, JOB).await, 404);
     });
--- a/tests/site/forms.rs
+++ b/tests/site/forms.rs
@@ -1,4 +1,4 @@
-//! [`Forms`] for tests: calls, replies and stored items as JSON with plain field names.
+//! [`Codec`] for tests: calls, replies and stored items as JSON with plain field names.
 
 use {
     bytes::Bytes,
@@ -6,42 +6,44 @@
         Error, Kind,
         ids::{PoolId, WorkerId, Zone},
         ports::{
-            Advice, AdviceCall, Bounds, Fault, Fleet, Forms, Held, Item, Put, Site, StoreCall,
-            StoreReply, Txn, Vm, VmCall, VmReply, VmState, Vms, Wave, Wire, WorkerCall,
+            Advice, AdviceCall, Bounds, Codec, Fault, Held, Item, Put, Site, StoreCall, StoreReply,
+            Txn, Vm, VmCall, VmLimits, VmPage, VmReply, VmState, Wave, WireRequest, WorkerCall,
             WorkerReply,
         },
-        work::{Job, Listed, Queue, Queues, State},
+        work::{Job, ListedWorker, Queue, QueueConfig, State},
     },
     serde_json::{Value, json},
     std::time::Duration,
 };
 
 /// The wire and item formats of the test site.
-pub static FORMS: Forms = Forms {
-    settings,
-    ready: "/ready",
-    deadline: "x-deadline",
-    operators: "conf/",
-    config: "conf/queues",
-    waves: "conf/wave/",
-    workers: "workers/",
-    queues,
-    listed,
-    ask_store,
-    store,
-    ask_worker: |_: &WorkerId, _: &WorkerCall| wire("/worker", json!({})),
-    worker: |_: &WorkerCall, _, _| Ok(WorkerReply::Held(Held { clock: 1, ..Held::default() })),
-    ask_advice: |_: &AdviceCall| wire("/advice", json!({})),
-    advice: |_, _| Ok(Advice::default()),
-    ask_vms: |_| wire("/range", json!({"prefix": "machines/"})),
-    vms,
-    ask_vm: |c: &VmCall| wire("/machine", json!([c.vm, c.holder, c.token])),
-    vm: |status, _| Ok(if status == 200 { VmReply::Begun } else { VmReply::Busy }),
-    wave,
-    told_wave: |no, over| (format!("told/{no}").into(), over.to_string().into()),
-    job,
-    state: |s: State| s.to_string().into(),
-    waiting: |n| n.to_string().into(),
+pub static FORMS: Codec = Codec {
+    decode_settings: settings,
+    ready_path: "/ready",
+    deadline_header: "x-deadline",
+    operator_prefix: "conf/",
+    config_key: "conf/queues",
+    wave_prefix: "conf/wave/",
+    worker_prefix: "workers/",
+    decode_config: queues,
+    decode_listed: listed,
+    encode_store: ask_store,
+    decode_store: store,
+    encode_worker: |_: &WorkerId, _: &WorkerCall| wire("/worker", json!({})),
+    decode_worker: |_: &WorkerCall, _, _| {
+        Ok(WorkerReply::Held(Held { clock: 1, ..Held::default() }))
+    },
+    encode_advice: |_: &AdviceCall| wire("/advice", json!({})),
+    decode_advice: |_, _| Ok(Advice::default()),
+    encode_vms: |_| wire("/range", json!({"prefix": "machines/"})),
+    decode_vms: vms,
+    encode_vm: |c: &VmCall| wire("/machine", json!([c.vm, c.holder, c.token])),
+    decode_vm: |status, _| Ok(if status == 200 { VmReply::Begun } else { VmReply::Busy }),
+    decode_wave: wave,
+    encode_wave: |no, over| (format!("told/{no}").into(), over.to_string().into()),
+    decode_job: job,
+    encode_state: |s: State| s.to_string().into(),
+    encode_waiting: |n| n.to_string().into(),
 };
 
 /// Reads per second that the store serves according to the settings.
@@ -59,35 +61,40 @@
         node: "node".into(),
         zone: Zone::from("z"),
         cores: 1.0,
-        callers: addr("callers")?,
-        ready: addr("ready")?,
-        control: addr("control")?,
-        metrics: [addr("metrics")?].into(),
-        store: addr("store")?,
-        reads: READS_PER_S,
-        advice: None,
-        vms: addr("store").ok(),
-        fleet: Fleet { rate: 60.0, upkeep: ms(2000), moved: ms(1500), turn: ms(3000) },
+        caller_addr: addr("callers")?,
+        ready_addr: addr("ready")?,
+        control_addr: addr("control")?,
+        metrics_addrs: [addr("metrics")?].into(),
+        store_addr: addr("store")?,
+        read_rate: READS_PER_S,
+        advice_addr: None,
+        vms_addr: addr("store").ok(),
+        vm_limits: VmLimits {
+            order_rate: 60.0,
+            upkeep_time: ms(2000),
+            move_time: ms(1500),
+            holder_gap: ms(3000),
+        },
         bounds: Bounds {
-            hold: ms(6000),
-            stop: ms(900),
-            gang: ms(3000),
-            keep: ms(120_000),
-            remote: 1.5,
-            save: ms(500),
-            restore: ms(600),
-            harm: ms(4000),
-            notice: ms(4500),
-            config: ms(2000),
-            drain: ms(2000),
-            grace: ms(6000),
-            ttl: ms(1000),
+            max_lease: ms(6000),
+            stop_time: ms(900),
+            gang_timeout: ms(3000),
+            state_retention: ms(120_000),
+            remote_factor: 1.5,
+            checkpoint_interval: ms(500),
+            restore_time: ms(600),
+            target_grace: ms(4000),
+            serving_delay: ms(4500),
+            config_lag: ms(2000),
+            drain_time: ms(2000),
+            stop_grace: ms(6000),
+            min_ttl: ms(1000),
         },
     })
 }
 
 /// Reads a configuration: a version and the prefixes of the queues, each of which is also its name.
-fn queues(bytes: &[u8]) -> Result<Queues, Error> {
+fn queues(bytes: &[u8]) -> Result<QueueConfig, Error> {
     let (version, prefixes): (u64, Vec<Box<str>>) =
         serde_json::from_slice(bytes).map_err(|e| Error::new(Kind::BadText, e.to_string()))?;
     let queue = |prefix: &str| Queue {
@@ -101,16 +108,16 @@
         slack: Duration::ZERO,
         advice: None,
     };
-    Ok(Queues {
+    Ok(QueueConfig {
         version,
-        all: prefixes.iter().map(|p| queue(p)).collect(),
+        queues: prefixes.iter().map(|p| queue(p)).collect(),
         pools: vec![],
-        body: 1000,
+        max_body: 1000,
     })
 }
 
 /// Reads the list of VMs: items of the store whose value is the ID of the worker. All VMs are up.
-fn vms(_: u16, body: &[u8]) -> Result<Vms, Fault> {
+fn vms(_: u16, body: &[u8]) -> Result<VmPage, Fault> {
     let v: Value = serde_json::from_slice(body).map_err(|e| Fault::Bad(e.to_string().into()))?;
     let vm = |i: Item| Vm {
         id: (&i.key["machines/".len()..]).into(),
@@ -119,21 +126,21 @@
         worker: i.value.and_then(|w| Some(WorkerId::from(std::str::from_utf8(&w).ok()?))),
     };
     let all = v["items"].as_array().into_iter().flatten().map(item).map(vm).collect();
-    Ok(Vms { all, next: None })
+    Ok(VmPage { vms: all, next_token: None })
 }
 
 /// Reads a worker's item, which may hold the worker's address.
-fn listed(id: &str, value: &[u8]) -> Result<Listed, Error> {
+fn listed(id: &str, value: &[u8]) -> Result<ListedWorker, Error> {
     let v: Value = serde_json::from_slice(value).unwrap_or_default();
     let addr = v["addr"].as_str().and_then(|a| a.parse().ok());
-    Ok(Listed {
+    Ok(ListedWorker {
         id: WorkerId::from(id),
         pool: PoolId::from("pool"),
         addr: addr.unwrap_or(([127, 0, 0, 1], 1).into()),
         zone: Zone::from("z"),
         draining: false,
-        left: None,
-        size: Default::default(),
+        min_stay: None,
+        capacity: Default::default(),
         labels: Box::new([]),
     })
 }
@@ -143,18 +150,23 @@
 fn wave(bytes: &[u8]) -> Result<Wave, Error> {
     let (no, vms, within, cap) =
         serde_json::from_slice(bytes).map_err(|e| Error::new(Kind::BadText, e.to_string()))?;
-    Ok(Wave { no, vms, within: Duration::from_millis(within), cap })
+    Ok(Wave { number: no, vms, time_limit: Duration::from_millis(within), max_down: cap })
 }
 
 fn job(bytes: &[u8]) -> Result<Job, Error> {
     serde_json::from_slice(bytes).map_err(|e| Error::new(Kind::BadRequest, e.to_string()))
 }
 
-fn wire(path: &str, body: Value) -> Wire {
-    Wire { method: "POST", path: path.into(), headers: vec![], body: body.to_string().into() }
+fn wire(path: &str, body: Value) -> WireRequest {
+    WireRequest {
+        method: "POST",
+        path: path.into(),
+        headers: vec![],
+        body: body.to_string().into(),
+    }
 }
 
-fn ask_store(call: &StoreCall) -> Wire {
+fn ask_store(call: &StoreCall) -> WireRequest {
     match call {
         StoreCall::Get { key } => wire("/get", json!({"key": key})),
         StoreCall::Range { prefix, after, .. } => {
@@ -165,8 +177,8 @@
             wire("/watch", json!({"prefix": prefix, "after": after, "wait": wait}))
         }
         StoreCall::Txn(txn) => wire("/txn", ask_txn(txn)),
-        StoreCall::Lease { .. } => wire("/lease", json!({})),
-        StoreCall::Keep { lease } => wire("/keep", json!({"lease": lease})),
+        StoreCall::CreateLease { .. } => wire("/lease", json!({})),
+        StoreCall::RenewLease { lease } => wire("/keep", json!({"lease": lease})),
         StoreCall::EndLease { lease } => wire("/end", json!({"lease": lease})),
     }
 }
@@ -202,7 +214,9 @@
         (_, StoreCall::Range { .. }) => StoreReply::Page(items(&v["items"]), false, rev),
         (_, StoreCall::Watch { .. }) => StoreReply::Events(items(&v["events"]), rev),
         (_, StoreCall::Txn(_)) => StoreReply::Done(rev),
-        (_, StoreCall::Lease { ttl }) => StoreReply::Lease(v["lease"].as_u64().unwrap_or(0), *ttl),
-        (_, StoreCall::Keep { .. } | StoreCall::EndLease { .. }) => StoreReply::Kept,
+        (_, StoreCall::CreateLease { ttl }) => {
+            StoreReply::Lease(v["lease"].as_u64().unwrap_or(0), *ttl)
+        }
+        (_, StoreCall::RenewLease { .. } | StoreCall::EndLease { .. }) => StoreReply::Kept,
     })
 }
--- a/tests/site/mod.rs
+++ b/tests/site/mod.rs
@@ -10,7 +10,7 @@
     bytes::Bytes,
     dogwoodreach::{
         cli::Exit,
-        http::{Client, Whole, uri},
+        http::{Client, Message, uri},
         site,
     },
     forms::FORMS,
@@ -66,7 +66,7 @@
     /// the member is ready.
     pub async fn new(name: &str) -> TestMember {
         let store = Store::default();
-        store.put(FORMS.config, r#"[1, ["/a/", "/b/"]]"#);
+        store.put(FORMS.config_key, r#"[1, ["/a/", "/b/"]]"#);
         store.put("workers/w1", "{}");
         let store_addr = store.serve();
         TestMember::join(name, store, store_addr).await
@@ -111,7 +111,7 @@
     }
 
     /// Fetches a page from the metrics address.
-    pub async fn page(&self, path: &str) -> Whole<Parts> {
+    pub async fn page(&self, path: &str) -> Message<Parts> {
         let request =
             Request::get(uri(self.metrics, path)).body(Full::default()).expect("a request");
         self.client.send(request, WAIT_LIMIT).await.expect("an answer")
@@ -127,7 +127,7 @@
     }
 
     /// Sends a caller's request with a deadline of `wait_ms` milliseconds.
-    pub async fn send(&self, method: &str, path: &str, body: &str, wait_ms: u64) -> Whole<Parts> {
+    pub async fn send(&self, method: &str, path: &str, body: &str, wait_ms: u64) -> Message<Parts> {
         let request = Request::builder()
             .method(method)
             .uri(uri(self.callers, path))
