--- a/tests/site/store.rs
+++ b/tests/site/store.rs
@@ -84,8 +84,11 @@
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             runtime.expect("a runtime").block_on(async move {
                 let listener = TcpListener::from_std(listener).expect("a listener");
-                let limits =
-                    Limits { body: 1 << 20, connections: 64, patience: Duration::from_secs(60) };
+                let limits = Limits {
+                    body: 1 << 20,
+                    connections: 64,
+                    read_timeout: Duration::from_secs(60),
+                };
                 serve(listener, limits, pending(), move |head, body| {
                     let this = this.clone();
                     async move {
--- a/tests/site_config.rs
+++ b/tests/site_config.rs
@@ -45,7 +45,7 @@
 /// Starts a member with a slow link to a store that holds a small configuration.
 async fn member_on_narrow_link(name: &str) -> (TestMember, Link) {
     let store = Store::default();
-    store.put(FORMS.config, r#"[1, ["/a/", "/b/"]]"#);
+    store.put(FORMS.config_key, r#"[1, ["/a/", "/b/"]]"#);
     store.put("workers/w1", "{}");
     let store_addr = store.serve();
     let link = link::serve(store_addr, LINK_BYTES_PER_S);
@@ -62,7 +62,7 @@
         let (member, _) = member_on_narrow_link("large-outage").await;
         member.store.set_fault(member.store_addr, Some(AddrFault::Silent));
         member.wait_until("away", async || !member.is_ready().await).await;
-        member.store.put(FORMS.config, &large_config(2, "/c/"));
+        member.store.put(FORMS.config_key, &large_config(2, "/c/"));
         member.store.set_fault(member.store_addr, None);
         member.wait_until("in force", async || member.status("GET", "/c/", "").await == 200).await;
     });
@@ -75,7 +75,7 @@
     run(async {
         let (member, link) = member_on_narrow_link("large-jobs").await;
         let (member, before) = (Arc::new(member), link.bytes_sent.load(Relaxed));
-        member.store.put(FORMS.config, &large_config(2, "/c/"));
+        member.store.put(FORMS.config_key, &large_config(2, "/c/"));
         let mut callers = JoinSet::new();
         for caller in 0..CALLERS {
             let member = member.clone();
@@ -107,7 +107,7 @@
     // then waited in vain.
     run(async {
         let member = TestMember::new("large-twice").await;
-        member.store.put(FORMS.config, &large_config(2, "/c/"));
+        member.store.put(FORMS.config_key, &large_config(2, "/c/"));
         member.wait_until("in force", async || member.status("GET", "/c/", "").await == 200).await;
         for _ in 0..2 {
             assert_eq!(member.status("POST", "/c/00000000000000c1", JOB).await, 200);
@@ -123,15 +123,15 @@
     // been replaced seconds before.
     run(async {
         let member = TestMember::new("config-silent").await;
-        member.store.set_muted(FORMS.operators, true);
-        member.store.put(FORMS.config, r#"[2, ["/b/"]]"#);
+        member.store.set_muted(FORMS.operator_prefix, true);
+        member.store.put(FORMS.config_key, r#"[2, ["/b/"]]"#);
         let refuses = async || member.status("GET", "/a/", "").await == 503;
         member.wait_until("a refused queue count", refuses).await;
         let (head, _) = member.send("GET", "/new/", "", 1000).await;
         assert_eq!(head.status, 503);
         assert!(head.headers.contains_key("retry-after"));
         assert!(!member.is_ready().await);
-        member.store.set_muted(FORMS.operators, false);
+        member.store.set_muted(FORMS.operator_prefix, false);
         member.wait_until("removed", async || member.status("GET", "/a/", "").await == 404).await;
         member.wait_until("ready again", async || member.is_ready().await).await;
     });
--- a/tests/sound.rs
+++ b/tests/sound.rs
@@ -4,7 +4,7 @@
 use {
     dogwoodreach::{
         Time,
-        decide::sound::{Sound, Verdict, most_held, stuck},
+        decide::health::{Verdict, WorkerHealth, is_stuck, max_quarantined},
         work::JobNo,
     },
     fastrand::Rng,
@@ -79,7 +79,7 @@
 
 fn simulate(scenario: Scenario) -> Summary {
     let (mut rng, mut summary) = (Rng::with_seed(9), Summary::default());
-    let mut sounds = vec![Sound::new(); WORKERS];
+    let mut sounds = vec![WorkerHealth::new(); WORKERS];
     let mut failure_streaks = [0; WORKERS];
     // For each job: whether it fails everywhere, whether it is lost, and on which workers its tasks
     // failed.
@@ -98,9 +98,9 @@
             let (fails_everywhere, lost, failed) = &mut jobs[task.job];
             let elsewhere = failed.iter().filter(|f| **f != w).count() as u32;
             failure_streaks[w] = if ok { 0 } else { failure_streaks[w] + 1 };
-            sounds[w].ended(JobNo(task.job as u64), ok, elsewhere, now);
+            sounds[w].record_end(JobNo(task.job as u64), ok, elsewhere, now);
             if ok {
-                sounds[w].moved(scenario.work as f64 / (t - start) as f64, now);
+                sounds[w].record_speed(scenario.work as f64 / (t - start) as f64, now);
             } else {
                 failed.push(w);
                 task.failed.push(w);
@@ -119,10 +119,10 @@
                 let rough = 2.0_f64.powf(rng.f64() * 2.0 - 1.0);
                 let slowdown =
                     if w == BAD_WORKER && start >= FAULT_START { scenario.slowdown } else { 1 };
-                sounds[w].moved(rough / slowdown as f64, now);
+                sounds[w].record_speed(rough / slowdown as f64, now);
             }
         }
-        let held = |s: &Sound| matches!(s.verdict(now), Verdict::Quarantined { .. });
+        let held = |s: &WorkerHealth| matches!(s.verdict(now), Verdict::Quarantined { .. });
         let all = sounds.iter().filter(|s| held(s)).count();
         if held(&sounds[BAD_WORKER]) && t >= FAULT_START {
             summary.found = summary.found.or(Some(t - FAULT_START));
@@ -133,7 +133,7 @@
         let in_streak =
             (0..WORKERS).filter(|w| *w != BAD_WORKER && failure_streaks[*w] >= 2).count();
         summary.naive_share += in_streak as f64 * part;
-        let judged = scenario.judged && all <= most_held(WORKERS);
+        let judged = scenario.judged && all <= max_quarantined(WORKERS);
         let mut busy = [0; WORKERS];
         runs.iter().for_each(|r| busy[r.2] += 1);
         let mut room = true;
@@ -238,28 +238,28 @@
 
 #[test]
 fn quarantine_doubles_and_a_success_ends_it() {
-    let (mut sound, mut now) = (Sound::new(), Time::ZERO);
-    sound.ended(JobNo(1), false, 0, now);
+    let (mut sound, mut now) = (WorkerHealth::new(), Time::ZERO);
+    sound.record_end(JobNo(1), false, 0, now);
     assert_eq!(sound.verdict(now), Verdict::Suspect);
-    sound.ended(JobNo(1), false, 0, now);
-    sound.ended(JobNo(2), false, 3, now);
+    sound.record_end(JobNo(1), false, 0, now);
+    sound.record_end(JobNo(2), false, 3, now);
     assert_eq!(
         sound.verdict(now),
         Verdict::Suspect,
         "failures of one job, and of a job that fails elsewhere"
     );
-    sound.ended(JobNo(3), false, 0, now);
+    sound.record_end(JobNo(3), false, 0, now);
     for (n, secs) in [2, 4, 8, 16, 16].into_iter().enumerate() {
         let until = now + Duration::from_secs(secs);
         assert_eq!(sound.verdict(now), Verdict::Quarantined { until });
         assert!(!sound.probe(now));
         now = until;
         assert!(sound.probe(now) && !sound.probe(now), "a second probe was allowed");
-        sound.ended(JobNo(9 + n as u64), false, 0, now);
+        sound.record_end(JobNo(9 + n as u64), false, 0, now);
     }
     now = now + Duration::from_secs(16);
     assert!(sound.probe(now));
-    sound.ended(JobNo(5), true, 0, now);
+    sound.record_end(JobNo(5), true, 0, now);
     assert_eq!(sound.verdict(now), Verdict::Sound);
 }
 
@@ -272,7 +272,7 @@
     running.find(|&t| {
         let elapsed = if speed == 0.0 { t } else { 3000 };
         let expected = Duration::from_secs_f64(estimate);
-        stuck(at(t - elapsed), at(t), Duration::from_millis(elapsed), expected, saves)
+        is_stuck(at(t - elapsed), at(t), Duration::from_millis(elapsed), expected, saves)
     })
 }
 
@@ -304,13 +304,13 @@
 #[test]
 fn probes_of_one_job_are_far_apart() {
     for elsewhere in [0, 3] {
-        let (mut sound, mut probes) = (Sound::new(), 0);
-        sound.ended(JobNo(1), false, 0, Time::ZERO);
-        sound.ended(JobNo(2), false, 0, Time::ZERO);
+        let (mut sound, mut probes) = (WorkerHealth::new(), 0);
+        sound.record_end(JobNo(1), false, 0, Time::ZERO);
+        sound.record_end(JobNo(2), false, 0, Time::ZERO);
         for now in (0..60_000).step_by(100).map(Time::from_millis) {
             if sound.probe(now) {
                 probes += 1;
-                sound.ended(JobNo(1), false, elsewhere, now);
+                sound.record_end(JobNo(1), false, elsewhere, now);
             }
         }
         println!("failed elsewhere {elsewhere}: {probes} probes in 60 s");
@@ -322,9 +322,9 @@
 // not stay suspect for ever, nor be quarantined for slow reports that are minutes apart.
 #[test]
 fn single_slow_figures_are_forgotten() {
-    let mut sound = Sound::new();
+    let mut sound = WorkerHealth::new();
     for now in (0..6).map(|n| Time::from_millis(n * 60_000)) {
-        sound.moved(0.2, now);
+        sound.record_speed(0.2, now);
         assert_eq!(sound.verdict(now), Verdict::Suspect);
         assert_eq!(sound.verdict(now + Duration::from_secs(10)), Verdict::Sound);
     }
@@ -343,7 +343,7 @@
         let stuck_at = |speed: f64| {
             let to = from + 100.0 * speed * elapsed / work;
             let [elapsed, work] = [elapsed, work].map(Duration::from_secs_f64);
-            to < 100.0 && stuck(from as u8, to as u8, elapsed, work, true)
+            to < 100.0 && is_stuck(from as u8, to as u8, elapsed, work, true)
         };
         assert!(!stuck_at(0.5), "{work} s, {elapsed} s from {from}");
         stuck_runs += u32::from(stuck_at(0.15));
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -3,28 +3,28 @@
 mod wave;
 
 use {
-    dogwoodreach::{Time, decide::standby::Tide},
+    dogwoodreach::{Time, decide::standby::PoolDemand},
     std::time::Duration,
-    wave::{Luck, Yard, store::Fate, unit::SPARE, wave},
+    wave::{OrderFate, WaveSim, store::CallOutcome, unit::SPARE, wave},
 };
 
 /// Maximum time in milliseconds until the death of a holder is noticed.
 const DETECTION_MS: u64 = 3_500;
 
 /// Creates a yard with `count` VMs, the last `spare` of which belong to the standby pool.
-fn yard(count: usize, spare: usize) -> Yard {
-    let mut yard = Yard::new(count);
-    yard.stand_by(spare);
+fn yard(count: usize, spare: usize) -> WaveSim {
+    let mut yard = WaveSim::new(count);
+    yard.add_standby(spare);
     yard
 }
 
 /// Replaces the last holder, which dies, by a new one.
-fn replace_holder(yard: &mut Yard) {
+fn replace_holder(yard: &mut WaveSim) {
     let last = yard.holders.len() - 1;
     yard.holders[last].gone = true;
     yard.run(DETECTION_MS);
     yard.take_over();
-    yard.hear_pools();
+    yard.send_pools();
 }
 
 #[test]
@@ -32,9 +32,9 @@
     let mut yard = yard(4, 2);
     yard.run(5_000);
     assert!(yard.orders.is_empty());
-    yard.waits(3_500);
+    yard.set_wait(3_500);
     let lent = yard.until("lent", 3_000, |y| y.lent() == 1);
-    yard.waits(0);
+    yard.set_wait(0);
     let back = yard.until("given back", 30_000, |y| y.lent() == 0);
     assert!(
         back - lent >= Duration::from_secs(10),
@@ -48,7 +48,7 @@
 #[test]
 fn where_work_goes_on_waiting_one_after_the_other_is_lent() {
     let mut yard = yard(5, 3);
-    yard.waits(4_000);
+    yard.set_wait(4_000);
     yard.run(4_000);
     assert_eq!(yard.lent(), 1, "a second VM was lent before the first had arrived");
     yard.run(20_000);
@@ -58,10 +58,10 @@
 #[test]
 fn a_vm_with_tasks_stays_until_they_have_ended() {
     let mut yard = yard(2, 1);
-    yard.waits(4_000);
+    yard.set_wait(4_000);
     yard.until("lent", 3_000, |y| y.lent() == 1);
     yard.vms[1].busy = true;
-    yard.waits(0);
+    yard.set_wait(0);
     yard.run(60_000);
     assert_eq!(yard.lent(), 1);
     yard.vms[1].busy = false;
@@ -73,12 +73,12 @@
     // The VM has been empty for long enough, but a task starts between the owner's report and the
     // order. If the VM were moved now, the task would move with it.
     let mut yard = yard(2, 1);
-    yard.waits(4_000);
+    yard.set_wait(4_000);
     yard.until("lent", 3_000, |y| y.lent() == 1);
-    yard.waits(0);
+    yard.set_wait(0);
     yard.until("closing", 30_000, |y| !y.closing().turns.is_empty());
     yard.vms[1].busy = true;
-    yard.vms[1].empties = (Duration::from_secs(600), Duration::from_secs(600));
+    yard.vms[1].emptying_times = (Duration::from_secs(600), Duration::from_secs(600));
     yard.until("open again", 8_000, |y| y.closing().turns.is_empty());
     assert_eq!(yard.lent(), 1);
 }
@@ -89,9 +89,9 @@
     // forgotten, the VM would never be returned, and cost money until an operator noticed.
     for at in (0..22_000).step_by(500) {
         let mut yard = yard(3, 1);
-        yard.waits(4_000);
+        yard.set_wait(4_000);
         yard.run(1_500);
-        yard.waits(0);
+        yard.set_wait(0);
         yard.run(at);
         replace_holder(&mut yard);
         yard.run(45_000);
@@ -104,20 +104,20 @@
 #[test]
 fn orders_without_an_answer_are_settled() {
     let all = [
-        Luck::Unheard,
-        Luck::Lost,
-        Luck::Refused,
-        Luck::Late(Duration::from_secs(3)),
-        Luck::Late(Duration::from_secs(11)),
+        OrderFate::Unanswered,
+        OrderFate::Lost,
+        OrderFate::Refused,
+        OrderFate::Late(Duration::from_secs(3)),
+        OrderFate::Late(Duration::from_secs(11)),
     ];
     for first in all {
         for second in all {
             let mut yard = yard(3, 1);
-            yard.luck = [first, Luck::Fine, second].into();
-            yard.waits(4_000);
+            yard.order_fates = [first, OrderFate::Answered, second].into();
+            yard.set_wait(4_000);
             yard.until("lent", 20_000, |y| y.lent() == 1);
             yard.run(12_000);
-            yard.waits(0);
+            yard.set_wait(0);
             yard.until("given back", 60_000, |y| y.lent() == 0);
             yard.run(20_000);
             assert_eq!(yard.vms[2].moves.len(), 2, "{first:?} {second:?}: {:?}", yard.vms[2].moves);
@@ -129,8 +129,8 @@
 #[test]
 fn a_vm_that_cannot_go_there_is_not_asked_for_again() {
     let mut yard = yard(4, 2);
-    yard.vms[2].bound = true;
-    yard.waits(4_000);
+    yard.vms[2].immovable = true;
+    yard.set_wait(4_000);
     yard.until("the other", 20_000, |y| y.lent() == 1);
     yard.run(20_000);
     let asked = yard.orders.iter().filter(|o| o.2.as_str() == "m2").count();
@@ -141,11 +141,11 @@
 fn a_lost_write_is_settled_by_reading() {
     for late in [0, 700, 3_000] {
         let mut yard = yard(3, 1);
-        let lost = Fate::Lost(Duration::from_millis(late));
-        yard.fates = [lost, Fate::Unheard, Fate::Refused, lost, lost].into();
-        yard.waits(4_000);
+        let lost = CallOutcome::AnswerLost(Duration::from_millis(late));
+        yard.write_fates = [lost, CallOutcome::Unanswered, CallOutcome::Refused, lost, lost].into();
+        yard.set_wait(4_000);
         yard.until("lent", 40_000, |y| y.lent() == 1);
-        yard.waits(0);
+        yard.set_wait(0);
         yard.until("given back", 60_000, |y| y.lent() == 0);
         assert_eq!(yard.vms[2].moves.len(), 2);
     }
@@ -155,10 +155,10 @@
 fn a_wave_and_a_loan_go_side_by_side() {
     let mut yard = yard(5, 1);
     yard.order(wave(4, 40, 1));
-    yard.waits(4_000);
+    yard.set_wait(4_000);
     yard.until("lent", 20_000, |y| y.lent() == 1);
-    yard.waits(0);
-    yard.until("completed", 60_000, Yard::completed);
+    yard.set_wait(0);
+    yard.until("completed", 60_000, WaveSim::completed);
     yard.until("given back", 60_000, |y| y.lent() == 0);
     assert_eq!(yard.vms[4].pool.as_str(), SPARE);
 }
@@ -171,22 +171,22 @@
     let calls = yard.store.writes;
     yard.run(60_000);
     assert_eq!(yard.store.writes, calls);
-    assert_eq!(yard.lists, 0);
+    assert_eq!(yard.list_reads, 0);
 }
 
 /// Returns the number of moves of a VM over `seconds` seconds, for a pool whose oldest work has
-/// waited for `waits(second)` milliseconds: under the policy, and without hysteresis, when each
+/// waited for `set_wait(second)` milliseconds: under the policy, and without hysteresis, when each
 /// wait borrows a VM and each second without one returns it.
 fn moves(seconds: u64, waits: impl Fn(u64) -> u64) -> (u32, u32) {
-    let (mut demand, mut lent, mut moves_made) = (Tide::default(), false, 0);
+    let (mut demand, mut lent, mut moves_made) = (PoolDemand::default(), false, 0);
     let (mut baseline, mut baseline_moves) = (false, 0);
     let mut empty = Time::ZERO;
     for s in 0..seconds {
         let now = Time::from_millis(s * 1_000);
         let ms = waits(s);
-        demand.seen(Duration::from_millis(ms), now);
+        demand.record_wait(Duration::from_millis(ms), now);
         empty = if ms > 0 { now } else { empty };
-        let change = if lent { demand.give_back(empty, now) } else { demand.borrow(now) };
+        let change = if lent { demand.should_return(empty, now) } else { demand.should_lend(now) };
         if change {
             (lent, moves_made) = (!lent, moves_made + 1);
         }
--- a/tests/suspect.rs
+++ b/tests/suspect.rs
@@ -4,7 +4,7 @@
 use {
     dogwoodreach::{
         Time,
-        decide::suspect::{Fault, Outcome, Suspects, Trust, Verdict},
+        decide::suspect::{Fault, FaultTracker, Outcome, Trust, Verdict},
         ids::{TaskId, TaskIndex, WorkerId},
     },
     fastrand::Rng,
@@ -20,7 +20,7 @@
 
 /// A pool that simulates tasks in virtual time: a task runs for 10 s, a failing one for 100 ms.
 struct Simulation {
-    suspects: Suspects,
+    suspects: FaultTracker,
     judged: bool,
     workers: Vec<(WorkerId, bool, u32)>,
     rng: Rng,
@@ -41,10 +41,14 @@
 
 impl Simulation {
     fn new(workers: usize, bad: &[usize], judged: bool) -> Self {
-        let mut suspects = Suspects::new(7);
+        let mut suspects = FaultTracker::new(7);
         let name = |i: usize| WorkerId::from(format!("w{i:03}").as_str());
         for i in 0..workers {
-            suspects.join(&name(i), &"pool".into(), &format!("rack{}", i / 5).as_str().into());
+            suspects.add_worker(
+                &name(i),
+                &"pool".into(),
+                &format!("rack{}", i / 5).as_str().into(),
+            );
         }
         let workers = (0..workers).map(|i| (name(i), bad.contains(&i), 0)).collect();
         Simulation {
@@ -79,7 +83,7 @@
                 _ if !self.judged => SLOTS,
                 Trust::Full => SLOTS,
                 Trust::Probe => 1,
-                Trust::Held(_) => 0,
+                Trust::Blocked(_) => 0,
             };
             *busy < most && !(self.judged && self.suspects.failed_on(&task).contains(worker))
         };
@@ -94,8 +98,8 @@
             }
             self.waits.pop();
             match self.suspects.job_trust(self.now, &id(job, index).job) {
-                Trust::Held(Time::NEVER) if self.judged => continue,
-                Trust::Held(until) if self.judged => {
+                Trust::Blocked(Time::NEVER) if self.judged => continue,
+                Trust::Blocked(until) if self.judged => {
                     self.waits.push(Reverse((until, job, index)));
                     continue;
                 }
@@ -111,7 +115,7 @@
             }
             let i = free[self.rng.usize(..free.len())];
             self.workers[i].2 += 1;
-            self.suspects.started(self.now, &id(job, index), &self.workers[i].0);
+            self.suspects.record_start(self.now, &id(job, index), &self.workers[i].0);
             let bad = self.fails(job, i);
             let run = Duration::from_millis(if bad { 100 } else { 10_000 });
             self.ends.push(Reverse((self.now + run, job, index, i)));
@@ -125,12 +129,13 @@
         self.failures += u32::from(failed);
         self.done += u32::from(!failed);
         let outcome = if failed { Outcome::Failed } else { Outcome::Done };
-        let verdict = self.suspects.ended(self.now, &id(job, index), &self.workers[i].0, outcome);
+        let verdict =
+            self.suspects.record_end(self.now, &id(job, index), &self.workers[i].0, outcome);
         match verdict {
             _ if !self.judged && failed => self.waits.push(Reverse((self.now, job, index))),
             Verdict::Retry(at) => self.waits.push(Reverse((at, job, index))),
             Verdict::GiveUp(fault) => drop(self.given_up.insert(job, fault)),
-            Verdict::Over => {}
+            Verdict::Completed => {}
         }
     }
 
@@ -235,25 +240,25 @@
     assert_eq!(f.failures, 12);
 }
 
-fn probe(s: &mut Suspects, at: Time, index: u32, outcome: Outcome) {
+fn probe(s: &mut FaultTracker, at: Time, index: u32, outcome: Outcome) {
     let w = WorkerId::from("w0");
     assert_eq!(s.trust(at, &w), Trust::Probe);
-    s.started(at, &id(0, index), &w);
-    assert_eq!(s.trust(at, &w), Trust::Held(Time::NEVER), "a second probe was allowed");
-    s.ended(at, &id(0, index), &w, outcome);
+    s.record_start(at, &id(0, index), &w);
+    assert_eq!(s.trust(at, &w), Trust::Blocked(Time::NEVER), "a second probe was allowed");
+    s.record_end(at, &id(0, index), &w, outcome);
 }
 
-fn pool_with_bad(n: usize, bad: usize) -> Suspects {
-    let mut s = Suspects::new(1);
+fn pool_with_bad(n: usize, bad: usize) -> FaultTracker {
+    let mut s = FaultTracker::new(1);
     for i in 0..n {
         let w = WorkerId::from(format!("w{i}").as_str());
-        s.join(&w, &"p".into(), &format!("r{}", i % 2).as_str().into());
+        s.add_worker(&w, &"p".into(), &format!("r{}", i % 2).as_str().into());
     }
     for round in 0..12u32 {
         for i in (0..n).rev() {
             let w = WorkerId::from(format!("w{i}").as_str());
             let outcome = if i < bad { Outcome::Failed } else { Outcome::Done };
-            s.ended(Time::ZERO, &id(0, round * 100 + i as u32), &w, outcome);
+            s.record_end(Time::ZERO, &id(0, round * 100 + i as u32), &w, outcome);
         }
     }
     s
@@ -265,12 +270,12 @@
 fn probes_bring_a_mended_worker_back_and_grow_rare_for_a_broken_one() {
     let mut s = pool_with_bad(10, 1);
     let w = WorkerId::from("w0");
-    assert_eq!(s.trust(Time::ZERO, &w), Trust::Held(Time::from_millis(30_000)));
+    assert_eq!(s.trust(Time::ZERO, &w), Trust::Blocked(Time::from_millis(30_000)));
     let mut at = Time::from_millis(30_000);
     let mut waits = Vec::new();
     for i in 0..8 {
         probe(&mut s, at, 9000 + i, Outcome::Failed);
-        let Trust::Held(next) = s.trust(at, &w) else { panic!("still broken") };
+        let Trust::Blocked(next) = s.trust(at, &w) else { panic!("still broken") };
         waits.push((next - at).as_secs());
         at = next;
     }
@@ -297,11 +302,17 @@
     let mut s = pool_with_bad(10, 0);
     for i in [0, 2, 4, 6, 8] {
         let w = WorkerId::from(format!("w{i}").as_str());
-        assert!(matches!(s.ended(Time::ZERO, &id(1, 0), &w, Outcome::Failed), Verdict::Retry(_)));
+        assert!(matches!(
+            s.record_end(Time::ZERO, &id(1, 0), &w, Outcome::Failed),
+            Verdict::Retry(_)
+        ));
     }
     let late = Time::from_millis(600_000);
-    assert!(matches!(s.ended(late, &id(1, 0), &"w8".into(), Outcome::Failed), Verdict::Retry(_)));
-    let last = s.ended(late, &id(1, 0), &"w1".into(), Outcome::Failed);
+    assert!(matches!(
+        s.record_end(late, &id(1, 0), &"w8".into(), Outcome::Failed),
+        Verdict::Retry(_)
+    ));
+    let last = s.record_end(late, &id(1, 0), &"w1".into(), Outcome::Failed);
     assert_eq!(last, Verdict::GiveUp(Fault::Task(6)));
 }
 
@@ -313,10 +324,10 @@
     let at = Time::from_millis(30_000);
     for i in 0..8 {
         let w = WorkerId::from(format!("w{}", i % 4).as_str());
-        s.started(at, &id(0, 5000), &w);
-        s.ended(at, &id(0, 5000), &w, Outcome::Done);
+        s.record_start(at, &id(0, 5000), &w);
+        s.record_end(at, &id(0, 5000), &w, Outcome::Done);
         let later = at + Duration::from_secs(600) * (i / 4);
-        assert!(matches!(s.ended(later, &id(1, 0), &w, Outcome::Failed), Verdict::Retry(_)));
+        assert!(matches!(s.record_end(later, &id(1, 0), &w, Outcome::Failed), Verdict::Retry(_)));
     }
 }
 
@@ -326,7 +337,7 @@
 fn the_wait_between_attempts_doubles_with_jitter_up_to_five_minutes() {
     let mut s = pool_with_bad(10, 0);
     for full in [2, 4, 8, 16, 32, 64, 128, 256, 300, 300, 300] {
-        let Verdict::Retry(at) = s.ended(Time::ZERO, &id(1, 0), &"w1".into(), Outcome::Failed)
+        let Verdict::Retry(at) = s.record_end(Time::ZERO, &id(1, 0), &"w1".into(), Outcome::Failed)
         else {
             panic!("a single worker does not prove a fault of the job");
         };
@@ -342,6 +353,6 @@
     let mut s = pool_with_bad(10, 1);
     let at = Time::from_millis(30_000);
     (0..3).for_each(|i| probe(&mut s, at, 9200 + i, Outcome::Done));
-    s.ended(at, &id(0, 9300), &"w0".into(), Outcome::Failed);
+    s.record_end(at, &id(0, 9300), &"w0".into(), Outcome::Failed);
     assert_eq!(s.trust(at, &"w0".into()), Trust::Full);
 }
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -5,12 +5,12 @@
         Time,
         decide::lanes::Peers,
         ids::{Incarnation, Zone},
-        ports::{Item, Rev},
-        shard::record::{self, LAYOUT, Layout, MemberRow, OwnerRow, ShardNo},
-        table::{
+        member_table::{
             MAX_STORE_SILENCE, MemberTable, Outcome, RANK_DELAY, RELAYED_DELAY, TAKEOVER_GRACE,
             Takeover, member_key,
         },
+        ports::{Item, Rev},
+        shard::record::{self, LAYOUT_KEY, Layout, MemberRow, OwnerRow, ShardNo},
     },
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -48,8 +48,8 @@
         let (items, tables) = Default::default();
         let mut cell = Cell { now: ms(5000), rev: 0, items, tables };
         cell.write(
-            LAYOUT.into(),
-            record::write(&Layout {
+            LAYOUT_KEY.into(),
+            record::encode(&Layout {
                 shards,
                 secret: "s".into(),
                 homes: vec![],
@@ -90,7 +90,7 @@
 
     fn join_at(&mut self, member: Incarnation, control: SocketAddr, draining: bool, cores: f64) {
         let row = MemberRow { control, zone: Zone::from("z"), draining, cores, relayed: false };
-        self.write(member_key(member), record::write(&row));
+        self.write(member_key(member), record::encode(&row));
     }
 
     /// Starts a member that reads the whole table.
@@ -108,7 +108,7 @@
     }
 
     fn owner(&self, shard: ShardNo) -> Option<OwnerRow> {
-        record::read(self.items.get(&shard.owner())?.value.as_ref()?)
+        record::decode(self.items.get(&shard.owner())?.value.as_ref()?)
     }
 
     /// Applies a takeover as the store does.
@@ -121,7 +121,7 @@
         }
         let row =
             OwnerRow { owner: Some(member), token: takeover.token, control: Some(address(member)) };
-        let rev = self.write(takeover.shard.owner(), record::write(&row));
+        let rev = self.write(takeover.shard.owner(), record::encode(&row));
         Outcome::Done(rev, takeover.token)
     }
 
@@ -249,7 +249,7 @@
     assert_eq!(view.available_members(), back);
     let mut asked = BTreeSet::new();
     for shard in (0..4).map(ShardNo) {
-        let Peers { own, shared } = view.peers(shard);
+        let Peers { own, shared } = view.advice_members(shard);
         let all: Vec<_> = own.into_iter().chain(shared).collect();
         let each: BTreeSet<_> = all.iter().copied().collect();
         assert_eq!(all.len(), each.len(), "once");
@@ -266,10 +266,10 @@
     let view = cell.table(id(1)).view();
     let mut first = BTreeSet::new();
     for shard in (0..4).map(ShardNo) {
-        let Peers { own, shared } = view.peers(shard);
+        let Peers { own, shared } = view.advice_members(shard);
         assert!(own.len() >= 5);
         for other in (0..4).map(ShardNo).filter(|s| *s != shard) {
-            let Peers { own: others, .. } = view.peers(other);
+            let Peers { own: others, .. } = view.advice_members(other);
             assert!(!others.iter().any(|m| own.contains(m) || shared.contains(m)));
         }
         first.extend(own.into_iter().chain(shared).take(10));
@@ -328,7 +328,7 @@
     cell.table(first).stop();
     cell.join(first, true);
     let row = OwnerRow { owner: None, token: 1, control: None };
-    cell.write(ShardNo(0).owner(), record::write(&row));
+    cell.write(ShardNo(0).owner(), record::encode(&row));
     cell.table(first).remove_owned(ShardNo(0), now);
     cell.advance(Duration::from_millis(20));
     let row = cell.owner(ShardNo(0)).expect("owned");
@@ -425,7 +425,7 @@
     let other = if owner == id(1) { id(2) } else { id(1) };
     cell.rev += 1;
     let row = OwnerRow { owner: Some(other), token: 2, control: None };
-    let item = Item { key: ShardNo(0).owner(), value: Some(record::write(&row)), rev: cell.rev };
+    let item = Item { key: ShardNo(0).owner(), value: Some(record::encode(&row)), rev: cell.rev };
     let (now, rev) = (cell.now, cell.rev);
     assert_eq!(cell.table(owner).apply_changes(vec![item], rev, now), [ShardNo(0)]);
     assert!(cell.table(owner).owned().is_empty());
@@ -438,7 +438,7 @@
     // shard away from this member.
     let mut cell = Cell::new(1, 1);
     let row = OwnerRow { owner: None, token: 4, control: None };
-    cell.write(ShardNo(0).owner(), record::write(&row));
+    cell.write(ShardNo(0).owner(), record::encode(&row));
     let old: Vec<Item> = cell.items.values().cloned().collect();
     let rev = cell.rev;
     cell.advance(Duration::from_secs(1));
@@ -485,7 +485,7 @@
     for member in cut {
         let (control, zone) = (address(member), Zone::from("z"));
         let row = MemberRow { control, zone, draining: false, cores: 1.0, relayed: true };
-        cell.write(member_key(member), record::write(&row));
+        cell.write(member_key(member), record::encode(&row));
     }
     cell.leave(first);
     cell.advance(TAKEOVER_GRACE + Duration::from_millis(60));
--- a/tests/wave/mod.rs
+++ b/tests/wave/mod.rs
@@ -11,20 +11,20 @@
     dogwoodreach::{
         Time,
         ids::{PoolId, VmId, WaveNo, WorkerId},
-        ports::{Deed, Fault, Fleet, Vm, VmCall, VmReply, VmState, Wave},
+        ports::{Fault, Vm, VmAction, VmCall, VmLimits, VmReply, VmState, Wave},
         shard::{
-            Held, Need,
-            record::{CLOSING, Closing, Turn, read},
+            Occupancy, PoolWait,
+            record::{CLOSING_KEY, Closing, UpkeepTurn, decode},
         },
-        upkeep::{Event, LEDGER, Order, Setup, Upkeep},
+        upkeep::{Event, LEDGER_KEY, Order, Setup, Upkeep},
     },
     std::{
         collections::{BTreeMap, VecDeque},
         mem,
         time::Duration,
     },
-    store::{Fate, Store},
-    unit::{SPARE, Unit},
+    store::{CallOutcome, Store},
+    unit::{SPARE, SimVm},
 };
 
 /// Time between two ticks.
@@ -42,10 +42,10 @@
 
 /// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Luck {
-    Fine,
+pub enum OrderFate {
+    Answered,
     /// The order is carried out, but its answer is lost.
-    Unheard,
+    Unanswered,
     /// The answer is lost, and the order is carried out after this delay.
     Late(Duration),
     /// The order is lost.
@@ -69,25 +69,25 @@
     Late(VmCall),
 }
 
-pub struct Yard {
+pub struct WaveSim {
     pub now: Time,
     pub store: Store,
-    pub vms: Vec<Unit>,
+    pub vms: Vec<SimVm>,
     pub holders: Vec<Holder>,
     pub waves: Vec<(u64, Wave)>,
     /// Outcomes of the next orders; later orders succeed.
-    pub luck: VecDeque<Luck>,
+    pub order_fates: VecDeque<OrderFate>,
     /// How long work has waited, as the owners report it.
-    pub needs: Vec<Need>,
+    pub needs: Vec<PoolWait>,
     /// Outcomes of the next writes.
-    pub fates: VecDeque<Fate>,
+    pub write_fates: VecDeque<CallOutcome>,
     /// Number of calls of all kinds, and number of these that read the list of VMs.
     pub calls: u32,
-    pub lists: u32,
+    pub list_reads: u32,
     /// All orders: time, token, VM and answer.
     pub orders: Vec<(Time, u64, VmId, VmReply)>,
     /// Most VMs that were down at once.
-    pub down: usize,
+    pub most_down: usize,
     /// Revision of the wave state that was checked last.
     state_rev: u64,
     list_history: VecDeque<(Time, Vec<Vm>)>,
@@ -102,25 +102,25 @@
 /// A wave of the first `count` VMs.
 pub fn wave(count: usize, seconds: u64, cap: u32) -> Wave {
     let vms = (0..count).map(|i| VmId::from(&*format!("m{i}"))).collect();
-    Wave { no: WaveNo(1), vms, within: Duration::from_secs(seconds), cap }
+    Wave { number: WaveNo(1), vms, time_limit: Duration::from_secs(seconds), max_down: cap }
 }
 
-impl Yard {
+impl WaveSim {
     /// Creates a simulation with `count` VMs and one holder.
     pub fn new(count: usize) -> Self {
-        let mut sim = Yard {
+        let mut sim = WaveSim {
             now: Time::ZERO,
             store: Store::new(1),
-            vms: (0..count).map(Unit::new).collect(),
+            vms: (0..count).map(SimVm::new).collect(),
             holders: vec![],
             waves: vec![],
-            luck: VecDeque::new(),
+            order_fates: VecDeque::new(),
             needs: vec![],
-            fates: VecDeque::new(),
+            write_fates: VecDeque::new(),
             calls: 0,
-            lists: 0,
+            list_reads: 0,
             orders: vec![],
-            down: 0,
+            most_down: 0,
             state_rev: 0,
             list_history: VecDeque::new(),
             messages: vec![],
@@ -133,53 +133,64 @@
     /// Starts another holder with the next token.
     pub fn take_over(&mut self) {
         let token = self.holders.len() as u64 + 1;
-        let fleet = Fleet { rate: 60.0, upkeep: DOWN, moved: ms(1_500), turn: HOLDER_GAP };
+        let fleet = VmLimits {
+            order_rate: 60.0,
+            upkeep_time: DOWN,
+            move_time: ms(1_500),
+            holder_gap: HOLDER_GAP,
+        };
         let told = |no, over: bool| (format!("told/{no}").into(), over.to_string().into());
         let holder = format!("node-{token}").into();
-        let upkeep = Upkeep::new(Setup { holder, token, fleet, unix: 1_700_000_000_000, told });
+        let upkeep = Upkeep::new(Setup {
+            holder,
+            token,
+            limits: fleet,
+            unix_ms: 1_700_000_000_000,
+            encode_state: told,
+        });
         self.holders.push(Holder { upkeep, token, gone: false, paused: false, backlog: vec![] });
-        self.hear_waves();
+        self.send_waves();
     }
 
     /// Makes the last `count` VMs standby VMs.
-    pub fn stand_by(&mut self, count: usize) {
+    pub fn add_standby(&mut self, count: usize) {
         let first = self.vms.len() - count;
         for vm in &mut self.vms[first..] {
             vm.pool = SPARE.into();
             vm.busy = false;
             vm.down(VmState::Down, Time::NEVER);
         }
-        self.hear_pools();
+        self.send_pools();
     }
 
     /// Sends the standby pools to all holders.
-    pub fn hear_pools(&mut self) {
+    pub fn send_pools(&mut self) {
         for at in 0..self.holders.len() {
             self.deliver(at, Event::Pools([PoolId::from(SPARE)].into()));
         }
     }
 
     /// Sets how long the pool's work has waited, in milliseconds.
-    pub fn waits(&mut self, ms: u64) {
-        self.needs = vec![Need { pool: "pool".into(), waits: ms }];
+    pub fn set_wait(&mut self, ms: u64) {
+        self.needs = vec![PoolWait { pool: "pool".into(), waits: ms }];
     }
 
     /// Number of lent VMs.
     pub fn lent(&self) -> usize {
-        let lent = |m: &&Unit| !m.moves.is_empty() && m.pool.as_str() != SPARE;
+        let lent = |m: &&SimVm| !m.moves.is_empty() && m.pool.as_str() != SPARE;
         self.vms.iter().filter(lent).count()
     }
 
     /// The operators order a wave.
     pub fn order(&mut self, wave: Wave) {
         self.store.rev += 1;
-        self.waves.retain(|(_, w)| w.no != wave.no);
+        self.waves.retain(|(_, w)| w.number != wave.number);
         self.waves.push((self.store.rev, wave));
-        self.hear_waves();
+        self.send_waves();
     }
 
     /// Sends the ordered waves to all holders.
-    pub fn hear_waves(&mut self) {
+    pub fn send_waves(&mut self) {
         let left = !self.closing().turns.is_empty();
         for at in 0..self.holders.len() {
             self.deliver(at, Event::Waves(self.waves.clone(), left));
@@ -188,18 +199,18 @@
 
     /// The workers to be emptied, as stored.
     pub fn closing(&self) -> Closing {
-        let item = self.store.get(CLOSING).and_then(|i| i.value);
-        item.and_then(|v| read(&v)).unwrap_or_default()
+        let item = self.store.get(CLOSING_KEY).and_then(|i| i.value);
+        item.and_then(|v| decode(&v)).unwrap_or_default()
     }
 
     /// Whether the first wave is completed, as stored; `None` if its state was not written.
-    pub fn told(&self) -> Option<bool> {
+    pub fn wave_state(&self) -> Option<bool> {
         let value = self.store.get("told/1")?.value?;
         Some(&value[..] == b"true")
     }
 
     pub fn completed(&self) -> bool {
-        self.told() == Some(true)
+        self.wave_state() == Some(true)
     }
 
     fn deliver(&mut self, at: usize, event: Event) {
@@ -233,7 +244,7 @@
     }
 
     /// Runs the simulation until `is` holds; returns the time at which it does.
-    pub fn until(&mut self, what: &str, ms: u64, is: impl Fn(&Yard) -> bool) -> Time {
+    pub fn until(&mut self, what: &str, ms: u64, is: impl Fn(&WaveSim) -> bool) -> Time {
         let over = self.now + Duration::from_millis(ms);
         while !is(self) {
             assert!(self.now < over, "{what}: not within {ms} ms: {:?}", self.orders);
@@ -254,7 +265,7 @@
             }
         }
         self.update_workers();
-        let listed = |m: &Unit| Vm {
+        let listed = |m: &SimVm| Vm {
             id: m.id.clone(),
             pool: m.pool.clone(),
             state: m.state,
@@ -291,13 +302,14 @@
         let closing = self.closing();
         for m in &mut self.vms {
             let turn = closing.turn(&m.worker());
-            let closed = matches!(turn, Turn::Closing | Turn::Forced) && m.state == VmState::Up;
+            let closed =
+                matches!(turn, UpkeepTurn::Closing | UpkeepTurn::Forced) && m.state == VmState::Up;
             if !closed {
                 m.closed = (None, None);
                 continue;
             }
             m.closed.0.get_or_insert(self.now);
-            if turn == Turn::Forced {
+            if turn == UpkeepTurn::Forced {
                 m.closed.1.get_or_insert(self.now);
             }
         }
@@ -307,35 +319,40 @@
         let back = self.now + ANSWER_DELAY;
         let unheard = self.now + CALL_TIMEOUT;
         let (at, event) = match order {
-            Order::Read => (back, Event::Read(Ok(self.store.get(LEDGER)))),
-            Order::Store(number, txn) => match self.fates.pop_front().unwrap_or(Fate::Answered) {
-                Fate::Answered => (back, Event::Stored(number, Ok(self.store.txn(&txn)))),
-                Fate::Refused => (back, Event::Stored(number, Err(Fault::Refused))),
-                Fate::Unheard => (unheard, Event::Stored(number, Err(Fault::Unknown))),
-                Fate::Lost(wait) => {
+            Order::ReadLedger => (back, Event::LedgerRead(Ok(self.store.get(LEDGER_KEY)))),
+            Order::Write(number, txn) => match self
+                .write_fates
+                .pop_front()
+                .unwrap_or(CallOutcome::Answered)
+            {
+                CallOutcome::Answered => (back, Event::Written(number, Ok(self.store.txn(&txn)))),
+                CallOutcome::Refused => (back, Event::Written(number, Err(Fault::Refused))),
+                CallOutcome::Unanswered => (unheard, Event::Written(number, Err(Fault::Unknown))),
+                CallOutcome::AnswerLost(wait) => {
                     self.late_writes.push((self.now + wait, txn));
-                    (unheard, Event::Stored(number, Err(Fault::Unknown)))
+                    (unheard, Event::Written(number, Err(Fault::Unknown)))
                 }
             },
-            Order::List => {
-                self.lists += 1;
+            Order::ListVms => {
+                self.list_reads += 1;
                 let all = self.list_history.front().expect("time has passed").1.clone();
-                (back, Event::Listed(self.now, Ok(all)))
+                (back, Event::VmsListed(self.now, Ok(all)))
             }
-            Order::Ask(workers) => {
-                (back, Event::Held(self.now, self.reports(&workers), self.needs.clone()))
+            Order::AskOwners(workers) => {
+                (back, Event::OwnersReported(self.now, self.reports(&workers), self.needs.clone()))
             }
-            Order::Call(call) => {
+            Order::OrderVm(call) => {
                 let told = call.clone();
-                let (at, reply) = match self.luck.pop_front().unwrap_or(Luck::Fine) {
-                    Luck::Fine => (back, Ok(self.apply(&call))),
-                    Luck::Refused => (back, Err(Fault::Refused)),
-                    Luck::Lost => (unheard, Err(Fault::Unknown)),
-                    Luck::Unheard => {
+                let (at, reply) = match self.order_fates.pop_front().unwrap_or(OrderFate::Answered)
+                {
+                    OrderFate::Answered => (back, Ok(self.apply(&call))),
+                    OrderFate::Refused => (back, Err(Fault::Refused)),
+                    OrderFate::Lost => (unheard, Err(Fault::Unknown)),
+                    OrderFate::Unanswered => {
                         self.apply(&call);
                         (unheard, Err(Fault::Unknown))
                     }
-                    Luck::Late(wait) => {
+                    OrderFate::Late(wait) => {
                         self.messages.push((self.now + wait, Message::Late(call)));
                         (unheard, Err(Fault::Unknown))
                     }
@@ -346,10 +363,10 @@
         self.messages.push((at, Message::Deliver(from, event)));
     }
 
-    fn reports(&self, workers: &[WorkerId]) -> Vec<Held> {
+    fn reports(&self, workers: &[WorkerId]) -> Vec<Occupancy> {
         let up = self.vms.iter().filter(|m| m.state == VmState::Up);
         let asked = up.filter(|m| workers.contains(&m.worker()));
-        let one = |m: &Unit| Held {
+        let one = |m: &SimVm| Occupancy {
             worker: m.worker(),
             closed: m.closed.0.is_some(),
             known: true,
@@ -365,19 +382,19 @@
         let (now, no) = (self.now, WaveNo(1));
         let reply = self.decide(call);
         self.orders.push((now, call.token, call.vm.clone(), reply));
-        let cap = self.waves.iter().find(|w| w.1.no == no).map_or(0, |w| w.1.cap as usize);
+        let cap = self.waves.iter().find(|w| w.1.number == no).map_or(0, |w| w.1.max_down as usize);
         let down = self.vms.iter().filter(|m| m.state == VmState::Upkeep).count();
         let Some(m) = self.vms.iter_mut().find(|m| m.id == call.vm) else {
             return reply;
         };
-        if let (VmReply::Begun, Deed::Move(pool)) = (reply, &call.deed) {
+        if let (VmReply::Begun, VmAction::Move(pool)) = (reply, &call.action) {
             if m.pool != *pool {
                 m.go(pool.clone(), now);
             }
             return reply;
         }
         if reply == VmReply::Begun && m.begun.is_empty() {
-            assert_eq!(call.deed, Deed::Upkeep(no));
+            assert_eq!(call.action, VmAction::Upkeep(no));
             assert!(down < cap, "at {now}: {down} are down");
             assert!(m.empty(now), "at {now}: {} isn't empty", m.id);
             m.begun.push(now);
@@ -401,13 +418,13 @@
             );
         }
         m.token = call.token;
-        match &call.deed {
-            Deed::Move(pool) if m.pool == *pool => return VmReply::Begun,
-            Deed::Move(_) if m.bound => return VmReply::None,
-            Deed::Move(_) if m.off() => return VmReply::Begun,
-            Deed::Move(_) if m.state == VmState::Up => return VmReply::Begun,
-            Deed::Move(_) => return VmReply::Busy,
-            Deed::Upkeep(_) => {}
+        match &call.action {
+            VmAction::Move(pool) if m.pool == *pool => return VmReply::Begun,
+            VmAction::Move(_) if m.immovable => return VmReply::None,
+            VmAction::Move(_) if m.off() => return VmReply::Begun,
+            VmAction::Move(_) if m.state == VmState::Up => return VmReply::Begun,
+            VmAction::Move(_) => return VmReply::Busy,
+            VmAction::Upkeep(_) => {}
         }
         match () {
             () if m.foreign => VmReply::OtherWave,
@@ -419,7 +436,7 @@
 
     fn check(&mut self) {
         let down = self.vms.iter().filter(|m| m.state == VmState::Upkeep).count();
-        self.down = self.down.max(down);
+        self.most_down = self.most_down.max(down);
         let rev = self.store.get("told/1").map_or(0, |i| i.rev);
         if mem::replace(&mut self.state_rev, rev) != rev && self.completed() {
             let left = self.vms.iter().filter(|m| m.there && !m.foreign);
--- a/tests/wave/unit.rs
+++ b/tests/wave/unit.rs
@@ -16,14 +16,14 @@
 pub const SPARE: &str = "spare";
 
 /// A simulated VM.
-pub struct Unit {
+pub struct SimVm {
     pub id: VmId,
     /// Pool of the VM.
     pub pool: PoolId,
     /// Whether tasks run on it.
     pub busy: bool,
     /// Whether it can't move to another pool.
-    pub bound: bool,
+    pub immovable: bool,
     /// Its moves: time and target pool.
     pub moves: Vec<(Time, PoolId)>,
     /// Whether it is in the list of VMs.
@@ -39,20 +39,20 @@
     /// Times at which its maintenance began.
     pub begun: Vec<Time>,
     /// Time until its tasks have left: after it is closed, and after it is forced.
-    pub empties: (Duration, Duration),
+    pub emptying_times: (Duration, Duration),
     /// Times since which its present incarnation is closed and forced.
     pub closed: (Option<Time>, Option<Time>),
     /// Whether the platform does not know it as part of the wave.
     pub foreign: bool,
 }
 
-impl Unit {
+impl SimVm {
     pub fn new(no: usize) -> Self {
-        Unit {
+        SimVm {
             id: VmId::from(&*format!("m{no}")),
             pool: "pool".into(),
             busy: true,
-            bound: false,
+            immovable: false,
             moves: vec![],
             there: true,
             state: VmState::Up,
@@ -61,7 +61,7 @@
             token: 0,
             last: None,
             begun: vec![],
-            empties: (ms(2_000), ms(600)),
+            emptying_times: (ms(2_000), ms(600)),
             closed: (None, None),
             foreign: false,
         }
@@ -73,7 +73,7 @@
 
     pub fn empty(&self, now: Time) -> bool {
         let over = |since: Option<Time>, time| since.is_some_and(|s| s + time <= now);
-        over(self.closed.0, self.empties.0) || over(self.closed.1, self.empties.1)
+        over(self.closed.0, self.emptying_times.0) || over(self.closed.1, self.emptying_times.1)
     }
 
     /// Whether it is a standby VM that is off.
--- a/tests/yard/events.rs
+++ b/tests/yard/events.rs
@@ -2,26 +2,32 @@
 
 use super::*;
 
-impl Yard {
+impl ShardSim {
     /// Lets a new owner load the shard from the store and start. While the store is down, tries
     /// again later.
     pub fn take_over(&mut self) {
-        if self.store.mode == Mode::Down {
-            return self.at(self.now.0 / 1_000 + 200, Yard::take_over);
+        if self.store.health == Mode::Down {
+            return self.at(self.now.0 / 1_000 + 200, ShardSim::take_over);
         }
         let old = self.store.get(&SHARD.owner()).and_then(|i| i.value);
-        let token = old.and_then(|v| read::<OwnerRow>(&v)).map_or(1, |r| r.token + 1);
+        let token = old.and_then(|v| decode::<OwnerRow>(&v)).map_or(1, |r| r.token + 1);
         let me = Incarnation(100 + token);
-        self.store.put(SHARD.owner(), write(&OwnerRow { owner: Some(me), token, control: None }));
-        let commit = self.store.put(SHARD.commit(), write(&CommitRow { token, number: 0 }));
-        let setup = Setup { shard: SHARD, me, token, bounds: self.world.bounds, unix: UNIX };
+        self.store.put(SHARD.owner(), encode(&OwnerRow { owner: Some(me), token, control: None }));
+        let commit = self.store.put(SHARD.commit(), encode(&CommitRow { token, number: 0 }));
+        let setup = Setup {
+            shard: SHARD,
+            member: me,
+            token,
+            bounds: self.world.bounds,
+            unix_ms: UNIX_START_MS,
+        };
         let shard = Shard::new(setup, self.load(commit), self.now);
         self.owners.push(Owner {
             shard,
             me,
             taken_over_at: self.now,
             last_confirmed: self.now,
-            gone: false,
+            ended: false,
             paused: false,
             stalled: false,
             releasing: false,
@@ -34,7 +40,9 @@
         // The member already has the configuration that every member has received; the latest
         // change may still be on its way.
         let known = [self.received_queues.clone(), self.sent_queues.clone()];
-        for (queues, late) in known.into_iter().zip([self.unread, self.unread.max(self.slow)]) {
+        for (queues, late) in
+            known.into_iter().zip([self.initial_delay, self.initial_delay.max(self.config_delay)])
+        {
             self.schedule(now + late, Delivery::Event(owner, Event::Queues(queues)));
         }
         let first = [Event::Listed(listed), Event::Peers(self.callers(me)), Event::Confirmed(now)];
@@ -52,7 +60,7 @@
 
     /// Adds members that another shard's owner uses too. From `ms` on, that owner has two calls in
     /// flight at each of them at all times, each of which takes `cost`.
-    pub fn share(&mut self, members: u64, ms: u64, cost: Duration) {
+    pub fn add_shared_members(&mut self, members: u64, ms: u64, cost: Duration) {
         self.shared_members = (50..50 + members).map(Incarnation).collect();
         for owner in 0..self.owners.len() {
             let peers = Event::Peers(self.callers(self.owners[owner].me));
@@ -66,7 +74,7 @@
     }
 
     /// Reads from the store what a new owner of the shard needs.
-    pub(super) fn load(&self, commit: u64) -> Load {
+    pub(super) fn load(&self, commit: u64) -> Snapshot {
         let inbox = self.store.range(&SHARD.inbox());
         let tail = |key: &str| key.rsplit('/').next().and_then(|n| n.parse().ok());
         let of = |kind: &str| {
@@ -75,18 +83,18 @@
             all.filter_map(|(k, v)| Some((tail(k)?, v.clone()))).collect::<Vec<(JobNo, _)>>()
         };
         let progress: Vec<(JobNo, Progress)> = self.progress().into_iter().collect();
-        let over = |job| progress.iter().any(|(j, p)| *j == job && p.state.over());
+        let over = |job| progress.iter().any(|(j, p)| *j == job && p.state.is_final());
         let jobs = of("j").into_iter().filter(|(j, _)| !over(*j));
         let roster = self.store.get(&SHARD.roster()).and_then(|i| i.value);
-        Load {
-            jobs: jobs.filter_map(|(j, v)| Some((j, read(&v)?))).collect(),
+        Snapshot {
+            jobs: jobs.filter_map(|(j, v)| Some((j, decode(&v)?))).collect(),
             cancels: of("c").into_iter().map(|c| c.0).collect(),
             progress,
-            roster: roster.and_then(|v| read::<Roster>(&v)).unwrap_or_default(),
-            commit,
+            roster: roster.and_then(|v| decode::<Roster>(&v)).unwrap_or_default(),
+            commit_revision: commit,
             lapsed: self.owners.last().is_none_or(|o| {
                 o.releasing
-                    || (o.gone || o.paused || o.store_cut)
+                    || (o.ended || o.paused || o.store_cut)
                         && o.last_confirmed + MEMBER_LEASE <= self.now
             }),
         }
@@ -96,7 +104,7 @@
     pub fn progress(&self) -> BTreeMap<JobNo, Progress> {
         let all = self.store.range(&SHARD.all_progress()).into_iter();
         let one = |(k, v): (Box<str>, bytes::Bytes)| {
-            Some((k.rsplit('/').next()?.parse().ok()?, read(&v)?))
+            Some((k.rsplit('/').next()?.parse().ok()?, decode(&v)?))
         };
         all.filter_map(one).collect()
     }
@@ -107,15 +115,15 @@
     }
 
     /// Ends the process of the newest owner.
-    pub fn kill(&mut self) {
-        self.owner().gone = true;
+    pub fn kill_owner(&mut self) {
+        self.owner().ended = true;
     }
 
     /// Lets the newest owner write its remaining changes and release the shard. Another owner takes
     /// over `gap` later.
-    pub fn release(&mut self, gap: Duration) {
+    pub fn release_shard(&mut self, gap: Duration) {
         let at = self.owners.len() - 1;
-        if self.owners[at].gone || self.owners[at].paused {
+        if self.owners[at].ended || self.owners[at].paused {
             return;
         }
         self.owners[at].releasing = true;
@@ -127,12 +135,12 @@
     /// its time is up.
     pub(super) fn write_remaining(&mut self, at: usize, over: Time, gap: Duration) {
         let owner = &mut self.owners[at];
-        if owner.gone {
+        if owner.ended {
             return;
         }
-        let orders = owner.shard.write_rest(self.now);
-        if self.owners[at].shard.idle_commit() || self.now >= over {
-            self.owners[at].gone = true;
+        let orders = owner.shard.flush_rest(self.now);
+        if self.owners[at].shard.is_flushed() || self.now >= over {
+            self.owners[at].ended = true;
             // Another owner may already have taken the shard over.
             if at + 1 == self.owners.len() {
                 self.released = true;
@@ -149,15 +157,15 @@
     }
 
     /// Sends another configuration to the owners.
-    pub fn configure(&mut self, queues: Arc<Queues>) {
+    pub fn configure(&mut self, queues: Arc<QueueConfig>) {
         self.sent_queues = queues.clone();
-        let (heard, late) = (queues.clone(), self.unread.max(self.slow));
+        let (heard, late) = (queues.clone(), self.initial_delay.max(self.config_delay));
         self.at((self.now + late).0 / 1_000, move |y| y.received_queues = heard);
         self.broadcast(self.now + late, Event::Queues(queues));
     }
 
     /// Tells the owners which workers are to be emptied.
-    pub fn close(&mut self, turns: &[(usize, Turn)]) {
+    pub fn set_closing(&mut self, turns: &[(usize, UpkeepTurn)]) {
         let place = (1, self.closing.place.1 + 1);
         let turns = turns.iter().map(|(at, turn)| (self.world.id(*at), *turn)).collect();
         self.closing = Arc::new(Closing { place, turns });
@@ -166,8 +174,8 @@
     }
 
     /// Ends a worker that has left on purpose; a new incarnation starts in its place after `back`.
-    pub fn replace(&mut self, at: usize, back: Duration) {
-        self.lose(at);
+    pub fn replace_worker(&mut self, at: usize, back: Duration) {
+        self.lose_worker(at);
         self.at((self.now + back).0 / 1_000, move |y| {
             y.removed.remove(&at);
             y.world.workers[at].up = true;
@@ -176,7 +184,7 @@
 
     /// The worker incarnations that the VM list names.
     pub(super) fn lives(&mut self) -> Vec<WorkerId> {
-        let (now, behind) = (self.now, self.behind);
+        let (now, behind) = (self.now, self.vm_list_lag);
         self.ended_workers.retain(|(at, _)| *at + behind > now);
         // Workers that are cut off still run, so the list names them.
         let up = (0..self.world.workers.len()).filter(|at| self.world.workers[*at].up);
@@ -185,7 +193,7 @@
     }
 
     /// Pauses an owner, or resumes it and delivers the events that arrived meanwhile.
-    pub fn pause(&mut self, owner: usize, paused: bool) {
+    pub fn pause_owner(&mut self, owner: usize, paused: bool) {
         self.owners[owner].paused = paused;
         if !paused {
             for event in std::mem::take(&mut self.owners[owner].held_events) {
@@ -205,31 +213,31 @@
         self.take_over();
         let owner = self.owners.len() - 1;
         self.owners[owner].paused = true;
-        self.at((self.now + reads).0 / 1_000, move |y| y.pause(owner, false));
+        self.at((self.now + reads).0 / 1_000, move |y| y.pause_owner(owner, false));
     }
 
     /// Ends the process of a worker; it starts again after `back`.
-    pub fn crash(&mut self, at: usize, back: Duration) {
+    pub fn crash_worker(&mut self, at: usize, back: Duration) {
         self.ended_workers.push((self.now, self.world.id(at)));
         self.world.crash(at);
         self.at((self.now + back).0 / 1_000, move |y| y.world.workers[at].up = true);
     }
 
-    /// Crashes each worker that runs a task listed in `world.poison`; the worker starts again after
+    /// Crashes each worker that runs a task listed in `world.crashing_tasks`; the worker starts again after
     /// a while.
     pub(super) fn crash_poisoned_workers(&mut self) {
-        let poison = &self.world.poison;
+        let poison = &self.world.crashing_tasks;
         let runs_poison = |w: &Worker| w.runs.iter().any(|r| poison.contains(&r.start.task));
         let all = &self.world.workers;
         let hit: Vec<usize> = (0..all.len()).filter(|at| runs_poison(&all[*at])).collect();
         for at in hit {
             let back = Duration::from_millis(self.rng.u64(500..4_000));
-            self.crash(at, back);
+            self.crash_worker(at, back);
         }
     }
 
     /// Ends the process of a worker for good.
-    pub fn lose(&mut self, at: usize) {
+    pub fn lose_worker(&mut self, at: usize) {
         self.ended_workers.push((self.now, self.world.id(at)));
         self.world.crash(at);
         self.removed.insert(at);
--- a/tests/yard/mail.rs
+++ b/tests/yard/mail.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-impl Yard {
+impl ShardSim {
     pub(super) fn handle(&mut self, delivery: Delivery) {
         match delivery {
             Delivery::Event(owner, event) => self.deliver_event(owner, event),
@@ -25,28 +25,28 @@
                     Delivery::Event(owner, Event::Advised { call, via, sent, reply }),
                 );
             }
-            Delivery::AdviceTimeout(via, number) => self.advice_desk(via).left(number),
+            Delivery::AdviceTimeout(via, number) => self.advice_desk(via).abandon(number),
             Delivery::Act(action) => action(self),
         }
     }
 
     fn deliver_event(&mut self, at: usize, event: Event) {
         let owner = &mut self.owners[at];
-        match (owner.gone, owner.paused, &event) {
+        match (owner.ended, owner.paused, &event) {
             (true, _, _) | (false, true, Event::Tick) => {}
             (false, true, _) => owner.held_events.push(event),
-            (false, false, Event::Stored(..) | Event::Reread(_)) if owner.releasing => {
+            (false, false, Event::Stored(..) | Event::CommitRead(_)) if owner.releasing => {
                 let writes =
-                    |o: &Order| matches!(o, Order::Store(..) | Order::Reread | Order::Deposed);
-                let orders = owner.shard.on(event, self.now).into_iter();
+                    |o: &Order| matches!(o, Order::Store(..) | Order::ReadCommit | Order::Deposed);
+                let orders = owner.shard.handle(event, self.now).into_iter();
                 let orders: Vec<Order> = orders.filter(writes).collect();
                 orders.into_iter().for_each(|o| self.execute(at, o));
             }
             (false, false, _) if owner.releasing => {}
             (false, false, Event::Tick) if owner.stalled => {}
-            (false, false, _) if owner.stalled => owner.shard.take(event, self.now),
+            (false, false, _) if owner.stalled => owner.shard.apply(event, self.now),
             _ => {
-                let orders = owner.shard.on(event, self.now);
+                let orders = owner.shard.handle(event, self.now);
                 orders.into_iter().for_each(|o| self.execute(at, o));
             }
         }
@@ -58,7 +58,7 @@
         match order {
             Order::Worker { worker, addr, call, limit } => {
                 let at = usize::from(addr.port()) - 1_000;
-                let late = self.late > 0 && self.rng.u32(0..self.late) == 0;
+                let late = self.late_one_in > 0 && self.rng.u32(0..self.late_one_in) == 0;
                 let wait = Duration::from_millis(self.rng.u64(2_000..12_000));
                 let pending =
                     PendingCall { owner, worker, at, call, sent: now, deadline: now + limit, late };
@@ -67,18 +67,18 @@
                 }
                 self.schedule(if late { now + wait } else { there }, Delivery::Call(pending));
             }
-            Order::Advise { via, call, sent, takes, limit } => {
+            Order::Advise { via, call, sent, expected: takes, limit } => {
                 self.schedule(there, Delivery::AskAdvice(owner, via, call, sent, takes, limit));
             }
             Order::Store(number, txn) => self.schedule(there, Delivery::Store(owner, number, txn)),
-            Order::Lives => {
+            Order::ReadMachines => {
                 let reply = if self.vm_list_down { Err(Fault::Refused) } else { Ok(self.lives()) };
-                let event = Event::Lives { sent: now, reply };
+                let event = Event::Machines { sent: now, reply };
                 let back = there + self.network_delay();
                 self.schedule(back, Delivery::Event(owner, event));
             }
-            Order::Reread => self.schedule(there, Delivery::Reread(owner)),
-            Order::Deposed => self.owners[owner].gone = true,
+            Order::ReadCommit => self.schedule(there, Delivery::Reread(owner)),
+            Order::Deposed => self.owners[owner].ended = true,
         }
     }
 
@@ -96,7 +96,7 @@
 
     fn call(&mut self, pending: PendingCall) {
         let w = &self.world.workers[pending.at];
-        if !w.up && !w.cut && !pending.late {
+        if !w.up && !w.cut_off && !pending.late {
             let (worker, call, sent) = (pending.worker, pending.call, pending.sent);
             let event = Event::Worker { worker, sent, call, reply: Err(Fault::Unsent) };
             return self.schedule(self.now, Delivery::Event(pending.owner, event));
@@ -120,7 +120,7 @@
     pub(super) fn wait(&mut self, pending: PendingCall, until: Time) {
         let w = &self.world.workers[pending.at];
         let other = self.world.id(pending.at) != pending.worker;
-        if !w.up || w.cut || w.hung || other {
+        if !w.up || w.cut_off || w.unresponsive || other {
             return self.answer(&pending, None);
         }
         let held = self.world.held(pending.at);
@@ -131,14 +131,18 @@
     }
 
     fn txn(&mut self, owner: usize, number: u64, txn: &Txn) {
-        let at = self.now + self.store.delay();
+        let at = self.now + self.store.draw_delay();
         let timed_out = (self.now + STORE_TIMEOUT, Err(Fault::Unknown));
-        let fate = if self.owners[owner].store_cut { Fate::Unheard } else { self.store.fate() };
+        let fate = if self.owners[owner].store_cut {
+            CallOutcome::Unanswered
+        } else {
+            self.store.draw_outcome()
+        };
         let (at, reply) = match fate {
-            Fate::Answered => (at, Ok(self.store.txn(txn))),
-            Fate::Refused => (at, Err(Fault::Refused)),
-            Fate::Unheard => timed_out,
-            Fate::Lost(wait) => {
+            CallOutcome::Answered => (at, Ok(self.store.txn(txn))),
+            CallOutcome::Refused => (at, Err(Fault::Refused)),
+            CallOutcome::Unanswered => timed_out,
+            CallOutcome::AnswerLost(wait) => {
                 self.schedule(self.now + wait, Delivery::LateTxn(txn.clone()));
                 timed_out
             }
@@ -147,17 +151,23 @@
     }
 
     fn reread(&mut self, owner: usize) {
-        let row = |i: Item| Some((i.rev, read::<CommitRow>(&i.value?)?));
-        let fate = if self.owners[owner].store_cut { Fate::Unheard } else { self.store.fate() };
+        let row = |i: Item| Some((i.rev, decode::<CommitRow>(&i.value?)?));
+        let fate = if self.owners[owner].store_cut {
+            CallOutcome::Unanswered
+        } else {
+            self.store.draw_outcome()
+        };
         let (at, reply) = match fate {
-            Fate::Answered => {
+            CallOutcome::Answered => {
                 let row = self.store.get(&SHARD.commit()).and_then(row);
-                (self.now + self.store.delay(), row.ok_or(Fault::Bad("no commit row".into())))
+                (self.now + self.store.draw_delay(), row.ok_or(Fault::Bad("no commit row".into())))
+            }
+            CallOutcome::Refused => (self.now + self.store.draw_delay(), Err(Fault::Refused)),
+            CallOutcome::Unanswered | CallOutcome::AnswerLost(_) => {
+                (self.now + STORE_TIMEOUT, Err(Fault::Unknown))
             }
-            Fate::Refused => (self.now + self.store.delay(), Err(Fault::Refused)),
-            Fate::Unheard | Fate::Lost(_) => (self.now + STORE_TIMEOUT, Err(Fault::Unknown)),
         };
-        self.schedule(at, Delivery::Event(owner, Event::Reread(reply)));
+        self.schedule(at, Delivery::Event(owner, Event::CommitRead(reply)));
     }
 
     /// Cost of advice on a step.
@@ -167,7 +177,7 @@
     }
 
     /// Advice calls in flight at a member, for all owners that use it.
-    fn advice_desk(&mut self, via: Incarnation) -> &mut Desk {
+    fn advice_desk(&mut self, via: Incarnation) -> &mut CallQueue {
         self.advice_desks.entry(via).or_default()
     }
 
@@ -183,7 +193,8 @@
         let (cost, now) = (self.advice_cost(&call), self.now);
         let admitted = self.advice_desk(via).admit(takes, limit, now);
         let reply = admitted.ok_or(Fault::Refused);
-        let reply = reply.and_then(|n| Ok((n, self.world.advice.ask(via, &call, cost, self.now)?)));
+        let reply =
+            reply.and_then(|n| Ok((n, self.world.advice.accept(via, &call, cost, self.now)?)));
         let (at, fault) = match reply {
             Ok((number, at)) if at < sent + limit => {
                 return self.schedule(at, Delivery::AnswerAdvice(owner, via, call, sent, number));
@@ -194,7 +205,7 @@
         match (admitted, fault == Fault::Unknown) {
             (Some(number), true) => self.schedule(at, Delivery::AdviceTimeout(via, number)),
             (Some(number), false) => self.advice_desk(via).done(number, now),
-            (None, _) => self.turned += 1,
+            (None, _) => self.refused_calls += 1,
         }
         let event = Event::Advised { call, via, sent, reply: Err(fault) };
         self.schedule(at, Delivery::Event(owner, event));
@@ -212,8 +223,8 @@
         let step = StepKey { job: JobNo(u64::MAX), time: 0, step: 0 };
         let call = AdviceCall { step, workers: vec![] };
         let takes = AdviceCost { base: cost, each: Duration::ZERO, valid: cost };
-        let over = self.world.advice.ask(via, &call, takes, now).unwrap_or(now);
-        let action = move |y: &mut Yard| {
+        let over = self.world.advice.accept(via, &call, takes, now).unwrap_or(now);
+        let action = move |y: &mut ShardSim| {
             let now = y.now;
             y.advice_desk(via).done(number, now);
             y.make_other_call(via, cost);
--- a/tests/yard/mod.rs
+++ b/tests/yard/mod.rs
@@ -15,27 +15,27 @@
 use {
     dogwoodreach::{
         Time,
-        decide::{desk::Desk, lanes::Peers},
+        decide::{call_queue::CallQueue, lanes::Peers},
         ids::{Incarnation, WorkerId},
         ports::{AdviceCall, Fault, Item, Txn, WorkerCall, WorkerReply as Reply},
         shard::{
             Setup, Shard,
-            event::{Event, Load, Order},
+            event::{Event, Order, Snapshot},
             record::{
-                Closing, CommitRow, JobRecord, OwnerRow, Progress, Roster, ShardNo, Turn, read,
-                write,
+                Closing, CommitRow, JobRecord, OwnerRow, Progress, Roster, ShardNo, UpkeepTurn,
+                decode, encode,
             },
         },
-        work::{AdviceCost, Job, JobNo, Listed, Queues, State, StepKey},
+        work::{AdviceCost, Job, JobNo, ListedWorker, QueueConfig, State, StepKey},
     },
-    rules::{Breach, Rules, UNIX},
+    rules::{Breach, Rules, UNIX_START_MS},
     std::{
         collections::{BTreeMap, BTreeSet},
         sync::Arc,
         time::Duration,
     },
-    store::{Fate, Mode, Store},
-    worker::{GRAIN, Worker, World},
+    store::{CallOutcome, Mode, Store},
+    worker::{TIME_STEP, Worker, World},
 };
 
 /// The only shard in the simulation.
@@ -51,7 +51,7 @@
 /// Time without a report after which a worker is dropped from the worker list.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(3);
 
-type Action = Box<dyn FnOnce(&mut Yard)>;
+type Action = Box<dyn FnOnce(&mut ShardSim)>;
 
 /// A call to a worker that is in flight.
 #[derive(Clone)]
@@ -89,7 +89,7 @@
     /// Time at which the store last confirmed the lease of its member.
     pub last_confirmed: Time,
     /// Whether its process has ended or it has dropped the shard.
-    pub gone: bool,
+    pub ended: bool,
     pub paused: bool,
     /// Whether it applies events but runs no scheduling round, as if its process stopped between
     /// the two.
@@ -103,32 +103,32 @@
 }
 
 /// The simulated site: one shard, its owners, the workers and the store.
-pub struct Yard {
+pub struct ShardSim {
     pub now: Time,
     pub world: World,
     pub store: Store,
     pub rules: Rules,
     pub owners: Vec<Owner>,
     /// One in this many orders to workers is carried out late; 0 means none.
-    pub late: u32,
+    pub late_one_in: u32,
     /// How much later than everything else a new owner receives the configuration.
-    pub unread: Duration,
+    pub initial_delay: Duration,
     /// How much later than everything else the owners receive a change of the configuration. A new
     /// owner begins with the configuration that its member has.
-    pub slow: Duration,
+    pub config_delay: Duration,
     /// Number of orders that the owners have issued.
     pub order_count: u64,
     /// The latest configuration sent to the owners. `world.queues` keeps every queue that ever
     /// existed.
-    pub sent_queues: Arc<Queues>,
+    pub sent_queues: Arc<QueueConfig>,
     /// The configuration that every member has received by now.
-    pub received_queues: Arc<Queues>,
+    pub received_queues: Arc<QueueConfig>,
     /// The workers that are being emptied for maintenance.
     pub closing: Arc<Closing>,
     /// Whether the worker list is sent even if nothing in it has changed, as members do.
-    pub often: bool,
+    pub resend_list: bool,
     /// How long the VM list still names a worker incarnation that has ended.
-    pub behind: Duration,
+    pub vm_list_lag: Duration,
     /// Whether requests for the VM list fail.
     pub vm_list_down: bool,
     /// Worker incarnations that have ended, with the time of their end.
@@ -142,12 +142,12 @@
     /// Members whose advice calls other shards' owners use too.
     shared_members: Vec<Incarnation>,
     /// Advice calls in flight at each member, for all owners that use it.
-    advice_desks: BTreeMap<Incarnation, Desk>,
+    advice_desks: BTreeMap<Incarnation, CallQueue>,
     /// Number of calls for advice that a member refused for lack of capacity.
-    pub turned: u64,
+    pub refused_calls: u64,
     /// Times of deliveries are rounded up to a multiple of this; a coarser value makes a large
     /// simulation faster.
-    pub coarse: Duration,
+    pub time_step: Duration,
     deliveries: BTreeMap<(Time, u64), Delivery>,
     sequence: u64,
     /// Time at which the owners receive the latest change of the inbox.
@@ -155,7 +155,7 @@
     /// Hold calls that wait for a run to end, each with its time-out.
     waiting_holds: Vec<(PendingCall, Time)>,
     /// The worker list, with the time of each worker's last report.
-    list: BTreeMap<usize, (Listed, Time)>,
+    list: BTreeMap<usize, (ListedWorker, Time)>,
     rng: fastrand::Rng,
 }
 
@@ -166,7 +166,7 @@
     }
 }
 
-impl Yard {
+impl ShardSim {
     /// Creates a site with the default queues, this many workers and one owner.
     pub fn new(seed: u64, count: usize) -> Self {
         Self::with(seed, queues(), workers(count), 2)
@@ -174,29 +174,29 @@
 
     /// Creates a site with these queues and workers, one owner and this number of members that can
     /// call for advice.
-    pub fn with(seed: u64, queues: Arc<Queues>, workers: Vec<Worker>, members: u64) -> Self {
+    pub fn with(seed: u64, queues: Arc<QueueConfig>, workers: Vec<Worker>, members: u64) -> Self {
         let (sent_queues, received_queues) = (queues.clone(), queues.clone());
         let world = World::new(seed, bounds(), queues, workers);
-        let mut yard = Yard {
+        let mut yard = ShardSim {
             now: Time::ZERO,
             members,
             shared_members: Vec::new(),
             advice_desks: BTreeMap::new(),
-            turned: 0,
-            coarse: Duration::from_micros(1),
+            refused_calls: 0,
+            time_step: Duration::from_micros(1),
             world,
             store: Store::new(seed),
             rules: Rules::new(seed),
             owners: Vec::new(),
-            late: 0,
-            unread: Duration::ZERO,
-            slow: Duration::ZERO,
+            late_one_in: 0,
+            initial_delay: Duration::ZERO,
+            config_delay: Duration::ZERO,
             order_count: 0,
             sent_queues,
             received_queues,
             closing: Arc::default(),
-            often: false,
-            behind: Duration::ZERO,
+            resend_list: false,
+            vm_list_lag: Duration::ZERO,
             vm_list_down: false,
             ended_workers: Vec::new(),
             released: false,
@@ -220,7 +220,7 @@
 
     fn schedule(&mut self, at: Time, delivery: Delivery) {
         self.sequence += 1;
-        let coarse = self.coarse.as_micros() as u64;
+        let coarse = self.time_step.as_micros() as u64;
         let at = Time(at.max(self.now).0.next_multiple_of(coarse));
         self.deliveries.insert((at, self.sequence), delivery);
     }
@@ -232,14 +232,14 @@
     }
 
     /// Schedules an action at this number of milliseconds.
-    pub fn at(&mut self, ms: u64, action: impl FnOnce(&mut Yard) + 'static) {
+    pub fn at(&mut self, ms: u64, action: impl FnOnce(&mut ShardSim) + 'static) {
         self.schedule(Time::from_millis(ms), Delivery::Act(Box::new(action)));
     }
 
     /// Schedules a fault at this number of milliseconds; the time bounds of the rules allow for it.
-    pub fn fault(&mut self, ms: u64, action: impl FnOnce(&mut Yard) + 'static) {
+    pub fn fault(&mut self, ms: u64, action: impl FnOnce(&mut ShardSim) + 'static) {
         self.at(ms, |y| {
-            y.rules.fault(y.now);
+            y.rules.record_fault(y.now);
             action(y);
         });
     }
@@ -248,13 +248,13 @@
     pub fn submit(&mut self, no: u64, queue: &str, job: Job) {
         job.check().expect("the job is valid");
         let queue: Box<str> = queue.into();
-        if self.store.mode == Mode::Down {
+        if self.store.health == Mode::Down {
             let later = self.now.0 / 1_000 + 500;
             return self.at(later, move |y| y.submit(no, &queue, job));
         }
-        let terms = self.world.queues.named(&queue).cloned().map(Box::new);
-        let record = JobRecord { queue, came: UNIX + self.now.0 / 1_000, job, terms };
-        self.store.put(SHARD.job(JobNo(no)), write(&record));
+        let terms = self.world.queues.by_name(&queue).cloned().map(Box::new);
+        let record = JobRecord { queue, came: UNIX_START_MS + self.now.0 / 1_000, job, terms };
+        self.store.put(SHARD.job(JobNo(no)), encode(&record));
         self.world.jobs.insert(JobNo(no), record.clone());
         self.send_inbox_change(Event::Job(JobNo(no), Box::new(record)));
     }
@@ -272,7 +272,7 @@
         if !self.world.jobs.contains_key(&JobNo(no)) {
             return;
         }
-        if self.store.mode == Mode::Down {
+        if self.store.health == Mode::Down {
             return self.at(self.now.0 / 1_000 + 500, move |y| y.cancel(no));
         }
         self.store.put(SHARD.cancel(JobNo(no)), "{}".into());
@@ -284,7 +284,7 @@
     pub fn run_until(&mut self, ms: u64) {
         let to = Time::from_millis(ms);
         while self.now < to {
-            let grain = GRAIN.as_micros() as u64;
+            let grain = TIME_STEP.as_micros() as u64;
             let next_grain = Time((self.now.0 / grain + 1) * grain);
             let next = self.deliveries.keys().next().map_or(Time::NEVER, |k| k.0);
             self.now = next_grain.min(next).min(to);
@@ -305,14 +305,14 @@
     fn check_rules(&mut self) {
         let result = self.rules.check(&mut self.world);
         if result.is_err() {
-            let active = self.owners.iter().filter(|o| !o.gone);
-            let absent = active.flat_map(|o| o.shard.absent(self.now));
+            let active = self.owners.iter().filter(|o| !o.ended);
+            let absent = active.flat_map(|o| o.shard.absences(self.now));
             absent
                 .for_each(|a| eprintln!("absent tasks according to the owner: {} {a:?}", a.cause));
             let not_running =
-                |no: &&JobNo| self.world.running(**no) == 0 && self.stored(no.0).is_none();
+                |no: &&JobNo| self.world.run_count(**no) == 0 && self.stored_state(no.0).is_none();
             for no in self.world.jobs.keys().filter(not_running) {
-                let owner = self.owners.last().filter(|o| !o.gone);
+                let owner = self.owners.last().filter(|o| !o.ended);
                 let why = owner.map(|o| o.shard.explain(*no, self.now));
                 eprintln!(
                     "reason according to the owner: {}",
@@ -321,11 +321,11 @@
             }
         }
         assert_kept(result);
-        for (key, value) in std::mem::take(&mut self.store.written) {
+        for (key, value) in std::mem::take(&mut self.store.unjudged_writes) {
             let job = key.strip_prefix(&*SHARD.all_progress()).and_then(|j| j.parse().ok());
             if let Some(job) = job {
-                let progress = read(&value).expect("stored progress is readable");
-                assert_kept(self.rules.stored(&self.world, job, &progress));
+                let progress = decode(&value).expect("stored progress is readable");
+                assert_kept(self.rules.check_progress(&self.world, job, &progress));
             }
         }
     }
@@ -334,15 +334,16 @@
     /// updates the worker list.
     fn run_periodic(&mut self) {
         let ms = self.now.0 / 1_000;
-        let impaired = |w: &Worker| w.cut || w.hung || w.unwell || w.grey || w.speed < 1.0;
-        if self.store.mode != Mode::Up
-            || self.owners.iter().any(|o| o.paused || o.store_cut && !o.gone)
-            || (self.owners.iter().all(|o| o.gone) && !self.released)
+        let impaired =
+            |w: &Worker| w.cut_off || w.unresponsive || w.unwell || w.failing || w.speed < 1.0;
+        if self.store.health != Mode::Up
+            || self.owners.iter().any(|o| o.paused || o.store_cut && !o.ended)
+            || (self.owners.iter().all(|o| o.ended) && !self.released)
             || (0..)
                 .zip(&self.world.workers)
                 .any(|(at, w)| (!w.up && !self.removed.contains(&at)) || impaired(w))
         {
-            self.rules.fault(self.now);
+            self.rules.record_fault(self.now);
         }
         self.crash_poisoned_workers();
         for (pending, until) in std::mem::take(&mut self.waiting_holds) {
@@ -357,8 +358,8 @@
         if ms.is_multiple_of(500) {
             self.update_list();
             // A member that is paused, has ended or is cut off renews no lease.
-            let renews = self.owners.last().is_some_and(|o| !o.paused && !o.gone && !o.store_cut);
-            if self.store.mode != Mode::Down && renews {
+            let renews = self.owners.last().is_some_and(|o| !o.paused && !o.ended && !o.store_cut);
+            if self.store.health != Mode::Down && renews {
                 let (at, owner) = (self.now + self.network_delay(), self.owners.len() - 1);
                 self.owners[owner].last_confirmed = self.now;
                 self.schedule(at, Delivery::Event(owner, Event::Confirmed(self.now)));
@@ -372,16 +373,16 @@
         let jobs: Vec<JobNo> = self.world.jobs.keys().copied().collect();
         // The state that the newest owner gives to a member whose table names it as owner, whether
         // or not its lease is confirmed.
-        let newest = self.owners.last().filter(|o| !o.gone && !o.paused);
+        let newest = self.owners.last().filter(|o| !o.ended && !o.paused);
         for job in &jobs {
-            if let Some(state) = newest.and_then(|o| o.shard.known_state(*job)) {
-                assert_kept(self.rules.shown(&self.world, *job, state));
+            if let Some(state) = newest.and_then(|o| o.shard.owner_state(*job)) {
+                assert_kept(self.rules.check_state(&self.world, *job, state));
             }
         }
-        for owner in self.owners.iter().filter(|o| !o.gone && !o.paused) {
+        for owner in self.owners.iter().filter(|o| !o.ended && !o.paused) {
             for job in &jobs {
                 if let Some(state) = owner.shard.state(*job, self.now) {
-                    assert_kept(self.rules.told(&self.world, *job, state));
+                    assert_kept(self.rules.check_reported(&self.world, *job, state));
                 }
             }
         }
@@ -389,22 +390,22 @@
 
     /// Lets the reachable workers report, drops silent ones and sends the list to the owners.
     fn update_list(&mut self) {
-        let before: Vec<Listed> = self.list.values().map(|l| l.0.clone()).collect();
+        let before: Vec<ListedWorker> = self.list.values().map(|l| l.0.clone()).collect();
         for (at, w) in self.world.workers.iter().enumerate() {
-            if w.up && !w.cut && !w.hung {
+            if w.up && !w.cut_off && !w.unresponsive {
                 self.list.insert(at, (self.world.listed(at), self.now));
             }
         }
         self.list.retain(|_, l| self.now.since(l.1) < REPORT_TIMEOUT);
-        let listed: Vec<Listed> = self.list.values().map(|l| l.0.clone()).collect();
-        if listed != before || self.often {
+        let listed: Vec<ListedWorker> = self.list.values().map(|l| l.0.clone()).collect();
+        if listed != before || self.resend_list {
             self.broadcast(self.now + Duration::from_millis(100), Event::Listed(listed));
         }
     }
 
     /// Advances time until every job is over or, for a job with lasting tasks, all of them run.
     /// Panics with the seed and the unfinished jobs if that takes longer than `bound` milliseconds.
-    pub fn settle(&mut self, bound: u64) {
+    pub fn run_until_settled(&mut self, bound: u64) {
         while !self.unfinished().is_empty() && self.now < Time::from_millis(bound) {
             self.run_until(self.now.0 / 1_000 + 100);
         }
@@ -413,9 +414,9 @@
     }
 
     /// State of a job in the store.
-    pub fn stored(&self, no: u64) -> Option<State> {
+    pub fn stored_state(&self, no: u64) -> Option<State> {
         let item = self.store.get(&SHARD.progress(JobNo(no)))?;
-        Some(read::<Progress>(&item.value?)?.state)
+        Some(decode::<Progress>(&item.value?)?.state)
     }
 
     /// Jobs that have not reached their expected final state.
@@ -429,21 +430,21 @@
     fn is_final(&self, job: JobNo, state: Option<State>) -> bool {
         let steps = &self.world.jobs[&job].job.steps;
         if self.rules.cancels.contains_key(&job) {
-            return state.is_some_and(State::over) && self.running(job) == 0;
+            return state.is_some_and(State::is_final) && self.run_count(job) == 0;
         }
-        let poisoned = self.world.poison.iter().any(|t| t.step.job == job);
-        if poisoned || self.world.hopeless.iter().any(|h| h.0 == job) {
+        let poisoned = self.world.crashing_tasks.iter().any(|t| t.step.job == job);
+        if poisoned || self.world.failing_steps.iter().any(|h| h.0 == job) {
             return state == Some(State::Failed);
         }
         let lasting: u32 = steps.iter().filter(|s| s.lasts).map(|s| s.count).sum();
         match lasting {
             0 => state == Some(State::Done),
-            count => self.running(job) == count as usize,
+            count => self.run_count(job) == count as usize,
         }
     }
 
     /// Number of runs of a job that exist on workers.
-    pub fn running(&self, job: JobNo) -> usize {
-        self.world.running(job)
+    pub fn run_count(&self, job: JobNo) -> usize {
+        self.world.run_count(job)
     }
 }
--- a/tests/yard_crash.rs
+++ b/tests/yard_crash.rs
@@ -6,7 +6,7 @@
 use {
     dogwoodreach::work::{JobNo, State, Step, StepKey, TaskKey},
     std::time::Duration,
-    yard::{Yard, job, step},
+    yard::{ShardSim, job, step},
 };
 
 /// Bound for all jobs to finish, in milliseconds.
@@ -20,8 +20,8 @@
 /// must finish.
 fn play(seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut yard = Yard::new(seed, 16);
-    yard.behind = Duration::from_millis(rng.u64(0..900));
+    let mut yard = ShardSim::new(seed, 16);
+    yard.vm_list_lag = Duration::from_millis(rng.u64(0..900));
     yard.submit(1, "open", job([Step { lasts: true, ..step(3, 1_000) }]));
     for no in 2..=LAST_ORDINARY_JOB {
         let (at, count) = (rng.u64(0..12_000), rng.u32(1..5));
@@ -39,20 +39,20 @@
             _ => poisoned,
         };
         let key = StepKey { job: JobNo(no), time: 0, step: 0 };
-        yard.world.poison.insert(TaskKey { step: key, index: rng.u32(0..3) });
+        yard.world.crashing_tasks.insert(TaskKey { step: key, index: rng.u32(0..3) });
         yard.at(at, move |y| y.submit(no, "open", job([poisoned])));
     }
     for _ in 0..rng.u32(0..3) {
         yard.fault(rng.u64(2_000..14_000), |y| {
-            y.kill();
+            y.kill_owner();
             let over = (y.now + Duration::from_secs(3)).0 / 1_000;
-            y.at(over, Yard::take_over);
+            y.at(over, ShardSim::take_over);
         });
     }
     yard.run_until(15_000);
-    yard.settle(SETTLE_MS);
+    yard.run_until_settled(SETTLE_MS);
     for no in 2..=LAST_ORDINARY_JOB {
-        assert_eq!(yard.stored(no), Some(State::Done), "seed {seed}: job {no}");
+        assert_eq!(yard.stored_state(no), Some(State::Done), "seed {seed}: job {no}");
     }
 }
 
--- a/tests/yard_upkeep.rs
+++ b/tests/yard_upkeep.rs
@@ -8,16 +8,16 @@
     dogwoodreach::{
         Time,
         ids::{VmId, WaveNo},
-        ports::{Fleet, Vm, VmCall, VmReply, VmState, Wave},
+        ports::{Vm, VmCall, VmLimits, VmReply, VmState, Wave},
         shard::{
             event::Event as ShardEvent,
-            record::{CLOSING, Closing, read},
+            record::{CLOSING_KEY, Closing, decode},
         },
-        upkeep::{Event, LEDGER, Order, Setup, Upkeep},
+        upkeep::{Event, LEDGER_KEY, Order, Setup, Upkeep},
         work::{JobNo, Step},
     },
     std::{collections::BTreeSet, sync::Arc, time::Duration},
-    yard::{Yard, job, step},
+    yard::{ShardSim, job, step},
 };
 
 /// Time that a VM is down for its maintenance.
@@ -29,7 +29,7 @@
 
 /// A shard simulation whose workers run on the VMs of a wave, and the holder of the wave.
 struct Site {
-    yard: Yard,
+    yard: ShardSim,
     upkeep: Upkeep,
     token: u64,
     wave: Wave,
@@ -43,26 +43,26 @@
 }
 
 fn holder(token: u64) -> Upkeep {
-    let fleet = Fleet {
-        rate: 60.0,
-        upkeep: DOWN,
-        moved: Duration::from_millis(1_500),
-        turn: Duration::from_secs(3),
+    let fleet = VmLimits {
+        order_rate: 60.0,
+        upkeep_time: DOWN,
+        move_time: Duration::from_millis(1_500),
+        holder_gap: Duration::from_secs(3),
     };
     let outcome = |no, over: bool| (format!("told/{no}").into(), over.to_string().into());
     Upkeep::new(Setup {
         holder: "node".into(),
         token,
-        fleet,
-        unix: 1_700_000_000_000,
-        told: outcome,
+        limits: fleet,
+        unix_ms: 1_700_000_000_000,
+        encode_state: outcome,
     })
 }
 
 impl Site {
     /// Creates twelve workers with jobs of all kinds; those of the open pool form the wave.
     fn new(seed: u64, seconds: u64, cap: u32) -> Self {
-        let mut yard = Yard::new(seed, 12);
+        let mut yard = ShardSim::new(seed, 12);
         let lasting = Step { lasts: true, may_miss: Some(1), ..step(LASTING_TASKS, 1_000) };
         yard.submit(1, "open", job([lasting]));
         yard.submit(
@@ -75,7 +75,12 @@
         yard.run_until(6_000);
         let pool = yard.world.workers.iter().enumerate().filter(|(_, w)| &*w.pool.0 == "open");
         let vms: Vec<VmId> = pool.map(|(i, _)| VmId::from(&*i.to_string())).collect();
-        let wave = Wave { no: WaveNo(1), vms, within: Duration::from_secs(seconds), cap };
+        let wave = Wave {
+            number: WaveNo(1),
+            vms,
+            time_limit: Duration::from_secs(seconds),
+            max_down: cap,
+        };
         let mut site = Site {
             yard,
             upkeep: holder(1),
@@ -98,8 +103,8 @@
     }
 
     fn closing(&self) -> Closing {
-        let item = self.yard.store.get(CLOSING).and_then(|i| i.value);
-        item.and_then(|v| read(&v)).unwrap_or_default()
+        let item = self.yard.store.get(CLOSING_KEY).and_then(|i| i.value);
+        item.and_then(|v| decode(&v)).unwrap_or_default()
     }
 
     fn completed(&self) -> bool {
@@ -108,7 +113,7 @@
 
     /// Ends the holder and the owner, and starts successors.
     fn replace_holder(&mut self) {
-        self.yard.kill();
+        self.yard.kill_owner();
         self.run(3_500);
         self.yard.take_over();
         self.token += 1;
@@ -121,16 +126,16 @@
         let now = self.yard.now;
         for order in self.upkeep.on(event, now) {
             let reply = match order {
-                Order::Read => Event::Read(Ok(self.yard.store.get(LEDGER))),
-                Order::Store(number, txn) => Event::Stored(number, Ok(self.yard.store.txn(&txn))),
-                Order::List => Event::Listed(now, Ok(self.vms())),
-                Order::Ask(workers) => {
+                Order::ReadLedger => Event::LedgerRead(Ok(self.yard.store.get(LEDGER_KEY))),
+                Order::Write(number, txn) => Event::Written(number, Ok(self.yard.store.txn(&txn))),
+                Order::ListVms => Event::VmsListed(now, Ok(self.vms())),
+                Order::AskOwners(workers) => {
                     let owner = self.yard.owner();
-                    let gone = owner.gone;
-                    let held = owner.shard.held_at(&workers);
-                    Event::Held(now, if gone { vec![] } else { held }, vec![])
+                    let gone = owner.ended;
+                    let held = owner.shard.occupancy(&workers);
+                    Event::OwnersReported(now, if gone { vec![] } else { held }, vec![])
                 }
-                Order::Call(call) => {
+                Order::OrderVm(call) => {
                     let reply = Ok(self.order(&call));
                     let lost =
                         self.unanswered_one_in > 0 && self.rng.u32(0..self.unanswered_one_in) == 0;
@@ -168,11 +173,15 @@
         let runs: Vec<_> =
             self.yard.world.workers[at].runs.iter().map(|r| r.start.task.to_string()).collect();
         assert!(runs.is_empty(), "seed {seed}: at {now} {runs:?} run at {at}");
-        assert!(self.down.len() < self.wave.cap as usize, "seed {seed}: at {now} {:?}", self.down);
+        assert!(
+            self.down.len() < self.wave.max_down as usize,
+            "seed {seed}: at {now} {:?}",
+            self.down
+        );
         self.begun.insert(at);
         self.down.insert(at);
         self.max_down = self.max_down.max(self.down.len());
-        self.yard.crash(at, DOWN);
+        self.yard.crash_worker(at, DOWN);
         VmReply::Begun
     }
 
@@ -180,8 +189,8 @@
     fn working_tasks(&self, no: u64) -> usize {
         let up = self.yard.world.workers.iter().filter(|w| w.up);
         let runs = up.flat_map(|w| &w.runs).filter(|r| r.start.task.step.job == JobNo(no));
-        let begun = self.yard.world.bounds.notice / 2;
-        runs.filter(|r| r.stops.is_none() && self.yard.now >= r.since + begun).count()
+        let begun = self.yard.world.bounds.serving_delay / 2;
+        runs.filter(|r| r.stops_at.is_none() && self.yard.now >= r.started_at + begun).count()
     }
 
     fn run(&mut self, ms: u64) {
@@ -194,7 +203,7 @@
             if closing != self.sent_closing {
                 self.sent_closing = closing.clone();
                 let now = self.yard.now;
-                self.yard.owner().shard.take(ShardEvent::Closing(Arc::new(closing)), now);
+                self.yard.owner().shard.apply(ShardEvent::Closing(Arc::new(closing)), now);
             }
             self.deliver(Event::Tick);
             let (seed, now) = (self.yard.rules.seed, self.yard.now);
@@ -228,7 +237,7 @@
         let mut site = Site::new(seed, 60, 2);
         site.until_completed(60_000);
         assert_eq!(site.max_down, 2, "seed {seed}");
-        site.yard.settle(120_000);
+        site.yard.run_until_settled(120_000);
     }
 }
 
@@ -245,7 +254,7 @@
             site.replace_holder();
         }
         site.until_completed(120_000);
-        site.yard.settle(240_000);
+        site.yard.run_until_settled(240_000);
     }
 }
 
@@ -255,6 +264,6 @@
         let mut site = Site::new(seed, 5, 1);
         site.until_completed(120_000);
         assert_eq!(site.max_down, 1);
-        site.yard.settle(240_000);
+        site.yard.run_until_settled(240_000);
     }
 }
--- a/tests/yard_worker.rs
+++ b/tests/yard_worker.rs
@@ -8,8 +8,8 @@
         Time,
         ids::Incarnation,
         ports::{
-            AdviceCall, End, Fault, Held, How, Put, Refusal, Start, StoreReply, Txn, WorkerCall,
-            WorkerReply as Reply,
+            AdviceCall, End, EndReason, Fault, Held, Put, Refusal, Start, StoreReply, Txn,
+            WorkerCall, WorkerReply as Reply,
         },
         shard::record::{JobRecord, Progress, TaskRow},
         units::Size,
@@ -21,9 +21,9 @@
     },
     yard::{
         assert_kept, bounds, job, queues,
-        rules::{Rules, UNIX},
+        rules::{Rules, UNIX_START_MS},
         step,
-        store::{Fate, Mode, Store},
+        store::{CallOutcome, Mode, Store},
         worker::{Note, World},
         workers,
     },
@@ -81,21 +81,21 @@
     }
 }
 
-fn end_kinds(held: &Held) -> Vec<(u64, u32, How)> {
+fn end_kinds(held: &Held) -> Vec<(u64, u32, EndReason)> {
     held.ended.iter().map(|e: &End| (e.number, e.task.index, e.how)).collect()
 }
 
 #[test]
 fn lease_is_bounded_never_shortens_and_lapses_on_the_workers_clock() {
     let mut w = world("plain", job([step(2, 60_000)]));
-    w.workers[1].rate = 0.98;
+    w.workers[1].clock_rate = 0.98;
     assert_eq!(start(&mut w, 1, order(task(0, 0), 1)), None);
     assert_eq!(hold(&mut w, 1, Some(1), 0).running.len(), 1); // the lease isn't shortened
     w.advance(Time::from_millis(8_100)); // the lease is 8 s at most, on a clock that is 2% slow
     assert_eq!(hold(&mut w, 1, None, 0).running.len(), 1);
     w.advance(Time::from_millis(8_200));
     let held = hold(&mut w, 1, None, 0);
-    assert_eq!((held.running.len(), end_kinds(&held)), (0, vec![(1, 0, How::Lapsed)]));
+    assert_eq!((held.running.len(), end_kinds(&held)), (0, vec![(1, 0, EndReason::Lapsed)]));
     let late = Start { until: held.clock, ..order(task(0, 1), 1) };
     assert_eq!(start(&mut w, 1, late), Some(Refusal::Late));
 }
@@ -140,7 +140,7 @@
     stop(&mut w, 0, task(0, 0), 2);
     assert_eq!(start(&mut w, 0, order(task(0, 4), 1)), Some(Refusal::Room));
     advance_renewing(&mut w, 1_100);
-    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, How::Stopped)]);
+    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, EndReason::Stopped)]);
     assert_eq!(start(&mut w, 0, order(task(0, 0), 2)), Some(Refusal::Old));
     assert_eq!(start(&mut w, 0, order(task(0, 0), 3)), None);
     stop(&mut w, 1, task(0, 4), 2); // the run hasn't arrived yet
@@ -159,7 +159,11 @@
     let last = first.ended.last().map_or(0, |e| e.number);
     let rest = hold(&mut w, 0, None, last);
     assert_eq!((rest.ended.len(), rest.ended[0].number), (100, 501));
-    let seen = w.notes.iter().filter(|n| matches!(n, Note::Seen { how: How::Done, .. })).count();
+    let seen = w
+        .notes
+        .iter()
+        .filter(|n| matches!(n, Note::Acknowledged { how: EndReason::Done, .. }))
+        .count();
     assert_eq!(seen, 500);
 }
 
@@ -168,9 +172,9 @@
     let mut w = world("plain", job([step(1, 100)]));
     start(&mut w, 0, order(task(0, 0), 1));
     w.advance(Time::from_millis(9_000));
-    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, How::Done)]);
+    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, EndReason::Done)]);
     assert!(hold(&mut w, 0, None, 1).ended.is_empty());
-    assert!(!w.notes.iter().any(|n| matches!(n, Note::Seen { .. })));
+    assert!(!w.notes.iter().any(|n| matches!(n, Note::Acknowledged { .. })));
 }
 
 #[test]
@@ -190,9 +194,9 @@
     advance_renewing(&mut w, 1_900);
     assert!(hold(&mut w, 1, None, 0).ended.is_empty()); // the restore takes 0.5 s
     advance_renewing(&mut w, 200);
-    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 0, How::Done)]);
+    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 0, EndReason::Done)]);
     start(&mut w, 1, Start { saved: "00000001~none".into(), ..order(task(0, 0), 3) });
-    assert!(w.notes.iter().any(|n| matches!(n, Note::Odd(_))));
+    assert!(w.notes.iter().any(|n| matches!(n, Note::Violation(_))));
 }
 
 #[test]
@@ -206,8 +210,8 @@
     advance_renewing(&mut w, 1_400); // 50% longer on two racks
     assert_eq!(hold(&mut w, 0, None, 0).running.len(), 1);
     advance_renewing(&mut w, 200);
-    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, How::Done)]);
-    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 1, How::Done)]);
+    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, EndReason::Done)]);
+    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 1, EndReason::Done)]);
 }
 
 #[test]
@@ -217,18 +221,18 @@
     start(&mut w, 0, order(task(0, 0), 1));
     start(&mut w, 1, order(task(0, 1), 2)); // a different run
     advance_renewing(&mut w, 5_100);
-    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, How::Alone)]);
+    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, EndReason::Alone)]);
     start(&mut w, 0, order(task(0, 0), 3));
     start(&mut w, 1, order(task(0, 1), 3));
     advance_renewing(&mut w, 1_000);
     stop(&mut w, 0, task(0, 0), 3);
     advance_renewing(&mut w, 1_100);
     let ends = end_kinds(&hold(&mut w, 1, None, 0));
-    assert_eq!(ends, [(1, 1, How::Alone), (2, 1, How::Broken)]);
+    assert_eq!(ends, [(1, 1, EndReason::Alone), (2, 1, EndReason::Broken)]);
     start(&mut w, 0, order(task(0, 0), 4));
     start(&mut w, 1, order(task(0, 1), 4));
     w.crash(0);
-    assert_eq!(end_kinds(&hold(&mut w, 1, None, 2)), [(3, 1, How::Broken)]);
+    assert_eq!(end_kinds(&hold(&mut w, 1, None, 2)), [(3, 1, EndReason::Broken)]);
 }
 
 #[test]
@@ -248,24 +252,24 @@
     assert_eq!((serving.percent, serving.load), (0, 75));
     advance_renewing(&mut w, 1_000);
     assert_eq!(hold(&mut w, 1, None, 0).running[1].percent, 100);
-    w.fail(task(2, 0));
-    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 0, How::Failed)]);
+    w.fail_task(task(2, 0));
+    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 0, EndReason::Failed)]);
 }
 
 #[test]
 fn faulty_workers_fail_tasks_refuse_starts_or_do_not_answer() {
     let mut w = world("plain", job([step(3, 1_000)]));
-    w.hopeless.insert((JobNo(1), 0));
+    w.failing_steps.insert((JobNo(1), 0));
     start(&mut w, 0, order(task(0, 0), 1));
-    w.workers[1].grey = true;
+    w.workers[1].failing = true;
     start(&mut w, 1, order(task(0, 1), 1));
     advance_renewing(&mut w, 400);
-    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 1, How::Failed)]);
+    assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 1, EndReason::Failed)]);
     advance_renewing(&mut w, 200);
-    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, How::Failed)]);
+    assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, EndReason::Failed)]);
     w.workers[0].unwell = true;
     assert_eq!(call(&mut w, 0, WorkerCall::Start(order(task(0, 2), 1))), Some(Reply::Unwell));
-    w.workers[1].cut = true;
+    w.workers[1].cut_off = true;
     assert_eq!(stop(&mut w, 1, task(0, 1), 1), None);
 }
 
@@ -280,13 +284,13 @@
     };
     let ask = AdviceCall { step: task(0, 0).step, workers: vec![w.id(2), w.id(3)] };
     let me = Incarnation(1);
-    assert_eq!(w.advice.ask(me, &ask, cost, w.now), Ok(Time::from_millis(24)));
-    assert_eq!(w.advice.ask(me, &ask, cost, w.now), Ok(Time::from_millis(48))); // in sequence
-    assert_eq!(w.advice.ask(Incarnation(2), &ask, cost, w.now), Ok(Time::from_millis(24)));
-    let waiting = (0..40).map(|_| w.advice.ask(me, &ask, cost, w.now));
+    assert_eq!(w.advice.accept(me, &ask, cost, w.now), Ok(Time::from_millis(24)));
+    assert_eq!(w.advice.accept(me, &ask, cost, w.now), Ok(Time::from_millis(48))); // in sequence
+    assert_eq!(w.advice.accept(Incarnation(2), &ask, cost, w.now), Ok(Time::from_millis(24)));
+    let waiting = (0..40).map(|_| w.advice.accept(me, &ask, cost, w.now));
     assert_eq!(waiting.filter(|a| *a == Err(Fault::Refused)).count(), 9);
     let advice = w.advice.answer(&ask, cost.valid, w.now);
-    let ticket = |t: TaskKey| Start { ticket: Some(advice.good[0].1.clone()), ..order(t, 1) };
+    let ticket = |t: TaskKey| Start { ticket: Some(advice.accepted[0].1.clone()), ..order(t, 1) };
     assert_eq!(start(&mut w, 2, order(task(0, 0), 1)), Some(Refusal::Ticket));
     assert_eq!(start(&mut w, 2, ticket(task(0, 0))), None);
     assert_eq!(start(&mut w, 3, ticket(task(0, 1))), Some(Refusal::Ticket));
@@ -306,10 +310,16 @@
     assert_eq!((store.rev, store.get("c")), (8, None));
     let gone = Txn { remove: vec!["b".into()], ..txn(8, vec![]) };
     assert_eq!((store.txn(&gone), store.get("b")), (StoreReply::Done(9), None));
-    store.mode = Mode::Down;
-    assert!((0..20).all(|_| matches!(store.fate(), Fate::Refused | Fate::Unheard)));
-    store.mode = Mode::Losing(2);
-    let lost = (0..100).filter(|_| matches!(store.fate(), Fate::Lost(_))).count();
+    store.health = Mode::Down;
+    assert!(
+        (0..20).all(|_| matches!(
+            store.draw_outcome(),
+            CallOutcome::Refused | CallOutcome::Unanswered
+        ))
+    );
+    store.health = Mode::Losing(2);
+    let lost =
+        (0..100).filter(|_| matches!(store.draw_outcome(), CallOutcome::AnswerLost(_))).count();
     assert!((30..70).contains(&lost), "{lost}");
 }
 
@@ -334,8 +344,8 @@
     let last = hold(&mut w, 2, None, 4);
     assert!(last.ended.is_empty());
     assert_kept(rules.check(&mut w));
-    assert_kept(rules.shown(&w, JobNo(1), State::Done));
-    assert_eq!(rules.count, 4);
+    assert_kept(rules.check_state(&w, JobNo(1), State::Done));
+    assert_eq!(rules.start_count, 4);
 }
 
 /// Does something in a fresh world, and checks that the rules report this breach.
@@ -387,7 +397,7 @@
         assert_eq!(start(w, 2, order(task(1, 0), 1)), None)
     });
     assert_breach("before it was due", |w, _| {
-        let times = Some(Times { count: 1, first: UNIX + 1_000, every: 0 });
+        let times = Some(Times { count: 1, first: UNIX_START_MS + 1_000, every: 0 });
         w.jobs.entry(JobNo(1)).and_modify(|r| r.job.times = times);
         start(w, 2, order(task(0, 0), 1));
     });
@@ -402,7 +412,7 @@
         for run in 1..=4 {
             start(w, 2, order(task(0, 0), run));
             assert_kept(rules.check(w));
-            w.fail(task(0, 0));
+            w.fail_task(task(0, 0));
             w.advance(w.now + Duration::from_millis(10));
             hold(w, 2, None, u64::from(run));
         }
@@ -421,7 +431,7 @@
         advance_renewing(w, 200);
     });
     assert_breach("leaving at", |w, _| {
-        w.workers[2].draining = Some(w.now);
+        w.workers[2].leaving_since = Some(w.now);
         w.advance(Time::from_millis(2_100));
         start(w, 2, order(task(0, 0), 1));
     });
@@ -441,10 +451,12 @@
         start(w, 2, Start { saved: "00000001".into(), ..order(task(0, 0), 1) });
     });
     for state in [State::Done, State::Failed, State::Cancelled] {
-        assert_breach("without cause", |w, rules| assert_kept(rules.shown(w, JobNo(1), state)));
+        assert_breach("without cause", |w, rules| {
+            assert_kept(rules.check_state(w, JobNo(1), state))
+        });
     }
     assert_breach("is stored as done", |w, rules| {
         let tasks = vec![TaskRow(0, 0, 0, 1, vec![], true, "".into())];
-        assert_kept(rules.stored(w, JobNo(1), &Progress { tasks, ..Progress::default() }));
+        assert_kept(rules.check_progress(w, JobNo(1), &Progress { tasks, ..Progress::default() }));
     });
 }
