--- a/src/decide/admit.rs
+++ b/src/decide/admit.rs
@@ -30,30 +30,31 @@
     std::time::Duration,
 };
 
-/// Share of its spare time that a request may be expected to wait. The remaining quarter covers
-/// estimates that are wrong by a third.
+/// Maximum expected wait of a request, as a fraction of its spare time. The remaining quarter
+/// covers estimates that are wrong by a third.
 const WAIT_SHARE: f64 = 0.75;
-/// Share of its spare time that a request may be expected to wait under overload. Longer waits
+/// Maximum expected wait of a request under overload, as a fraction of its spare time. Longer waits
 /// would serve no more requests; a quarter keeps the slots busy when arrivals vary.
 const OVERLOAD_WAIT_SHARE: f64 = 0.25;
 /// The queue counts as overloaded after it has not been empty for this long. This is several
 /// typical runs (50 ms), so that one clump of arrivals is not overload. The waits themselves don't
 /// show overload, because the fair order keeps some of them short.
 const OVERLOAD_AFTER: Duration = Duration::from_millis(500);
-/// Least number of requests in a sample of the drain rate: the mean of 16 has a quarter of the
-/// variation of a single one.
-const SAMPLE_SIZE: u32 = 16;
+/// Minimum number of departures in a sample of the drain rate: the mean of 16 run times has a
+/// quarter of the variation of a single one.
+const MIN_SAMPLE_SIZE: u32 = 16;
 /// Weight of a new sample in the drain rate; about the last five samples count.
 const SAMPLE_WEIGHT: f64 = 0.3;
-/// The drain rate is lowered after no request has left the queue for this many times the expected
-/// gap, because endpoints may have stalled. A gap that long occurs by chance once in 3,000.
-const STALL_GAPS: f64 = 8.0;
-/// Longest retry delay: a caller that is asked to wait longer uses another service instead.
+/// Ratio of the time since the last departure to the expected time between departures above which
+/// the drain rate is lowered, because endpoints may have stalled. A gap that long occurs by chance
+/// once in 3,000.
+const STALL_GAP_RATIO: f64 = 8.0;
+/// Maximum retry delay: a caller that is request to wait longer uses another service instead.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
-/// Retry delays are extended at random by up to this share, so that callers refused at the same
-/// moment don't retry at the same moment. They are never shortened, because an early retry is
-/// refused again.
-const JITTER: f64 = 0.5;
+/// Maximum random extension of a retry delay, as a fraction of the delay, so that callers refused
+/// at the same moment don't retry at the same moment. Delays are never shortened, because an early
+/// retry is refused again.
+const MAX_JITTER: f64 = 0.5;
 /// Interval at which callers whose retry time has passed are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -72,15 +73,18 @@
 struct Drain {
     /// Expected run time served per second of one slot; 1 if runs take as long as expected.
     rate: f64,
-    work: f64,
-    /// Slot-seconds in which `work` was served.
-    busy: f64,
-    start: Time,
-    count: u32,
-    /// The last departure, or the first arrival if none has left since the queue was last empty.
+    /// Expected run time, in seconds, of the requests in the current sample.
+    served_work: f64,
+    /// Slot-seconds in which `served_work` was served.
+    busy_slot_seconds: f64,
+    sample_start: Time,
+    /// Number of departures in the current sample.
+    departure_count: u32,
+    /// Time of the last departure, or of the first arrival if no request has left since the queue
+    /// was last empty.
     last_departure: Option<Time>,
-    /// Expected run time of the request of the last departure or first arrival.
-    run: Duration,
+    /// Expected run time of the request that left last or, if none has left, arrived first.
+    last_run_time: Duration,
 }
 
 impl Gate {
@@ -114,12 +118,12 @@
         }
         let run = item.run_time;
         // A copy for computing the retry delay; the queue takes the original.
-        let asked = item.clone();
+        let request = item.clone();
         queue
             .push(item, now)
-            .map_err(|e| e.with_retry_after(self.retry_delay(&asked, ahead, now)))?;
+            .map_err(|e| e.with_retry_after(self.retry_delay(&request, ahead, now)))?;
         self.nonempty_since.get_or_insert(now);
-        self.drain.begin(run, now);
+        self.drain.record_arrival(run, now);
         Ok(())
     }
 
@@ -129,12 +133,12 @@
         self.drain_time(ahead.work, ahead.slots, now)
     }
 
-    /// Removes the next request for a free slot, and measures the drain rate by its departure.
+    /// Removes the next request for a free slot, and updates the measured drain rate.
     pub fn pop(&mut self, queue: &mut Queue, now: Time) -> Option<Item> {
         let usable = queue.usable_slots(now);
         let item = queue.pop(now);
         if let Some(item) = &item {
-            self.drain.record(item, usable, now);
+            self.drain.record_departure(item, usable, now);
         }
         if queue.is_empty() {
             (self.nonempty_since, self.drain.last_departure) = (None, None);
@@ -148,12 +152,13 @@
         Error::from(Kind::Expired).with_retry_after(self.retry_delay(item, ahead, now))
     }
 
-    /// Whether the queue has not been empty for `OVERLOAD_AFTER`.
+    /// Returns whether the queue has not been empty for `OVERLOAD_AFTER`.
     pub fn overloaded(&self, now: Time) -> bool {
         self.nonempty_since.is_some_and(|t| now.since(t) >= OVERLOAD_AFTER)
     }
 
-    /// Expected run time that one slot serves per second; 1 if runs take as long as expected.
+    /// Returns the expected run time that one slot serves per second; 1 if runs take as long as
+    /// expected.
     pub fn drain_rate(&self) -> f64 {
         self.drain.rate
     }
@@ -176,7 +181,7 @@
         let last = self.retry_times.get(&item.caller).copied().unwrap_or(now);
         let retry_at = (clear.max(last) + turns).min(now + MAX_RETRY_DELAY);
         self.retry_times.insert(item.caller.clone(), retry_at);
-        retry_at.since(now).mul_f64(1.0 + JITTER * self.rng.f64())
+        retry_at.since(now).mul_f64(1.0 + MAX_JITTER * self.rng.f64())
     }
 }
 
@@ -184,53 +189,54 @@
     fn new() -> Self {
         Drain {
             rate: 1.0,
-            work: 0.0,
-            busy: 0.0,
-            start: Time::ZERO,
-            count: 0,
+            served_work: 0.0,
+            busy_slot_seconds: 0.0,
+            sample_start: Time::ZERO,
+            departure_count: 0,
             last_departure: None,
-            run: Duration::ZERO,
+            last_run_time: Duration::ZERO,
         }
     }
 
-    /// Records that a request waits, if none was waiting before.
-    fn begin(&mut self, run: Duration, now: Time) {
+    /// Starts the measurement at an arrival, if no request was waiting before.
+    fn record_arrival(&mut self, run: Duration, now: Time) {
         if self.last_departure.is_none() {
-            (self.last_departure, self.run) = (Some(now), run);
+            (self.last_departure, self.last_run_time) = (Some(now), run);
         }
     }
 
-    fn record(&mut self, item: &Item, usable: u32, now: Time) {
+    fn record_departure(&mut self, item: &Item, usable: u32, now: Time) {
         // A request that found a free slot on arrival doesn't show how fast slots become free.
         if item.arrived_at == now {
             return;
         }
         let Some(last_departure) = self.last_departure.replace(now) else { return };
-        if self.count == 0 {
-            self.start = last_departure;
+        if self.departure_count == 0 {
+            self.sample_start = last_departure;
         }
-        self.count += 1;
-        self.busy += now.since(last_departure).as_secs_f64() * f64::from(usable);
-        self.work += item.run_time.as_secs_f64();
-        self.run = item.run_time;
+        self.departure_count += 1;
+        self.busy_slot_seconds += now.since(last_departure).as_secs_f64() * f64::from(usable);
+        self.served_work += item.run_time.as_secs_f64();
+        self.last_run_time = item.run_time;
         // Runs that began together end together, so a sample spans at least two runs; a shorter one
         // would measure a clump or a gap.
-        if self.count >= SAMPLE_SIZE
-            && now.since(self.start) >= item.run_time * 2
-            && self.busy > 0.0
+        if self.departure_count >= MIN_SAMPLE_SIZE
+            && now.since(self.sample_start) >= item.run_time * 2
+            && self.busy_slot_seconds > 0.0
         {
-            let sample = (self.work / self.busy).clamp(0.01, 10.0);
+            let sample = (self.served_work / self.busy_slot_seconds).clamp(0.01, 10.0);
             self.rate += SAMPLE_WEIGHT * (sample - self.rate);
-            (self.work, self.busy, self.count) = (0.0, 0.0, 0);
+            (self.served_work, self.busy_slot_seconds, self.departure_count) = (0.0, 0.0, 0);
         }
     }
 
-    /// Returns the drain rate, lowered if no request has left the queue for long. If all endpoints
-    /// stalled, no departure would show it, and the gate would admit requests that then expire.
+    /// Returns the drain rate, which is lowered if no request has left the queue for a long time.
+    /// If all endpoints stalled, no departure would show it, and the gate would admit requests that
+    /// then expire.
     fn current_rate(&self, slots: u32, now: Time) -> f64 {
         let gap = self.last_departure.map_or(Duration::ZERO, |at| now.since(at));
-        let expected = self.run.as_secs_f64() / (self.rate * f64::from(slots));
-        if gap <= self.run * 2 || gap.as_secs_f64() <= STALL_GAPS * expected {
+        let expected = self.last_run_time.as_secs_f64() / (self.rate * f64::from(slots));
+        if gap <= self.last_run_time * 2 || gap.as_secs_f64() <= STALL_GAP_RATIO * expected {
             return self.rate;
         }
         self.rate * expected / gap.as_secs_f64()
--- a/src/decide/ahead.rs
+++ b/src/decide/ahead.rs
@@ -1,4 +1,4 @@
-//! Decides when a step that waits for room asks for its tickets.
+//! Decides when to request tickets for a step that waits for free resources.
 //!
 //! *Load pattern:* tasks that take a whole worker for a few seconds, in a pool with more work than
 //! room. A call for advice takes 0.5 to 1.5 s, and its tickets are valid for little longer.
@@ -11,33 +11,34 @@
 //! and again before their tickets expire.
 //!
 //! *Thresholds:* three steps per worker, because the first may start elsewhere meanwhile, and with
-//! two steps a third of the idle time remains. The end of a run is known to within 0.8 s, the time
-//! between two progress checks, so the first call is made that much earlier. 150 ms covers the
-//! round trip and a short call before this one. Two members stay without a call, for steps that
-//! have no ticket yet.
+//! two steps a third of the idle time remains. The expected end of a run is accurate to 0.8 s, the
+//! time between two progress checks, so the first call is made that much earlier. 150 ms covers the
+//! round trip and a short call before this one. Two members are kept free of calls made in advance,
+//! for steps that have no ticket yet.
 
 use {
     crate::Time,
     std::{collections::HashMap, hash::Hash, time::Duration},
 };
 
-/// Number of steps per worker that are kept supplied with tickets.
+/// Maximum number of waiting steps per worker for which tickets are requested in advance.
 const STEPS_PER_WORKER: u32 = 3;
-/// Largest error of a run's expected end.
+/// Maximum error of the expected end time of a run.
 const END_ERROR: Duration = Duration::from_millis(800);
-/// Time that a call takes beyond its own duration.
+/// Time added to the expected duration of a call, for the round trip and a short call before it.
 const CALL_OVERHEAD: Duration = Duration::from_millis(150);
-/// Number of members that stay without a call.
+/// Maximum number of members that are kept free of calls made in advance.
 const SPARE_MEMBERS: usize = 2;
-/// Members that are needed for each member that stays without a call.
+/// Number of members per member that is kept free of calls made in advance.
 const MEMBERS_PER_SPARE: usize = 4;
-/// Least progress, in percent, from which a run's own speed predicts its end.
+/// Minimum progress since the start, in percentage points, at which the end of a run is predicted
+/// from its speed.
 const MIN_PROGRESS: u8 = 10;
 
-/// Progress of a run.
+/// Progress of a run, measured at the last check.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    /// When it started.
+    /// Start time of the run.
     pub started_at: Time,
     /// Share of its work that was done at the start, in percent.
     pub initial_percent: u8,
@@ -45,12 +46,12 @@
     pub percent: u8,
     /// Time of the last check.
     pub checked_at: Time,
-    /// Expected duration of its whole work.
+    /// Expected duration of the whole task.
     pub estimate: Duration,
 }
 
-/// Expected end of a run: by its speed up to the last check, or by its estimate while its progress
-/// is too small to tell.
+/// Returns the expected end time of a run, computed from its speed up to the last check, or from
+/// its estimate while less than `MIN_PROGRESS` has been done.
 pub fn expected_end(run: Progress) -> Time {
     let done = run.percent.saturating_sub(run.initial_percent);
     let left = f64::from(100_u8.saturating_sub(run.percent));
@@ -61,7 +62,7 @@
     run.started_at + run.estimate.mul_f64(share)
 }
 
-/// Counts, for one round, the steps that wait for each worker without room.
+/// Number of steps that wait for each full worker in one scheduling round.
 #[derive(Clone, Debug)]
 pub struct Backlog<W> {
     steps: HashMap<W, u32>,
@@ -74,8 +75,8 @@
 }
 
 impl<W: Hash + Eq> Backlog<W> {
-    /// Adds the next step in order to a worker's count, and returns whether it is among the first
-    /// ones.
+    /// Counts the next step that waits for a worker, and returns whether it is among the first
+    /// `STEPS_PER_WORKER`.
     pub fn add(&mut self, worker: W) -> bool {
         let steps = self.steps.entry(worker).or_default();
         *steps += 1;
@@ -83,18 +84,18 @@
     }
 }
 
-/// Latest expected time of room at a worker for which a call of duration `call_time` should be made
-/// now.
+/// Returns the latest time at which resources may be expected to become free for an advice call of
+/// duration `call_time` to be made now.
 pub fn horizon(call_time: Duration, now: Time) -> Time {
     now + call_time + CALL_OVERHEAD + END_ERROR
 }
 
-/// Whether a ticket that is valid until `until` expires before a new one could arrive.
+/// Returns whether a ticket that is valid until `until` expires before a new one could arrive.
 pub fn expires_early(until: Time, call_time: Duration, now: Time) -> bool {
     until <= now + call_time + CALL_OVERHEAD
 }
 
-/// Whether a call may be made in advance while `idle` of the members have no call.
+/// Returns whether a call may be made in advance if `idle` of `members` members have no call.
 pub fn may_call_ahead(idle: usize, members: usize) -> bool {
     idle > SPARE_MEMBERS.min(members / MEMBERS_PER_SPARE)
 }
--- a/src/decide/call_queue.rs
+++ b/src/decide/call_queue.rs
@@ -7,28 +7,28 @@
 //! they are given up, seven times in a row with seven members. The abandoned calls still take the
 //! service's time.
 //!
-//! *Thresholds:* a call is rejected if its answer would arrive after the caller has given up, by
-//! the calls ahead of it and its own duration. 50 ms are reserved for the round trip, some ten
-//! times what it takes without load. The service still works on an abandoned call, so it counts
-//! until its expected end. A call in progress that is overdue is expected to last for as long again
-//! as it is overdue.
+//! *Thresholds:* a call is rejected if its answer would arrive after the caller has given up,
+//! computed from the calls ahead of it and its own duration. 50 ms are reserved for the round trip,
+//! some ten times what it takes without load. The service still works on an abandoned call, so it
+//! counts until its expected end. A call that is overdue by some time is expected to take that much
+//! longer.
 
 use {
     crate::Time,
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Time reserved for the round trip before the caller gives up.
+/// Part of the caller's time limit that is reserved for the round trip.
 const ROUND_TRIP: Duration = Duration::from_millis(50);
 
 /// The calls in flight from one member, for all its callers.
 #[derive(Clone, Debug, Default)]
 pub struct CallQueue {
-    /// In the order of arrival.
+    /// Calls in flight, in the order of arrival.
     calls: VecDeque<Call>,
-    /// When the service began with the first of them.
+    /// When the service began to work on the first call in `calls`.
     started_at: Time,
-    /// Number of calls made so far.
+    /// Number of calls made so far, which numbers the next call.
     count: u64,
 }
 
@@ -36,7 +36,7 @@
 struct Call {
     number: u64,
     call_time: Duration,
-    /// Whether its caller has given it up.
+    /// Whether the caller has given up the call.
     abandoned: bool,
 }
 
@@ -63,7 +63,7 @@
         Some(self.count)
     }
 
-    /// Returns how long the calls in flight will still take.
+    /// Returns the expected time until all calls in flight have ended.
     pub fn backlog(&mut self, now: Time) -> Duration {
         while let Some(first) =
             self.calls.front().filter(|c| c.abandoned && self.started_at + c.call_time <= now)
--- a/src/decide/cancel.rs
+++ b/src/decide/cancel.rs
@@ -1,4 +1,4 @@
-//! Stops the tasks that a new text no longer lists, with bounded work per tick.
+//! Stops the tasks that a new job text no longer lists, with bounded work per tick.
 //!
 //! *Load pattern:* a new text, or the removal of a team's mistake, cancels thousands of tasks at
 //! once while other tasks start. *Without it:* if each task were searched for and stopped
@@ -6,11 +6,11 @@
 //! task further back in the queue would still be started and then stopped, and its work would be
 //! lost.
 //!
-//! So a cancel only sets a mark, in O(1) for a task and for a whole job. [`Cancels::try_start`], which
-//! every start must pass, checks the mark, so nothing of the task or job starts after the cancel.
-//! [`Cancels::tick`] sends the stops of running tasks, at most `STOPS_PER_TICK` per call. A stop
-//! may be lost with its connection, so a stop that is not confirmed within `RESEND_AFTER` is sent
-//! again, until the task has ended.
+//! So a cancel only sets a mark, in O(1) for a task and for a whole job. [`Cancels::try_start`],
+//! which every start must pass, checks the mark, so nothing of the task or job starts after the
+//! cancel. [`Cancels::tick`] sends the stops of running tasks, at most `STOPS_PER_TICK` per call. A
+//! stop may be lost with its connection, so a stop that is not confirmed within `RESEND_AFTER` is
+//! sent again, until the task has ended.
 //!
 //! The marks hold for the buckets of this member. After a change of owner, the desired state in the
 //! operators' text says that a task must not run, and the new owner marks it again.
@@ -27,12 +27,12 @@
     },
 };
 
-/// Stops per tick. With a tick every 10 ms these are 6,400 per second: a wave over all 21,000
-/// running tasks is sent in 3.3 s, and each tick's share takes some tens of microseconds of the
-/// decision loop.
+/// Maximum number of stops sent per tick. With a tick every 10 ms this allows 6,400 per second: a
+/// wave over all 21,000 running tasks is sent in 3.3 s, and each tick's share takes some tens of
+/// microseconds of the decision loop.
 const STOPS_PER_TICK: usize = 64;
-/// Time after which an unconfirmed stop is sent again. It is longer than the delay of reports, so
-/// that a stop that arrived is rarely repeated.
+/// Time after which an unconfirmed stop is sent again. Confirmations usually arrive earlier, so a
+/// stop that reached its worker is rarely repeated.
 const RESEND_AFTER: Duration = Duration::from_secs(2);
 
 /// Marks of cancelled tasks and jobs, and the stops that are not confirmed.
@@ -40,16 +40,16 @@
 pub struct Cancels {
     jobs: FxHashMap<JobId, Job>,
     unsent: VecDeque<Unsent>,
-    /// Sent stops, with the time to send each again. The delay is constant, so the front is due
-    /// first.
+    /// Stops that were sent, each with the time to send it again. The delay is constant, so the
+    /// front of the queue has the earliest time.
     sent: VecDeque<(Time, TaskId)>,
 }
 
-/// Error of [`Cancels::relist`]: old tasks of the job still run. Contains their number.
+/// Error of [`Cancels::relist`]: the given number of cancelled tasks of the job still run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Busy(pub usize);
 
-/// Cancels whose stops `tick` has not sent yet.
+/// Cancelled tasks whose stops [`Cancels::tick`] has not sent yet.
 #[derive(Debug)]
 enum Unsent {
     Task(TaskId),
@@ -99,7 +99,7 @@
         true
     }
 
-    /// Whether the task or its job is cancelled.
+    /// Returns whether the task or its job is cancelled.
     pub fn cancelled(&self, task: &TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         job.is_some_and(|j| j.whole || j.marked.contains(&task.index))
@@ -142,8 +142,8 @@
         stops
     }
 
-    /// Number of cancels and unconfirmed stops. A job whose stops are still to be sent counts as
-    /// one.
+    /// Returns the number of unsent and unconfirmed stops. A job whose stops have not all been sent
+    /// counts as one.
     pub fn pending(&self) -> usize {
         self.unsent.len() + self.sent.len()
     }
@@ -173,8 +173,8 @@
         self.sent.pop_front().map(|(_, task)| task)
     }
 
-    /// Whether the task still has to be stopped. A task that was listed again since runs
-    /// legitimately, and must not be stopped by a repeated stop of its predecessor.
+    /// Returns whether the task still has to be stopped. If the job text lists the task again, a
+    /// repeated stop must not end its new run.
     fn needs_stop(&self, task: &TaskId) -> bool {
         let runs = self.jobs.get(&task.job).is_some_and(|j| j.running.contains(&task.index));
         runs && self.cancelled(task)
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -24,20 +24,21 @@
     std::time::Duration,
 };
 
-/// Least weight of an observation; if more than this of the old value has faded, that share is
-/// used. About the last ten observations count, so that a single run of five times the expected
-/// time doesn't make an endpoint slow.
+/// Minimum weight of a new observation. If a larger fraction of the old value has faded, that
+/// fraction is the weight. About the last ten observations count, so that a single run of five
+/// times the expected time doesn't make an endpoint slow.
 const MIN_WEIGHT: f64 = 0.1;
-/// Ratio to the median from which an endpoint is slow. The mean of ten runs that vary as much as
-/// their length reaches twice the median by chance if the endpoint is 1.7 times as slow; the score
-/// handles those.
+/// Minimum ratio of an endpoint's run time to the median at which the endpoint counts as slow. The
+/// mean of ten runs that vary as much as their length reaches twice the median by chance if the
+/// endpoint is 1.7 times as slow; the score handles smaller ratios.
 const SLOW_RATIO: f64 = 3.0;
-/// Time after which an observation counts a third; a slow endpoint is tried again a few times per
-/// minute.
+/// Time after which the weight of an observation has fallen to about a third; a slow endpoint is
+/// tried again a few times per minute.
 const FADE_TIME: Duration = Duration::from_secs(10);
-/// Observations between updates of the median, which moves slowly and costs a sort.
+/// Number of observations between updates of the median, which moves slowly and costs a sort.
 const MEDIAN_INTERVAL: u32 = 32;
-/// Random draws for two open endpoints before all are examined; enough if half of them are open.
+/// Maximum number of random draws for two endpoints with an open slot, before all endpoints are
+/// examined; enough if half of them are open.
 const MAX_DRAWS: usize = 8;
 
 /// The endpoints of one pool, with their requests in flight and their speed.
@@ -46,7 +47,7 @@
     endpoints: Vec<Endpoint>,
     index: FxHashMap<WorkerId, usize>,
     median: f64,
-    /// Observations since the last update of the median.
+    /// Number of observations since the last update of the median.
     observations: u32,
 }
 
@@ -55,7 +56,7 @@
     slots: u32,
     /// Number of slots that may be used, up to `slots`.
     slot_limit: u32,
-    /// Answers since `slot_limit` was last set.
+    /// Number of answers since `slot_limit` was last set.
     answers: u32,
     busy: u32,
     /// Mean ratio of observed to expected run time.
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Resets an endpoint to one usable slot and to the median speed.
+    /// Resets an endpoint to one usable slot and the median speed.
     pub fn restart(&mut self, worker: &WorkerId, now: Time) {
         let median = self.median;
         if let Some(e) = self.get(worker) {
@@ -121,7 +122,7 @@
         Some(endpoint.worker.clone())
     }
 
-    /// Counts a request at an endpoint that was chosen by other means.
+    /// Counts a request at an endpoint that was not chosen by [`Scores::pick`].
     pub fn count(&mut self, worker: &WorkerId) {
         if let Some(e) = self.get(worker) {
             e.busy += 1;
@@ -153,8 +154,8 @@
     /// Returns the number of slots that are in use or may be used, and how many of these are free.
     pub fn slots(&self, ejector: &Ejector, now: Time) -> (u32, u32) {
         let usable = self.endpoints.iter().filter(|e| ejector.allows(&e.worker, 0, now));
-        let open = self.endpoints.iter().filter(|e| e.open(ejector, now));
-        (usable.map(Endpoint::limit).sum(), open.map(|e| e.limit() - e.busy).sum())
+        let open = self.endpoints.iter().filter(|e| e.has_open_slot(ejector, now));
+        (usable.map(Endpoint::usable_slots).sum(), open.map(|e| e.usable_slots() - e.busy).sum())
     }
 
     fn get(&mut self, worker: &WorkerId) -> Option<&mut Endpoint> {
@@ -170,7 +171,7 @@
         let mut first = None;
         for _ in 0..MAX_DRAWS {
             let at = self.rng.usize(..self.endpoints.len());
-            if first == Some(at) || !self.endpoints[at].open(ejector, now) {
+            if first == Some(at) || !self.endpoints[at].has_open_slot(ejector, now) {
                 continue;
             }
             match first {
@@ -180,14 +181,15 @@
         }
         let endpoints = self.endpoints.iter().enumerate();
         let open: Vec<_> =
-            endpoints.filter(|(_, e)| e.open(ejector, now)).map(|(at, _)| at).collect();
+            endpoints.filter(|(_, e)| e.has_open_slot(ejector, now)).map(|(at, _)| at).collect();
         let first = self.rng.choice(&open)?;
         Some((*first, *self.rng.choice(&open)?))
     }
 
-    /// Expected time per slot to finish the endpoint's requests and the new one. All slots count,
-    /// also those above its limit. If only the usable ones counted, an endpoint at its first stage
-    /// would look full beside idle peers, get no requests, and never reach the next stage.
+    /// Returns the expected time per slot to finish the endpoint's requests and the new one. All
+    /// slots count, also those above its limit. If only the usable ones counted, an endpoint at its
+    /// first stage would look full beside idle peers, get no requests, and never reach the next
+    /// stage.
     fn score(&self, at: usize, now: Time) -> f64 {
         let e = &self.endpoints[at];
         e.ratio(self.median, now) * f64::from(e.busy + 1) / f64::from(e.slots.max(1))
@@ -209,19 +211,19 @@
 }
 
 impl Endpoint {
-    fn limit(&self) -> u32 {
+    fn usable_slots(&self) -> u32 {
         self.slot_limit.min(self.slots)
     }
 
-    fn open(&self, ejector: &Ejector, now: Time) -> bool {
-        self.busy < self.limit() && ejector.allows(&self.worker, self.busy, now)
+    fn has_open_slot(&self, ejector: &Ejector, now: Time) -> bool {
+        self.busy < self.usable_slots() && ejector.allows(&self.worker, self.busy, now)
     }
 
     fn ratio(&self, median: f64, now: Time) -> f64 {
         median + (self.ratio - median) * self.unfaded(now)
     }
 
-    /// Share of the observed value that has not faded.
+    /// Returns the fraction of the observed value that has not faded.
     fn unfaded(&self, now: Time) -> f64 {
         (-now.since(self.observed_at).as_secs_f64() / FADE_TIME.as_secs_f64()).exp()
     }
--- a/src/decide/copies.rs
+++ b/src/decide/copies.rs
@@ -18,27 +18,27 @@
 
 use std::time::Duration;
 
-/// Complete runs of siblings that are needed for an expected run time.
+/// Minimum number of finished sibling tasks needed to estimate a task's run time.
 pub const MIN_SIBLINGS: usize = 3;
-/// Ratio to the siblings' median that a run's time must exceed.
+/// Minimum ratio of a run's elapsed time to the median run time of its siblings for a copy.
 const MIN_RUN_RATIO: f64 = 1.5;
-/// Ratio of the time that the run still needs to the time that the copy takes.
-const MIN_GAIN: f64 = 2.0;
-/// Overhead of a run: the delivery of its start order and of its end report.
+/// Minimum ratio of the remaining time of a run to the time that a copy takes.
+const MIN_TIME_RATIO: f64 = 2.0;
+/// Time added to a run by the delivery of its start order and of its end report.
 const START_OVERHEAD: Duration = Duration::from_millis(300);
-/// One task of a step in this many may have a copy.
+/// Number of tasks of a step per task that may have a copy at the same time.
 const COPIES_ONE_IN: u32 = 10;
 
-/// A run that may be slow.
+/// A run that may be slow enough for a copy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// How long it has run so far.
+    /// Time since the start of the run.
     pub elapsed: Duration,
     /// Share of the work that was done at its start, in percent.
     pub initial_percent: u8,
     /// Share of the work that is done, in percent.
     pub percent: u8,
-    /// Share of the work that a copy would find saved, in percent.
+    /// Share of the work that is saved in a checkpoint and that a copy would skip, in percent.
     pub saved_percent: u8,
 }
 
@@ -48,16 +48,17 @@
     if run.elapsed < expected.mul_f64(MIN_RUN_RATIO) {
         return None;
     }
-    // Progress is rounded down to whole percents, so up to one more is assumed in the run's favour.
+    // Progress is rounded down to whole percents, so one more percent is assumed, in favour of the
+    // run.
     let gain = f64::from(run.percent.saturating_sub(run.initial_percent)) + 1.0;
     let left = f64::from(100_u8.saturating_sub(run.percent).max(1));
     let remaining = run.elapsed.mul_f64(left / gain);
     let copy_time = expected.mul_f64(f64::from(100_u8.saturating_sub(run.saved_percent)) / 100.0)
         + START_OVERHEAD;
-    (remaining >= copy_time.mul_f64(MIN_GAIN)).then_some(remaining)
+    (remaining >= copy_time.mul_f64(MIN_TIME_RATIO)).then_some(remaining)
 }
 
-/// Largest number of tasks of a step that may have a copy at the same time.
+/// Returns the maximum number of tasks of a step that may have a copy at the same time.
 pub fn max_copies(tasks: u32) -> u32 {
     (tasks / COPIES_ONE_IN).max(1)
 }
--- a/src/decide/crash.rs
+++ b/src/decide/crash.rs
@@ -12,12 +12,13 @@
 
 /// Number of crashes after which a task is not started again.
 pub const MAX_CRASHES: usize = 3;
-/// A run is not blamed as a new one if its worker has answered this long after the start.
+/// Time after the start of a run from which an answer of its worker shows that the start did not
+/// crash the worker.
 pub const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// Runs whose starts were sent within this time count as started together.
+/// Maximum time between the sending of two starts that count as sent together.
 const START_WINDOW: Duration = Duration::from_millis(100);
-/// How long no other task starts at a worker after the start of a task that was blamed for a crash
-/// before. A crash that is caused by a start happens within this time.
+/// Time for which no other task is started at a worker after the start of a task that has been
+/// blamed for a crash. A crash that is caused by a start happens within this time.
 pub const ISOLATION_TIME: Duration = Duration::from_millis(300);
 
 /// State of a run at a worker that has crashed.
@@ -25,11 +26,11 @@
 pub struct CrashedRun {
     /// Whether the worker had reported the run.
     pub reported: bool,
-    /// When its start was sent.
+    /// When the start of the run was sent.
     pub started_at: Time,
     /// Whether the worker has answered [`SETTLE_TIME`] or longer after the start.
     pub settled: bool,
-    /// Whether its task is a lasting one, without an expected end.
+    /// Whether the run belongs to a long-running task, which has no expected end.
     pub lasting: bool,
 }
 
@@ -38,8 +39,8 @@
 /// These are the runs that started last, with those whose starts were sent together with them. If
 /// the worker had not reported any new run, they are the first ones sent, because later ones may
 /// have reached a worker that was already down. If there is no new run at all, the only run is
-/// blamed, unless it is a lasting one. All runs that started together are blamed, because more than
-/// one may be a crashing task.
+/// blamed, unless its task is long-running. All runs that started together are blamed, because more
+/// than one may be a crashing task.
 pub fn blamed(all: &[CrashedRun]) -> Vec<usize> {
     let new = || all.iter().filter(|r| !r.settled);
     let last = new().filter(|r| r.reported).map(|r| r.started_at).max();
--- a/src/decide/eject.rs
+++ b/src/decide/eject.rs
@@ -20,18 +20,18 @@
     std::time::Duration,
 };
 
-/// Failures in a row after which an endpoint is ejected.
+/// Number of failures in a row after which an endpoint is ejected.
 const MAX_FAILURES: u32 = 5;
 /// Ratio of an endpoint's time to its peers' median above which it is ejected. The choice of
 /// endpoint handles smaller ratios by sending fewer requests; above this one, a slot there is worth
 /// almost nothing.
 const EJECT_RATIO: f64 = 8.0;
-/// One in this many endpoints may be ejected at the same time.
+/// Number of endpoints in the pool per endpoint that may be ejected at the same time.
 const EJECT_ONE_IN: usize = 3;
 /// Length of the first ejection.
 const FIRST_EJECTION: Duration = Duration::from_secs(5);
-/// Longest ejection, and the time in use after which earlier ejections of an endpoint no longer
-/// count.
+/// Maximum length of an ejection. Also the time without an ejection after which earlier ejections
+/// of an endpoint no longer count.
 const MAX_EJECTION: Duration = Duration::from_secs(300);
 
 /// The failing and the ejected endpoints of one pool.
@@ -45,11 +45,12 @@
 #[derive(Default)]
 struct Health {
     failures: u32,
-    /// End of its ejection, after which it is tried; `None` if it is not ejected.
+    /// End of the current ejection, after which the endpoint gets a trial request; `None` if it is
+    /// not ejected.
     until: Option<Time>,
-    /// Number of ejections that still count.
+    /// Number of recent ejections, which determines the length of the next one.
     ejections: u32,
-    /// When its last ejection ended.
+    /// When the last ejection of the endpoint ended.
     returned_at: Time,
 }
 
@@ -69,14 +70,14 @@
         self.health.remove(worker);
     }
 
-    /// Whether an endpoint with `busy` requests in flight may get another one. After an ejection it
-    /// first gets a single one.
+    /// Returns whether an endpoint with `busy` requests in flight may get another one. After an
+    /// ejection it may have one request in flight, as a trial.
     pub fn allows(&self, worker: &WorkerId, busy: u32, now: Time) -> bool {
         let until = self.health.get(worker).and_then(|h| h.until);
         until.is_none_or(|until| now >= until && busy == 0)
     }
 
-    /// Number of ejected endpoints, including those on trial.
+    /// Returns the number of ejected endpoints, including those on trial.
     pub fn ejected(&self) -> usize {
         self.health.values().filter(|h| h.until.is_some()).count()
     }
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -25,20 +25,23 @@
     std::time::Duration,
 };
 
-/// Ended tasks from which observed run times replace the declared one; two can both be unusual.
+/// Minimum number of finished tasks from which observed run times replace the declared one. Two
+/// tasks can both be unusual.
 const MIN_RUNS: u32 = 3;
 /// Weight of a new run time, as a divisor. As in TCP's round-trip estimate, which has the same
 /// purpose, it follows a change within some ten samples and tolerates a single outlier.
 const MEAN_DIVISOR: i64 = 8;
 /// Weight of a new deviation, as a divisor; also as in TCP.
 const DEVIATION_DIVISOR: i64 = 4;
-/// Mean deviations added to the average. Two are 1.6 standard deviations of a normal distribution,
-/// of which 5% lie above; of any distribution at most half lies above (Markov).
-const DEVIATIONS: i64 = 2;
-/// Margin added to the memory peak, as a divisor: reports lag and miss the true peak.
+/// Number of mean deviations added to the average run time. Two are 1.6 standard deviations of a
+/// normal distribution, of which 5% lie above; of any distribution at most half lies above
+/// (Markov).
+const DEVIATION_COUNT: i64 = 2;
+/// Divisor of the memory peak that gives the margin added to the peak: reports lag and miss the
+/// true peak.
 const HEADROOM_DIVISOR: u64 = 10;
-/// Addition to the memory of the next attempt of a task that exceeded its reservation, as a
-/// divisor.
+/// Divisor of a task's memory that gives the memory added for its next attempt after the task
+/// exceeded its reservation.
 const GROWTH_DIVISOR: u64 = 2;
 /// A higher use of processors raises their estimate by one part in `STEP_DIVISOR`; a lower use
 /// lowers it by one part in `QUANTILE_ODDS` of that step. The estimate is stable when one task in
@@ -52,7 +55,7 @@
     jobs: FxHashMap<JobId, History>,
 }
 
-/// What to do with a task after its last report of use.
+/// What to do with a task after a report of its resource use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Keep the reservation: the task is within its reserved memory.
@@ -101,7 +104,7 @@
     /// Returns the expected run time of a task of the job.
     pub fn run_time(&self, job: &JobId, declared: Duration) -> Duration {
         let Some(h) = self.jobs.get(job).filter(|h| h.ended >= MIN_RUNS) else { return declared };
-        Duration::from_micros(u64::try_from(h.mean + DEVIATIONS * h.deviation).unwrap_or(0))
+        Duration::from_micros(u64::try_from(h.mean + DEVIATION_COUNT * h.deviation).unwrap_or(0))
     }
 
     /// Decides what to do with a running task that uses `used` of its `reserved` size, on a worker
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Removes a job that the text no longer lists.
+    /// Removes the observations of a job that the job text no longer lists.
     pub fn forget(&mut self, job: &JobId) {
         self.jobs.remove(job);
     }
--- a/src/decide/evidence.rs
+++ b/src/decide/evidence.rs
@@ -14,18 +14,18 @@
     std::{mem, time::Duration},
 };
 
-/// Length of a generation. Ten minutes contain enough ended tasks to judge by, and a repaired
+/// Maximum age of a generation. Ten minutes contain enough ended tasks to judge by, and a repaired
 /// worker is judged by new evidence after twenty minutes at the latest.
 const GENERATION_AGE: Duration = Duration::from_secs(600);
-/// Cells (pairs of a job and a worker) per generation. Both generations take some 4 MB at most, 3%
-/// of the 128 MB that a member may use. At one ninth of 940 ends per second, each in a cell of its
-/// own, a generation lasts 2.6 minutes.
+/// Maximum number of cells (pairs of a job and a worker) per generation. Both generations take some
+/// 4 MB at most, 3% of the 128 MB that a member may use. At one ninth of 940 ends per second, each
+/// in a cell of its own, a generation lasts 2.6 minutes.
 const MAX_CELLS: usize = 16_384;
-/// Peers that must have ended tasks of a job before the job counts as evidence about a worker. With
-/// one or two, a single task with a bad input would stand for the whole job.
+/// Minimum number of other workers with ended tasks of a job for the job to count as evidence about
+/// a worker. With one or two, a single task with a bad input would stand for the whole job.
 const MIN_PEERS: f64 = 3.0;
 
-/// Results of the other workers on the same job.
+/// Ended attempts of the other workers on the same job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Peers {
     /// Number of other workers.
@@ -128,7 +128,7 @@
         Peers { count, rate }
     }
 
-    /// Evidence, in nats, that the worker fails more than its peers on the same jobs.
+    /// Returns the evidence, in nats, that the worker fails more than its peers on the same jobs.
     pub(super) fn against(&self, worker: &WorkerId) -> f64 {
         let (mut ended, mut failed, mut expected) = (0.0, 0.0, 0.0);
         for (counts, job) in self.jobs_of(worker) {
@@ -156,7 +156,8 @@
     }
 }
 
-/// Kullback-Leibler divergence of two Bernoulli distributions, in nats; `q` is inside (0, 1).
+/// Returns the Kullback-Leibler divergence of two Bernoulli distributions, in nats; `q` is inside
+/// (0, 1).
 fn divergence(p: f64, q: f64) -> f64 {
     let term = |a: f64, b: f64| if a == 0.0 { 0.0 } else { a * (a / b).ln() };
     term(p, q) + term(1.0 - p, 1.0 - q)
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -32,46 +32,48 @@
     },
 };
 
-/// Limit of waiting requests per slot. 32 typical runs take longer than most deadlines allow, so
-/// the deadline usually bounds the queue first, and this limit only if deadlines are far away.
+/// Maximum number of waiting requests per slot. 32 typical runs take longer than most deadlines
+/// allow, so the deadline usually bounds the queue first, and this limit only if deadlines are far
+/// away.
 const WAITING_PER_SLOT: usize = 32;
-/// Smallest limit of waiting requests, so that a member with one or two slots can still absorb a
-/// burst.
-const MIN_BOUND: usize = 64;
-/// A team may hold this many times the free places: four fifths of the queue if it is the only
-/// team.
-const TEAM_SHARE: usize = 4;
-/// One slot in this many is reserved for short work. A quarter is what short work needs if it is
-/// less than a quarter of the load, which is when long work can crowd it out.
+/// Minimum size of the limit on waiting requests, so that a member with one or two slots can still
+/// absorb a burst.
+const MIN_QUEUE_LIMIT: usize = 64;
+/// Ratio of the requests that a team may hold to the free places of the queue. A team that is alone
+/// can fill four fifths of the queue.
+const TEAM_SHARE_RATIO: usize = 4;
+/// Number of slots per slot that is reserved for short work. A quarter is what short work needs if
+/// it is less than a quarter of the load, which is when long work can crowd it out.
 const RESERVE_ONE_IN: u32 = 4;
-/// Slots stay reserved for this long after the last short request arrived, so that a service that
-/// gets only long work uses all its slots.
+/// Time after the last arrival of a short request for which slots stay reserved. Afterwards a
+/// service that gets only long work uses all its slots.
 const RESERVE_PERIOD: Duration = Duration::from_secs(10);
-/// Weight of one run in the mean overrun; about the last 32 runs count, those of a few callers.
+/// Weight of one run in the mean overrun; about the last 32 runs count, which usually come from a
+/// few callers.
 const OVERRUN_WEIGHT: f64 = 1.0 / 32.0;
-/// Callers without debt (a start tag beyond the virtual time) are removed once in this many
-/// arrivals.
+/// Number of arrivals between two removals of the callers without debt (a start tag beyond the
+/// virtual time).
 const SWEEP_ARRIVALS: u64 = 1 << 10;
 
 /// A request that waits or runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// The request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Who sent it.
+    /// The caller that sent the request.
     pub caller: CallerId,
     /// The caller's team.
     pub team: TeamId,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived_at: Time,
     /// When its response is due.
     pub deadline: Time,
-    /// Its expected run time, declared or estimated from history.
+    /// Expected run time of the request, declared or estimated from history.
     pub run_time: Duration,
 }
 
 impl Item {
-    /// Latest start at which the request is expected to end by its deadline.
+    /// Returns the latest start time at which the request is expected to end by its deadline.
     pub fn latest_start(&self) -> Time {
         self.deadline - self.run_time
     }
@@ -82,7 +84,7 @@
 pub struct Ahead {
     /// Total expected run time of the requests that are served first.
     pub work: Duration,
-    /// Slots that serve this work.
+    /// Number of slots that serve this work.
     pub slots: u32,
 }
 
@@ -136,17 +138,17 @@
         self.weights.insert(team, u64::from(weight).clamp(1, TAG_UNITS));
     }
 
-    /// Number of slots of the workers that the member owns.
+    /// Returns the number of slots of the workers that the member owns.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Number of waiting requests.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
@@ -161,17 +163,17 @@
         if item.latest_start() < now {
             return Err(Error::new(Kind::Late, "less time is left than it runs"));
         }
-        let bound = MIN_BOUND.max(WAITING_PER_SLOT * self.slots as usize);
+        let bound = MIN_QUEUE_LIMIT.max(WAITING_PER_SLOT * self.slots as usize);
         let Some(room) = bound.checked_sub(self.items.len()).filter(|&room| room > 0) else {
             return Err(Kind::QueueFull.into());
         };
-        // Looked up, not inserted, so that names of refused callers don't fill the memory.
+        // The caller is looked up but not inserted, so that refused callers take no memory.
         let team = self.teams.get(&item.team);
         let caller = team.and_then(|t| t.callers.get(&item.caller));
         if caller.is_some_and(|c| c.len() >= room) {
             return Err(Kind::OverShare.into());
         }
-        if team.is_some_and(|t| t.len >= room * TEAM_SHARE) {
+        if team.is_some_and(|t| t.len >= room * TEAM_SHARE_RATIO) {
             return Err(Error::new(Kind::OverShare, "its team has more than its share waiting"));
         }
         self.insert(item, now);
@@ -204,8 +206,8 @@
         self.items.insert(item.id, (seq, item));
     }
 
-    /// Removes the next request for a free slot. Returns `None` if nothing waits, or if only long
-    /// requests wait and no slot is open to them.
+    /// Removes the next request for a free slot. Returns `None` if no request is waiting, or
+    /// if only long requests are waiting and none of them may use a slot now.
     pub fn pop(&mut self, now: Time) -> Option<Item> {
         self.remove_expired(now);
         let lanes = self.open_lanes(now);
@@ -260,8 +262,8 @@
         if ran > item.run_time {
             self.charge(item, |tag, price, _| tag + price, cost(ran - item.run_time));
         } else {
-            // Not below the virtual time, because the charge may have been cleared since, by the
-            // sweep or when nothing waited.
+            // The tag stays at or above the virtual time, because the charge may have been cleared
+            // since, by `sweep` or while no request was waiting.
             let refund = |tag: u64, price, floor| tag.saturating_sub(price).max(tag.min(floor));
             self.charge(item, refund, cost(item.run_time - ran));
         }
@@ -279,7 +281,7 @@
         Ahead { work, slots: slots.max(1) }
     }
 
-    /// Number of slots that the waiting requests could use now if all were free.
+    /// Returns the number of slots that the waiting requests could use now if all were free.
     pub fn usable_slots(&self, now: Time) -> u32 {
         let short = self.teams.values().any(|t| !t.order[Lane::Short as usize].is_empty());
         if short { self.slots } else { self.slots_for_long(now) }
@@ -313,7 +315,7 @@
         if reserve { self.slots - (self.slots / RESERVE_ONE_IN).max(1) } else { self.slots }
     }
 
-    /// Lanes of which a request may start now.
+    /// Returns the lanes whose requests may start now.
     fn open_lanes(&self, now: Time) -> &'static [Lane] {
         if self.running_long < self.slots_for_long(now) { &LANES } else { &LANES[..1] }
     }
@@ -351,7 +353,7 @@
         Some(item)
     }
 
-    /// Clears all debts when nothing waits, because they delay nobody then.
+    /// Clears all debts if no request is waiting, because a debt then delays no other caller.
     fn reset_if_empty(&mut self) {
         if self.items.is_empty() {
             self.teams.clear();
--- a/src/decide/fit.rs
+++ b/src/decide/fit.rs
@@ -12,10 +12,11 @@
 
 use crate::{units::Size, work::Step};
 
-/// Room at a worker, from the view of a task of one step.
+/// Free resources of a worker, with the properties that decide whether a task of one step goes
+/// there.
 #[derive(Clone, Copy, Debug)]
 pub struct Room {
-    /// Index of the worker.
+    /// Index of the worker in the caller's list.
     pub index: usize,
     /// Free resources.
     pub free: Size,
@@ -23,31 +24,32 @@
     pub total: Size,
     /// Whether the worker is on the rack where the task runs fastest.
     pub near: bool,
-    /// Whether serving tasks with a latency target run there.
+    /// Whether serving tasks with a latency target run on the worker.
     pub serving: bool,
-    /// Number of fillers there.
+    /// Number of fillers on the worker.
     pub fillers: u32,
-    /// Number of tasks of the same step there.
+    /// Number of tasks of the same step on the worker.
     pub same_step: u32,
-    /// Most tasks that it may get now, whatever its room; one if the worker is on trial.
+    /// Maximum number of tasks that the worker may get now, whatever its room; one if it is on
+    /// trial.
     pub max_new: u32,
     /// Whether the worker is suspected of a fault.
     pub suspect: bool,
-    /// Number of waiting tasks of other steps that need this worker, in hundredths: a task that may
-    /// run on four workers counts a quarter at each.
+    /// Number of waiting tasks of other steps that need this worker, multiplied by 100: a task
+    /// that may run on four workers counts 25 at each.
     pub demand: u32,
 }
 
-/// Cost of a filler beside a serving task, in hundredths of a worker, like the other costs.
+/// Cost of placing a filler beside a serving task. Like the other costs, in percent of a worker.
 const INTERFERENCE_COST: u64 = 100_000;
-/// Cost of a suspected worker.
+/// Cost of a worker that is suspected of a fault.
 const SUSPECT_COST: u64 = 10_000;
-/// Cost of another rack than the fastest one.
+/// Cost of a worker outside the rack where the task runs fastest.
 const FAR_RACK_COST: u64 = 1_000;
 /// Cost per waiting task that needs the worker. A worker that only one step may use is worth more
 /// free than full.
 const DEMAND_COST: u64 = 60;
-/// Cost per filler that would lose its room.
+/// Cost per filler whose processors the task would take.
 const FILLER_COST: u64 = 20;
 
 /// Returns the index in `rooms` of the best room for a task of the step.
@@ -88,7 +90,7 @@
         + share(left.accels.0, room.total.accels.0)
 }
 
-/// Returns a part of a whole, in hundredths.
+/// Returns `part` as a percentage of `whole`.
 fn share(part: u64, whole: u64) -> u64 {
     (part * 100).checked_div(whole).unwrap_or(0)
 }
--- a/src/decide/flow.rs
+++ b/src/decide/flow.rs
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub(super) struct Team {
     pub(super) tag: u64,
-    /// Start tag of the caller served last.
+    /// Start tag of the caller that was served last.
     pub(super) virtual_time: u64,
     pub(super) len: usize,
     pub(super) work: [u64; 2],
@@ -89,8 +89,8 @@
     }
 }
 
-/// Returns how much of a flow's `work`, in `len` requests, is served until its tag has advanced by
-/// `lead`. Requests are served whole, so one more than fits is counted.
+/// Returns how much of a flow's `work`, in `len` requests, is served until its start tag has
+/// advanced by `lead`. The request that reaches the limit counts as a whole.
 pub(super) fn served(work: u64, len: usize, lead: u64) -> u64 {
     work.min(lead.saturating_add(work / (len.max(1) as u64)))
 }
--- a/src/decide/gang.rs
+++ b/src/decide/gang.rs
@@ -17,19 +17,21 @@
     std::{mem, time::Duration},
 };
 
-/// How long a claim holds its reservations while it collects the rest.
+/// Time for which a claim holds its reservations while it collects the remaining ones.
 ///
-/// Long compared with calls to some tens of owners, one after another, and short compared with the
-/// run time of other work that could use the room meanwhile.
+/// It is long compared with calls to some tens of owners, one after another, and short compared
+/// with the run time of other work that could use the room meanwhile.
 const CLAIM_HOLD: Duration = Duration::from_secs(5);
-/// Longest time that a start takes to reach an owner; no start is sent closer to the expiry.
+/// Maximum time that a start takes to reach an owner. No start is sent later than this before the
+/// reservations expire.
 const MAX_START_LATENCY: Duration = Duration::from_secs(1);
-/// First back-off: the time of a few calls, so that the competing claim has progressed.
+/// Length of the first back-off: the time of a few calls, so that the competing claim has
+/// progressed.
 const FIRST_BACK_OFF: Duration = Duration::from_millis(100);
-/// Longest back-off; short compared with the time in which room for a gang becomes free.
+/// Maximum back-off; short compared with the time in which room for a gang becomes free.
 const MAX_BACK_OFF: Duration = Duration::from_secs(10);
-/// Wait after which a gang's back-offs are halved; after twice this wait they are a third, and so
-/// on.
+/// Waiting time after which the back-offs of a gang are halved. After twice this time they are
+/// divided by three, and so on.
 const HALVING_WAIT: Duration = Duration::from_secs(30);
 
 /// What the caller must do next.
@@ -138,8 +140,9 @@
         Action::Release(mem::take(&mut self.racks), retry_at)
     }
 
-    /// Doubles with each round, shrinks with the gang's wait, and is drawn from its upper half so
-    /// that two gangs that were refused together don't retry together.
+    /// Returns the back-off, which doubles with each round and shrinks with the gang's waiting
+    /// time. It is drawn at random from the upper half of the range, so that two gangs that were
+    /// refused together don't retry together.
     fn back_off(&self, now: Time, rng: &mut fastrand::Rng) -> Duration {
         let base = FIRST_BACK_OFF.saturating_mul(1 << self.round.min(10)).min(MAX_BACK_OFF);
         let age = 1.0 + now.since(self.waiting_since).as_secs_f64() / HALVING_WAIT.as_secs_f64();
--- a/src/decide/gather.rs
+++ b/src/decide/gather.rs
@@ -24,43 +24,44 @@
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// At most one part in this many of a pool is kept for gangs that can still be in time.
+/// Divisor of a pool's size that gives the maximum part kept for gangs that can still be in time.
 pub const KEPT_ONE_IN: u64 = 3;
-/// At most one part in this many of a busy pool is kept for late gangs.
+/// Divisor of a busy pool's size that gives the maximum part kept for late gangs.
 pub const KEPT_LATE_ONE_IN: u64 = 10;
-/// More workers are asked about while the known ones, if they were empty, could hold the gang fewer
-/// than this many times.
+/// Minimum ratio of the tasks that the known workers could hold if empty to the tasks of the gang.
+/// Below it advice is requested about more workers.
 pub const MIN_CHOICE: u64 = 2;
-/// Room is kept for any gang whose room is complete within this time: that of a stop and a call.
+/// Maximum time until a gang's room is complete for which room is always kept for it. This is the
+/// time of a stop and an advice call.
 pub const NEAR_WITHIN: Duration = Duration::from_millis(2000);
-/// Number of gangs for which room is kept that is complete later. The gangs behind them start
-/// wherever they find room meanwhile.
+/// Maximum number of gangs for which room is kept although it is complete only after
+/// [`NEAR_WITHIN`]. Later gangs start on any workers that have room meanwhile.
 pub const MAX_FAR_GANGS: usize = 4;
-/// How long workers are kept for a gang that does not start.
+/// Maximum time for which workers are kept for a gang that does not start.
 pub const MAX_KEEP: Duration = Duration::from_secs(4);
-/// For how many tasks workers are asked about, in percent of the gang's missing tasks.
+/// Number of tasks for which advice is requested, in percent of the gang's tasks without a worker.
 const ASKED_PERCENT: u64 = 150;
 /// Assumed share of workers that may run a step, in percent, before any answer, and the number of
 /// answers that this assumption counts as.
-const PRIOR: (u64, u64) = (40, 50);
-/// Least and most workers that one of several calls names.
-const CALL_SIZE: (u64, u64) = (10, 100);
+const PRIOR_SHARE: (u64, u64) = (40, 50);
+/// Minimum and maximum number of workers that each of several parallel calls names.
+const CALL_SIZE_RANGE: (u64, u64) = (10, 100);
 
-/// Additional room at a worker from a given time on.
+/// Additional room that becomes available at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer<W> {
     /// The worker.
     pub worker: W,
     /// When the room becomes available.
     pub available_at: Time,
-    /// How many more members the worker has room for than before.
+    /// Number of additional members that the worker has room for from that time.
     pub slots: u32,
 }
 
 /// The workers of a gang, and when all of them have room.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement<W> {
-    /// Number of members per worker.
+    /// The chosen workers, each with its number of members.
     pub per_worker: Vec<(W, u32)>,
     /// When there is room for all members.
     pub available_at: Time,
@@ -101,8 +102,8 @@
     None
 }
 
-/// Statistics of the advice for a queue: how many workers were named in calls, and how many were
-/// good.
+/// Statistics of the advice for a queue: how many workers the calls named, and how many of them
+/// may run the step.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AdviceShare {
     total: u64,
@@ -116,14 +117,14 @@
         self.good += good as u64;
     }
 
-    /// The share of workers that may run a step, in percent; at least 1.
+    /// Returns the share of workers that may run a step, in percent; at least 1.
     fn percent(&self) -> u64 {
-        let (percent, weight) = PRIOR;
+        let (percent, weight) = PRIOR_SHARE;
         ((self.good * 100 + percent * weight) / (self.total + weight)).max(1)
     }
 
-    /// Returns how many of the workers to ask about so that `missing` members find room. `slots`
-    /// has the number of members that each worker has room for.
+    /// Returns the number of workers to request advice about so that `missing` members find room.
+    /// `slots` has the number of members that each worker has room for.
     pub fn workers_to_ask(&self, slots: impl Iterator<Item = u32>, missing: u32) -> usize {
         let wanted = u64::from(missing) * ASKED_PERCENT / self.percent();
         let mut found = 0;
@@ -140,5 +141,5 @@
 /// as long again as its base time.
 pub fn chunk(base: Duration, each: Duration) -> usize {
     let half = base.as_micros() / (2 * each.as_micros()).max(1);
-    u64::try_from(half).unwrap_or(u64::MAX).clamp(CALL_SIZE.0, CALL_SIZE.1) as usize
+    u64::try_from(half).unwrap_or(u64::MAX).clamp(CALL_SIZE_RANGE.0, CALL_SIZE_RANGE.1) as usize
 }
--- a/src/decide/lanes.rs
+++ b/src/decide/lanes.rs
@@ -35,21 +35,22 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// Calls that take longer than this are long.
+/// Duration above which a call is long.
 pub const LONG_CALL: Duration = Duration::from_millis(100);
-/// Least number of lanes that are reserved for short calls.
+/// Minimum number of lanes that are reserved for short calls.
 const MIN_SHORT_LANES: usize = 2;
-/// One in this many lanes is reserved for short calls if that is more.
+/// Number of lanes per lane that is reserved for short calls, if that gives more than
+/// `MIN_SHORT_LANES`.
 const SHORT_LANE_ONE_IN: usize = 8;
-/// Number of calls that one lane holds.
+/// Maximum number of unanswered calls on one lane.
 const LANE_DEPTH: usize = 2;
 /// Length of a lane's first suspension.
 const FIRST_SUSPENSION: Duration = Duration::from_secs(1);
-/// Length of its longest suspension.
+/// Maximum length of a lane's suspension.
 const MAX_SUSPENSION: Duration = Duration::from_secs(8);
 /// Half-life of the measured lateness of a lane.
 const LATENESS_HALF_LIFE: Duration = Duration::from_secs(1);
-/// How long beyond its expected time a call is waited for.
+/// Time after the expected end of a call at which the call is given up.
 pub const CALL_SLACK: Duration = Duration::from_millis(1500);
 /// Pause after a rejected call, if the member that would be chosen has rejected one recently.
 const REJECTION_PAUSE: Duration = Duration::from_millis(150);
@@ -59,14 +60,14 @@
 pub struct Peers {
     /// Members that no other caller uses.
     pub own: Vec<Incarnation>,
-    /// Members that other callers use too; for long calls.
+    /// Members that other callers use too. They get only long calls.
     pub shared: Vec<Incarnation>,
 }
 
 /// The members that can make calls, and the calls of each.
 #[derive(Clone, Debug, Default)]
 pub struct Lanes {
-    /// Members that no other caller uses come first.
+    /// One lane per member; members that no other caller uses come first.
     lanes: Vec<Lane>,
     /// Number of members that no other caller uses.
     own_count: usize,
@@ -77,17 +78,17 @@
     member: Incarnation,
     /// Calls without an answer yet, in order.
     calls: VecDeque<Call>,
-    /// When the service began with the first of them.
+    /// When the service began to work on the first call in `calls`.
     started_at: Time,
     /// How much longer than expected recent calls took.
     lateness: Duration,
     /// When `lateness` was last updated.
     lateness_at: Time,
-    /// Lost calls since the last answer.
+    /// Number of lost calls since the last answer.
     lost_count: u32,
-    /// When the last of them was given up.
+    /// When the last lost call was given up.
     last_lost: Time,
-    /// When it last rejected a call because of other callers' calls.
+    /// When the member last rejected a call because of other callers' calls.
     rejected_at: Option<Time>,
 }
 
@@ -144,8 +145,8 @@
         Some((lane.member, end))
     }
 
-    /// Records that the call which a member got at `sent` was answered, or that no answer is
-    /// expected any more.
+    /// Records that the call sent to a member at `sent` was answered or, if not `answered`, given
+    /// up.
     pub fn done(&mut self, via: Incarnation, sent: Time, answered: bool, now: Time) {
         let Some(lane) = self.lanes.iter_mut().find(|l| l.member == via) else { return };
         let Some(at) = lane.calls.iter().position(|c| c.sent == sent) else { return };
@@ -157,7 +158,7 @@
         if at == 0 {
             lane.started_at = now;
         }
-        // Calls that were in flight at the same time are lost together, and count once.
+        // Calls that are lost while in flight at the same time count as one loss.
         if sent < lane.last_lost {
             return;
         }
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Records that a member rejected the call which it got at `sent`, because it has too many
+    /// Records that a member rejected the call sent to it at `sent`, because it has too many
     /// calls of other callers.
     pub fn rejected(&mut self, via: Incarnation, sent: Time, now: Time) {
         let Some(lane) = self.lanes.iter_mut().find(|l| l.member == via) else { return };
@@ -181,22 +182,22 @@
         lane.rejected_at = Some(now);
     }
 
-    /// Number of unanswered calls at a member.
+    /// Returns the number of unanswered calls at a member.
     pub fn calls_at(&self, member: Incarnation) -> usize {
         self.lanes.iter().find(|l| l.member == member).map_or(0, |l| l.calls.len())
     }
 
-    /// Number of members.
+    /// Returns the number of members.
     pub fn len(&self) -> usize {
         self.lanes.len()
     }
 
-    /// Whether there are no members.
+    /// Returns whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.lanes.is_empty()
     }
 
-    /// Number of members without a call.
+    /// Returns the number of members without a call.
     pub fn idle_count(&self) -> usize {
         self.lanes.iter().filter(|l| l.calls.is_empty()).count()
     }
@@ -208,12 +209,12 @@
         usable.filter(|l| l.calls.is_empty()).count() > reserved + 1
     }
 
-    /// Total number of unanswered calls.
+    /// Returns the total number of unanswered calls.
     pub fn total_calls(&self) -> usize {
         self.lanes.iter().map(|l| l.calls.len()).sum()
     }
 
-    /// Returns the lane, full ones included, on which a call would end first, and that end.
+    /// Returns the lane, which may be full, on which a call would end first, and the end time.
     fn best(&self, cost: Duration, now: Time) -> Option<(usize, Time)> {
         let usable = self.lanes.iter().filter(|l| !l.suspended(now));
         let every_suspended = usable.clone().next().is_none();
@@ -264,8 +265,8 @@
                 < self.last_lost + FIRST_SUSPENSION.saturating_mul(1 << times).min(MAX_SUSPENSION)
     }
 
-    /// Returns when the calls of the lane will have ended. A call that is overdue is expected to
-    /// last for as long again as it is overdue.
+    /// Returns when the calls of the lane will have ended. A call that is overdue by some
+    /// time is expected to take that much longer.
     fn free_at(&self, now: Time) -> Time {
         let others = self.rejected_at.map_or(now, |at| now.max(at + CALL_SLACK));
         let mut calls = self.calls.iter();
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -40,21 +40,22 @@
     },
 };
 
-/// One start in this many goes by age alone. An eighth takes little from the fair shares. At 940
-/// starts per second, each of 310 overdue teams still has a start within three seconds.
+/// Number of starts per start that goes to a team by age alone. An eighth takes little from the
+/// fair shares. At 940 starts per second, each of 310 overdue teams still has a start within three
+/// seconds.
 const AGED_ONE_IN: u32 = 8;
-/// Most jobs of a team that are tried against its quota before the team waits for the next tick. A
+/// Maximum number of jobs of a team that are tried against its quota per tick. A
 /// job that may not borrow must not keep those behind it from borrowing, but the search must be
 /// bounded.
 const MAX_TRIED_JOBS: usize = 8;
-/// Most parked jobs that are queued again per tick. They are tried in their order, so more would
-/// only repeat the search on workers that are still full.
+/// Maximum number of parked jobs that are queued again per tick. They are tried in order, so a
+/// higher number would only repeat the search on workers that are still full.
 const MAX_WOKEN_JOBS: usize = 64;
 
 /// The next task, and the grant of its team's quota.
 #[derive(Clone, Debug)]
 pub struct Pick {
-    /// The task with its team and size.
+    /// Quota request for the task, with its team and size.
     pub ask: QuotaRequest,
     /// Whether the quota is the team's own or borrowed.
     pub grant: Grant,
@@ -78,10 +79,10 @@
 #[derive(Debug, Default)]
 struct Queue {
     jobs: BTreeSet<Key>,
-    /// Its keys in `by_rank` and `by_age`, while it has jobs to try.
+    /// Keys of the team in `by_rank` and `by_age`, while it has jobs to try.
     listing: Option<(Rank, Time)>,
     blocked: bool,
-    /// When one of its tasks last started.
+    /// When a task of the team last started.
     last_start: Time,
 }
 
@@ -96,8 +97,8 @@
         self.update_job(now, &id, quotas);
     }
 
-    /// Queues a task again that failed or was preempted, after [`Quotas::record_end`]. The arrival time
-    /// of its job stays.
+    /// Queues a task again that failed or was preempted, after [`Quotas::record_end`]. The arrival
+    /// time of its job stays.
     pub fn requeue(&mut self, now: Time, task: &TaskId, quotas: &mut Quotas) {
         let Some(e) = self.jobs.get_mut(&task.job) else { return };
         if e.waiting.insert(task.index) {
@@ -106,8 +107,8 @@
         self.update_job(now, &task.job, quotas);
     }
 
-    /// Removes a task from the waiting ones that a previous owner has started, or whose end it
-    /// recorded.
+    /// Removes a task that a previous owner has started, or whose end that owner has recorded, from
+    /// the waiting tasks.
     pub fn adopt(&mut self, now: Time, task: &TaskId, ended: bool, quotas: &mut Quotas) {
         let Some(e) = self.jobs.get_mut(&task.job) else { return };
         if !e.waiting.remove(&task.index) {
@@ -128,7 +129,7 @@
         self.update_job(now, &task.job, quotas);
     }
 
-    /// Returns the waiting tasks of a job as asks, for a gang, whose tasks start together.
+    /// Returns the quota requests of a job's waiting tasks, for a gang, whose tasks start together.
     pub fn asks(&self, job: &JobId) -> Vec<QuotaRequest> {
         let Some(e) = self.jobs.get(job) else { return Vec::new() };
         e.waiting.iter().map(|index| e.request_for(*index)).collect()
@@ -144,8 +145,8 @@
         self.update_team(&e.job.team, quotas);
     }
 
-    /// Records the end of a task, after [`Quotas::record_end`]. Its job has less work left, so the job's
-    /// latest start becomes later.
+    /// Records the end of a task, after [`Quotas::record_end`]. Its job has less work left, so the
+    /// job's latest start becomes later.
     pub fn ended(&mut self, now: Time, task: &TaskId, quotas: &mut Quotas) {
         let Some(e) = self.jobs.get_mut(&task.job) else { return };
         e.left = e.left.saturating_sub(1);
@@ -206,7 +207,8 @@
         self.update_job(now, job, quotas);
     }
 
-    /// Queues teams again that had no quota left and jobs that found no room; called once per tick.
+    /// Queues the teams again that had no quota left, and the jobs for which no worker had room.
+    /// Called once per tick.
     pub fn wake(&mut self, now: Time, quotas: &Quotas) {
         for team in std::mem::take(&mut self.blocked) {
             if let Some(queue) = self.teams.get_mut(&team) {
@@ -229,13 +231,13 @@
         teams.iter().for_each(|team| self.update_team(team, quotas));
     }
 
-    /// Number of waiting tasks. Counts over all jobs, so it is for reports, not for each start.
+    /// Returns the number of waiting tasks. It adds up all jobs, so it is for reports only.
     pub fn waiting_count(&self) -> usize {
         self.jobs.values().map(|e| e.waiting.len()).sum()
     }
 
-    /// Whether the job's key has changed with time alone, because its deadline can no longer be
-    /// met.
+    /// Returns whether the job's key has changed with time alone, because its deadline can no
+    /// longer be met.
     fn key_changed(&self, now: Time, job: &JobId) -> bool {
         self.jobs.get(job).is_some_and(|e| e.key != e.key(now))
     }
@@ -249,8 +251,8 @@
     }
 
     /// Returns the team's first job that its quota allows. After one is refused, the jobs behind it
-    /// may only borrow: small tasks that took the team's own quota as it is freed would starve a
-    /// large one for ever.
+    /// may only borrow: if small tasks took the team's own quota whenever a part is freed, a
+    /// large task would never start.
     fn try_team(&self, team: &TeamId, quotas: &Quotas) -> Option<Pick> {
         let queue = self.teams.get(team)?;
         let mut refused = false;
--- a/src/decide/pace.rs
+++ b/src/decide/pace.rs
@@ -18,19 +18,21 @@
 
 use {crate::Time, std::time::Duration};
 
-/// Ratio of tail latency to target at which the speed is halved.
+/// Minimum ratio of tail latency to target at which the speed of fillers is halved.
 const HALVE_RATIO: f64 = 0.8;
-/// Ratio of tail latency to target below which the speed rises.
-const RISE_RATIO: f64 = 0.6;
-/// Ratio assumed for a serving task without a measurement; the speed then stays.
+/// Maximum ratio of tail latency to target at which the speed of fillers rises.
+const MAX_RISE_RATIO: f64 = 0.6;
+/// Ratio of tail latency to target that is assumed for a serving task without a measurement. It
+/// leaves the speed unchanged.
 pub const UNKNOWN_RATIO: f64 = 0.7;
-/// How long the tail must be low before the speed rises, and how long a halving takes to show.
+/// Time for which the tail latency must be low before the speed rises. Also the time until
+/// measurements show the effect of a halving.
 const FEEDBACK_DELAY: Duration = Duration::from_secs(1);
 /// Rise of the speed, in percentage points per second.
 const RISE_PER_S: f64 = 10.0;
-/// Longest time for which one update raises the speed; over a longer one there were no
-/// measurements.
-const MAX_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum time since the last update that counts towards a rise of the speed. In a longer time
+/// measurements were missing.
+const MAX_RISE_INTERVAL: Duration = Duration::from_secs(2);
 /// Speed of fillers, in percent, when a task begins to serve.
 const INITIAL_PERCENT: f64 = 50.0;
 /// Full speed, in percent.
@@ -44,11 +46,11 @@
 pub struct Pace {
     /// Current speed in percent; orders are rounded down to whole `PERCENT_STEP`s.
     percent: f64,
-    /// Whether any task serves.
+    /// Whether a serving task runs on the worker.
     serving: bool,
     /// Time of the last update.
     last_update: Time,
-    /// Since when the tail has been low; `None` if it is not.
+    /// Since when the tail latency has been low; `None` while it is not low.
     low_since: Option<Time>,
     /// When the speed was last halved.
     halved_at: Option<Time>,
@@ -74,9 +76,10 @@
 
     /// Updates the speed by a new measurement, and returns the speed of each filler in percent.
     /// `worst` is the highest ratio of tail latency to target among the serving tasks of the
-    /// worker. It is `None` if no task serves, and [`UNKNOWN_RATIO`] if there is no measurement yet.
+    /// worker. It is `None` if no serving task runs there, and [`UNKNOWN_RATIO`] if there is no
+    /// measurement yet.
     pub fn update(&mut self, worst: Option<f64>, now: Time) -> u8 {
-        let passed = now.since(self.last_update).min(MAX_INTERVAL);
+        let passed = now.since(self.last_update).min(MAX_RISE_INTERVAL);
         self.last_update = now;
         let Some(worst) = worst else {
             *self = Pace { last_update: now, ..Pace::new() };
@@ -86,7 +89,7 @@
             self.serving = true;
             self.percent = INITIAL_PERCENT;
         }
-        if worst >= RISE_RATIO {
+        if worst >= MAX_RISE_RATIO {
             self.low_since = None;
         }
         if worst > 1.0 {
@@ -94,7 +97,7 @@
             self.halved_at = Some(now);
         } else if worst >= HALVE_RATIO {
             self.halve(now);
-        } else if worst < RISE_RATIO {
+        } else if worst < MAX_RISE_RATIO {
             self.rise(passed, now);
         }
         self.ordered_percent()
