--- a/src/decide/admit.rs
+++ b/src/decide/admit.rs
@@ -32,10 +32,10 @@
 
 /// Maximum expected wait of a request, as a fraction of its spare time. The remaining quarter
 /// covers estimates that are wrong by a third.
-const WAIT_SHARE: f64 = 0.75;
+const MAX_WAIT_SHARE: f64 = 0.75;
 /// Maximum expected wait of a request under overload, as a fraction of its spare time. Longer waits
 /// would serve no more requests; a quarter keeps the slots busy when arrivals vary.
-const OVERLOAD_WAIT_SHARE: f64 = 0.25;
+const MAX_OVERLOAD_WAIT_SHARE: f64 = 0.25;
 /// The queue counts as overloaded after it has not been empty for this long. This is several
 /// typical runs (50 ms), so that one clump of arrivals is not overload. The waits themselves don't
 /// show overload, because the fair order keeps some of them short.
@@ -49,7 +49,7 @@
 /// the drain rate is lowered, because endpoints may have stalled. A gap that long occurs by chance
 /// once in 3,000.
 const STALL_GAP_RATIO: f64 = 8.0;
-/// Maximum retry delay: a caller that is request to wait longer uses another service instead.
+/// Maximum retry delay: a caller that is asked to wait longer uses another service instead.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(30);
 /// Maximum random extension of a retry delay, as a fraction of the delay, so that callers refused
 /// at the same moment don't retry at the same moment. Delays are never shortened, because an early
@@ -109,7 +109,7 @@
         }
         let ahead = queue.ahead(&item, now);
         let wait = self.drain_time(ahead.work, ahead.slots, now);
-        let share = if self.overloaded(now) { OVERLOAD_WAIT_SHARE } else { WAIT_SHARE };
+        let share = if self.overloaded(now) { MAX_OVERLOAD_WAIT_SHARE } else { MAX_WAIT_SHARE };
         let spare = item.latest_start() - now;
         if !wait.is_zero() && wait > spare.mul_f64(share) {
             let detail = format!("would wait {} ms", wait.as_millis());
--- a/src/decide/ahead.rs
+++ b/src/decide/ahead.rs
@@ -22,14 +22,15 @@
 };
 
 /// Maximum number of waiting steps per worker for which tickets are requested in advance.
-const STEPS_PER_WORKER: u32 = 3;
+const MAX_STEPS_PER_WORKER: u32 = 3;
 /// Maximum error of the expected end time of a run.
-const END_ERROR: Duration = Duration::from_millis(800);
+const MAX_END_ERROR: Duration = Duration::from_millis(800);
 /// Time added to the expected duration of a call, for the round trip and a short call before it.
 const CALL_OVERHEAD: Duration = Duration::from_millis(150);
 /// Maximum number of members that are kept free of calls made in advance.
-const SPARE_MEMBERS: usize = 2;
-/// Number of members per member that is kept free of calls made in advance.
+const MAX_SPARE_MEMBERS: usize = 2;
+/// Divisor of the number of members that gives the number kept free of calls made in advance, up to
+/// `MAX_SPARE_MEMBERS`.
 const MEMBERS_PER_SPARE: usize = 4;
 /// Minimum progress since the start, in percentage points, at which the end of a run is predicted
 /// from its speed.
@@ -76,18 +77,18 @@
 
 impl<W: Hash + Eq> Backlog<W> {
     /// Counts the next step that waits for a worker, and returns whether it is among the first
-    /// `STEPS_PER_WORKER`.
+    /// `MAX_STEPS_PER_WORKER`.
     pub fn add(&mut self, worker: W) -> bool {
         let steps = self.steps.entry(worker).or_default();
         *steps += 1;
-        *steps <= STEPS_PER_WORKER
+        *steps <= MAX_STEPS_PER_WORKER
     }
 }
 
 /// Returns the latest time at which resources may be expected to become free for an advice call of
 /// duration `call_time` to be made now.
 pub fn horizon(call_time: Duration, now: Time) -> Time {
-    now + call_time + CALL_OVERHEAD + END_ERROR
+    now + call_time + CALL_OVERHEAD + MAX_END_ERROR
 }
 
 /// Returns whether a ticket that is valid until `until` expires before a new one could arrive.
@@ -97,5 +98,5 @@
 
 /// Returns whether a call may be made in advance if `idle` of `members` members have no call.
 pub fn may_call_ahead(idle: usize, members: usize) -> bool {
-    idle > SPARE_MEMBERS.min(members / MEMBERS_PER_SPARE)
+    idle > MAX_SPARE_MEMBERS.min(members / MEMBERS_PER_SPARE)
 }
--- a/src/decide/cancel.rs
+++ b/src/decide/cancel.rs
@@ -31,7 +31,7 @@
 /// wave over all 21,000 running tasks is sent in 3.3 s, and each tick's share takes some tens of
 /// microseconds of the decision loop.
 const STOPS_PER_TICK: usize = 64;
-/// Time after which an unconfirmed stop is sent again. Confirmations usually arrive earlier, so a
+/// Time after which an unconfirmed stop is sent again. It is longer than the delay of reports, so a
 /// stop that reached its worker is rarely repeated.
 const RESEND_AFTER: Duration = Duration::from_secs(2);
 
@@ -59,14 +59,14 @@
 
 #[derive(Debug, Default)]
 struct Job {
-    whole: bool,
-    marked: FxHashSet<TaskIndex>,
+    all_cancelled: bool,
+    cancelled_tasks: FxHashSet<TaskIndex>,
     running: BTreeSet<TaskIndex>,
 }
 
 impl Job {
     fn idle(&self) -> bool {
-        !self.whole && self.marked.is_empty() && self.running.is_empty()
+        !self.all_cancelled && self.cancelled_tasks.is_empty() && self.running.is_empty()
     }
 }
 
@@ -74,7 +74,7 @@
     /// Cancels one task, in O(1).
     pub fn cancel_task(&mut self, task: &TaskId) {
         let job = self.jobs.entry(task.job.clone()).or_default();
-        if !job.whole && job.marked.insert(task.index) {
+        if !job.all_cancelled && job.cancelled_tasks.insert(task.index) {
             self.unsent.push_back(Unsent::Task(task.clone()));
         }
     }
@@ -82,8 +82,8 @@
     /// Cancels a whole job, in O(1) however many tasks it has.
     pub fn cancel_job(&mut self, job: &JobId) {
         let entry = self.jobs.entry(job.clone()).or_default();
-        if !entry.whole {
-            entry.whole = true;
+        if !entry.all_cancelled {
+            entry.all_cancelled = true;
             self.unsent.push_back(Unsent::Job(job.clone(), TaskIndex(0)));
         }
     }
@@ -92,7 +92,7 @@
     /// this.
     pub fn try_start(&mut self, task: &TaskId) -> bool {
         let job = self.jobs.entry(task.job.clone()).or_default();
-        if job.whole || job.marked.contains(&task.index) {
+        if job.all_cancelled || job.cancelled_tasks.contains(&task.index) {
             return false;
         }
         job.running.insert(task.index);
@@ -102,7 +102,7 @@
     /// Returns whether the task or its job is cancelled.
     pub fn cancelled(&self, task: &TaskId) -> bool {
         let job = self.jobs.get(&task.job);
-        job.is_some_and(|j| j.whole || j.marked.contains(&task.index))
+        job.is_some_and(|j| j.all_cancelled || j.cancelled_tasks.contains(&task.index))
     }
 
     /// Records that the task no longer runs, by its own end or by a confirmed stop.
@@ -118,7 +118,7 @@
     /// run.
     pub fn relist(&mut self, job: &JobId) -> Result<(), Busy> {
         let Some(entry) = self.jobs.get(job) else { return Ok(()) };
-        let cancelled = entry.whole || !entry.marked.is_empty();
+        let cancelled = entry.all_cancelled || !entry.cancelled_tasks.is_empty();
         if cancelled && !entry.running.is_empty() {
             return Err(Busy(entry.running.len()));
         }
--- a/src/decide/copies.rs
+++ b/src/decide/copies.rs
@@ -26,8 +26,8 @@
 const MIN_TIME_RATIO: f64 = 2.0;
 /// Time added to a run by the delivery of its start order and of its end report.
 const START_OVERHEAD: Duration = Duration::from_millis(300);
-/// Number of tasks of a step per task that may have a copy at the same time.
-const COPIES_ONE_IN: u32 = 10;
+/// Divisor of a step's number of tasks that gives the maximum number of copies at the same time.
+const COPIES_DIVISOR: u32 = 10;
 
 /// A run that may be slow enough for a copy.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -60,5 +60,5 @@
 
 /// Returns the maximum number of tasks of a step that may have a copy at the same time.
 pub fn max_copies(tasks: u32) -> u32 {
-    (tasks / COPIES_ONE_IN).max(1)
+    (tasks / COPIES_DIVISOR).max(1)
 }
--- a/src/decide/eject.rs
+++ b/src/decide/eject.rs
@@ -26,8 +26,8 @@
 /// endpoint handles smaller ratios by sending fewer requests; above this one, a slot there is worth
 /// almost nothing.
 const EJECT_RATIO: f64 = 8.0;
-/// Number of endpoints in the pool per endpoint that may be ejected at the same time.
-const EJECT_ONE_IN: usize = 3;
+/// Divisor of the pool's size that gives the maximum number of endpoints ejected at the same time.
+const EJECT_DIVISOR: usize = 3;
 /// Length of the first ejection.
 const FIRST_EJECTION: Duration = Duration::from_secs(5);
 /// Maximum length of an ejection. Also the time without an ejection after which earlier ejections
@@ -47,7 +47,7 @@
     failures: u32,
     /// End of the current ejection, after which the endpoint gets a trial request; `None` if it is
     /// not ejected.
-    until: Option<Time>,
+    ejected_until: Option<Time>,
     /// Number of recent ejections, which determines the length of the next one.
     ejections: u32,
     /// When the last ejection of the endpoint ended.
@@ -73,20 +73,20 @@
     /// Returns whether an endpoint with `busy` requests in flight may get another one. After an
     /// ejection it may have one request in flight, as a trial.
     pub fn allows(&self, worker: &WorkerId, busy: u32, now: Time) -> bool {
-        let until = self.health.get(worker).and_then(|h| h.until);
+        let until = self.health.get(worker).and_then(|h| h.ejected_until);
         until.is_none_or(|until| now >= until && busy == 0)
     }
 
     /// Returns the number of ejected endpoints, including those on trial.
     pub fn ejected(&self) -> usize {
-        self.health.values().filter(|h| h.until.is_some()).count()
+        self.health.values().filter(|h| h.ejected_until.is_some()).count()
     }
 
     /// Records a failure or timeout of an endpoint. Returns whether this ejects the endpoint.
     pub fn failed(&mut self, worker: &WorkerId, now: Time) -> bool {
         let health = self.health.entry(worker.clone()).or_default();
         health.failures = health.failures.saturating_add(1);
-        match health.until {
+        match health.ejected_until {
             Some(until) if now >= until => {
                 health.eject(now);
                 true
@@ -100,7 +100,7 @@
     /// median. Returns whether this ends its ejection; the endpoint must then start slowly.
     pub fn answered(&mut self, worker: &WorkerId, slowness: f64, now: Time) -> bool {
         if slowness > EJECT_RATIO {
-            match self.health.get(worker).and_then(|h| h.until) {
+            match self.health.get(worker).and_then(|h| h.ejected_until) {
                 None => _ = self.eject(worker, now),
                 Some(until) if now >= until => _ = self.failed(worker, now),
                 Some(_) => {}
@@ -109,11 +109,11 @@
         }
         let Some(health) = self.health.get_mut(worker) else { return false };
         // An answer to a request sent before the ejection says nothing about the endpoint now.
-        if health.until.is_some_and(|until| now < until) {
+        if health.ejected_until.is_some_and(|until| now < until) {
             return false;
         }
         health.failures = 0;
-        let ends = health.until.take().is_some();
+        let ends = health.ejected_until.take().is_some();
         if ends {
             health.returned_at = now;
         }
@@ -121,7 +121,7 @@
     }
 
     fn eject(&mut self, worker: &WorkerId, now: Time) -> bool {
-        if (self.ejected() + 1) * EJECT_ONE_IN > self.size {
+        if (self.ejected() + 1) * EJECT_DIVISOR > self.size {
             return false;
         }
         let health = self.health.entry(worker.clone()).or_default();
@@ -137,6 +137,6 @@
     fn eject(&mut self, now: Time) {
         let length = FIRST_EJECTION * 2u32.saturating_pow(self.ejections.min(10));
         self.ejections += 1;
-        self.until = Some(now + length.min(MAX_EJECTION));
+        self.ejected_until = Some(now + length.min(MAX_EJECTION));
     }
 }
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -68,12 +68,12 @@
 
 #[derive(Debug, Default)]
 struct History {
-    ended: u32,
-    /// Mean run time in microseconds, like `deviation`.
-    mean: i64,
-    deviation: i64,
+    run_count: u32,
+    /// Mean run time in microseconds, like `deviation_us`.
+    mean_us: i64,
+    deviation_us: i64,
     cores: Cores,
-    peak: Memory,
+    peak_memory: Memory,
 }
 
 impl Estimates {
@@ -81,30 +81,34 @@
     pub fn ended(&mut self, job: &JobId, run: Duration, used: Size) {
         let h = self.jobs.entry(job.clone()).or_default();
         let run = i64::try_from(run.as_micros()).unwrap_or(i64::MAX / 16);
-        if h.ended == 0 {
-            (h.mean, h.deviation, h.cores) = (run, run / 2, used.cores);
+        if h.run_count == 0 {
+            (h.mean_us, h.deviation_us, h.cores) = (run, run / 2, used.cores);
         } else {
-            let off = run - h.mean;
-            h.mean += off / MEAN_DIVISOR;
-            h.deviation += (off.abs() - h.deviation) / DEVIATION_DIVISOR;
+            let off = run - h.mean_us;
+            h.mean_us += off / MEAN_DIVISOR;
+            h.deviation_us += (off.abs() - h.deviation_us) / DEVIATION_DIVISOR;
             h.cores = track_quantile(h.cores, used.cores);
         }
-        h.ended = h.ended.saturating_add(1);
-        h.peak = h.peak.max(used.memory);
+        h.run_count = h.run_count.saturating_add(1);
+        h.peak_memory = h.peak_memory.max(used.memory);
     }
 
     /// Returns the size that a task of the job reserves: in each dimension the greater of the
     /// declared and the observed value.
     pub fn reserve(&self, job: &JobId, declared: Size) -> Size {
         let Some(h) = self.jobs.get(job) else { return declared };
-        let memory = Memory(h.peak.0 + h.peak.0.div_ceil(HEADROOM_DIVISOR));
+        let memory = Memory(h.peak_memory.0 + h.peak_memory.0.div_ceil(HEADROOM_DIVISOR));
         declared.max(&Size { cores: h.cores, memory, accels: declared.accels })
     }
 
     /// Returns the expected run time of a task of the job.
     pub fn run_time(&self, job: &JobId, declared: Duration) -> Duration {
-        let Some(h) = self.jobs.get(job).filter(|h| h.ended >= MIN_RUNS) else { return declared };
-        Duration::from_micros(u64::try_from(h.mean + DEVIATION_COUNT * h.deviation).unwrap_or(0))
+        let Some(h) = self.jobs.get(job).filter(|h| h.run_count >= MIN_RUNS) else {
+            return declared;
+        };
+        Duration::from_micros(
+            u64::try_from(h.mean_us + DEVIATION_COUNT * h.deviation_us).unwrap_or(0),
+        )
     }
 
     /// Decides what to do with a running task that uses `used` of its `reserved` size, on a worker
@@ -126,10 +130,10 @@
         let h = self.jobs.entry(job.clone()).or_default();
         let more = Size { memory: grown, ..reserved };
         if more.saturating_sub(&reserved).fits(&room) {
-            h.peak = h.peak.max(used.memory);
+            h.peak_memory = h.peak_memory.max(used.memory);
             return Action::Raise(more);
         }
-        h.peak = h.peak.max(grown);
+        h.peak_memory = h.peak_memory.max(grown);
         Action::Stop
     }
 }
--- a/src/decide/evidence.rs
+++ b/src/decide/evidence.rs
@@ -55,18 +55,18 @@
 #[derive(Debug, Default)]
 struct Row {
     cells: FxHashMap<WorkerId, Cell>,
-    rates: f64,
+    rate_sum: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Cell {
-    ended: f64,
-    failed: f64,
+    ended_count: f64,
+    failed_count: f64,
 }
 
 impl Cell {
     fn rate(&self) -> f64 {
-        if self.ended == 0.0 { 0.0 } else { self.failed / self.ended }
+        if self.ended_count == 0.0 { 0.0 } else { self.failed_count / self.ended_count }
     }
 }
 
@@ -79,8 +79,8 @@
     fn others(&self, job: &JobId, worker: &WorkerId) -> (f64, f64) {
         let Some(row) = self.jobs.get(job) else { return (0.0, 0.0) };
         match row.cells.get(worker) {
-            Some(own) => (row.cells.len() as f64 - 1.0, row.rates - own.rate()),
-            None => (row.cells.len() as f64, row.rates),
+            Some(own) => (row.cells.len() as f64 - 1.0, row.rate_sum - own.rate()),
+            None => (row.cells.len() as f64, row.rate_sum),
         }
     }
 
@@ -88,7 +88,7 @@
         for job in self.workers.remove(worker).unwrap_or_default() {
             let Some(row) = self.jobs.get_mut(&job) else { continue };
             let Some(cell) = row.cells.remove(worker) else { continue };
-            row.rates -= cell.rate();
+            row.rate_sum -= cell.rate();
             self.cells -= 1;
         }
     }
@@ -105,9 +105,9 @@
         let before = row.cells.len();
         let cell = row.cells.entry(worker.clone()).or_default();
         let rate = cell.rate();
-        cell.ended += 1.0;
-        cell.failed += f64::from(u8::from(failed));
-        row.rates += cell.rate() - rate;
+        cell.ended_count += 1.0;
+        cell.failed_count += f64::from(u8::from(failed));
+        row.rate_sum += cell.rate() - rate;
         if row.cells.len() > before {
             counts.cells += 1;
             counts.workers.entry(worker.clone()).or_default().insert(job.clone());
@@ -135,9 +135,9 @@
             let peers = self.peers(job, worker);
             if peers.count >= MIN_PEERS {
                 let cell = counts.cell(job, worker);
-                ended += cell.ended;
-                failed += cell.failed;
-                expected += cell.ended * peers.rate;
+                ended += cell.ended_count;
+                failed += cell.failed_count;
+                expected += cell.ended_count * peers.rate;
             }
         }
         if failed <= expected {
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -35,16 +35,17 @@
 /// Maximum number of waiting requests per slot. 32 typical runs take longer than most deadlines
 /// allow, so the deadline usually bounds the queue first, and this limit only if deadlines are far
 /// away.
-const WAITING_PER_SLOT: usize = 32;
+const MAX_WAITING_PER_SLOT: usize = 32;
 /// Minimum size of the limit on waiting requests, so that a member with one or two slots can still
 /// absorb a burst.
 const MIN_QUEUE_LIMIT: usize = 64;
 /// Ratio of the requests that a team may hold to the free places of the queue. A team that is alone
 /// can fill four fifths of the queue.
 const TEAM_SHARE_RATIO: usize = 4;
-/// Number of slots per slot that is reserved for short work. A quarter is what short work needs if
-/// it is less than a quarter of the load, which is when long work can crowd it out.
-const RESERVE_ONE_IN: u32 = 4;
+/// Divisor of the number of slots that gives the number reserved for short work. A quarter is what
+/// short work needs if it is less than a quarter of the load, which is when long work can crowd it
+/// out.
+const RESERVE_DIVISOR: u32 = 4;
 /// Time after the last arrival of a short request for which slots stay reserved. Afterwards a
 /// service that gets only long work uses all its slots.
 const RESERVE_PERIOD: Duration = Duration::from_secs(10);
@@ -103,9 +104,9 @@
     /// Number of long requests that are running.
     running_long: u32,
     /// Mean ratio of actual to expected run time of recent requests.
-    overrun: f64,
+    mean_overrun: f64,
     /// When the last short request arrived.
-    last_short: Option<Time>,
+    last_short_arrival: Option<Time>,
 }
 
 impl Queue {
@@ -123,8 +124,8 @@
             virtual_time: 0,
             seq: 0,
             running_long: 0,
-            overrun: 1.0,
-            last_short: None,
+            mean_overrun: 1.0,
+            last_short_arrival: None,
         }
     }
 
@@ -163,7 +164,7 @@
         if item.latest_start() < now {
             return Err(Error::new(Kind::Late, "less time is left than it runs"));
         }
-        let bound = MIN_QUEUE_LIMIT.max(WAITING_PER_SLOT * self.slots as usize);
+        let bound = MIN_QUEUE_LIMIT.max(MAX_WAITING_PER_SLOT * self.slots as usize);
         let Some(room) = bound.checked_sub(self.items.len()).filter(|&room| room > 0) else {
             return Err(Kind::QueueFull.into());
         };
@@ -187,7 +188,7 @@
         }
         let (seq, lane) = (self.seq, self.lane(&item));
         if lane == Lane::Short {
-            self.last_short = Some(now);
+            self.last_short_arrival = Some(now);
         }
         let team = self.teams.entry(item.team.clone()).or_default();
         if team.len == 0 {
@@ -256,9 +257,9 @@
         }
         if !ran.is_zero() {
             let sample = ran.as_secs_f64() / item.run_time.as_secs_f64().max(1e-6);
-            self.overrun += OVERRUN_WEIGHT * (sample.clamp(0.01, 100.0) - self.overrun);
+            self.mean_overrun += OVERRUN_WEIGHT * (sample.clamp(0.01, 100.0) - self.mean_overrun);
         }
-        let ran = ran.div_f64(self.overrun);
+        let ran = ran.div_f64(self.mean_overrun);
         if ran > item.run_time {
             self.charge(item, |tag, price, _| tag + price, cost(ran - item.run_time));
         } else {
@@ -310,9 +311,9 @@
     }
 
     fn slots_for_long(&self, now: Time) -> u32 {
-        let reserve =
-            self.last_short.is_some_and(|t| now.since(t) < RESERVE_PERIOD) && self.slots > 1;
-        if reserve { self.slots - (self.slots / RESERVE_ONE_IN).max(1) } else { self.slots }
+        let reserve = self.last_short_arrival.is_some_and(|t| now.since(t) < RESERVE_PERIOD)
+            && self.slots > 1;
+        if reserve { self.slots - (self.slots / RESERVE_DIVISOR).max(1) } else { self.slots }
     }
 
     /// Returns the lanes whose requests may start now.
--- a/src/decide/gang.rs
+++ b/src/decide/gang.rs
@@ -22,8 +22,8 @@
 /// It is long compared with calls to some tens of owners, one after another, and short compared
 /// with the run time of other work that could use the room meanwhile.
 const CLAIM_HOLD: Duration = Duration::from_secs(5);
-/// Maximum time that a start takes to reach an owner. No start is sent later than this before the
-/// reservations expire.
+/// Maximum time that a start takes to reach an owner. No start is sent if less time than this
+/// is left before the reservations expire.
 const MAX_START_LATENCY: Duration = Duration::from_secs(1);
 /// Length of the first back-off: the time of a few calls, so that the competing claim has
 /// progressed.
@@ -55,10 +55,10 @@
 pub struct Claim {
     waiting_since: Time,
     racks: Vec<RackId>,
-    reserved: usize,
+    reserved_count: usize,
     expires_at: Time,
     round: u32,
-    asking: bool,
+    awaiting_answer: bool,
 }
 
 impl Claim {
@@ -67,10 +67,10 @@
         Claim {
             waiting_since,
             racks: Vec::new(),
-            reserved: 0,
+            reserved_count: 0,
             expires_at: Time::ZERO,
             round: 0,
-            asking: false,
+            awaiting_answer: false,
         }
     }
 
@@ -78,7 +78,7 @@
     pub fn begin(&mut self, mut racks: Vec<RackId>, now: Time) -> Action {
         racks.sort_unstable();
         racks.dedup();
-        (self.racks, self.reserved, self.expires_at, self.asking) =
+        (self.racks, self.reserved_count, self.expires_at, self.awaiting_answer) =
             (racks, 0, now + CLAIM_HOLD, true);
         self.ask(now)
     }
@@ -91,7 +91,7 @@
         if !self.awaits(rack, round) {
             return Action::Nothing;
         }
-        self.reserved += 1;
+        self.reserved_count += 1;
         self.ask(now)
     }
 
@@ -111,15 +111,21 @@
 
     /// Abandons a round that has expired because an owner doesn't answer.
     pub fn tick(&mut self, now: Time, rng: &mut fastrand::Rng) -> Action {
-        if self.asking && now >= self.expires_at { self.abandon(now, rng) } else { Action::Nothing }
+        if self.awaiting_answer && now >= self.expires_at {
+            self.abandon(now, rng)
+        } else {
+            Action::Nothing
+        }
     }
 
     fn awaits(&self, rack: &RackId, round: u32) -> bool {
-        self.asking && round == self.round && self.racks.get(self.reserved) == Some(rack)
+        self.awaiting_answer
+            && round == self.round
+            && self.racks.get(self.reserved_count) == Some(rack)
     }
 
     fn ask(&mut self, now: Time) -> Action {
-        if let Some(rack) = self.racks.get(self.reserved) {
+        if let Some(rack) = self.racks.get(self.reserved_count) {
             return Action::Reserve(rack.clone(), self.expires_at - now, self.round);
         }
         if now + MAX_START_LATENCY > self.expires_at {
@@ -128,14 +134,14 @@
             // tick releases all reservations.
             return Action::Nothing;
         }
-        self.asking = false;
+        self.awaiting_answer = false;
         Action::Start
     }
 
     fn abandon(&mut self, now: Time, rng: &mut fastrand::Rng) -> Action {
-        self.racks.truncate(self.reserved + 1);
+        self.racks.truncate(self.reserved_count + 1);
         let retry_at = now + self.back_off(now, rng);
-        (self.reserved, self.asking) = (0, false);
+        (self.reserved_count, self.awaiting_answer) = (0, false);
         self.round += 1;
         Action::Release(mem::take(&mut self.racks), retry_at)
     }
--- a/src/decide/lanes.rs
+++ b/src/decide/lanes.rs
@@ -39,9 +39,9 @@
 pub const LONG_CALL: Duration = Duration::from_millis(100);
 /// Minimum number of lanes that are reserved for short calls.
 const MIN_SHORT_LANES: usize = 2;
-/// Number of lanes per lane that is reserved for short calls, if that gives more than
-/// `MIN_SHORT_LANES`.
-const SHORT_LANE_ONE_IN: usize = 8;
+/// Divisor of the number of lanes that gives the number reserved for short calls, if this is more
+/// than `MIN_SHORT_LANES`.
+const SHORT_LANE_DIVISOR: usize = 8;
 /// Maximum number of unanswered calls on one lane.
 const LANE_DEPTH: usize = 2;
 /// Length of a lane's first suspension.
@@ -204,8 +204,8 @@
 
     /// Whether, after one more long call, another long call would still find a free member.
     pub fn has_spare(&self, now: Time) -> bool {
-        let usable = self.lanes.iter().filter(|l| !l.suspended(now));
-        let reserved = MIN_SHORT_LANES.max(usable.clone().count() / SHORT_LANE_ONE_IN);
+        let usable = self.lanes.iter().filter(|l| !l.is_suspended(now));
+        let reserved = MIN_SHORT_LANES.max(usable.clone().count() / SHORT_LANE_DIVISOR);
         usable.filter(|l| l.calls.is_empty()).count() > reserved + 1
     }
 
@@ -216,17 +216,17 @@
 
     /// Returns the lane, which may be full, on which a call would end first, and the end time.
     fn best(&self, cost: Duration, now: Time) -> Option<(usize, Time)> {
-        let usable = self.lanes.iter().filter(|l| !l.suspended(now));
+        let usable = self.lanes.iter().filter(|l| !l.is_suspended(now));
         let every_suspended = usable.clone().next().is_none();
         let all = usable.clone().count();
-        let max_long = all.saturating_sub(MIN_SHORT_LANES.max(all / SHORT_LANE_ONE_IN)).max(1);
-        let long_lanes = usable.filter(|l| l.long()).count();
+        let max_long = all.saturating_sub(MIN_SHORT_LANES.max(all / SHORT_LANE_DIVISOR)).max(1);
+        let long_lanes = usable.filter(|l| l.has_long_call()).count();
         let long = cost > LONG_CALL;
-        let own = self.lanes[..self.own_count].iter().any(|l| !l.suspended(now));
+        let own = self.lanes[..self.own_count].iter().any(|l| !l.is_suspended(now));
         let eligible = |(i, l): &(usize, &Lane)| {
-            let open = if every_suspended { l.calls.is_empty() } else { !l.suspended(now) };
+            let open = if every_suspended { l.calls.is_empty() } else { !l.is_suspended(now) };
             let allowed = long || !own || *i < self.own_count;
-            open && allowed && (!long || l.long() || long_lanes < max_long)
+            open && allowed && (!long || l.has_long_call() || long_lanes < max_long)
         };
         // Among equally good lanes a long call leaves the unshared ones to short calls.
         let own_last = |i: usize| long && i < self.own_count;
@@ -254,11 +254,11 @@
         if self.lost_count > 0 { 1 } else { LANE_DEPTH }
     }
 
-    fn long(&self) -> bool {
+    fn has_long_call(&self) -> bool {
         self.calls.iter().any(|c| c.cost > LONG_CALL)
     }
 
-    fn suspended(&self, now: Time) -> bool {
+    fn is_suspended(&self, now: Time) -> bool {
         let times = self.lost_count.saturating_sub(1).min(16);
         self.lost_count > 0
             && now
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -16,9 +16,9 @@
 //! *No starvation:* a job's latest start is at most `ROOM_WAIT` after its arrival, and precedes the
 //! arrival by at most half of the job's work. A deadline that can no longer be met, by the estimate
 //! and [`Job::width`], is ignored. So a job of the same team can only be passed by work that
-//! arrived within that time. Between teams, one start in `AGED_ONE_IN` goes to the team that has
-//! had no start for longest among those whose first job's latest start has passed, regardless of
-//! the team's share.
+//! arrived within that time. Between teams, one start in `AGED_START_INTERVAL` goes to the team
+//! that has had no start for longest among those whose first job's latest start has passed,
+//! regardless of the team's share.
 //!
 //! A start takes O(log n) in the number of teams and of the team's jobs; the tasks of a job are
 //! alike and are kept inside its entry.
@@ -40,13 +40,13 @@
     },
 };
 
-/// Number of starts per start that goes to a team by age alone. An eighth takes little from the
-/// fair shares. At 940 starts per second, each of 310 overdue teams still has a start within three
-/// seconds.
-const AGED_ONE_IN: u32 = 8;
-/// Maximum number of jobs of a team that are tried against its quota per tick. A
-/// job that may not borrow must not keep those behind it from borrowing, but the search must be
-/// bounded.
+/// Interval, in starts, between two starts that go to a team by age alone. An eighth of all starts
+/// takes little from the fair shares. At 940 starts per second, each of 310 overdue teams still has
+/// a start within three seconds.
+const AGED_START_INTERVAL: u32 = 8;
+/// Maximum number of jobs of a team that are tried against its quota per tick. The others wait for
+/// the next tick. A job that may not borrow must not keep those behind it from borrowing, but the
+/// search must be bounded.
 const MAX_TRIED_JOBS: usize = 8;
 /// Maximum number of parked jobs that are queued again per tick. They are tried in order, so a
 /// higher number would only repeat the search on workers that are still full.
@@ -65,7 +65,7 @@
 #[derive(Debug, Default)]
 pub struct Order {
     jobs: FxHashMap<JobId, Entry>,
-    teams: BTreeMap<TeamId, Queue>,
+    teams: BTreeMap<TeamId, TeamQueue>,
     /// Teams with jobs to try, by share.
     by_rank: BTreeSet<(Rank, TeamId)>,
     /// The same teams, by the latest start of their first job or their last start, whichever is
@@ -77,10 +77,10 @@
 }
 
 #[derive(Debug, Default)]
-struct Queue {
+struct TeamQueue {
     jobs: BTreeSet<Key>,
     /// Keys of the team in `by_rank` and `by_age`, while it has jobs to try.
-    listing: Option<(Rank, Time)>,
+    index_keys: Option<(Rank, Time)>,
     blocked: bool,
     /// When a task of the team last started.
     last_start: Time,
@@ -188,7 +188,7 @@
         let Some(e) = self.jobs.get_mut(&pick.ask.task.job) else { return grant };
         if grant != Grant::Wait {
             e.waiting.remove(&pick.ask.task.index);
-            self.start_counter = (self.start_counter + 1) % AGED_ONE_IN;
+            self.start_counter = (self.start_counter + 1) % AGED_START_INTERVAL;
             if let Some(queue) = self.teams.get_mut(&pick.ask.team) {
                 queue.last_start = now;
             }
@@ -282,7 +282,7 @@
 
     fn update_team(&mut self, team: &TeamId, quotas: &Quotas) {
         let Some(queue) = self.teams.get_mut(team) else { return };
-        if let Some((rank, since)) = queue.listing.take() {
+        if let Some((rank, since)) = queue.index_keys.take() {
             self.by_rank.remove(&(rank, team.clone()));
             self.by_age.remove(&(since, team.clone()));
         }
@@ -291,6 +291,6 @@
         let since = queue.last_start.max(key.latest_start());
         self.by_rank.insert((rank, team.clone()));
         self.by_age.insert((since, team.clone()));
-        queue.listing = Some((rank, since));
+        queue.index_keys = Some((rank, since));
     }
 }
