--- a/src/decide/call_queue.rs
+++ b/src/decide/call_queue.rs
@@ -29,7 +29,7 @@
     /// When the service began to work on the first call in `calls`.
     started_at: Time,
     /// Number of calls made so far, which numbers the next call.
-    count: u64,
+    call_count: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -58,9 +58,9 @@
         if self.calls.is_empty() {
             self.started_at = now;
         }
-        self.count += 1;
-        self.calls.push_back(Call { number: self.count, call_time, abandoned: false });
-        Some(self.count)
+        self.call_count += 1;
+        self.calls.push_back(Call { number: self.call_count, call_time, abandoned: false });
+        Some(self.call_count)
     }
 
     /// Returns the expected time until all calls in flight have ended.
--- a/src/decide/cancel.rs
+++ b/src/decide/cancel.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 enum Unsent {
     Task(TaskId),
-    /// The job's running tasks from this index on.
+    /// All running tasks of the job with this index or a higher one.
     Job(JobId, TaskIndex),
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl Job {
-    fn idle(&self) -> bool {
+    fn is_idle(&self) -> bool {
         !self.all_cancelled && self.cancelled_tasks.is_empty() && self.running.is_empty()
     }
 }
@@ -109,7 +109,7 @@
     pub fn ended(&mut self, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         job.running.remove(&task.index);
-        if job.idle() {
+        if job.is_idle() {
             self.jobs.remove(&task.job);
         }
     }
--- a/src/decide/eject.rs
+++ b/src/decide/eject.rs
@@ -44,12 +44,12 @@
 
 #[derive(Default)]
 struct Health {
-    failures: u32,
+    failure_count: u32,
     /// End of the current ejection, after which the endpoint gets a trial request; `None` if it is
     /// not ejected.
     ejected_until: Option<Time>,
     /// Number of recent ejections, which determines the length of the next one.
-    ejections: u32,
+    ejection_count: u32,
     /// When the last ejection of the endpoint ended.
     returned_at: Time,
 }
@@ -85,14 +85,14 @@
     /// Records a failure or timeout of an endpoint. Returns whether this ejects the endpoint.
     pub fn failed(&mut self, worker: &WorkerId, now: Time) -> bool {
         let health = self.health.entry(worker.clone()).or_default();
-        health.failures = health.failures.saturating_add(1);
+        health.failure_count = health.failure_count.saturating_add(1);
         match health.ejected_until {
             Some(until) if now >= until => {
                 health.eject(now);
                 true
             }
             Some(_) => false,
-            None => health.failures >= MAX_FAILURES && self.eject(worker, now),
+            None => health.failure_count >= MAX_FAILURES && self.eject(worker, now),
         }
     }
 
@@ -112,7 +112,7 @@
         if health.ejected_until.is_some_and(|until| now < until) {
             return false;
         }
-        health.failures = 0;
+        health.failure_count = 0;
         let ends = health.ejected_until.take().is_some();
         if ends {
             health.returned_at = now;
@@ -126,7 +126,7 @@
         }
         let health = self.health.entry(worker.clone()).or_default();
         if now.since(health.returned_at) >= MAX_EJECTION {
-            health.ejections = 0;
+            health.ejection_count = 0;
         }
         health.eject(now);
         true
@@ -135,8 +135,8 @@
 
 impl Health {
     fn eject(&mut self, now: Time) {
-        let length = FIRST_EJECTION * 2u32.saturating_pow(self.ejections.min(10));
-        self.ejections += 1;
+        let length = FIRST_EJECTION * 2u32.saturating_pow(self.ejection_count.min(10));
+        self.ejection_count += 1;
         self.ejected_until = Some(now + length.min(MAX_EJECTION));
     }
 }
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -67,7 +67,7 @@
     pub team: TeamId,
     /// When the request arrived.
     pub arrived_at: Time,
-    /// When its response is due.
+    /// Time by which the response must be sent.
     pub deadline: Time,
     /// Expected run time of the request, declared or estimated from history.
     pub run_time: Duration,
@@ -83,7 +83,7 @@
 /// The work that is served before a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ahead {
-    /// Total expected run time of the requests that are served first.
+    /// Total expected run time of the requests that are served before the new one.
     pub work: Duration,
     /// Number of slots that serve this work.
     pub slots: u32,
@@ -98,7 +98,7 @@
     items: FxHashMap<RequestId, (u64, Item)>,
     by_latest_start: BTreeSet<(Time, RequestId)>,
     expired: Vec<Item>,
-    /// Start tag of the team served last.
+    /// Start tag of the team that was served last.
     virtual_time: u64,
     seq: u64,
     /// Number of long requests that are running.
--- a/src/decide/flow.rs
+++ b/src/decide/flow.rs
@@ -26,7 +26,7 @@
 #[derive(Default)]
 pub(super) struct Caller {
     pub(super) tag: u64,
-    /// Waiting requests by order of arrival, per lane.
+    /// Waiting requests of each lane, in the order of arrival.
     pub(super) lanes: [BTreeMap<u64, (RequestId, Duration)>; 2],
 }
 
--- a/src/decide/lanes.rs
+++ b/src/decide/lanes.rs
@@ -118,7 +118,7 @@
 
     /// Chooses the member for a call that takes `cost` and whose answer is needed by `due`. Returns
     /// the member and the expected time of the answer, or `None` if the call should wait until
-    /// another is done.
+    /// another call ends.
     ///
     /// The call counts as sent now, until [`Lanes::done`].
     pub fn pick(&mut self, cost: Duration, due: Time, now: Time) -> Option<(Incarnation, Time)> {
@@ -202,7 +202,7 @@
         self.lanes.iter().filter(|l| l.calls.is_empty()).count()
     }
 
-    /// Whether, after one more long call, another long call would still find a free member.
+    /// Returns whether a long call would find a free member even after one more long call.
     pub fn has_spare(&self, now: Time) -> bool {
         let usable = self.lanes.iter().filter(|l| !l.is_suspended(now));
         let reserved = MIN_SHORT_LANES.max(usable.clone().count() / SHORT_LANE_DIVISOR);
@@ -228,7 +228,8 @@
             let allowed = long || !own || *i < self.own_count;
             open && allowed && (!long || l.has_long_call() || long_lanes < max_long)
         };
-        // Among equally good lanes a long call leaves the unshared ones to short calls.
+        // Among equally good lanes, long calls use shared ones, so that the others stay free for
+        // short calls.
         let own_last = |i: usize| long && i < self.own_count;
         let fit = self.lanes.iter().enumerate().filter(eligible);
         let ends = fit.map(|(i, l)| (i, l.free_at(now) + l.current_lateness(now) + cost));
