--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -29,8 +29,8 @@
 //! data and split over two racks reduces that to 0.44; a slow worker reaches 0.25 at most. From 0.5
 //! on, the worker counts as healthy again.
 //!
-//! The caller limits how many workers are quarantined at once with [`max_quarantined`]: if more than a
-//! third of a pool looks bad, the cause is not the workers.
+//! The caller limits how many workers are quarantined at once with [`max_quarantined`]: if more
+//! than a third of a pool looks bad, the cause is not the workers.
 
 use {
     crate::{Time, work::JobNo},
@@ -39,17 +39,19 @@
 
 /// Minimum sum of failure weights, without a success between them, that causes a quarantine.
 const MIN_THRESHOLD: f64 = 2.0;
-/// Maximum of that threshold, for workers with a high usual failure rate.
+/// Maximum sum of failure weights that is required for a quarantine, for workers that often fail
+/// tasks while healthy.
 const MAX_THRESHOLD: f64 = 8.0;
 /// Accepted probability that a healthy worker reaches the threshold by chance.
 const FALSE_POSITIVE_RATE: f64 = 0.001;
 /// Weight of one run in the moving average of the failure rate, which spans some 60 runs.
 const LEARNING_RATE: f64 = 1.0 / 64.0;
-/// How long a failure counts if no success follows it.
+/// Time for which a failure counts towards a quarantine if no success follows it.
 const FAILURE_WINDOW: Duration = Duration::from_secs(30);
-/// How long a failure or a slow report makes the worker suspect.
+/// Time for which a worker is suspect after a failure or a slow report.
 const SUSPECT_PERIOD: Duration = Duration::from_secs(5);
-/// Weight of a failure whose job has also failed elsewhere, or is already counted here.
+/// Weight of a failure whose job has also failed on another worker, or shortly before on this one.
+/// Other failures weigh 1.
 const REPEAT_WEIGHT: f64 = 0.1;
 /// Maximum number of failures stored; more would not change the verdict.
 const MAX_FAILURES: usize = 32;
@@ -57,9 +59,9 @@
 const SLOW_RATE: f64 = 0.35;
 /// Relative speed from which a worker is no longer slow.
 const NORMAL_RATE: f64 = 0.5;
-/// Number of slow reports in a row that cause a quarantine.
-const SLOW_REPORTS: u32 = 3;
-/// Minimum time that these slow reports must span.
+/// Minimum number of slow reports in a row that cause a quarantine.
+const MIN_SLOW_REPORTS: u32 = 3;
+/// Minimum time between the first and the last of the slow reports that cause a quarantine.
 const SLOW_PERIOD: Duration = Duration::from_secs(2);
 /// Length of the first quarantine.
 const MIN_QUARANTINE: Duration = Duration::from_secs(2);
@@ -75,16 +77,17 @@
 pub enum Verdict {
     /// The worker may get any task.
     Sound,
-    /// Other workers are preferred if they have room.
+    /// The worker gets tasks only if no sound worker has room.
     Suspect,
-    /// The worker gets only the probes that [`WorkerHealth::probe`] or [`WorkerHealth::allows`] allows.
+    /// The worker gets only the probes that [`WorkerHealth::probe`] or [`WorkerHealth::allows`]
+    /// allows.
     Quarantined {
         /// When a probe may be sent. The quarantine lasts until a probe succeeds.
         until: Time,
     },
 }
 
-/// Maximum number of workers that may be quarantined at once in a pool of `workers`.
+/// Returns the maximum number of workers that may be quarantined at once in a pool of `workers`.
 pub fn max_quarantined(workers: usize) -> usize {
     workers / QUARANTINE_DIVISOR
 }
@@ -96,24 +99,25 @@
     failures: Vec<(JobNo, f64, Time)>,
     /// Share of runs that failed while the worker was healthy, as a moving average.
     failure_rate: f64,
-    /// Quarantine for failures.
+    /// Current quarantine because of failures, if any.
     failure_quarantine: Quarantine,
-    /// Slow reports in a row: their count, the time of the first and of the last.
-    slow_streak: Option<(u32, Time, Time)>,
-    /// Quarantine for slowness.
+    /// Number of slow reports in a row, and the times of the first and the last of them.
+    slow_reports: Option<(u32, Time, Time)>,
+    /// Current quarantine because of slowness, if any.
     slow_quarantine: Quarantine,
 }
 
-/// A quarantine for one cause.
+/// State of the quarantine of a worker for one cause: failures or slowness.
 #[derive(Clone, Debug, Default)]
 struct Quarantine {
+    /// Time from which a probe may be sent, or `None` if the worker is not quarantined.
     until: Option<Time>,
-    /// When the quarantine began.
+    /// Time at which the quarantine began.
     since: Time,
-    /// Number of quarantines in a row.
+    /// Number of quarantines in a row for this cause; each failed probe doubles their length.
     count: u32,
-    /// When the current probe was sent.
-    probe: Option<Time>,
+    /// Time at which the current probe was sent, or `None` if no probe is running.
+    probe_sent: Option<Time>,
 }
 
 impl WorkerHealth {
@@ -129,7 +133,7 @@
             return self.record_success(now);
         }
         if self.failure_quarantine.until.is_some() {
-            return self.failure_quarantine.probe_failed(now, fails_before == 0);
+            return self.failure_quarantine.record_failed_probe(now, fails_before == 0);
         }
         self.failures.retain(|(.., at)| now.since(*at) < FAILURE_WINDOW);
         let known = self.failures.iter().any(|(j, ..)| *j == job);
@@ -138,7 +142,7 @@
             self.failures.push((job, weight, now));
         }
         // The failures are kept: if the worker proves healthy, they raise its usual failure rate.
-        if self.weight(now, FAILURE_WINDOW) >= self.threshold() {
+        if self.failure_weight(now, FAILURE_WINDOW) >= self.failure_threshold() {
             self.failure_quarantine.begin(now);
         }
     }
@@ -148,15 +152,15 @@
     /// their gang must not be recorded.
     pub fn record_speed(&mut self, rate: f64, now: Time) {
         if rate >= NORMAL_RATE {
-            self.slow_streak = None;
+            self.slow_reports = None;
             self.slow_quarantine = Quarantine::default();
         } else if rate < SLOW_RATE {
-            let recent = self.slow_streak.filter(|(.., last)| now.since(*last) < FAILURE_WINDOW);
+            let recent = self.slow_reports.filter(|(.., last)| now.since(*last) < FAILURE_WINDOW);
             let (count, since, _) = recent.unwrap_or((0, now, now));
-            self.slow_streak = Some((count.saturating_add(1), since, now));
+            self.slow_reports = Some((count.saturating_add(1), since, now));
             if self.slow_quarantine.until.is_some() {
-                self.slow_quarantine.probe_failed(now, true);
-            } else if count + 1 >= SLOW_REPORTS && now.since(since) >= SLOW_PERIOD {
+                self.slow_quarantine.record_failed_probe(now, true);
+            } else if count + 1 >= MIN_SLOW_REPORTS && now.since(since) >= SLOW_PERIOD {
                 self.slow_quarantine.begin(now);
             }
         }
@@ -167,7 +171,7 @@
         let until = self.failure_quarantine.until.max(self.slow_quarantine.until);
         match until {
             Some(until) => Verdict::Quarantined { until },
-            None if self.suspect(now) => Verdict::Suspect,
+            None if self.is_suspect(now) => Verdict::Suspect,
             None => Verdict::Sound,
         }
     }
@@ -182,15 +186,16 @@
         allowed
     }
 
-    /// Returns whether a task may be sent now; `lasts` says whether it is long-running.
-    pub fn allows(&self, lasts: bool, now: Time) -> bool {
-        self.failure_quarantine.allows(lasts, now) && self.slow_quarantine.allows(lasts, now)
+    /// Returns whether a task may be sent now; `long_running` says whether it is long-running.
+    pub fn allows(&self, long_running: bool, now: Time) -> bool {
+        self.failure_quarantine.allows(long_running, now)
+            && self.slow_quarantine.allows(long_running, now)
     }
 
     /// Records that a task was sent. In quarantine, the task is the probe.
     pub fn record_start(&mut self, now: Time) {
-        self.failure_quarantine.probed(now);
-        self.slow_quarantine.probed(now);
+        self.failure_quarantine.record_probe(now);
+        self.slow_quarantine.record_probe(now);
     }
 
     /// Records that a long-running task has been running since `began` and still is.
@@ -199,10 +204,11 @@
     /// other tasks while its room is free. The task says nothing about speed, so for a slowness
     /// quarantine it only allows the next probe.
     pub fn record_running(&mut self, began: Time, now: Time) {
-        let succeeded =
-            |h: &Quarantine| h.probe.is_some_and(|p| began >= p && began + MIN_QUARANTINE <= now);
+        let succeeded = |h: &Quarantine| {
+            h.probe_sent.is_some_and(|p| began >= p && began + MIN_QUARANTINE <= now)
+        };
         if succeeded(&self.slow_quarantine) {
-            self.slow_quarantine.probe = None;
+            self.slow_quarantine.probe_sent = None;
         }
         if succeeded(&self.failure_quarantine) {
             self.record_success(now);
@@ -210,7 +216,7 @@
     }
 
     fn record_success(&mut self, now: Time) {
-        if self.failure_quarantine.until.is_some() && self.failure_quarantine.probe.is_none() {
+        if self.failure_quarantine.until.is_some() && self.failure_quarantine.probe_sent.is_none() {
             self.failure_quarantine.until = self.failure_quarantine.until.min(Some(now));
             return;
         }
@@ -221,17 +227,17 @@
         self.failure_quarantine = Quarantine::default();
     }
 
-    fn suspect(&self, now: Time) -> bool {
-        let slow = self.slow_streak.is_some_and(|(.., last)| now.since(last) < SUSPECT_PERIOD);
-        slow || self.weight(now, SUSPECT_PERIOD) >= 1.0
+    fn is_suspect(&self, now: Time) -> bool {
+        let slow = self.slow_reports.is_some_and(|(.., last)| now.since(last) < SUSPECT_PERIOD);
+        slow || self.failure_weight(now, SUSPECT_PERIOD) >= 1.0
     }
 
-    fn threshold(&self) -> f64 {
+    fn failure_threshold(&self) -> f64 {
         let failure_rate = self.failure_rate.clamp(FALSE_POSITIVE_RATE, 0.9);
         (FALSE_POSITIVE_RATE.ln() / failure_rate.ln()).clamp(MIN_THRESHOLD, MAX_THRESHOLD)
     }
 
-    fn weight(&self, now: Time, span: Duration) -> f64 {
+    fn failure_weight(&self, now: Time, span: Duration) -> f64 {
         let recent = self.failures.iter().filter(|(.., at)| now.since(*at) < span);
         recent.map(|(_, weight, _)| weight).sum()
     }
@@ -244,42 +250,44 @@
             until: Some(now + length),
             since: now,
             count: self.count + 1,
-            probe: None,
+            probe_sent: None,
         };
     }
 
     /// Restarts the quarantine after a failed probe. An inconclusive probe doesn't double the
     /// length, since there may be no other task to probe with. A run that started before the
     /// quarantine is not a probe.
-    fn probe_failed(&mut self, now: Time, conclusive: bool) {
-        if self.probe.is_some() {
+    fn record_failed_probe(&mut self, now: Time, conclusive: bool) {
+        if self.probe_sent.is_some() {
             self.count -= u32::from(!conclusive && self.count > 0);
             self.begin(now);
         }
     }
 
-    fn allows(&self, lasts: bool, now: Time) -> bool {
+    fn allows(&self, long_running: bool, now: Time) -> bool {
         let Some(until) = self.until else { return true };
-        let (until, timeout) = match lasts {
+        let (until, timeout) = match long_running {
             true => (until.min(self.since + MIN_QUARANTINE), MIN_QUARANTINE),
             false => (until, PROBE_TIMEOUT),
         };
-        now >= until && self.probe.is_none_or(|at| now.since(at) >= timeout)
+        now >= until && self.probe_sent.is_none_or(|at| now.since(at) >= timeout)
     }
 
-    fn probed(&mut self, now: Time) {
-        self.probe = self.until.map(|_| now);
+    fn record_probe(&mut self, now: Time) {
+        self.probe_sent = self.until.map(|_| now);
     }
 }
 
-/// Time that a stop, a start on another worker and a restore take.
+/// Expected time to stop a task, start it on another worker and restore its checkpoint.
 const RESTART_TIME: Duration = Duration::from_secs(2);
-/// Part of the time between two reports that may have passed without work: a restore or a late
-/// report.
-const MAX_IDLE: Duration = Duration::from_millis(600);
-/// Minimum time between two reports that is conclusive; it also protects a run that has just begun.
-const MIN_ELAPSED: Duration = Duration::from_millis(1500);
-/// Factor by which waiting must take longer than a restart, as the expected time may be off by 2.
+/// Maximum part of the time between two progress reports in which a healthy run makes no progress,
+/// because of a restore or a late report.
+const MAX_IDLE_TIME: Duration = Duration::from_millis(600);
+/// Minimum time between two progress reports from which a run may be considered stuck. It also
+/// protects a run that has just begun.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(1500);
+/// Minimum ratio of a run's remaining time to the time of a restart for which the run is considered
+/// stuck, since the expected time may be off by a factor of 2.
 const WAIT_FACTOR: f64 = 2.0;
 
 /// Returns whether a run makes no progress, or is so slow that a new run, from its checkpoint if
@@ -291,12 +299,12 @@
 /// one percent; this is counted in the run's favour, so a run at half of the expected speed or more
 /// is never considered stuck. A run at 100 percent that doesn't end may be.
 pub fn is_stuck(then: u8, now: u8, elapsed: Duration, expected: Duration, saves: bool) -> bool {
-    if elapsed < MIN_ELAPSED {
+    if elapsed < MIN_REPORT_INTERVAL {
         return false;
     }
     let gained = f64::from(now.saturating_sub(then)) + 1.0;
     let left = f64::from(100_u8.saturating_sub(now).max(1));
-    let remaining = (elapsed - MAX_IDLE).as_secs_f64() * left / gained;
+    let remaining = (elapsed - MAX_IDLE_TIME).as_secs_f64() * left / gained;
     let restart = if saves { left / 100.0 } else { 1.0 };
     remaining > WAIT_FACTOR * (RESTART_TIME.as_secs_f64() + restart * expected.as_secs_f64())
 }
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -44,17 +44,22 @@
 /// Index of workers by their free room, on which tasks may be placed.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementIndex {
+    /// Index in `states` of each worker.
     ids: FxHashMap<WorkerId, u32>,
     states: Vec<WorkerState>,
-    free_ids: Vec<u32>,
+    /// Indexes in `states` of removed workers, to be used again.
+    reusable_ids: Vec<u32>,
+    /// Index in `racks` of each rack.
     rack_ids: FxHashMap<RackId, u32>,
+    /// Indexes in `states` of the workers of each rack.
     racks: Vec<Vec<u32>>,
-    size: Size,
+    /// Total resources of all workers.
+    total_size: Size,
     /// Schedulable workers without accelerators, the fullest first.
     without_accels: Tree,
     /// Schedulable workers with accelerators, the fullest first.
     with_accels: Tree,
-    /// The same workers, those with the fewest free accelerators first.
+    /// Schedulable workers with accelerators, those with the fewest free accelerators first.
     by_accels: Tree,
 }
 
@@ -74,26 +79,26 @@
         }
         let state =
             WorkerState { worker: worker.clone(), rack, size, free: size, schedulable: true };
-        let id = self.free_ids.pop().unwrap_or(self.states.len() as u32);
+        let id = self.reusable_ids.pop().unwrap_or(self.states.len() as u32);
         match self.states.get_mut(id as usize) {
             Some(old) => *old = state,
             None => self.states.push(state),
         }
         self.racks[rack as usize].push(id);
         self.ids.insert(worker.clone(), id);
-        self.size += size;
-        self.link(id);
+        self.total_size += size;
+        self.add_to_trees(id);
     }
 
     /// Removes a worker.
     pub fn remove(&mut self, worker: &WorkerId) {
         let Some(id) = self.ids.remove(worker) else { return };
-        self.unlink(id);
+        self.remove_from_trees(id);
         let state = &mut self.states[id as usize];
         state.schedulable = false;
-        self.size = self.size.saturating_sub(&state.size);
+        self.total_size = self.total_size.saturating_sub(&state.size);
         self.racks[state.rack as usize].retain(|other| *other != id);
-        self.free_ids.push(id);
+        self.reusable_ids.push(id);
     }
 
     /// Updates the free room of a worker, and whether it is `schedulable`, that is, takes new work.
@@ -102,10 +107,10 @@
     /// not schedulable.
     pub fn update(&mut self, worker: &WorkerId, free: Size, schedulable: bool) {
         let Some(&id) = self.ids.get(worker) else { return };
-        self.unlink(id);
+        self.remove_from_trees(id);
         let state = &mut self.states[id as usize];
         (state.free, state.schedulable) = (free, schedulable);
-        self.link(id);
+        self.add_to_trees(id);
     }
 
     /// Returns the free room of a worker.
@@ -113,7 +118,8 @@
         self.ids.get(worker).map(|id| self.states[*id as usize].free)
     }
 
-    /// Returns the worker for a batch task, if one that is not in `avoid` has room.
+    /// Returns the fullest worker with room for a batch task that is not in `avoid`, if there is
+    /// one.
     pub fn pack(&self, need: &Size, avoid: &[WorkerId]) -> Option<&WorkerId> {
         let accept = |id: u32| !avoid.contains(&self.states[id as usize].worker);
         let id = if need.accels.0 > 0 {
@@ -124,7 +130,8 @@
         id.map(|id| &self.states[id as usize].worker)
     }
 
-    /// Returns the worker for a replica of a service, if one that is not in `avoid` has room.
+    /// Returns the worker for a replica of a service, away from its other replicas and not in
+    /// `avoid`, if one has room.
     ///
     /// `replicas` lists the workers of the other replicas, each as often as it runs one. The time
     /// grows with the number of replicas and of workers in their racks.
@@ -154,7 +161,7 @@
             });
             fit.min_by_key(|id| {
                 let s = &self.states[*id as usize];
-                (racks[&s.rack], counts.get(id).copied(), Reverse(emptiness(s)), *id)
+                (racks[&s.rack], counts.get(id).copied(), Reverse(free_share_sum(s)), *id)
             })
         };
         let without_accels =
@@ -173,24 +180,24 @@
     /// room that large ones leave.
     pub fn packing_order(&self, needs: &[Size]) -> Vec<usize> {
         let mut order: Vec<usize> = (0..needs.len()).collect();
-        order.sort_by_key(|n| Reverse(shares(&needs[*n], &self.size).into_iter().max()));
+        order.sort_by_key(|n| Reverse(shares(&needs[*n], &self.total_size).into_iter().max()));
         order
     }
 
-    fn link(&mut self, id: u32) {
+    fn add_to_trees(&mut self, id: u32) {
         let state = &self.states[id as usize];
         if !state.schedulable {
             return;
         }
         if state.size.accels.0 == 0 {
-            self.without_accels.insert(id, emptiness(state), state.free);
+            self.without_accels.insert(id, free_share_sum(state), state.free);
         } else {
-            self.with_accels.insert(id, emptiness(state), state.free);
+            self.with_accels.insert(id, free_share_sum(state), state.free);
             self.by_accels.insert(id, state.free.accels.0, state.free);
         }
     }
 
-    fn unlink(&mut self, id: u32) {
+    fn remove_from_trees(&mut self, id: u32) {
         let state = &self.states[id as usize];
         if !state.schedulable {
             return;
@@ -204,8 +211,9 @@
     }
 }
 
-/// Returns the sum of a worker's free shares, which is largest for an idle worker.
-fn emptiness(state: &WorkerState) -> u64 {
+/// Returns the sum of the free shares of a worker's processors, memory and accelerators. The sum is
+/// largest for an idle worker.
+fn free_share_sum(state: &WorkerState) -> u64 {
     shares(&state.free, &state.size).into_iter().sum()
 }
 
--- a/src/decide/place/tree.rs
+++ b/src/decide/place/tree.rs
@@ -49,12 +49,12 @@
         self.root = self.remove_at(self.root, id);
     }
 
-    /// Returns the first worker in order with room for `need` that passes `accept`.
+    /// Returns the worker with the lowest key that has room for `need` and passes `accept`.
     pub(super) fn first(&self, need: &Size, accept: &dyn Fn(u32) -> bool) -> Option<u32> {
         self.find(self.root, need, false, accept)
     }
 
-    /// Returns the last worker in order with room for `need` that passes `accept`.
+    /// Returns the worker with the highest key that has room for `need` and passes `accept`.
     pub(super) fn last(&self, need: &Size, accept: &dyn Fn(u32) -> bool) -> Option<u32> {
         self.find(self.root, need, true, accept)
     }
@@ -86,7 +86,7 @@
         if at == NIL {
             return id;
         }
-        if priority(id) > priority(at) {
+        if heap_priority(id) > heap_priority(at) {
             let (left, right) = self.split(at, id);
             self.set_children(id, left, right);
             return id;
@@ -120,7 +120,7 @@
         at
     }
 
-    /// Splits a subtree into the parts before and after a worker.
+    /// Splits a subtree into the workers that precede `id` and those that follow it.
     fn split(&mut self, at: u32, id: u32) -> (u32, u32) {
         if at == NIL {
             return (NIL, NIL);
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Merges two subtrees, all nodes of the first of which precede those of the second.
+    /// Merges two subtrees. All nodes of `a` must precede those of `b`.
     fn merge(&mut self, a: u32, b: u32) -> u32 {
         if a == NIL {
             return b;
@@ -145,7 +145,7 @@
         if b == NIL {
             return a;
         }
-        if priority(a) > priority(b) {
+        if heap_priority(a) > heap_priority(b) {
             let Node { left, right, .. } = self.nodes[a as usize];
             let right = self.merge(right, b);
             self.set_children(a, left, right);
@@ -174,7 +174,7 @@
     }
 }
 
-fn priority(id: u32) -> u64 {
+fn heap_priority(id: u32) -> u64 {
     let hash = (u64::from(id) + 1).wrapping_mul(HASH_MULTIPLIER);
     (hash ^ (hash >> 29)).wrapping_mul(HASH_MULTIPLIER)
 }
--- a/src/decide/quota.rs
+++ b/src/decide/quota.rs
@@ -31,10 +31,11 @@
 /// since waiting for its end costs a lender no more than a checkpoint and a restart would cost the
 /// borrower.
 pub const BRIEF_TASK: Duration = Duration::from_secs(60);
-/// Number of returns a second. Each is a checkpoint of gigabytes; at 20 a second, 7,000 borrowed
-/// tasks (a third of those running) are returned in six minutes, and a hundred in five seconds.
+/// Maximum number of borrowed tasks returned per second. Each writes a checkpoint of gigabytes; at
+/// 20 per second, 7,000 borrowed tasks (a third of those running) are returned in six minutes, and
+/// a hundred in five seconds.
 const RETURNS_PER_SECOND: u64 = 20;
-/// Number of returns that may be requested at once after a period without returns.
+/// Maximum number of borrowed tasks returned at once after a period without returns.
 const MAX_RETURN_BURST: u64 = 20;
 /// The value 1.0 of a share, as a fixed-point number.
 const SHARE_SCALE: u128 = 1 << 40;
@@ -50,7 +51,7 @@
     Never,
 }
 
-/// A task that requests room.
+/// Request for room for one task.
 #[derive(Clone, Debug)]
 pub struct QuotaRequest {
     /// The team whose quota is charged.
@@ -59,11 +60,11 @@
     pub task: TaskId,
     /// Resources that the task reserves.
     pub size: Size,
-    /// How its room can be reclaimed.
+    /// How the task's room can be reclaimed.
     pub reclaim: Reclaim,
 }
 
-/// What a task may take.
+/// Kind of room that a task may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grant {
     /// Room within its team's own quota.
@@ -77,10 +78,10 @@
 /// Why a job is refused at submission.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Refusal {
-    /// There is no such team.
+    /// No team of this name has a quota.
     #[display("no team of this name has a quota")]
     Unknown,
-    /// All tasks must run at once, which exceeds the quota.
+    /// The job's tasks must all run at once, and together they exceed the team's quota.
     #[display("all its tasks at once need {need}, more than the team's quota of {quota}")]
     OverQuota {
         /// Total resources of all tasks.
@@ -90,46 +91,48 @@
     },
 }
 
-/// A team's place among all teams; the lowest is served next.
+/// Rank of a team among all teams; the team with the lowest rank is served next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
     /// Whether the team has borrowed room.
     pub borrows: bool,
-    /// Its dominant share divided by its weight, in units of 2^-40.
+    /// The team's dominant share divided by its weight, in units of 2^-40.
     pub share: u64,
 }
 
-/// All quotas and what is held of them.
+/// Quotas of all teams, and the resources that their tasks hold.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    teams: BTreeMap<TeamId, Account>,
-    tasks: FxHashMap<TaskId, Held>,
+    teams: BTreeMap<TeamId, TeamAccount>,
+    tasks: FxHashMap<TaskId, HeldTask>,
     total: Size,
-    /// Sums over all teams, kept so that a grant reads one team only.
+    /// Idle quota of all teams. This and the next two sums are stored so that a grant reads only
+    /// one team.
     lendable: Size,
     borrowed: Size,
     returning: Size,
     next_sequence: u64,
-    tokens: u64,
+    return_tokens: u64,
     last_refill: Time,
 }
 
 #[derive(Debug, Default)]
-struct Account {
+struct TeamAccount {
     quota: Size,
     weight: u64,
     own: Size,
     borrowed: Size,
     waiting: Size,
-    /// Borrowed tasks that are not being returned, by order of start.
+    /// Tasks in borrowed room that can be checkpointed and are not being returned yet, by the order
+    /// in which they started.
     loans: BTreeMap<u64, TaskId>,
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldTask {
     team: TeamId,
     size: Size,
-    back: Reclaim,
+    reclaim: Reclaim,
     sequence: u64,
     state: State,
 }
@@ -141,7 +144,7 @@
     Returning,
 }
 
-impl Account {
+impl TeamAccount {
     /// Returns the quota that is neither in use nor needed by waiting work of the team.
     fn lendable(&self) -> Size {
         self.quota.saturating_sub(&self.own).saturating_sub(&self.waiting)
@@ -157,7 +160,7 @@
     ///
     /// Running tasks keep their grants: usage drops to a smaller quota as tasks end.
     pub fn set(&mut self, team: &TeamId, quota: Size, weight: u32) {
-        self.update(team, |a| {
+        self.update_account(team, |a| {
             a.quota = quota;
             a.weight = u64::from(weight.max(1));
         });
@@ -179,22 +182,24 @@
 
     /// Records `count` waiting tasks of a team, so that the quota they need is not lent.
     pub fn add_waiting(&mut self, team: &TeamId, size: Size, count: usize) {
-        self.update(team, |a| a.waiting += size.times(count as u64));
+        self.update_account(team, |a| a.waiting += size.times(count as u64));
     }
 
     /// Records that `count` tasks no longer wait, for a reason other than [`Quotas::start`].
     pub fn remove_waiting(&mut self, team: &TeamId, size: Size, count: usize) {
-        self.update(team, |a| a.waiting = a.waiting.saturating_sub(&size.times(count as u64)));
+        self.update_account(team, |a| {
+            a.waiting = a.waiting.saturating_sub(&size.times(count as u64))
+        });
     }
 
-    /// Returns what the task could take now.
-    pub fn grant(&self, ask: &QuotaRequest) -> Grant {
-        let Some(a) = self.teams.get(&ask.team) else { return Grant::Wait };
-        if a.fits_own(&ask.size) {
+    /// Returns the kind of room that the task could take now.
+    pub fn grant(&self, request: &QuotaRequest) -> Grant {
+        let Some(a) = self.teams.get(&request.team) else { return Grant::Wait };
+        if a.fits_own(&request.size) {
             return Grant::Own;
         }
         let spare = self.lendable.saturating_sub(&self.borrowed);
-        if ask.reclaim != Reclaim::Never && ask.size.fits(&spare) {
+        if request.reclaim != Reclaim::Never && request.size.fits(&spare) {
             Grant::Borrowed
         } else {
             Grant::Wait
@@ -202,58 +207,63 @@
     }
 
     /// Starts a task that waited, if it is granted room.
-    pub fn start(&mut self, ask: &QuotaRequest) -> Grant {
-        let grant = self.grant(ask);
+    pub fn start(&mut self, request: &QuotaRequest) -> Grant {
+        let grant = self.grant(request);
         let state = match grant {
             Grant::Own => State::Own,
             Grant::Borrowed => State::Borrowed,
             Grant::Wait => return grant,
         };
-        self.insert(ask, state);
+        self.insert_task(request, state);
         grant
     }
 
     /// Counts a task that a former owner started, whether or not there is idle quota for it.
-    pub fn adopt(&mut self, ask: &QuotaRequest) {
-        let own = self.teams.get(&ask.team).is_some_and(|a| a.fits_own(&ask.size));
-        self.insert(ask, if own { State::Own } else { State::Borrowed });
+    pub fn adopt(&mut self, request: &QuotaRequest) {
+        let own = self.teams.get(&request.team).is_some_and(|a| a.fits_own(&request.size));
+        self.insert_task(request, if own { State::Own } else { State::Borrowed });
     }
 
-    /// Frees what the task held. Room of the team's own quota is passed to its oldest loans first.
+    /// Records the end of a task and frees its resources. If they were part of the team's own
+    /// quota, the team's oldest loans are moved into them.
     pub fn record_end(&mut self, task: &TaskId) {
         let Some(held) = self.tasks.remove(task) else { return };
-        self.release(&held);
+        self.release_task(&held);
         if held.state == State::Own {
-            self.repay(&held.team);
+            self.repay_loans(&held.team);
         }
     }
 
-    /// Returns tasks to checkpoint and stop so that lenders get their room back; each is returned
-    /// once.
+    /// Chooses borrowed tasks to checkpoint and stop so that lenders get their room back. Each task
+    /// is chosen only once.
     pub fn tasks_to_return(&mut self, now: Time) -> Vec<TaskId> {
-        self.refill(now);
+        self.refill_tokens(now);
         let mut tasks = Vec::new();
-        while self.tokens > 0 && !(self.borrowed.fits(&(self.lendable + self.returning))) {
-            let Some(task) = self.newest_loan() else { break };
+        while self.return_tokens > 0 && !(self.borrowed.fits(&(self.lendable + self.returning))) {
+            let Some(task) = self.next_loan_to_return() else { break };
             let Some(held) = self.tasks.get_mut(&task) else { break };
             held.state = State::Returning;
             self.returning += held.size;
             if let Some(a) = self.teams.get_mut(&held.team) {
                 a.loans.remove(&held.sequence);
             }
-            self.tokens -= 1;
+            self.return_tokens -= 1;
             tasks.push(task);
         }
         tasks
     }
 
-    /// Returns the team's place among all teams.
+    /// Returns the team's rank among all teams.
     pub fn rank(&self, team: &TeamId) -> Rank {
         let Some(a) = self.teams.get(team) else { return Rank::default() };
-        Rank { borrows: a.borrowed != Size::default(), share: self.share(a, a.own + a.borrowed) }
+        Rank {
+            borrows: a.borrowed != Size::default(),
+            share: self.weighted_share(a, a.own + a.borrowed),
+        }
     }
 
-    /// Returns what the team holds of its own quota, and what it has borrowed.
+    /// Returns the resources that the team's tasks hold of its own quota, and those they have
+    /// borrowed.
     pub fn held(&self, team: &TeamId) -> (Size, Size) {
         self.teams.get(team).map(|a| (a.own, a.borrowed)).unwrap_or_default()
     }
@@ -268,9 +278,9 @@
         self.tasks.get(task).is_some_and(|h| h.state != State::Own)
     }
 
-    /// Returns the largest share of the total that `used` takes in any dimension, divided by the
-    /// weight.
-    fn share(&self, a: &Account, used: Size) -> u64 {
+    /// Returns the dominant share of `used`, that is, its largest share of the total in any
+    /// dimension, divided by the team's weight.
+    fn weighted_share(&self, a: &TeamAccount, used: Size) -> u64 {
         let part =
             |used: u64, total: u64| u128::from(used) * SHARE_SCALE / u128::from(total.max(1));
         let cores = part(used.cores.0, self.total.cores.0);
@@ -280,64 +290,64 @@
         u64::try_from(share).unwrap_or(u64::MAX)
     }
 
-    fn insert(&mut self, ask: &QuotaRequest, state: State) {
-        self.remove_waiting(&ask.team, ask.size, 1);
+    fn insert_task(&mut self, request: &QuotaRequest, state: State) {
+        self.remove_waiting(&request.team, request.size, 1);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        let team = ask.team.clone();
-        let held = Held { team, size: ask.size, back: ask.reclaim, sequence, state };
-        self.charge(&ask.task, &held);
-        self.tasks.insert(ask.task.clone(), held);
+        let team = request.team.clone();
+        let held = HeldTask { team, size: request.size, reclaim: request.reclaim, sequence, state };
+        self.charge_team(&request.task, &held);
+        self.tasks.insert(request.task.clone(), held);
     }
 
-    fn update(&mut self, team: &TeamId, f: impl FnOnce(&mut Account)) {
+    fn update_account(&mut self, team: &TeamId, f: impl FnOnce(&mut TeamAccount)) {
         let a = self.teams.entry(team.clone()).or_default();
         let before = a.lendable();
         f(a);
         self.lendable = self.lendable.saturating_sub(&before) + a.lendable();
     }
 
-    fn charge(&mut self, task: &TaskId, held: &Held) {
+    fn charge_team(&mut self, task: &TaskId, held: &HeldTask) {
         let size = held.size;
         if held.state == State::Own {
-            return self.update(&held.team, |a| a.own += size);
+            return self.update_account(&held.team, |a| a.own += size);
         }
         self.borrowed += size;
-        self.update(&held.team, |a| {
+        self.update_account(&held.team, |a| {
             a.borrowed += size;
-            if held.back == Reclaim::Checkpoint {
+            if held.reclaim == Reclaim::Checkpoint {
                 a.loans.insert(held.sequence, task.clone());
             }
         });
     }
 
-    fn release(&mut self, held: &Held) {
+    fn release_task(&mut self, held: &HeldTask) {
         let size = held.size;
         if held.state == State::Own {
-            return self.update(&held.team, |a| a.own = a.own.saturating_sub(&size));
+            return self.update_account(&held.team, |a| a.own = a.own.saturating_sub(&size));
         }
         if held.state == State::Returning {
             self.returning = self.returning.saturating_sub(&size);
         }
         self.borrowed = self.borrowed.saturating_sub(&size);
-        self.update(&held.team, |a| {
+        self.update_account(&held.team, |a| {
             a.borrowed = a.borrowed.saturating_sub(&size);
             a.loans.remove(&held.sequence);
         });
     }
 
-    /// Turns the team's oldest loans into own room if they fit beside the team's waiting work. A
-    /// loan that took the room of waiting work that can't borrow would starve that work.
-    fn repay(&mut self, team: &TeamId) {
+    /// Charges the team's oldest borrowed tasks to its own quota, as long as enough is left for the
+    /// team's waiting work. Otherwise waiting work that can't borrow would starve.
+    fn repay_loans(&mut self, team: &TeamId) {
         loop {
             let Some(a) = self.teams.get(team) else { return };
             let Some(task) = a.loans.values().next().cloned() else { return };
             let Some(mut held) = self.tasks.remove(&task) else { return };
             let fits = held.size.fits(&a.lendable());
             if fits {
-                self.release(&held);
+                self.release_task(&held);
                 held.state = State::Own;
-                self.charge(&task, &held);
+                self.charge_team(&task, &held);
             }
             self.tasks.insert(task, held);
             if !fits {
@@ -346,18 +356,19 @@
         }
     }
 
-    /// Returns the newest loan, which loses the least work, of the team that has borrowed most.
-    fn newest_loan(&self) -> Option<TaskId> {
+    /// Returns the newest borrowed task of the team that has borrowed the most. The newest task
+    /// loses the least work.
+    fn next_loan_to_return(&self) -> Option<TaskId> {
         let lent = self.teams.values().filter(|a| !a.loans.is_empty());
-        let largest = lent.max_by_key(|a| self.share(a, a.borrowed))?;
+        let largest = lent.max_by_key(|a| self.weighted_share(a, a.borrowed))?;
         largest.loans.values().next_back().cloned()
     }
 
-    fn refill(&mut self, now: Time) {
+    fn refill_tokens(&mut self, now: Time) {
         let passed = u64::try_from(now.since(self.last_refill).as_micros()).unwrap_or(u64::MAX);
         let refilled = passed.saturating_mul(RETURNS_PER_SECOND) / 1_000_000;
         if refilled > 0 {
-            self.tokens = (self.tokens + refilled).min(MAX_RETURN_BURST);
+            self.return_tokens = (self.return_tokens + refilled).min(MAX_RETURN_BURST);
             self.last_refill = now;
         }
     }
--- a/src/decide/rank.rs
+++ b/src/decide/rank.rs
@@ -16,22 +16,23 @@
 
 use {crate::work::Queue, std::time::Duration};
 
-/// Number of objectives after its arrival within which a job still has value.
+/// Multiple of a job's objective, counted from its arrival, after which the job has no value.
 const VALUE_FACTOR: u64 = 3;
 
-/// Divisor for the part of the room that a step can fill in one round: a wider step runs in several
-/// rounds, for which its objective allows.
+/// Divisor of a pool's room that gives the maximum number of tasks of a step in one round. A wider
+/// step runs in several rounds, and its objective allows for them.
 const ROUND_DIVISOR: u64 = 4;
 
-/// A place in the order; the lowest goes first.
+/// Rank of a step in the order of starts; the lowest starts first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rank {
-    /// 0: can be in time, 1: late, 2: too late to have value.
+    /// Class of the step: 0 if it can be in time, 1 if it is late, 2 if it is too late to have
+    /// value.
     class: u8,
     /// The queue's priority.
     priority: u8,
     /// Due time, in milliseconds since the Unix epoch.
-    due: u64,
+    due_ms: u64,
 }
 
 impl Rank {
@@ -43,47 +44,47 @@
 
     /// Returns the due time, in milliseconds since the Unix epoch.
     pub fn due(&self) -> u64 {
-        self.due
+        self.due_ms
     }
 }
 
-/// What the rank of a step depends on.
+/// Times of a job from which the rank of one of its steps is computed.
 #[derive(Clone, Copy, Debug)]
 pub struct JobTiming {
     /// Arrival of the job or its occurrence, in milliseconds since the Unix epoch.
     pub arrived_ms: u64,
     /// Length of the critical path of the job, including rounds and failed runs.
     pub critical_path: Duration,
-    /// Part of the critical path up to the end of this step that is still to be done.
+    /// Remaining run time on the critical path up to the end of this step.
     pub remaining: Duration,
     /// Whether the step runs until it is cancelled.
     pub long_running: bool,
 }
 
-/// Returns the number of rounds in which `count` tasks run, for the objective, in a pool with room
-/// for `room` of them.
+/// Returns the number of rounds that the objective allows for `count` tasks in a pool with room for
+/// `room` of them.
 pub fn round_count(count: u32, room: u64) -> u32 {
     let round_size = (room / ROUND_DIVISOR).max(1);
     u32::try_from(u64::from(count).div_ceil(round_size)).unwrap_or(u32::MAX)
 }
 
 /// Returns the objective of a job: how long it may take from its arrival.
-pub fn objective(queue: &Queue, chain: Duration) -> Duration {
-    chain.mul_f64(queue.stretch.max(0.0)) + queue.slack
+pub fn objective(queue: &Queue, critical_path: Duration) -> Duration {
+    critical_path.mul_f64(queue.stretch.max(0.0)) + queue.slack
 }
 
 /// Returns the rank of a step at `now`, in milliseconds since the Unix epoch.
-pub fn rank(queue: &Queue, facts: JobTiming, now: u64) -> Rank {
+pub fn rank(queue: &Queue, timing: JobTiming, now: u64) -> Rank {
     let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
-    let objective = ms(objective(queue, facts.critical_path));
-    let due = facts.arrived_ms.saturating_add(objective);
-    let end = now.saturating_add(ms(facts.remaining));
-    let class = if facts.long_running || end <= due {
+    let objective = ms(objective(queue, timing.critical_path));
+    let due = timing.arrived_ms.saturating_add(objective);
+    let end = now.saturating_add(ms(timing.remaining));
+    let class = if timing.long_running || end <= due {
         0
-    } else if end <= facts.arrived_ms.saturating_add(objective.saturating_mul(VALUE_FACTOR)) {
+    } else if end <= timing.arrived_ms.saturating_add(objective.saturating_mul(VALUE_FACTOR)) {
         1
     } else {
         2
     };
-    Rank { class, priority: queue.priority, due }
+    Rank { class, priority: queue.priority, due_ms: due }
 }
--- a/src/decide/reads.rs
+++ b/src/decide/reads.rs
@@ -12,18 +12,18 @@
 
 use {crate::time::Time, std::time::Duration};
 
-/// Share of the store's read capacity available for queries of states.
-const STATE_SHARE: f64 = 0.25;
-/// Time over which unused reads are saved.
+/// Fraction of the store's read capacity that all members together use for queries of job states.
+const STATE_QUERY_SHARE: f64 = 0.25;
+/// Maximum time for which unused reads are saved for a burst of queries.
 const BURST_PERIOD: Duration = Duration::from_secs(1);
-/// Maximum number of reads for one query.
-const READS_PER_QUERY: f64 = 3.0;
+/// Maximum number of store reads that one query takes.
+const MAX_READS_PER_QUERY: f64 = 3.0;
 
-/// Reads that one member may make to answer queries of states.
+/// Budget of store reads with which one member answers queries of job states.
 #[derive(Clone, Debug, Default)]
 pub struct ReadBudget {
-    /// Reads available at the time `refilled_at`.
-    available: f64,
+    /// Number of reads that were available at the time `refilled_at`.
+    available_reads: f64,
     refilled_at: Option<Time>,
 }
 
@@ -31,21 +31,21 @@
     /// Returns whether one more query may be answered from the store, which serves `rate` reads per
     /// second to `members` members.
     pub fn admit(&mut self, rate: f64, members: usize, now: Time) -> bool {
-        let member_rate = rate * STATE_SHARE / members.max(1) as f64;
-        // Even a small share allows one query at a time.
-        let max = (member_rate * BURST_PERIOD.as_secs_f64()).max(READS_PER_QUERY);
+        let member_rate = rate * STATE_QUERY_SHARE / members.max(1) as f64;
+        // At least one query is allowed, however small this member's share is.
+        let max = (member_rate * BURST_PERIOD.as_secs_f64()).max(MAX_READS_PER_QUERY);
         let refilled = self.refilled_at.map_or(max, |at| member_rate * (now - at).as_secs_f64());
-        self.available = (self.available + refilled).min(max);
+        self.available_reads = (self.available_reads + refilled).min(max);
         self.refilled_at = Some(now);
-        let admitted = self.available >= READS_PER_QUERY;
+        let admitted = self.available_reads >= MAX_READS_PER_QUERY;
         if admitted {
-            self.available -= READS_PER_QUERY;
+            self.available_reads -= MAX_READS_PER_QUERY;
         }
         admitted
     }
 
-    /// Makes the unused reads of a query that took `reads` reads available again.
+    /// Returns the unused reads of a query to the budget; `reads` is the number that it used.
     pub fn refund(&mut self, reads: u32) {
-        self.available += (READS_PER_QUERY - f64::from(reads)).max(0.0);
+        self.available_reads += (MAX_READS_PER_QUERY - f64::from(reads)).max(0.0);
     }
 }
--- a/src/decide/relay.rs
+++ b/src/decide/relay.rs
@@ -21,17 +21,17 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Number of failed direct calls in a row after which the direct path is lost.
-const MAX_FAULTS: u32 = 2;
+/// Number of failed direct calls in a row after which the direct path to the store counts as lost.
+const MAX_DIRECT_FAILURES: u32 = 2;
 /// Interval at which the direct path is probed while it is lost.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause after a call that no member relayed.
+/// Time for which calls are not relayed after no member could relay one.
 const RELAY_PAUSE: Duration = Duration::from_secs(1);
-/// How long the direct path is lost before shards are given up.
+/// Time from the loss of the direct path to the store until this member gives up its shards.
 const YIELD_DELAY: Duration = Duration::from_millis(500);
-/// How long a member that failed to relay a call is tried last.
-const AVOID_PERIOD: Duration = Duration::from_secs(2);
-/// Minimum duration of a call without an answer that counts as a failure of the path.
+/// Time for which a member that failed to relay a call is tried only after all others.
+const RELAY_AVOID_PERIOD: Duration = Duration::from_secs(2);
+/// Minimum time after which a call that timed out counts as a failure of the direct path.
 const MIN_CALL_TIME: Duration = Duration::from_millis(200);
 /// Maximum number of members that are tried for one call: if a third of all members are cut off,
 /// all of the tried ones are in one case out of a hundred.
@@ -48,36 +48,36 @@
     Relayed,
 }
 
-/// State of the paths to the store, as known from recent calls.
+/// Results of recent calls to the store, from which the path of the next call is chosen.
 #[derive(Clone, Debug, Default)]
 pub struct RelayState {
-    /// Failed direct calls in a row.
-    faults: u32,
-    /// When the direct path was lost.
+    /// Number of failed direct calls in a row.
+    direct_failures: u32,
+    /// Time at which the direct path was lost.
     lost_at: Time,
     /// Whether this member gives up its shards until the store serves it again.
     yielding: bool,
-    /// When the direct path is probed next.
+    /// Time from which the direct path may be probed again.
     next_probe: Time,
-    /// Calls are not relayed before this time.
+    /// Time until which calls are not relayed.
     paused_until: Time,
-    /// When the store last served a direct call.
-    last_served: Time,
+    /// Time at which the store last served a direct call.
+    last_served_at: Time,
     /// The member that relayed the last call.
     last_relay: Option<Incarnation>,
-    /// When a call was last relayed.
+    /// Time at which a member last relayed a call.
     relayed_at: Option<Time>,
     /// Members that failed to relay a call, and until when each is tried last.
     avoided: BTreeMap<Incarnation, Time>,
 }
 
 impl RelayState {
-    /// Chooses the path of a call; `repeats` says whether the call is safe to repeat.
-    pub fn choose_path(&mut self, repeats: bool, now: Time) -> StorePath {
+    /// Chooses the path of a call; `repeatable` says whether the call is safe to repeat.
+    pub fn choose_path(&mut self, repeatable: bool, now: Time) -> StorePath {
         if !self.is_direct_lost() {
             return StorePath::Direct;
         }
-        if repeats && self.next_probe <= now {
+        if repeatable && self.next_probe <= now {
             self.next_probe = now + PROBE_INTERVAL;
             return StorePath::Probe;
         }
@@ -86,7 +86,7 @@
 
     /// Returns whether the direct path is lost.
     pub fn is_direct_lost(&self) -> bool {
-        self.faults >= MAX_FAULTS
+        self.direct_failures >= MAX_DIRECT_FAILURES
     }
 
     /// Returns whether relaying is paused.
@@ -97,16 +97,16 @@
     /// Records whether the store served a direct call.
     pub fn record_direct(&mut self, served: bool, now: Time) {
         if served {
-            (self.faults, self.last_served, self.yielding) = (0, now, false);
+            (self.direct_failures, self.last_served_at, self.yielding) = (0, now, false);
             return;
         }
-        self.faults = self.faults.saturating_add(1);
-        if self.faults == MAX_FAULTS {
+        self.direct_failures = self.direct_failures.saturating_add(1);
+        if self.direct_failures == MAX_DIRECT_FAILURES {
             (self.lost_at, self.next_probe) = (now, now + PROBE_INTERVAL);
         }
     }
 
-    /// Returns whether this member leaves the ownership of shards to members that the store serves.
+    /// Returns whether this member must give up its shards to members that the store serves.
     ///
     /// Without this, jobs pile up at an owner that is cut off: all reads and writes of its shards
     /// go through another member's connection, and each end and start of a task waits for it. If
@@ -124,7 +124,7 @@
     /// in progress on it would be given up: the last moments before a caller's deadline are too
     /// short for any answer, and a call behind a large answer is late while others are served.
     pub fn record_timeout(&mut self, sent: Time, now: Time) {
-        if now - sent >= MIN_CALL_TIME && self.last_served < sent {
+        if now - sent >= MIN_CALL_TIME && self.last_served_at < sent {
             self.record_direct(false, now);
         }
     }
@@ -141,7 +141,7 @@
         }
         self.last_relay = self.last_relay.filter(|l| *l != by);
         self.avoided.retain(|_, until| now < *until);
-        self.avoided.insert(by, now + AVOID_PERIOD);
+        self.avoided.insert(by, now + RELAY_AVOID_PERIOD);
     }
 
     /// Records a call that none of the tried members relayed.
@@ -152,10 +152,15 @@
     /// Returns the members to try for a call, in order: the one that relayed last, then those that
     /// follow this member in the ring of all members, so that several members that are cut off use
     /// different relays. Members that recently failed to relay a call come last.
-    pub fn candidates(&self, able: &[Incarnation], me: Incarnation, now: Time) -> Vec<Incarnation> {
-        let behind = able.iter().filter(|m| **m > me);
+    pub fn candidates(
+        &self,
+        able_members: &[Incarnation],
+        me: Incarnation,
+        now: Time,
+    ) -> Vec<Incarnation> {
+        let behind = able_members.iter().filter(|m| **m > me);
         let mut ring: Vec<Incarnation> =
-            behind.chain(able.iter().filter(|m| **m < me)).copied().collect();
+            behind.chain(able_members.iter().filter(|m| **m < me)).copied().collect();
         let avoided = |m: &Incarnation| self.avoided.get(m).is_some_and(|until| now < *until);
         ring.sort_by_key(|m| (self.last_relay != Some(*m), avoided(m)));
         ring.truncate(MAX_RELAYS);
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -20,29 +20,31 @@
     std::time::Duration,
 };
 
-/// Share of a retry that a first try earns.
-const EARNED_PER_TRY: f64 = 0.1;
+/// Number of retries that the first try of a request adds to the budget.
+const EARNED_RETRIES_PER_TRY: f64 = 0.1;
 /// Maximum number of earned retries: the 8 slots and 64 connections of one worker, refused at once,
 /// can all be retried. A higher limit would let a quiet hour pay for a retry storm.
-const MAX_EARNED: f64 = 72.0;
+const MAX_EARNED_RETRIES: f64 = 72.0;
 /// Retries per second reserved for callers that had none recently. The delay that callers get with
 /// `RetryBudget` is the time for one such retry.
-const RESERVED_PER_SECOND: f64 = 1.0;
+const RESERVED_RETRIES_PER_SECOND: f64 = 1.0;
 /// Maximum number of reserved retries.
-const MAX_RESERVED: f64 = 5.0;
-/// How long a caller that got a retry can use no reserved one.
-const RECENT_PERIOD: Duration = Duration::from_secs(10);
+const MAX_RESERVED_RETRIES: f64 = 5.0;
+/// Time after a caller's retry during which it may use no reserved retry.
+const RECENT_RETRY_PERIOD: Duration = Duration::from_secs(10);
 /// Maximum number of tries of one request, over all members: if most endpoints refuse, a third
 /// random one refuses too.
 const MAX_TRIES: u32 = 3;
 
-/// The retries that one member may make.
+/// Budget of the retries that one member may make.
 pub struct Budget {
-    earned: f64,
-    reserved: f64,
-    /// When `reserved` was last updated.
+    /// Number of retries that first tries have earned.
+    earned_retries: f64,
+    /// Number of retries reserved for callers that had none recently.
+    reserved_retries: f64,
+    /// Time at which `reserved_retries` was last updated.
     refilled_at: Time,
-    /// When each caller got its last retry.
+    /// Time of the last retry of each caller.
     last_retry: FxHashMap<CallerId, Time>,
 }
 
@@ -50,8 +52,8 @@
     /// Creates a budget with no earned retries.
     pub fn new(now: Time) -> Self {
         Budget {
-            earned: 0.0,
-            reserved: MAX_RESERVED,
+            earned_retries: 0.0,
+            reserved_retries: MAX_RESERVED_RETRIES,
             refilled_at: now,
             last_retry: FxHashMap::default(),
         }
@@ -60,7 +62,8 @@
     /// Records a request that is about to be tried, after `tries` tries at any member.
     pub fn record_try(&mut self, tries: u32) {
         if tries == 0 {
-            self.earned = (self.earned + EARNED_PER_TRY).min(MAX_EARNED);
+            self.earned_retries =
+                (self.earned_retries + EARNED_RETRIES_PER_TRY).min(MAX_EARNED_RETRIES);
         }
     }
 
@@ -81,12 +84,13 @@
         if !can_retry(error.kind()) || tries >= MAX_TRIES {
             return Err(error);
         }
-        self.refill(now);
-        let recent = self.last_retry.get(caller).is_some_and(|&t| now.since(t) < RECENT_PERIOD);
-        if self.earned >= 1.0 {
-            self.earned -= 1.0;
-        } else if self.reserved >= 1.0 && !recent {
-            self.reserved -= 1.0;
+        self.refill_reserved(now);
+        let recent =
+            self.last_retry.get(caller).is_some_and(|&t| now.since(t) < RECENT_RETRY_PERIOD);
+        if self.earned_retries >= 1.0 {
+            self.earned_retries -= 1.0;
+        } else if self.reserved_retries >= 1.0 && !recent {
+            self.reserved_retries -= 1.0;
         } else {
             return Err(Error::new(Kind::RetryBudget, error.to_string()));
         }
@@ -94,16 +98,17 @@
         Ok(())
     }
 
-    fn refill(&mut self, now: Time) {
+    fn refill_reserved(&mut self, now: Time) {
         let passed = now.since(self.refilled_at);
-        self.reserved =
-            (self.reserved + RESERVED_PER_SECOND * passed.as_secs_f64()).min(MAX_RESERVED);
+        self.reserved_retries = (self.reserved_retries
+            + RESERVED_RETRIES_PER_SECOND * passed.as_secs_f64())
+        .min(MAX_RESERVED_RETRIES);
         // Entries are removed once per period, so the map holds only callers with a retry in the
         // last two periods, whose number the budget limits.
-        if self.refilled_at.0 / RECENT_PERIOD.as_micros() as u64
-            != now.0 / RECENT_PERIOD.as_micros() as u64
+        if self.refilled_at.0 / RECENT_RETRY_PERIOD.as_micros() as u64
+            != now.0 / RECENT_RETRY_PERIOD.as_micros() as u64
         {
-            self.last_retry.retain(|_, at| now.since(*at) < RECENT_PERIOD);
+            self.last_retry.retain(|_, at| now.since(*at) < RECENT_RETRY_PERIOD);
         }
         self.refilled_at = now;
     }
--- a/src/decide/standby.rs
+++ b/src/decide/standby.rs
@@ -17,56 +17,57 @@
 
 use {crate::Time, std::time::Duration};
 
-/// How long work must wait before a VM is lent.
+/// Minimum wait of a pool's oldest work after which a VM is lent to the pool.
 pub const LOAN_WAIT: Duration = Duration::from_secs(3);
-/// Minimum time between two loans to a pool.
+/// Minimum interval between two loans of VMs to the same pool.
 pub const LOAN_INTERVAL: Duration = Duration::from_secs(5);
-/// Maximum wait that does not count as waiting.
+/// Maximum wait of a pool's oldest work at which no work counts as waiting.
 pub const SHORT_WAIT: Duration = Duration::from_millis(500);
-/// How long nothing may have waited before a VM is returned.
+/// Minimum time without waiting work in a pool before a VM lent to it is returned.
 pub const QUIET_PERIOD: Duration = Duration::from_secs(10);
-/// How long a VM must have been empty before it is returned.
+/// Minimum time that a lent VM must have run no task before it is returned.
 pub const IDLE_PERIOD: Duration = Duration::from_secs(5);
 
-/// Recent waits of the work of a pool.
+/// Recent waits of a pool's work, which show whether the pool needs more VMs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolDemand {
-    /// Since when nothing has waited.
-    quiet_since: Option<Time>,
-    /// Wait of the oldest waiting work.
+    /// Time since which no work has waited, or `None` if some waits now.
+    no_wait_since: Option<Time>,
+    /// Time for which the oldest waiting work has waited.
     longest_wait: Duration,
-    /// When a VM was last lent to the pool.
-    last_loan: Option<Time>,
+    /// Time at which a VM was last lent to the pool.
+    last_loan_at: Option<Time>,
 }
 
 impl PoolDemand {
-    /// Records how long the oldest waiting work has waited.
-    pub fn record_wait(&mut self, waits: Duration, now: Time) {
-        self.longest_wait = waits;
-        if waits > SHORT_WAIT {
-            self.quiet_since = None;
+    /// Records the time for which the pool's oldest waiting work has waited.
+    pub fn record_wait(&mut self, wait: Duration, now: Time) {
+        self.longest_wait = wait;
+        if wait > SHORT_WAIT {
+            self.no_wait_since = None;
         } else {
-            self.quiet_since.get_or_insert(now);
+            self.no_wait_since.get_or_insert(now);
         }
     }
 
-    /// Returns whether any work waits.
+    /// Returns whether any work has waited for longer than [`SHORT_WAIT`].
     pub fn is_waiting(&self) -> bool {
         self.longest_wait > SHORT_WAIT
     }
 
     /// Returns whether a VM is to be lent now, and records the loan if so.
     pub fn should_lend(&mut self, now: Time) -> bool {
-        let too_soon = self.last_loan.is_some_and(|at| now - at < LOAN_INTERVAL);
+        let too_soon = self.last_loan_at.is_some_and(|at| now - at < LOAN_INTERVAL);
         let wanted = self.longest_wait >= LOAN_WAIT && !too_soon;
         if wanted {
-            self.last_loan = Some(now);
+            self.last_loan_at = Some(now);
         }
         wanted
     }
 
-    /// Returns whether a VM that has been empty since `empty` is to be returned.
-    pub fn should_return(&self, empty: Time, now: Time) -> bool {
-        now - empty >= IDLE_PERIOD && self.quiet_since.is_some_and(|at| now - at >= QUIET_PERIOD)
+    /// Returns whether a VM that has been empty since `empty_since` is to be returned.
+    pub fn should_return(&self, empty_since: Time, now: Time) -> bool {
+        now - empty_since >= IDLE_PERIOD
+            && self.no_wait_since.is_some_and(|at| now - at >= QUIET_PERIOD)
     }
 }
--- a/src/decide/suspect.rs
+++ b/src/decide/suspect.rs
@@ -15,24 +15,24 @@
 //! worker is quarantined when this bound falls below `exp(-MIN_EVIDENCE)`. The attempts of a job
 //! count only once enough other workers have completed attempts of it.
 //!
-//! A job is at fault if it has never succeeded, has failed on `MIN_WORKERS` distinct good workers
-//! in two racks, and still fails `TRIAL_PERIOD` later. The same rule applies to a single task.
-//! During this period the job is on trial: only one of its tasks starts at a time, so that
+//! A job is at fault if it has never succeeded, has failed on `MIN_GOOD_WORKERS` distinct good
+//! workers in two racks, and still fails `TRIAL_PERIOD` later. The same rule applies to a single
+//! task. During this period the job is on trial: only one of its tasks starts at a time, so that
 //! dependencies of the job have time to recover, and little is lost if they don't. A worker is good
 //! for this purpose if it is not quarantined and its last completed task of *another* job
 //! succeeded.
 //!
 //! Results from peers may take long: if tasks run for ten minutes, nothing is known for ten
-//! minutes, in which a black hole fails thousands of tasks. So a worker with `MIN_STREAK` failures
-//! in a row gets single tasks at growing intervals, without any comparison, until one of them
-//! succeeds.
+//! minutes, in which a black hole fails thousands of tasks. So a worker with `MIN_FAILURE_STREAK`
+//! failures in a row gets single tasks at growing intervals, without any comparison, until one of
+//! them succeeds.
 //!
 //! Each member judges by the attempts of its own jobs. The number of stored pairs of job and worker
 //! is bounded.
 
 pub use super::trust::{Outcome, Trust};
 use {
-    super::{evidence::Evidence, trust::Standing},
+    super::{evidence::Evidence, trust::TrustState},
     crate::{
         Time,
         ids::{JobId, PoolId, RackId, TaskId, TaskIndex, WorkerId},
@@ -43,35 +43,41 @@
     std::time::Duration,
 };
 
-/// Evidence, in nats, required for a quarantine. With 3,900 workers, some hundred thousand failures
-/// a day are judged; `exp(-12)` is 6 in a million, so less than one good worker a day is
-/// quarantined by chance.
+/// Minimum evidence against a worker, in nats, for which it is quarantined. With 3,900 workers,
+/// some hundred thousand failures a day are judged; `exp(-12)` is 6 in a million, so less than one
+/// good worker a day is quarantined by chance.
 const MIN_EVIDENCE: f64 = 12.0;
-/// Number of distinct good workers that a job or task must fail on. If one worker in fifty were bad
-/// and undetected, four in a row would occur once in six million cases; three would occur once a
-/// week at 51,000 jobs a day.
-const MIN_WORKERS: usize = 4;
-/// Number of racks that these workers must span, if the pool has as many: a rack that loses its
-/// switch or its mount makes several workers fail at once, before any of them can be judged.
+/// Minimum number of distinct good workers on which a job or task must fail before it is at fault.
+/// If one worker in fifty were bad and undetected, four in a row would occur once in six million
+/// cases; three would occur once a week at 51,000 jobs a day.
+const MIN_GOOD_WORKERS: usize = 4;
+/// Minimum number of racks that the good workers on which a job failed must span, if the pool has
+/// as many: a rack that loses its switch or its mount makes several workers fail at once, before
+/// any of them can be judged.
 const MIN_RACKS: usize = 2;
-/// How long a job or task must have been failing. A database that restarts or fails over takes a
-/// minute or two, in which each job that needs it fails on all workers; such a job must not be
-/// given up for good.
+/// Minimum time for which a job or task must have been failing before it is given up. A database
+/// that restarts or fails over takes a minute or two, in which each job that needs it fails on all
+/// workers; such a job must not be given up for good.
 const TRIAL_PERIOD: Duration = Duration::from_secs(300);
-/// Time between starts of a job on trial: thirty starts in all, however many tasks it has.
+/// Interval between starts of tasks of a job on trial. This allows thirty starts during the trial,
+/// however many tasks the job has.
 const TRIAL_INTERVAL: Duration = Duration::from_secs(10);
-/// Number of failed attempts after which a task is given up even if no worker is known to be good,
-/// as in a cell that runs nothing else. With the back-off, these take about a quarter of an hour.
+/// Maximum number of failed attempts, after which a task is given up even if no worker is known to
+/// be good, as in a cell that runs nothing else. With the back-off, these attempts take about a
+/// quarter of an hour.
 const MAX_ATTEMPTS: u32 = 12;
-/// First wait between attempts, doubled up to the maximum. A transient fault (a mount, a name
-/// server) is often gone in seconds, and five minutes keep a permanent one from using up starts.
+/// Wait before the second attempt of a task. Each further failure doubles it, up to `MAX_BACKOFF`.
+/// A transient fault (a mount, a name server) is often gone in seconds, and five minutes keep a
+/// permanent one from using up starts.
 const MIN_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum wait before the next attempt of a task.
 const MAX_BACKOFF: Duration = Duration::from_secs(300);
 /// One in this many workers of a pool may be quarantined. Above that, the cause is probably common
 /// to the pool, and removing more workers would only add a shortage.
-const POOL_DIVISOR: usize = 5;
-/// Failure rate of a job on other workers above which a failed probe with it is not conclusive.
-const MAX_PEER_RATE: f64 = 0.5;
+const QUARANTINE_DIVISOR: usize = 5;
+/// Maximum failure rate of a job on other workers at which the failure of a probe with one of its
+/// tasks counts against the probed worker.
+const MAX_PEER_FAILURE_RATE: f64 = 0.5;
 
 /// Why a task is not retried; the text is shown to the operator.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -87,7 +93,7 @@
     Attempts(u32),
 }
 
-/// What happens to a task whose attempt ended.
+/// Decision about a task after one of its attempts ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The task is completed.
@@ -106,7 +112,8 @@
     pools: FxHashMap<PoolId, Pool>,
     jobs: FxHashMap<JobId, Job>,
     evidence: Evidence,
-    spared: u64,
+    /// Number of failures not counted against their worker.
+    spared_failures: u64,
     rng: Rng,
 }
 
@@ -114,10 +121,11 @@
 struct Worker {
     pool: PoolId,
     rack: RackId,
-    /// Outcome of the last completed attempt of each of the last two jobs, the most recent first;
-    /// `true` is a success. Two are enough to have one of a job other than the one in question.
-    last_ends: [Option<(JobId, bool)>; 2],
-    standing: Standing,
+    /// For each of the last two jobs that ran on the worker, the most recent first: whether its
+    /// last completed attempt succeeded. Of two jobs, at least one is not the job that is being
+    /// judged.
+    last_outcomes: [Option<(JobId, bool)>; 2],
+    trust_state: TrustState,
 }
 
 #[derive(Debug, Default)]
@@ -129,14 +137,16 @@
 
 #[derive(Debug, Default)]
 struct Job {
+    /// Whether any attempt of the job has succeeded.
     succeeded: bool,
+    /// Workers on which the job failed before its first success.
     failed_workers: Vec<WorkerId>,
     tasks: FxHashMap<TaskIndex, TaskFailures>,
     trial: Option<Trial>,
     fault: Option<Fault>,
 }
 
-/// The period in which a job may start one task at a time, before it is given up.
+/// The period before a job is given up, during which it may start only one task at a time.
 #[derive(Clone, Copy, Debug)]
 struct Trial {
     since: Time,
@@ -146,7 +156,7 @@
 #[derive(Debug, Default)]
 struct TaskFailures {
     failures: u32,
-    first: Time,
+    first_failure: Time,
     workers: Vec<WorkerId>,
 }
 
@@ -158,7 +168,7 @@
             pools: FxHashMap::default(),
             jobs: FxHashMap::default(),
             evidence: Evidence::default(),
-            spared: 0,
+            spared_failures: 0,
             rng: Rng::with_seed(seed),
         }
     }
@@ -174,8 +184,8 @@
         let new = Worker {
             pool: pool.clone(),
             rack: rack.clone(),
-            last_ends: [None, None],
-            standing: Standing::default(),
+            last_outcomes: [None, None],
+            trust_state: TrustState::default(),
         };
         self.workers.insert(worker.clone(), new);
     }
@@ -185,7 +195,7 @@
         let Some(w) = self.workers.remove(worker) else { return };
         let Some(p) = self.pools.get_mut(&w.pool) else { return };
         p.workers -= 1;
-        p.quarantined -= usize::from(w.standing.quarantined());
+        p.quarantined -= usize::from(w.trust_state.is_quarantined());
         if let Some(n) = p.racks.get_mut(&w.rack) {
             *n -= 1;
         }
@@ -200,13 +210,14 @@
         self.jobs.remove(job);
     }
 
-    /// Returns what the worker may be given now; an unknown worker gets nothing.
+    /// Returns which tasks the worker may start now: none if the worker is unknown.
     pub fn trust(&self, now: Time, worker: &WorkerId) -> Trust {
         let Some(w) = self.workers.get(worker) else { return Trust::Blocked(Time::NEVER) };
-        w.standing.trust(now)
+        w.trust_state.trust(now)
     }
 
-    /// Returns what may be started of the job now; nothing if it has a [`FaultTracker::fault`].
+    /// Returns which tasks of the job may be started now: none if the job is given up (see
+    /// [`FaultTracker::fault`]).
     pub fn job_trust(&self, now: Time, job: &JobId) -> Trust {
         match self.jobs.get(job) {
             Some(Job { fault: Some(_), .. }) => Trust::Blocked(Time::NEVER),
@@ -222,7 +233,7 @@
             trial.next_start = now + TRIAL_INTERVAL;
         }
         let Some(w) = self.workers.get_mut(worker) else { return };
-        w.standing.started(now, task);
+        w.trust_state.record_start(now, task);
     }
 
     /// Records the end of an attempt of `task` on `worker` and returns what happens to the task.
@@ -237,9 +248,9 @@
             self.evidence.add(now, &task.job, worker, outcome == Outcome::Failed);
         }
         if let Some(w) = self.workers.get_mut(worker) {
-            w.standing.count(now, outcome);
+            w.trust_state.record_outcome(now, outcome);
         }
-        self.settle_probe(now, task, worker, outcome);
+        self.record_probe_end(now, task, worker, outcome);
         self.record_outcome(task, worker, outcome);
         match outcome {
             Outcome::Stopped => Verdict::Retry(now),
@@ -258,29 +269,30 @@
         }
     }
 
-    /// Returns why the job is given up, if it is; none of its tasks may be started then.
+    /// Returns why the job is given up, or `None` if it is not. No task of a job that is given up
+    /// may be started.
     pub fn fault(&self, job: &JobId) -> Option<Fault> {
         self.jobs.get(job)?.fault
     }
 
     /// Returns the workers on which the task failed, which its next attempt must avoid.
     pub fn failed_on(&self, task: &TaskId) -> &[WorkerId] {
-        let tries = self.jobs.get(&task.job).and_then(|j| j.tasks.get(&task.index));
-        tries.map_or(&[], |t| &t.workers)
+        let task_failures = self.jobs.get(&task.job).and_then(|j| j.tasks.get(&task.index));
+        task_failures.map_or(&[], |t| &t.workers)
     }
 
     /// Returns the quarantined workers, sorted by name.
     pub fn quarantined(&self) -> Vec<&WorkerId> {
-        let held = self.workers.iter().filter(|(_, w)| w.standing.quarantined());
+        let held = self.workers.iter().filter(|(_, w)| w.trust_state.is_quarantined());
         let mut names: Vec<_> = held.map(|(id, _)| id).collect();
         names.sort();
         names
     }
 
-    /// Number of failures not held against their worker because too much of its pool is
-    /// quarantined.
+    /// Returns the number of failures that were not counted against their worker, because too many
+    /// workers of its pool are quarantined.
     pub fn spared(&self) -> u64 {
-        self.spared
+        self.spared_failures
     }
 
     fn record_outcome(&mut self, task: &TaskId, worker: &WorkerId, outcome: Outcome) {
@@ -292,17 +304,17 @@
             return;
         }
         let Some(w) = self.workers.get_mut(worker) else { return };
-        if w.last_ends[0].as_ref().is_some_and(|(job, _)| *job != task.job) {
-            w.last_ends.swap(0, 1);
+        if w.last_outcomes[0].as_ref().is_some_and(|(job, _)| *job != task.job) {
+            w.last_outcomes.swap(0, 1);
         }
-        w.last_ends[0] = Some((task.job.clone(), outcome == Outcome::Done));
+        w.last_outcomes[0] = Some((task.job.clone(), outcome == Outcome::Done));
     }
 
-    fn settle_probe(&mut self, now: Time, task: &TaskId, worker: &WorkerId, outcome: Outcome) {
+    fn record_probe_end(&mut self, now: Time, task: &TaskId, worker: &WorkerId, outcome: Outcome) {
         let Some(w) = self.workers.get_mut(worker) else { return };
         // A failed probe with a job that also fails elsewhere is not conclusive.
-        let conclusive = self.evidence.peers(&task.job, worker).rate <= MAX_PEER_RATE;
-        if w.standing.probed(now, task, outcome, conclusive) {
+        let conclusive = self.evidence.peers(&task.job, worker).rate <= MAX_PEER_FAILURE_RATE;
+        if w.trust_state.record_probe_end(now, task, outcome, conclusive) {
             self.evidence.clear(worker);
             if let Some(p) = self.pools.get_mut(&w.pool) {
                 p.quarantined -= 1;
@@ -313,19 +325,19 @@
     fn judge_worker(&mut self, now: Time, worker: &WorkerId) {
         let Some(w) = self.workers.get_mut(worker) else { return };
         let Some(p) = self.pools.get_mut(&w.pool) else { return };
-        if w.standing.quarantined() {
+        if w.trust_state.is_quarantined() {
             return;
         }
-        let max = (p.workers / POOL_DIVISOR).max(usize::from(p.workers > 1));
+        let max = (p.workers / QUARANTINE_DIVISOR).max(usize::from(p.workers > 1));
         if p.quarantined >= max {
-            self.spared += 1;
+            self.spared_failures += 1;
             return;
         }
         if self.evidence.against(worker) < MIN_EVIDENCE {
             return;
         }
         p.quarantined += 1;
-        w.standing.quarantine(now);
+        w.trust_state.begin_quarantine(now);
     }
 
     fn judge_task(&mut self, now: Time, task: &TaskId, worker: &WorkerId) -> Verdict {
@@ -335,15 +347,15 @@
         {
             job.failed_workers.push(worker.clone());
         }
-        let tries = job.tasks.entry(task.index).or_default();
-        if tries.failures == 0 {
-            tries.first = now;
+        let task_failures = job.tasks.entry(task.index).or_default();
+        if task_failures.failures == 0 {
+            task_failures.first_failure = now;
         }
-        tries.failures += 1;
-        if !tries.workers.contains(worker) {
-            tries.workers.push(worker.clone());
+        task_failures.failures += 1;
+        if !task_failures.workers.contains(worker) {
+            task_failures.workers.push(worker.clone());
         }
-        let (failures, fault) = (tries.failures, job.fault);
+        let (failures, fault) = (task_failures.failures, job.fault);
         if let Some(fault) = fault.or_else(|| self.find_fault(now, task)) {
             if let (Fault::Job(_), Some(job)) = (fault, self.jobs.get_mut(&task.job)) {
                 job.fault = Some(fault);
@@ -355,12 +367,12 @@
 
     fn find_fault(&mut self, now: Time, task: &TaskId) -> Option<Fault> {
         let job = self.jobs.get(&task.job)?;
-        let tries = job.tasks.get(&task.index)?;
+        let task_failures = job.tasks.get(&task.index)?;
         let (job_workers, task_workers) = (
-            self.good_count(&task.job, &job.failed_workers),
-            self.good_count(&task.job, &tries.workers),
+            self.good_worker_count(&task.job, &job.failed_workers),
+            self.good_worker_count(&task.job, &task_failures.workers),
         );
-        let (first, failures) = (tries.first, tries.failures);
+        let (first, failures) = (task_failures.first_failure, task_failures.failures);
         if let Some(n) = job_workers {
             let trial = Trial { since: now, next_start: now };
             let trial = self.jobs.get_mut(&task.job)?.trial.get_or_insert(trial);
@@ -375,25 +387,27 @@
     }
 
     /// Returns how many of `failed` are good workers, if these are enough to blame the job.
-    fn good_count(&self, job: &JobId, failed: &[WorkerId]) -> Option<usize> {
+    fn good_worker_count(&self, job: &JobId, failed: &[WorkerId]) -> Option<usize> {
         let good: Vec<_> = failed.iter().filter_map(|w| self.good_worker(w, job)).collect();
         let first = good.first()?;
         let pool = self.pools.get(&first.pool)?;
         let multiple_racks = good.iter().any(|w| w.rack != first.rack);
         let racks = 1 + usize::from(multiple_racks);
-        let enough =
-            good.len() >= MIN_WORKERS.min(pool.workers) && racks >= MIN_RACKS.min(pool.racks.len());
+        let enough = good.len() >= MIN_GOOD_WORKERS.min(pool.workers)
+            && racks >= MIN_RACKS.min(pool.racks.len());
         enough.then_some(good.len())
     }
 
     fn good_worker(&self, worker: &WorkerId, job: &JobId) -> Option<&Worker> {
         let w = self.workers.get(worker)?;
-        let other = w.last_ends.iter().flatten().find(|(j, _)| j != job);
-        (!w.standing.quarantined() && other.is_some_and(|(_, succeeded)| *succeeded)).then_some(w)
+        let other = w.last_outcomes.iter().flatten().find(|(j, _)| j != job);
+        (!w.trust_state.is_quarantined() && other.is_some_and(|(_, succeeded)| *succeeded))
+            .then_some(w)
     }
 
-    /// Returns the wait after this many failures. It doubles each time, and its upper half is
-    /// random, so that tasks of a job that failed together do not all restart together.
+    /// Returns the wait before the next attempt after `failures` failures. It doubles each time,
+    /// and its upper half is random, so that tasks of a job that failed together do not all restart
+    /// together.
     fn backoff(&mut self, failures: u32) -> Duration {
         let full = MIN_BACKOFF.saturating_mul(1 << failures.min(16)).min(MAX_BACKOFF);
         full.mul_f64(0.5 + self.rng.f64() / 2.0)
--- a/src/decide/trust.rs
+++ b/src/decide/trust.rs
@@ -11,20 +11,25 @@
     std::time::Duration,
 };
 
-/// Length of the first quarantine, doubled by each failed probe up to the maximum. A wrong decision
-/// costs half a minute of one worker; a broken worker costs two starts an hour.
+/// Length of the first quarantine of a worker. Each failed probe doubles it, up to
+/// `MAX_QUARANTINE`. A wrong decision costs half a minute of one worker; a broken worker costs two
+/// starts an hour.
 const MIN_QUARANTINE: Duration = Duration::from_secs(30);
+/// Maximum length of a quarantine.
 const MAX_QUARANTINE: Duration = Duration::from_secs(1800);
-/// Number of probes in a row that must succeed: a worker that fails half of its tasks passes one
-/// time in eight.
-const REQUIRED_PROBES: u32 = 3;
-/// Number of failures in a row from which the starts on a worker are spaced. A good worker has four
-/// bad tasks in a row only if most of what is started is bad; the cost is then a wait.
-const MIN_STREAK: u32 = 4;
-/// First interval between such starts, doubled by each failure up to the maximum. Six starts a
-/// minute limit the damage, and keep a good worker that got a series of bad tasks from idling.
-const MIN_INTERVAL: Duration = Duration::from_secs(1);
-const MAX_INTERVAL: Duration = Duration::from_secs(10);
+/// Number of probes in a row that must succeed before a quarantine ends. A worker that fails half
+/// of its tasks passes these probes one time in eight.
+const REQUIRED_PROBE_SUCCESSES: u32 = 3;
+/// Minimum number of failures in a row after which a worker gets single starts at intervals. A good
+/// worker has four bad tasks in a row only if most of what is started is bad; the cost is then a
+/// wait.
+const MIN_FAILURE_STREAK: u32 = 4;
+/// Interval between starts on a worker that reached `MIN_FAILURE_STREAK`. Each further failure
+/// doubles it, up to `MAX_START_INTERVAL`. Six starts a minute limit the damage, and keep a good
+/// worker that got a series of bad tasks from idling.
+const MIN_START_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum interval between starts on a worker that has failed many tasks in a row.
+const MAX_START_INTERVAL: Duration = Duration::from_secs(10);
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,41 +42,43 @@
     Stopped,
 }
 
-/// What a worker may be given.
+/// Which tasks a worker or a job may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
     /// Any work.
     Full,
-    /// One task, preferably a short one, which [`super::suspect::FaultTracker::record_start`] then records
-    /// as the probe.
+    /// One task, preferably a short one, which [`super::suspect::FaultTracker::record_start`] then
+    /// records as the probe.
     Probe,
     /// Nothing until this time; [`Time::NEVER`] while a probe runs.
     Blocked(Time),
 }
 
-/// Trust in a worker, and the failures that limit it.
+/// Recent failures and the quarantine of one worker, which limit what it may start.
 #[derive(Debug, Default)]
-pub(super) struct Standing {
+pub(super) struct TrustState {
     quarantine: Option<Quarantine>,
-    /// Failures in a row.
-    streak: u32,
-    /// Earliest next start while the streak limits starts.
+    /// Number of failures in a row.
+    failure_streak: u32,
+    /// Earliest time of the next start, which applies after `MIN_FAILURE_STREAK` failures in a row.
     next_start: Time,
 }
 
 #[derive(Debug)]
 struct Quarantine {
+    /// Time from which a probe may be started.
     until: Time,
     length: Duration,
+    /// The task that runs as the probe.
     probe: Option<TaskId>,
-    /// Probes in a row that succeeded.
-    passed: u32,
+    /// Number of probes in a row that succeeded.
+    passed_probes: u32,
 }
 
-impl Standing {
+impl TrustState {
     pub(super) fn trust(&self, now: Time) -> Trust {
         match &self.quarantine {
-            None if self.streak < MIN_STREAK => Trust::Full,
+            None if self.failure_streak < MIN_FAILURE_STREAK => Trust::Full,
             None if now < self.next_start => Trust::Blocked(self.next_start),
             Some(q) if q.probe.is_some() => Trust::Blocked(Time::NEVER),
             Some(q) if now < q.until => Trust::Blocked(q.until),
@@ -79,39 +86,39 @@
         }
     }
 
-    pub(super) fn quarantined(&self) -> bool {
+    pub(super) fn is_quarantined(&self) -> bool {
         self.quarantine.is_some()
     }
 
-    pub(super) fn quarantine(&mut self, now: Time) {
+    pub(super) fn begin_quarantine(&mut self, now: Time) {
         let until = now + MIN_QUARANTINE;
         self.quarantine =
-            Some(Quarantine { until, length: MIN_QUARANTINE, probe: None, passed: 0 });
+            Some(Quarantine { until, length: MIN_QUARANTINE, probe: None, passed_probes: 0 });
     }
 
-    pub(super) fn started(&mut self, now: Time, task: &TaskId) {
-        self.next_start = now + self.interval();
+    pub(super) fn record_start(&mut self, now: Time, task: &TaskId) {
+        self.next_start = now + self.start_interval();
         if let Some(q) = &mut self.quarantine {
             q.probe.get_or_insert_with(|| task.clone());
         }
     }
 
-    /// Counts failures in a row. A failure also delays the next start, since several tasks may be
-    /// running when the streak begins.
-    pub(super) fn count(&mut self, now: Time, outcome: Outcome) {
+    /// Updates the number of failures in a row. A failure also delays the next start, since several
+    /// tasks may be running when the streak begins.
+    pub(super) fn record_outcome(&mut self, now: Time, outcome: Outcome) {
         match outcome {
-            Outcome::Done => self.streak = 0,
+            Outcome::Done => self.failure_streak = 0,
             Outcome::Failed => {
-                self.streak += 1;
-                self.next_start = self.next_start.max(now + self.interval());
+                self.failure_streak += 1;
+                self.next_start = self.next_start.max(now + self.start_interval());
             }
             Outcome::Stopped => {}
         }
     }
 
-    /// Records the end of a task and returns whether it was the last probe needed. A failure counts
-    /// only if it is `conclusive` about the worker.
-    pub(super) fn probed(
+    /// Records the end of a task if it is the probe, and returns whether this ended the quarantine.
+    /// A failure counts only if it is `conclusive` about the worker.
+    pub(super) fn record_probe_end(
         &mut self,
         now: Time,
         task: &TaskId,
@@ -124,23 +131,25 @@
         }
         q.probe = None;
         match outcome {
-            Outcome::Done => q.passed += 1,
+            Outcome::Done => q.passed_probes += 1,
             Outcome::Failed if conclusive => {
-                q.passed = 0;
+                q.passed_probes = 0;
                 q.length = (q.length * 2).min(MAX_QUARANTINE);
                 q.until = now + q.length;
             }
             Outcome::Failed | Outcome::Stopped => {}
         }
-        let passed = q.passed == REQUIRED_PROBES;
+        let passed = q.passed_probes == REQUIRED_PROBE_SUCCESSES;
         if passed {
             self.quarantine = None;
         }
         passed
     }
 
-    fn interval(&self) -> Duration {
-        let Some(excess) = self.streak.checked_sub(MIN_STREAK) else { return Duration::ZERO };
-        MIN_INTERVAL.saturating_mul(1 << excess.min(16)).min(MAX_INTERVAL)
+    fn start_interval(&self) -> Duration {
+        let Some(excess) = self.failure_streak.checked_sub(MIN_FAILURE_STREAK) else {
+            return Duration::ZERO;
+        };
+        MIN_START_INTERVAL.saturating_mul(1 << excess.min(16)).min(MAX_START_INTERVAL)
     }
 }
--- a/src/decide/turns.rs
+++ b/src/decide/turns.rs
@@ -20,40 +20,42 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// How long other pools yield to a pool that found no free member.
+/// Time for which a pool that found no free member keeps its turn before other pools.
 const TURN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Factor for the calls of a pool whose step finds no room yet. It still needs its tickets, for
-/// when there is room.
+/// Factor by which the cost of a pool's calls is multiplied if its step finds no room yet. Such a
+/// step still needs tickets, which it uses as soon as there is room.
 const NO_ROOM_FACTOR: u32 = 2;
 
 /// The long calls in progress, and the pools that wait for a member.
 #[derive(Clone, Debug, Default)]
 pub struct AdviceTurns {
-    calls: Vec<Call>,
-    /// When each pool last found no free member, and whether its step finds room.
+    calls: Vec<CallInProgress>,
+    /// For each pool that waits for a member: the time at which it last found none free, and
+    /// whether its step finds room.
     waiting: BTreeMap<PoolId, (Time, bool)>,
 }
 
 #[derive(Clone, Debug)]
-struct Call {
-    via: Incarnation,
-    sent: Time,
+struct CallInProgress {
+    member: Incarnation,
+    sent_at: Time,
     pool: PoolId,
     cost: Duration,
 }
 
 impl AdviceTurns {
-    /// Creates an instance without calls.
+    /// Creates an instance without calls in progress.
     pub fn new() -> Self {
         AdviceTurns::default()
     }
 
-    /// Returns whether a pool may call for a step now; `has_room` says whether the step finds room.
+    /// Returns whether a pool may make a long advice call for a step now; `has_room` says whether
+    /// the step finds room.
     pub fn may_call(&self, pool: &PoolId, has_room: bool, now: Time) -> bool {
-        let own_weight = self.weight(pool, has_room);
+        let own_cost = self.call_cost(pool, has_room);
         let goes_first = |(other, (at, has_room)): (&PoolId, &(Time, bool))| {
-            other != pool && now < *at + TURN_TIMEOUT && self.weight(other, *has_room) < own_weight
+            other != pool && now < *at + TURN_TIMEOUT && self.call_cost(other, *has_room) < own_cost
         };
         !self.waiting.iter().any(goes_first)
     }
@@ -63,22 +65,24 @@
         self.waiting.insert(pool.clone(), (now, has_room));
     }
 
-    /// Records a call, which counts until [`AdviceTurns::record_done`].
-    pub fn record_call(&mut self, pool: &PoolId, via: Incarnation, cost: Duration, now: Time) {
+    /// Records that a call was sent. It is in progress until [`AdviceTurns::record_done`].
+    pub fn record_call(&mut self, pool: &PoolId, member: Incarnation, cost: Duration, now: Time) {
         self.waiting.remove(pool);
-        self.calls.push(Call { via, sent: now, pool: pool.clone(), cost });
+        self.calls.push(CallInProgress { member, sent_at: now, pool: pool.clone(), cost });
     }
 
-    /// Records that the call sent at `record_call` was answered, or that no answer is expected any more.
-    pub fn record_done(&mut self, via: Incarnation, sent: Time) {
-        if let Some(at) = self.calls.iter().position(|c| c.via == via && c.sent == sent) {
+    /// Records that the call that [`AdviceTurns::record_call`] recorded was answered, or that no
+    /// answer is expected any more.
+    pub fn record_done(&mut self, member: Incarnation, sent_at: Time) {
+        if let Some(at) = self.calls.iter().position(|c| c.member == member && c.sent_at == sent_at)
+        {
             self.calls.swap_remove(at);
         }
     }
 
-    /// Returns the weight of a pool's calls in progress, by which pools are compared for the next
-    /// call.
-    fn weight(&self, pool: &PoolId, has_room: bool) -> Duration {
+    /// Returns the total cost of a pool's calls in progress, multiplied if its step finds no room.
+    /// The pool with the lowest value makes the next call.
+    fn call_cost(&self, pool: &PoolId, has_room: bool) -> Duration {
         let total: Duration = self.calls.iter().filter(|c| c.pool == *pool).map(|c| c.cost).sum();
         if has_room { total } else { total * NO_ROOM_FACTOR }
     }
--- a/src/decide/upkeep.rs
+++ b/src/decide/upkeep.rs
@@ -17,25 +17,25 @@
 
 use std::time::Duration;
 
-/// Maximum delay of the VM list.
+/// Maximum delay until the VM list shows that a VM's maintenance has ended.
 pub const LIST_DELAY: Duration = Duration::from_secs(1);
 /// Approximate time to move long-running tasks: a stop, and a start elsewhere until they run.
 const DRAIN_TIME: Duration = Duration::from_secs(3);
-/// Share of the time that is divided among the rounds.
-const PLANNED_SHARE: f64 = 6.0 / 7.0;
-/// Number of tasks that may be missing from a step that does not specify it.
+/// Fraction of the remaining time of a wave that is divided among its rounds.
+const PLANNED_FRACTION: f64 = 6.0 / 7.0;
+/// Default maximum number of tasks of a long-running step that may be missing at once.
 const DEFAULT_MAY_MISS: u32 = 1;
 
 /// State of a VM of a wave.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct VmStatus {
-    /// The stage of its maintenance.
+    /// Stage of the VM's maintenance.
     pub stage: Stage,
-    /// Whether its worker is present and not leaving.
+    /// Whether the VM's worker is present and not leaving.
     pub available: bool,
-    /// Number of tasks there that end by themselves.
+    /// Number of tasks on the VM that end by themselves.
     pub brief: u32,
-    /// Number of long-running tasks there.
+    /// Number of long-running tasks on the VM.
     pub long_running: u32,
 }
 
@@ -53,29 +53,29 @@
     Done,
 }
 
-/// Limits of a wave.
+/// Time and number of VMs to which a maintenance wave is limited.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaveLimits {
-    /// The remaining time.
+    /// Time that remains until the wave must be complete.
     pub left: Duration,
     /// Maximum number of VMs that are down at once.
     pub cap: u32,
-    /// How long a VM is down.
+    /// Time for which a VM is down for its maintenance.
     pub down: Duration,
 }
 
-/// Next actions of a wave, as indexes of its VMs.
+/// Next actions of a maintenance wave, as indexes into the list of its VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     /// VMs to drain from now on.
     pub drain: Vec<usize>,
-    /// VMs on which tasks that end by themselves are no longer waited for, but stopped.
+    /// VMs on which the tasks that would end by themselves are stopped.
     pub force_stop: Vec<usize>,
 }
 
 /// Returns the next actions for the VMs of a wave.
-pub fn plan(vms: &[VmStatus], allowed: WaveLimits) -> Plan {
-    let cap = allowed.cap.max(1) as usize;
+pub fn plan(vms: &[VmStatus], limits: WaveLimits) -> Plan {
+    let cap = limits.cap.max(1) as usize;
     let count = |is: fn(&Stage) -> bool| vms.iter().filter(|m| is(&m.stage)).count();
     let closing = count(|s| matches!(s, Stage::Draining(_)));
     let open = count(|s| matches!(s, Stage::Due)) + closing;
@@ -83,8 +83,8 @@
         return Plan::default();
     }
     let rounds = u32::try_from(open.div_ceil(cap)).unwrap_or(u32::MAX);
-    let round_time = allowed.left.mul_f64(PLANNED_SHARE) / rounds;
-    let down = allowed.down + LIST_DELAY;
+    let round_time = limits.left.mul_f64(PLANNED_FRACTION) / rounds;
+    let down = limits.down + LIST_DELAY;
     let short = round_time < (down + DRAIN_TIME) * 2;
     let max_active = if short { cap * 2 } else { cap };
     let max_wait = (round_time * if short { 2 } else { 1 }).saturating_sub(down + DRAIN_TIME);
--- a/src/decide/urgent.rs
+++ b/src/decide/urgent.rs
@@ -6,12 +6,12 @@
 //! discards hours of work. If urgent work has no limit for its team, everything soon becomes
 //! urgent.
 //!
-//! Victims are tasks that checkpoint within `MAX_CHECKPOINT`, never services or single members of a
-//! gang (the rest of the gang would hold its room and make no progress). Tasks in borrowed room are
-//! preempted first, then those that lose the least processor time since their last checkpoint. Each
-//! victim has a fixed extra cost, so that one task is not replaced by ten small ones. Each team has
-//! an allowance, a part of its quota; urgent work over the allowance is not refused but waits in
-//! the usual order.
+//! Victims are tasks that checkpoint within `MAX_CHECKPOINT_TIME`, never services or single members
+//! of a gang (the rest of the gang would hold its room and make no progress). Tasks in borrowed
+//! room are preempted first, then those that lose the least processor time since their last
+//! checkpoint. Each victim has a fixed extra cost, so that one task is not replaced by ten small
+//! ones. Each team has an allowance, a part of its quota; urgent work over the allowance is not
+//! refused but waits in the usual order.
 
 use {
     crate::{
@@ -25,20 +25,21 @@
 
 /// Maximum time that a victim's checkpoint may take. Of the 1.1 s, 0.2 s are used by the decision,
 /// the commit of intent and two messages, and 0.2 s are reserved for a late message.
-const MAX_CHECKPOINT: Duration = Duration::from_millis(700);
-/// Maximum number of tasks stopped for one start, as each may fail to checkpoint in time.
+const MAX_CHECKPOINT_TIME: Duration = Duration::from_millis(700);
+/// Maximum number of tasks stopped for the start of one urgent task, as each of them may fail to
+/// checkpoint in time.
 const MAX_VICTIMS: usize = 4;
-/// Cost of each victim besides the work it loses, in core-seconds: a restart loads its image and
-/// inputs again, which takes about half a minute of one core.
-const RESTART_CORE_SECONDS: u64 = 30;
-/// Divisor for the part of a team's quota that its urgent tasks may hold at a time. With a tenth
-/// for each team, at most a tenth of the cell is ever preempted for urgent work.
-const QUOTA_DIVISOR: u64 = 10;
-/// Number of urgent starts of a team in a burst, enough for a rush at a counter.
-const BURST_STARTS: u32 = 20;
-/// Time after which one more urgent start is allowed: a team that marks its nightly batch as urgent
-/// gets twelve of them a minute.
-const START_INTERVAL: Duration = Duration::from_secs(5);
+/// Cost of restarting a victim, in core-seconds, which is added to the work it loses. A restart
+/// loads the image and inputs again, which takes about half a minute of one core.
+const RESTART_COST_CORE_SECONDS: u64 = 30;
+/// Divisor of a team's quota that gives the maximum resources its urgent tasks may hold at a time.
+/// With a tenth for each team, at most a tenth of the cell is ever preempted for urgent work.
+const URGENT_QUOTA_DIVISOR: u64 = 10;
+/// Maximum number of urgent starts that a team may make in a burst, enough for a rush at a counter.
+const MAX_BURST_STARTS: u32 = 20;
+/// Interval at which a team is allowed one more urgent start. A team that marks its nightly batch
+/// as urgent gets twelve of them a minute.
+const MIN_START_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How a running task counts in the choice of victims.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,7 +65,7 @@
     pub size: Size,
     /// How the task counts in the choice of victims.
     pub kind: Kind,
-    /// Whether it runs in borrowed room.
+    /// Whether the task runs in borrowed room.
     pub borrowed: bool,
     /// When the task started or was last checkpointed.
     pub last_checkpoint: Time,
@@ -83,19 +84,20 @@
     pub running: Vec<Running>,
 }
 
-/// Where an urgent task starts, and which tasks are checkpointed and stopped there first.
+/// The worker on which an urgent task starts, and the tasks that are checkpointed and stopped on it
+/// first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
     /// The worker.
     pub worker: WorkerId,
     /// The tasks to stop; empty if the worker has room.
     pub victims: Vec<TaskId>,
-    /// Cost of stopping them.
+    /// Cost of stopping the victims.
     pub cost: Cost,
 }
 
-/// Cost of a preemption. Stopping tasks within their team's own quota outweighs any loss of tasks
-/// in borrowed room.
+/// Cost of a preemption. Stopping one task within its team's own quota costs more than stopping any
+/// number of tasks in borrowed room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cost {
     /// Number of victims within their own team's quota.
@@ -112,8 +114,9 @@
 
 #[derive(Debug)]
 struct Allowance {
+    /// Resources of the team's running urgent tasks.
     held: Size,
-    /// Time from which the full burst of starts is available.
+    /// Time from which the team may again start a full burst of urgent tasks.
     full_at: Time,
 }
 
@@ -122,9 +125,11 @@
     pub fn admit(&mut self, now: Time, team: &TeamId, size: Size, quota: Size) -> bool {
         let new = Allowance { held: Size::default(), full_at: Time::ZERO };
         let a = self.teams.entry(team.clone()).or_insert(new);
-        let full_at = a.full_at.max(now) + START_INTERVAL;
+        let full_at = a.full_at.max(now) + MIN_START_INTERVAL;
         let held = a.held + size;
-        if full_at > now + START_INTERVAL * BURST_STARTS || !held.fits(&allowance(quota)) {
+        if full_at > now + MIN_START_INTERVAL * MAX_BURST_STARTS
+            || !held.fits(&urgent_allowance(quota))
+        {
             return false;
         }
         a.full_at = full_at;
@@ -132,15 +137,15 @@
         true
     }
 
-    /// Frees what an urgent task of the team held.
+    /// Records the end of an urgent task and frees its part of the team's allowance.
     pub fn record_end(&mut self, team: &TeamId, size: Size) {
         let Some(a) = self.teams.get_mut(team) else { return };
         a.held = a.held.saturating_sub(&size);
     }
 }
 
-/// Returns the cheapest of `places` for a task of size `need`, or `None` if stopping allowed
-/// victims doesn't make enough room.
+/// Returns the cheapest way to start a task of size `need` on one of `places`, or `None` if no
+/// permitted preemption makes enough room.
 ///
 /// The time grows with the number of tasks that run on `places`; the caller passes some dozens of
 /// workers, not all.
@@ -166,7 +171,7 @@
     if !need.fits(&free) {
         return None;
     }
-    drop_unneeded(need, free, &mut victims);
+    drop_unneeded_victims(need, free, &mut victims);
     if victims.len() > MAX_VICTIMS {
         return None;
     }
@@ -180,7 +185,7 @@
 
 /// Removes victims that are no longer needed after a larger one was added, starting with the most
 /// expensive, which come last.
-fn drop_unneeded(need: Size, mut free: Size, victims: &mut Vec<&Running>) {
+fn drop_unneeded_victims(need: Size, mut free: Size, victims: &mut Vec<&Running>) {
     for i in (0..victims.len()).rev() {
         let Some(remaining) = free.checked_sub(&victims[i].size) else { continue };
         if need.fits(&remaining) {
@@ -199,19 +204,19 @@
 }
 
 fn is_preemptible(r: &Running) -> bool {
-    r.kind == Kind::Checkpoint && r.checkpoint_time <= MAX_CHECKPOINT
+    r.kind == Kind::Checkpoint && r.checkpoint_time <= MAX_CHECKPOINT_TIME
 }
 
 fn lost_work(now: Time, r: &Running) -> u64 {
     now.since(r.last_checkpoint).as_secs().saturating_mul(r.size.cores.0) / 1000
-        + RESTART_CORE_SECONDS
+        + RESTART_COST_CORE_SECONDS
 }
 
-fn allowance(quota: Size) -> Size {
+fn urgent_allowance(quota: Size) -> Size {
     // Rounded up, so that a team with a small quota can run at least one small task.
     Size {
-        cores: Cores(quota.cores.0.div_ceil(QUOTA_DIVISOR)),
-        memory: Memory(quota.memory.0.div_ceil(QUOTA_DIVISOR)),
-        accels: Accels(quota.accels.0.div_ceil(QUOTA_DIVISOR)),
+        cores: Cores(quota.cores.0.div_ceil(URGENT_QUOTA_DIVISOR)),
+        memory: Memory(quota.memory.0.div_ceil(URGENT_QUOTA_DIVISOR)),
+        accels: Accels(quota.accels.0.div_ceil(URGENT_QUOTA_DIVISOR)),
     }
 }
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -15,33 +15,33 @@
     std::{cmp::Reverse, collections::BTreeSet, time::Duration},
 };
 
-/// Maximum time for which later jobs of its team can go before a job without a deadline: four
-/// hours, half of the night in which batches run, so that a job submitted in the evening is done in
-/// the morning.
-const MAX_DELAY: Duration = Duration::from_secs(4 * 3600);
-/// Latest start times within the same interval of this length, in microseconds, count as equal, so
-/// that priority decides: estimates are not more precise than a minute.
-const GRAIN_MICROS: u64 = 60_000_000;
-/// Divisor for the share of the remaining time that is added to it as a margin: run times are often
-/// off by half, and a batch that ends early does no harm.
-const MARGIN_DIVISOR: u32 = 2;
+/// Maximum time for which a job without a deadline can be delayed by jobs of its team that were
+/// submitted later: four hours, half of the night in which batches run, so that a job submitted in
+/// the evening is done in the morning.
+const MAX_JOB_DELAY: Duration = Duration::from_secs(4 * 3600);
+/// Length, in microseconds, of the intervals to which latest start times are rounded. Jobs in the
+/// same interval are ordered by priority, as estimates are not more precise than a minute.
+const START_BUCKET_MICROS: u64 = 60_000_000;
+/// Divisor of a job's remaining run time that gives the margin added to it. Estimates are often
+/// wrong by half, and a batch that ends early does no harm.
+const TIME_MARGIN_DIVISOR: u32 = 2;
 
-/// A job whose tasks wait.
+/// A job that has waiting tasks.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// The name of the job.
     pub id: JobId,
     /// The team whose quota is charged.
     pub team: TeamId,
-    /// When all its tasks must have ended, or [`Time::NEVER`].
+    /// Time by which all tasks of the job must have ended, or [`Time::NEVER`].
     pub deadline: Time,
-    /// Jobs with a higher priority go first.
+    /// Priority of the job; jobs with a higher value go first.
     pub priority: u8,
-    /// Run time of a task, declared or estimated.
+    /// Declared or estimated run time of one task.
     pub run_time: Duration,
-    /// Number of tasks that can run at once; zero counts as one.
+    /// Maximum number of the job's tasks that can run at once; zero counts as one.
     pub width: u32,
-    /// Number of tasks.
+    /// Total number of tasks of the job.
     pub tasks: u32,
     /// Resources that a task reserves.
     pub size: Size,
@@ -54,16 +54,16 @@
     pub(super) job: Job,
     arrival: Time,
     pub(super) key: Key,
-    /// Number of tasks that have not ended.
+    /// Number of tasks of the job that have not ended.
     pub(super) left: u32,
     pub(super) waiting: BTreeSet<TaskIndex>,
     pub(super) parked: bool,
 }
 
-/// A job's place within its team; the lowest goes first.
+/// Sort key of a job within its team; the job with the lowest key goes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Key {
-    grain: u64,
+    start_bucket: u64,
     priority: Reverse<u8>,
     arrival: Time,
     pub(super) job: JobId,
@@ -71,7 +71,7 @@
 
 impl Key {
     pub(super) fn latest_start(&self) -> Time {
-        Time(self.grain.saturating_mul(GRAIN_MICROS))
+        Time(self.start_bucket.saturating_mul(START_BUCKET_MICROS))
     }
 }
 
@@ -80,7 +80,7 @@
         let (arrival, left) = (now, job.tasks);
         let waiting = (0..job.tasks).map(TaskIndex).collect();
         let priority = Reverse(job.priority);
-        let key = Key { grain: 0, priority, arrival, job: job.id.clone() };
+        let key = Key { start_bucket: 0, priority, arrival, job: job.id.clone() };
         Entry { job, arrival, key, left, waiting, parked: false }
     }
 
@@ -88,13 +88,16 @@
         let job = &self.job;
         let rounds = self.left.div_ceil(job.width.max(1));
         let remaining = job.run_time.saturating_mul(rounds);
-        let by_age = self.arrival + MAX_DELAY / (1 + u32::from(job.priority));
+        let by_age = self.arrival + MAX_JOB_DELAY / (1 + u32::from(job.priority));
         let late = now + remaining > job.deadline;
-        let by_deadline =
-            if late { by_age } else { job.deadline - (remaining + remaining / MARGIN_DIVISOR) };
+        let by_deadline = if late {
+            by_age
+        } else {
+            job.deadline - (remaining + remaining / TIME_MARGIN_DIVISOR)
+        };
         let latest = by_deadline.min(by_age);
         Key {
-            grain: latest.0 / GRAIN_MICROS,
+            start_bucket: latest.0 / START_BUCKET_MICROS,
             priority: Reverse(job.priority),
             arrival: self.arrival,
             job: job.id.clone(),
