--- a/src/decide/forward.rs
+++ b/src/decide/forward.rs
@@ -108,7 +108,7 @@
         );
     }
 
-    /// Returns whether any peer has slots for the service.
+    /// Returns whether any peer has slots for the service, free or taken.
     pub fn has_slots(&self) -> bool {
         self.peers.values().any(|p| p.load.slots > 0)
     }
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Returns the less loaded of two random peers.
+    /// Returns the less loaded of two peers chosen at random from `peers`.
     fn less_loaded(&mut self, peers: &[(f64, Incarnation)]) -> Option<(f64, Incarnation)> {
         let mut two = self.rng.choose_multiple(peers, 2).into_iter();
         let (first, second) = (two.next()?, two.next());
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -63,16 +63,16 @@
 const MIN_SLOW_REPORTS: u32 = 3;
 /// Minimum time between the first and the last of the slow reports that cause a quarantine.
 const SLOW_PERIOD: Duration = Duration::from_secs(2);
-/// Length of the first quarantine.
+/// Length of the first quarantine of a worker.
 const MIN_QUARANTINE: Duration = Duration::from_secs(2);
 /// Maximum length of a quarantine.
 const MAX_QUARANTINE: Duration = Duration::from_secs(16);
 /// Time after which a probe without a result is given up.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(10);
-/// One in this many workers of a pool may be quarantined at once.
+/// Divisor of a pool's number of workers that gives the maximum number quarantined at once.
 const QUARANTINE_DIVISOR: usize = 3;
 
-/// Assessment of a worker.
+/// Assessment of a worker's health, which decides which tasks it may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The worker may get any task.
@@ -82,7 +82,7 @@
     /// The worker gets only the probes that [`WorkerHealth::probe`] or [`WorkerHealth::allows`]
     /// allows.
     Quarantined {
-        /// When a probe may be sent. The quarantine lasts until a probe succeeds.
+        /// Time from which a probe may be sent. The quarantine lasts until a probe succeeds.
         until: Time,
     },
 }
@@ -92,10 +92,10 @@
     workers / QUARANTINE_DIVISOR
 }
 
-/// Health record of one worker.
+/// Recent failures and slow reports of one worker, and its quarantines.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerHealth {
-    /// Failures since the last success: job, weight and time.
+    /// Job, weight and time of each failure since the last success.
     failures: Vec<(JobNo, f64, Time)>,
     /// Share of runs that failed while the worker was healthy, as a moving average.
     failure_rate: f64,
@@ -121,7 +121,7 @@
 }
 
 impl WorkerHealth {
-    /// Creates a record without any history.
+    /// Creates the record of a worker without failures or slow reports.
     pub fn new() -> Self {
         WorkerHealth::default()
     }
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Returns the current assessment.
+    /// Returns the current assessment of the worker.
     pub fn verdict(&self, now: Time) -> Verdict {
         let until = self.failure_quarantine.until.max(self.slow_quarantine.until);
         match until {
@@ -254,9 +254,9 @@
         };
     }
 
-    /// Restarts the quarantine after a failed probe. An inconclusive probe doesn't double the
-    /// length, since there may be no other task to probe with. A run that started before the
-    /// quarantine is not a probe.
+    /// Restarts the quarantine after a failed probe, if one was sent. An inconclusive probe doesn't
+    /// double the length, since there may be no other task to probe with. A run that started before
+    /// the quarantine is not a probe.
     fn record_failed_probe(&mut self, now: Time, conclusive: bool) {
         if self.probe_sent.is_some() {
             self.count -= u32::from(!conclusive && self.count > 0);
--- a/src/decide/place/tree.rs
+++ b/src/decide/place/tree.rs
@@ -7,6 +7,7 @@
 
 use crate::units::Size;
 
+/// Index that stands for a missing node.
 const NIL: u32 = u32::MAX;
 /// The odd number closest to 2^64 divided by the golden ratio, as in Fibonacci hashing.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -15,6 +16,7 @@
 struct Node {
     key: u64,
     free: Size,
+    /// Maximum free room in the node's subtree, in each dimension.
     max_free: Size,
     left: u32,
     right: u32,
--- a/src/decide/quota.rs
+++ b/src/decide/quota.rs
@@ -37,17 +37,17 @@
 const RETURNS_PER_SECOND: u64 = 20;
 /// Maximum number of borrowed tasks returned at once after a period without returns.
 const MAX_RETURN_BURST: u64 = 20;
-/// The value 1.0 of a share, as a fixed-point number.
+/// Fixed-point representation of a share of 1.0.
 const SHARE_SCALE: u128 = 1 << 40;
 
 /// How a task's room can be reclaimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reclaim {
-    /// By checkpointing and stopping the task.
+    /// The task is checkpointed and stopped.
     Checkpoint,
-    /// By waiting: the task is expected to end within [`BRIEF_TASK`].
+    /// The task's end is awaited, which is expected within [`BRIEF_TASK`].
     Brief,
-    /// Not at all, as for services and single tasks of a gang.
+    /// The room can't be reclaimed, as for services and single tasks of a gang.
     Never,
 }
 
@@ -71,7 +71,7 @@
     Own,
     /// Idle room within other teams' quotas.
     Borrowed,
-    /// Nothing for now.
+    /// No room for now: the task has to wait.
     Wait,
 }
 
@@ -134,18 +134,18 @@
     size: Size,
     reclaim: Reclaim,
     sequence: u64,
-    state: State,
+    state: HeldState,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum HeldState {
     Own,
     Borrowed,
     Returning,
 }
 
 impl TeamAccount {
-    /// Returns the quota that is neither in use nor needed by waiting work of the team.
+    /// Returns the part of the quota that is neither in use nor needed by the team's waiting work.
     fn lendable(&self) -> Size {
         self.quota.saturating_sub(&self.own).saturating_sub(&self.waiting)
     }
@@ -158,7 +158,8 @@
 impl Quotas {
     /// Sets a team's quota and weight; a weight of zero counts as one.
     ///
-    /// Running tasks keep their grants: usage drops to a smaller quota as tasks end.
+    /// Running tasks keep their grants. If the quota is reduced, usage falls to it only as tasks
+    /// end.
     pub fn set(&mut self, team: &TeamId, quota: Size, weight: u32) {
         self.update_account(team, |a| {
             a.quota = quota;
@@ -185,7 +186,8 @@
         self.update_account(team, |a| a.waiting += size.times(count as u64));
     }
 
-    /// Records that `count` tasks no longer wait, for a reason other than [`Quotas::start`].
+    /// Records that `count` tasks of a team no longer wait, for another reason than a start by
+    /// [`Quotas::start`].
     pub fn remove_waiting(&mut self, team: &TeamId, size: Size, count: usize) {
         self.update_account(team, |a| {
             a.waiting = a.waiting.saturating_sub(&size.times(count as u64))
@@ -210,8 +212,8 @@
     pub fn start(&mut self, request: &QuotaRequest) -> Grant {
         let grant = self.grant(request);
         let state = match grant {
-            Grant::Own => State::Own,
-            Grant::Borrowed => State::Borrowed,
+            Grant::Own => HeldState::Own,
+            Grant::Borrowed => HeldState::Borrowed,
             Grant::Wait => return grant,
         };
         self.insert_task(request, state);
@@ -221,7 +223,7 @@
     /// Counts a task that a former owner started, whether or not there is idle quota for it.
     pub fn adopt(&mut self, request: &QuotaRequest) {
         let own = self.teams.get(&request.team).is_some_and(|a| a.fits_own(&request.size));
-        self.insert_task(request, if own { State::Own } else { State::Borrowed });
+        self.insert_task(request, if own { HeldState::Own } else { HeldState::Borrowed });
     }
 
     /// Records the end of a task and frees its resources. If they were part of the team's own
@@ -229,7 +231,7 @@
     pub fn record_end(&mut self, task: &TaskId) {
         let Some(held) = self.tasks.remove(task) else { return };
         self.release_task(&held);
-        if held.state == State::Own {
+        if held.state == HeldState::Own {
             self.repay_loans(&held.team);
         }
     }
@@ -242,7 +244,7 @@
         while self.return_tokens > 0 && !(self.borrowed.fits(&(self.lendable + self.returning))) {
             let Some(task) = self.next_loan_to_return() else { break };
             let Some(held) = self.tasks.get_mut(&task) else { break };
-            held.state = State::Returning;
+            held.state = HeldState::Returning;
             self.returning += held.size;
             if let Some(a) = self.teams.get_mut(&held.team) {
                 a.loans.remove(&held.sequence);
@@ -275,7 +277,7 @@
 
     /// Returns whether the task runs in borrowed room.
     pub fn is_borrowed(&self, task: &TaskId) -> bool {
-        self.tasks.get(task).is_some_and(|h| h.state != State::Own)
+        self.tasks.get(task).is_some_and(|h| h.state != HeldState::Own)
     }
 
     /// Returns the dominant share of `used`, that is, its largest share of the total in any
@@ -290,7 +292,7 @@
         u64::try_from(share).unwrap_or(u64::MAX)
     }
 
-    fn insert_task(&mut self, request: &QuotaRequest, state: State) {
+    fn insert_task(&mut self, request: &QuotaRequest, state: HeldState) {
         self.remove_waiting(&request.team, request.size, 1);
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -309,7 +311,7 @@
 
     fn charge_team(&mut self, task: &TaskId, held: &HeldTask) {
         let size = held.size;
-        if held.state == State::Own {
+        if held.state == HeldState::Own {
             return self.update_account(&held.team, |a| a.own += size);
         }
         self.borrowed += size;
@@ -323,10 +325,10 @@
 
     fn release_task(&mut self, held: &HeldTask) {
         let size = held.size;
-        if held.state == State::Own {
+        if held.state == HeldState::Own {
             return self.update_account(&held.team, |a| a.own = a.own.saturating_sub(&size));
         }
-        if held.state == State::Returning {
+        if held.state == HeldState::Returning {
             self.returning = self.returning.saturating_sub(&size);
         }
         self.borrowed = self.borrowed.saturating_sub(&size);
@@ -346,7 +348,7 @@
             let fits = held.size.fits(&a.lendable());
             if fits {
                 self.release_task(&held);
-                held.state = State::Own;
+                held.state = HeldState::Own;
                 self.charge_team(&task, &held);
             }
             self.tasks.insert(task, held);
--- a/src/decide/relay.rs
+++ b/src/decide/relay.rs
@@ -40,11 +40,12 @@
 /// How a call reaches the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorePath {
-    /// Directly.
+    /// The call is sent to the store directly.
     Direct,
-    /// Directly for a short time, to test whether the direct path works again; relayed if not.
+    /// The call is sent directly with a short time limit, to test whether the direct path works
+    /// again, and is relayed if it does not.
     Probe,
-    /// Relayed by another member.
+    /// The call is relayed by another member.
     Relayed,
 }
 
@@ -67,7 +68,7 @@
     last_relay: Option<Incarnation>,
     /// Time at which a member last relayed a call.
     relayed_at: Option<Time>,
-    /// Members that failed to relay a call, and until when each is tried last.
+    /// Members that failed to relay a call, each with the time until which it is tried last.
     avoided: BTreeMap<Incarnation, Time>,
 }
 
@@ -84,12 +85,12 @@
         if self.is_paused(now) { StorePath::Direct } else { StorePath::Relayed }
     }
 
-    /// Returns whether the direct path is lost.
+    /// Returns whether the direct path to the store is lost.
     pub fn is_direct_lost(&self) -> bool {
         self.direct_failures >= MAX_DIRECT_FAILURES
     }
 
-    /// Returns whether relaying is paused.
+    /// Returns whether the relaying of calls is paused.
     pub fn is_paused(&self, now: Time) -> bool {
         now < self.paused_until
     }
--- a/src/decide/suspect.rs
+++ b/src/decide/suspect.rs
@@ -72,8 +72,9 @@
 const MIN_BACKOFF: Duration = Duration::from_secs(1);
 /// Maximum wait before the next attempt of a task.
 const MAX_BACKOFF: Duration = Duration::from_secs(300);
-/// One in this many workers of a pool may be quarantined. Above that, the cause is probably common
-/// to the pool, and removing more workers would only add a shortage.
+/// Divisor of a pool's number of workers that gives the maximum number quarantined at once. Above
+/// that, the cause is probably common to the pool, and removing more workers would only add a
+/// shortage.
 const QUARANTINE_DIVISOR: usize = 5;
 /// Maximum failure rate of a job on other workers at which the failure of a probe with one of its
 /// tasks counts against the probed worker.
@@ -105,7 +106,7 @@
     GiveUp(Fault),
 }
 
-/// Evidence on workers and jobs, and the current quarantines and faults.
+/// Evidence against workers and jobs, the quarantined workers, and the jobs that are given up.
 #[derive(Debug)]
 pub struct FaultTracker {
     workers: FxHashMap<WorkerId, Worker>,
@@ -156,6 +157,7 @@
 #[derive(Debug, Default)]
 struct TaskFailures {
     failures: u32,
+    /// Time of the first failed attempt.
     first_failure: Time,
     workers: Vec<WorkerId>,
 }
--- a/src/decide/trust.rs
+++ b/src/decide/trust.rs
@@ -45,12 +45,12 @@
 /// Which tasks a worker or a job may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
-    /// Any work.
+    /// Any task.
     Full,
-    /// One task, preferably a short one, which [`super::suspect::FaultTracker::record_start`] then
-    /// records as the probe.
+    /// One task, preferably a short one. On a worker, the task is the probe;
+    /// [`super::suspect::FaultTracker::record_start`] records it.
     Probe,
-    /// Nothing until this time; [`Time::NEVER`] while a probe runs.
+    /// No task until this time, which is [`Time::NEVER`] while a probe runs.
     Blocked(Time),
 }
 
--- a/src/decide/upkeep.rs
+++ b/src/decide/upkeep.rs
@@ -26,7 +26,7 @@
 /// Default maximum number of tasks of a long-running step that may be missing at once.
 const DEFAULT_MAY_MISS: u32 = 1;
 
-/// State of a VM of a wave.
+/// State of one VM of a maintenance wave.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct VmStatus {
     /// Stage of the VM's maintenance.
@@ -67,7 +67,7 @@
 /// Next actions of a maintenance wave, as indexes into the list of its VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// VMs to drain from now on.
+    /// VMs whose drain starts now.
     pub drain: Vec<usize>,
     /// VMs on which the tasks that would end by themselves are stopped.
     pub force_stop: Vec<usize>,
--- a/src/decide/urgent.rs
+++ b/src/decide/urgent.rs
@@ -41,7 +41,7 @@
 /// as urgent gets twelve of them a minute.
 const MIN_START_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How a running task counts in the choice of victims.
+/// Kind of a running task, which decides whether it may be preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// A replica of a service, which must not be stopped.
@@ -63,13 +63,13 @@
     pub task: TaskId,
     /// Resources that the task reserves.
     pub size: Size,
-    /// How the task counts in the choice of victims.
+    /// Kind of the task, which decides whether it may be preempted.
     pub kind: Kind,
     /// Whether the task runs in borrowed room.
     pub borrowed: bool,
-    /// When the task started or was last checkpointed.
+    /// Time at which the task started or was last checkpointed.
     pub last_checkpoint: Time,
-    /// Time that a checkpoint takes.
+    /// Expected time that a checkpoint of the task takes.
     pub checkpoint_time: Duration,
 }
 
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -53,10 +53,14 @@
 pub(super) struct Entry {
     pub(super) job: Job,
     arrival: Time,
+    /// Sort key under which the job was last queued.
     pub(super) key: Key,
     /// Number of tasks of the job that have not ended.
     pub(super) left: u32,
+    /// Tasks of the job that wait for a start.
     pub(super) waiting: BTreeSet<TaskIndex>,
+    /// Whether the job found no room and is kept out of its team's queue until a tick queues it
+    /// again.
     pub(super) parked: bool,
 }
 
