--- a/src/shard/advice.rs
+++ b/src/shard/advice.rs
@@ -35,7 +35,7 @@
 /// A ticket is no longer used when it has less than this time left: the margin covers the transit
 /// of the advice reply and of the start order.
 const TICKET_MARGIN: Duration = Duration::from_millis(100);
-/// The pause after a call that failed.
+/// The pause before a step's next advice call after a failed one.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 impl Shard {
@@ -50,8 +50,8 @@
         if self.step_state(key).is_none_or(|p| p.tickets.is_pending()) {
             return;
         }
-        let workers = self.unnamed(key, usable, MAX_NAMED);
-        self.request(key, workers, cost, now);
+        let workers = self.unnamed_workers(key, usable, MAX_NAMED);
+        self.order_call(key, workers, cost, now);
     }
 
     /// Requests advice for the tasks that would find no room on the workers already known to be
@@ -84,7 +84,7 @@
             let most = if step.apart > 0 { slots.min(step.apart.into()) } else { slots };
             u32::try_from(most).unwrap_or(u32::MAX)
         };
-        let known: u32 = self.permitted(turn).into_iter().map(slots).sum();
+        let known: u32 = self.permitted_workers(turn).into_iter().map(slots).sum();
         let asked = &part.tickets.asked;
         let new = turn.usable.iter().copied().filter(|n| !asked.contains(n));
         let mut new: Vec<(u32, WorkerNo)> = new.map(|n| (slots(n), n)).collect();
@@ -109,7 +109,8 @@
     ///
     /// Returns whether enough members were available.
     ///
-    /// Guards against a gang whose first tickets expire before its last tickets arrive.
+    /// Parallel calls prevent the first tickets of a gang from expiring before its last ones
+    /// arrive.
     pub(super) fn ask_parallel(
         &mut self,
         key: &StepKey,
@@ -122,11 +123,11 @@
             workers.into_iter().filter(|n| !part.tickets.pending.contains(n)).collect();
         let calls = new.len().div_ceil(chunk(cost.base, cost.each)).max(1);
         new.chunks(new.len().div_ceil(calls).max(1))
-            .all(|some| self.request(key, some.to_vec(), cost, now))
+            .all(|some| self.order_call(key, some.to_vec(), cost, now))
     }
 
-    /// Up to `most` workers that no earlier call of this step has named.
-    fn unnamed(&self, key: &StepKey, usable: &[WorkerNo], most: usize) -> Vec<WorkerNo> {
+    /// Returns up to `most` workers that no earlier call of this step has named.
+    fn unnamed_workers(&self, key: &StepKey, usable: &[WorkerNo], most: usize) -> Vec<WorkerNo> {
         let Some(part) = self.step_state(key) else { return vec![] };
         // If one call cannot name all workers, steps of different jobs begin at different
         // positions.
@@ -164,19 +165,19 @@
             return;
         }
         all.truncate(MAX_RENEWED);
-        let more = self.unnamed(key, usable, MAX_RENEWED - all.len());
+        let more = self.unnamed_workers(key, usable, MAX_RENEWED - all.len());
         all.extend(more);
-        self.request(key, all, cost, now);
+        self.order_call(key, all, cost, now);
     }
 
-    /// The expiry of a step's ticket for a worker.
+    /// Returns the time at which a step's ticket for a worker expires.
     pub(super) fn valid_until(&self, key: &StepKey, no: WorkerNo) -> Option<Time> {
         self.step_state(key).and_then(|p| p.tickets.eligible.get(&no)).map(|t| t.1)
     }
 
-    /// Makes a call. Returns false if a call is needed but no member is available for it, or
-    /// another pool has precedence.
-    fn request(
+    /// Orders an advice call on these workers. Returns false if a call is needed but no member is
+    /// available for it or another pool has precedence.
+    fn order_call(
         &mut self,
         key: &StepKey,
         workers: Vec<WorkerNo>,
@@ -225,8 +226,8 @@
         true
     }
 
-    /// Whether one of these workers is expected to have room for a task of the step at the time
-    /// `by`. Always true for a gang, since room is made for it.
+    /// Returns whether one of these workers is expected to have room for a task of the step at the
+    /// time `by`. Always true for a gang, since room is made for it.
     fn has_room_by(&self, key: &StepKey, workers: &[WorkerNo], by: Time, now: Time) -> bool {
         let Some(step) = self.jobs.get(&key.job).and_then(|j| j.step(key)) else { return false };
         let size = step.reserved();
@@ -316,7 +317,7 @@
         }
     }
 
-    /// Whether all predecessors of a step are placed and expected to finish within `lead`.
+    /// Returns whether all predecessors of a step are placed and expected to finish within `lead`.
     fn predecessors_end_within(&self, key: &StepKey, lead: Duration, now: Time) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let Some(step) = job.step(key) else { return false };
--- a/src/shard/cause.rs
+++ b/src/shard/cause.rs
@@ -70,7 +70,7 @@
     /// An extra run of its tasks is being stopped.
     #[display("the end of another run")]
     Stray,
-    /// So many steps precede it that a round does not reach it.
+    /// More steps precede it than one round examines.
     #[display("its place in the order")]
     Order,
     /// Room is reserved for it until there is enough.
@@ -82,16 +82,16 @@
     /// Calls for its tickets are in progress.
     #[display("new tickets")]
     Tickets,
-    /// A call has failed, and the next one has to wait.
+    /// An advice call has failed, and the next one is delayed.
     #[display("advice that has failed")]
     Failed,
-    /// No member is available to make its call.
+    /// No member is available to make its advice call.
     #[display("a member for its call")]
     Member,
-    /// Its tickets have expired, and no call is in progress.
+    /// Its tickets have expired, and no advice call is in progress.
     #[display("a call for old tickets")]
     Old,
-    /// Some workers were never named in its calls.
+    /// Some workers were never named in its advice calls.
     #[display("workers never asked about")]
     Unasked,
     /// No worker may run it.
@@ -130,64 +130,64 @@
 /// workers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sight {
-    /// The reason that blocks it regardless of any worker.
+    /// The reason that blocks the step regardless of the state of any worker.
     pub gate: Option<Cause>,
     /// How many tasks have to start together: one, or all members of a gang.
     pub wanted: u64,
-    /// Workers of its pool that may receive starts.
+    /// Number of workers of the step's pool that may receive starts.
     pub usable: usize,
-    /// All workers of its pool.
+    /// Number of all workers of the step's pool.
     pub all: usize,
-    /// The other workers of the pool, by the reason for their exclusion.
+    /// Number of the pool's other workers by the reason for their exclusion.
     pub out: Exclusions,
-    /// Workers that calls of this step have named.
+    /// Number of workers that advice calls of this step have named.
     pub asked: usize,
-    /// Workers that may run it.
+    /// Number of workers that may run the step.
     pub good: usize,
-    /// Permitted workers with room and a valid ticket.
+    /// Number of permitted workers with room and a valid ticket.
     pub valid: usize,
-    /// Permitted workers with room and an expired ticket.
+    /// Number of permitted workers with room and an expired ticket.
     pub old: usize,
-    /// Workers with room that is reserved for gangs.
+    /// Number of workers with room that is reserved for gangs.
     pub gangs: usize,
-    /// Workers with room that is reserved for, or goes to, preceding steps.
+    /// Number of workers with room that is reserved for, or goes to, preceding steps.
     pub before: usize,
-    /// Workers that have as many of its tasks as they may have.
+    /// Number of workers that already have the maximum number of the step's tasks per worker.
     pub bound: usize,
-    /// Workers without room.
+    /// Number of workers without room.
     pub full: usize,
-    /// Workers that lack the required label or are too small.
+    /// Number of workers that lack the required label or are too small.
     pub unfit: usize,
-    /// Workers that are excluded from starts.
+    /// Number of permitted workers that are excluded from starts.
     pub barred: usize,
-    /// Excluded workers that would have room, by the reason for their exclusion.
+    /// Number of excluded workers that would have room, by the reason for their exclusion.
     pub bars: Exclusions,
-    /// Usable workers that no call has named.
+    /// Number of usable workers that no advice call of this step has named.
     pub unasked: usize,
-    /// Those of the `unasked` workers that appear to have room.
+    /// Number of the `unasked` workers that appear to have room.
     pub roomy: usize,
     /// How many of its tasks would fit on workers with valid tickets, and on all workers that may
     /// run it.
     pub slots: (u64, u64),
     /// How many of its tasks would fit if all workers that may run it were empty.
     pub empty: u64,
-    /// Calls in progress.
+    /// Number of the step's advice calls in progress.
     pub calls: usize,
-    /// The age of the oldest call in progress.
+    /// The age of the oldest advice call in progress.
     pub oldest: Option<Duration>,
-    /// The time since the last reply to a call.
+    /// The time since the last reply to an advice call of this step.
     pub heard: Option<Duration>,
-    /// Whether a failed call prevents the next call for now.
+    /// Whether the next advice call is delayed because the last one failed.
     pub failed: bool,
-    /// Members without a call, and all members.
+    /// Number of members without an advice call in progress, and number of all members.
     pub lanes: (usize, usize),
-    /// Whether a member would accept the call that the step needs.
+    /// Whether a member is free to make the advice call that the step needs.
     pub member: bool,
-    /// Whether a round is pending.
+    /// Whether the next scheduling round is delayed by the minimum interval between rounds.
     pub round: bool,
     /// The age of the list of workers.
     pub listed: Duration,
-    /// Workers of former owners that have not replied.
+    /// Number of workers used by former owners that have not replied to this owner.
     pub unsettled: usize,
 }
 
@@ -198,7 +198,7 @@
     pub key: StepKey,
     /// How many of its tasks wait.
     pub waiting: usize,
-    /// How many are assigned to a worker but were not seen running there.
+    /// How many of its tasks are assigned to a worker but were not seen running there.
     pub unseen: usize,
     /// The index of the task that has been away the longest.
     pub oldest: u32,
@@ -207,7 +207,7 @@
     pub away: Duration,
     /// The class of its rank.
     pub class: usize,
-    /// How many steps precede it.
+    /// How many steps precede it in the ready queue.
     pub behind: usize,
     /// The reason why it waits.
     pub cause: Cause,
@@ -216,7 +216,7 @@
 }
 
 impl Sight {
-    /// The reason why the step waits.
+    /// Returns the reason why the step waits.
     pub fn cause(&self) -> Cause {
         let advice = |otherwise| match () {
             () if self.calls > 0 && self.asked == 0 => Cause::First,
--- a/src/shard/commit.rs
+++ b/src/shard/commit.rs
@@ -16,13 +16,13 @@
 /// The minimum interval between the starts of two writes. A store without load replies in 4 ms and
 /// each call is charged for, so changes within this interval share a write.
 const MIN_INTERVAL: Duration = Duration::from_millis(20);
-/// The minimum interval before a write that nobody waits for: ends of tasks whose jobs continue.
+/// The minimum interval before a non-urgent write, such as the ends of tasks whose jobs continue.
 /// Must not exceed 120 ms, the time after which a worker is asked again while ends are unwritten.
 const LAZY_INTERVAL: Duration = Duration::from_millis(100);
 /// The first and the longest pause after a refused write; the pause doubles with each refusal.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
 
-/// The number of rows that a write may have besides the two of the commit row.
+/// The maximum number of rows in a write, not counting the two entries for the commit row.
 pub const FREE_ROWS: usize = MAX_TXN_ROWS - 2;
 
 /// The action that follows from a reply of the store.
@@ -43,9 +43,13 @@
 /// The stage of the current write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
+    /// No write is in progress.
     Idle,
+    /// The store has not replied to the write.
     Writing,
+    /// The outcome of the write is unknown, and the commit row has yet to be read.
     Unclear,
+    /// The commit row is being read.
     Reading,
 }
 
@@ -55,8 +59,9 @@
     revision: u64,
     number: u64,
     stage: Stage,
-    next: Time,
-    /// The earliest time for a write that nobody waits for.
+    /// The earliest time of the next urgent write or of the next read of the commit row.
+    next_attempt: Time,
+    /// The earliest start of the next non-urgent write.
     next_lazy: Time,
     backoff: Duration,
 }
@@ -64,17 +69,25 @@
 impl Commit {
     /// Creates the commit state of an owner that has written the commit row at `revision`.
     pub fn new(revision: u64) -> Self {
-        let (next, next_lazy) = (Time::ZERO, Time::ZERO);
-        Commit { revision, number: 0, stage: Stage::Idle, next, next_lazy, backoff: BACKOFF.0 }
+        let (next_attempt, next_lazy) = (Time::ZERO, Time::ZERO);
+        Commit {
+            revision,
+            number: 0,
+            stage: Stage::Idle,
+            next_attempt,
+            next_lazy,
+            backoff: BACKOFF.0,
+        }
     }
 
-    /// Whether a write may begin now. With `urgent`, somebody waits for it.
+    /// Returns whether a write may begin now. `urgent` says whether a caller or a start waits for
+    /// the write.
     pub fn may_begin(&self, urgent: bool, now: Time) -> bool {
-        let from = if urgent { self.next } else { self.next.max(self.next_lazy) };
+        let from = if urgent { self.next_attempt } else { self.next_attempt.max(self.next_lazy) };
         self.stage == Stage::Idle && from <= now
     }
 
-    /// Whether a write is in progress or unclear.
+    /// Returns whether a write is in progress or its outcome is unknown.
     pub fn busy(&self) -> bool {
         self.stage != Stage::Idle
     }
@@ -83,7 +96,7 @@
     pub fn begin(&mut self, now: Time) -> (u64, u64) {
         self.number += 1;
         self.stage = Stage::Writing;
-        (self.next, self.next_lazy) = (now + MIN_INTERVAL, now + LAZY_INTERVAL);
+        (self.next_attempt, self.next_lazy) = (now + MIN_INTERVAL, now + LAZY_INTERVAL);
         (self.number, self.revision)
     }
 
@@ -99,11 +112,11 @@
         }
         match reply {
             Ok(StoreReply::Done(revision)) => {
-                self.done(*revision);
+                self.record_done(*revision);
                 Outcome::Done
             }
-            // An earlier write of this owner may have taken effect after it was considered failed,
-            // so the row is read before the conflict is judged.
+            // The conflict may come from an earlier write of this owner that took effect after it
+            // was considered failed, so the commit row is read first.
             Ok(StoreReply::Conflict(_)) | Err(Fault::Unknown) => {
                 self.stage = Stage::Reading;
                 Outcome::Reread
@@ -128,7 +141,7 @@
         match row {
             Ok((_, row)) if row.token != token => Outcome::Deposed,
             Ok((revision, row)) if row.number == self.number => {
-                self.done(revision);
+                self.record_done(revision);
                 Outcome::Done
             }
             Ok((revision, ..)) => {
@@ -144,16 +157,17 @@
         }
     }
 
-    /// Whether the commit row has to be read again now; if so, records that the read has begun.
+    /// Returns whether the commit row has to be read again now; if so, records that the read has
+    /// begun.
     pub fn begin_reread(&mut self, now: Time) -> bool {
-        let due = self.stage == Stage::Unclear && self.next <= now;
+        let due = self.stage == Stage::Unclear && self.next_attempt <= now;
         if due {
             self.stage = Stage::Reading;
         }
         due
     }
 
-    fn done(&mut self, revision: u64) {
+    fn record_done(&mut self, revision: u64) {
         self.revision = revision;
         self.stage = Stage::Idle;
         self.backoff = BACKOFF.0;
@@ -161,12 +175,12 @@
 
     fn back_off(&mut self, now: Time) {
         self.stage = Stage::Idle;
-        self.next = now + self.backoff;
+        self.next_attempt = now + self.backoff;
         self.backoff = (self.backoff * 2).min(BACKOFF.1);
     }
 }
 
-/// The number of rows in a transaction.
+/// Returns the number of rows in a transaction.
 pub fn row_count(txn: &Txn) -> usize {
     txn.expect.len() + txn.puts.len() + txn.remove.len()
 }
--- a/src/shard/diagnosis.rs
+++ b/src/shard/diagnosis.rs
@@ -22,15 +22,15 @@
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// After this time a long-running task counts as away. Most tasks run again by then, and a third of
-/// the time for which one may be away is left.
+/// The minimum time without a run after which a long-running task counts as away. Most tasks run
+/// again by then, and a third of the maximum permitted time remains.
 const AWAY_AFTER: Duration = Duration::from_secs(2);
-/// The maximum number of steps that are diagnosed, those that have been away longest. More than a
-/// round examines.
+/// The maximum number of steps that are diagnosed; those that have been away longest come first.
+/// It exceeds the number of steps that a round examines.
 const MAX_DIAGNOSED: usize = 500;
 
 impl Shard {
-    /// The long-running steps that have tasks away, longest first, each with its cause.
+    /// Returns the long-running steps that have tasks away, longest first, each with its cause.
     pub fn absences(&self, now: Time) -> Vec<AbsentStep> {
         let mut all = vec![];
         for (no, job) in self.jobs.iter().filter(|(_, j)| !j.state.is_final()) {
@@ -56,8 +56,8 @@
         all
     }
 
-    /// The tasks of a long-running step that are away, if any. The cause for waiting tasks is
-    /// filled in later.
+    /// Returns the tasks of a long-running step that are away, if any. The caller fills in why the
+    /// waiting tasks wait.
     fn find_away(&self, key: StepKey, step_state: &StepState, now: Time) -> Option<AbsentStep> {
         let ready = self.ranks.contains_key(&key);
         let (mut waiting, mut held) = (vec![], vec![]);
@@ -101,7 +101,8 @@
         })
     }
 
-    /// Since when a task has not been seen to run at the worker that it is assigned to, and why.
+    /// Returns the time since which a task has not been seen running on its assigned worker, and
+    /// the cause.
     fn unseen(&self, no: WorkerNo, task: &TaskKey, since: Time) -> Option<(Time, Cause)> {
         let worker = &self.workers[no.0];
         let run = worker.runs.get(task)?;
@@ -113,8 +114,8 @@
         }
     }
 
-    /// For each of these steps, the number of steps before it and the facts that decide when its
-    /// tasks start.
+    /// Returns, for each of these steps, the number of steps before it and the facts that decide
+    /// when its tasks start.
     pub(super) fn diagnose_steps(
         &self,
         keys: &FxHashSet<StepKey>,
@@ -206,7 +207,7 @@
         sight
     }
 
-    /// The cause that holds a step up regardless of the workers, if any.
+    /// Returns the cause that delays a step regardless of the workers, if any.
     fn blocking_cause(&self, turn: &Turn, now: Time) -> Option<Cause> {
         let stray = |i: &u32| self.strays.contains(&TaskKey { step: *turn.key, index: *i });
         let strays = turn.waiting.iter().filter(|i| stray(i)).count();
@@ -232,7 +233,7 @@
         let size = step.reserved();
         for no in self.pools.get(pool).into_iter().flatten() {
             sight.all += 1;
-            if let Some(bar) = self.bar(*no, &usable, step.lasts, now) {
+            if let Some(bar) = self.exclusion(*no, &usable, step.lasts, now) {
                 *sight.out.entry(bar).or_default() += 1;
                 continue;
             }
@@ -264,7 +265,7 @@
         };
         for no in good {
             sight.good += 1;
-            let bar = self.bar(no, &usable, step.lasts, now);
+            let bar = self.exclusion(no, &usable, step.lasts, now);
             sight.barred += usize::from(bar.is_some());
             let room = self.room(no, key, step, now);
             let Some(room) = room.filter(|r| size.fits(&r.total)) else {
@@ -313,8 +314,8 @@
         }
     }
 
-    /// Why a worker gets no starts, or `None` if it may get them.
-    fn bar(
+    /// Returns why a worker may receive no start orders, or `None` if it may.
+    fn exclusion(
         &self,
         no: WorkerNo,
         usable: &FxHashSet<WorkerNo>,
@@ -338,7 +339,7 @@
         }
     }
 
-    /// Whether a member is free to make the advice call that a step would need.
+    /// Returns whether a member is free to make the advice call that a step would need.
     fn member_is_free(&self, sight: &Sight, turn: &Turn, now: Time) -> bool {
         let Some(cost) = turn.advice else { return true };
         let chunk = chunk(cost.base, cost.each);
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -25,8 +25,7 @@
     pub roster: Roster,
     /// The revision of the commit row that this owner has just written.
     pub commit_revision: u64,
-    /// Whether the former owner can no longer consider itself confirmed: its lease had expired, or
-    /// it released the shard.
+    /// Whether the former owner's lease had expired or it had released the shard.
     pub lapsed: bool,
 }
 
@@ -56,9 +55,9 @@
     Advised {
         /// The call.
         call: Box<AdviceCall>,
-        /// The member that made it.
+        /// The member that made the call.
         via: Incarnation,
-        /// When it was ordered.
+        /// When the call was ordered.
         sent: Time,
         /// The reply.
         reply: Result<Advice, Fault>,
@@ -76,7 +75,7 @@
     },
     /// The store has confirmed the renewal of this member's lease that was sent at this time.
     Confirmed(Time),
-    /// The members that may be asked to make calls for advice, including this one.
+    /// The members that can make advice calls for this shard, including this member.
     Peers(Peers),
     /// The workers that are to be emptied for upkeep.
     Closing(Arc<Closing>),
@@ -95,7 +94,7 @@
         addr: SocketAddr,
         /// The call.
         call: Box<WorkerCall>,
-        /// The time limit for its reply.
+        /// The time limit for the reply.
         limit: Duration,
     },
     /// Call for advice.
@@ -104,11 +103,11 @@
         via: Incarnation,
         /// The call.
         call: Box<AdviceCall>,
-        /// When it was ordered; its event repeats this time.
+        /// When the call was ordered; [`Event::Advised`] repeats this time.
         sent: Time,
         /// The expected duration of the call at the service.
         expected: Duration,
-        /// The time limit for its reply.
+        /// The time limit for the reply.
         limit: Duration,
     },
     /// Write this transaction, which has the given number, to the store.
--- a/src/shard/gangs.rs
+++ b/src/shard/gangs.rs
@@ -25,15 +25,17 @@
     std::time::Duration,
 };
 
-/// The overhead of a call beyond its own duration, plus the time for the start after it.
+/// The overhead of an advice call beyond its expected duration, plus the time to start the gang
+/// afterwards.
 const CALL_OVERHEAD: Duration = Duration::from_millis(150);
-/// The interval between two searches for a gang's places, so that the gangs behind it also get
-/// searches.
-const SEARCH_INTERVAL: Duration = Duration::from_millis(100);
-/// The interval between two checks of the room reserved for a gang. Starts do not wait for it.
-const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The minimum interval between two searches for workers for the same gang, which leaves searches
+/// for the other gangs.
+const GANG_SEARCH_INTERVAL: Duration = Duration::from_millis(100);
+/// The minimum interval between two checks of the room reserved for a gang. A gang that can start
+/// does not wait for the next check.
+const RESERVATION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// The minimum remaining time that is assumed for a run that should already be over.
-const MIN_REMAINING: Duration = Duration::from_millis(50);
+const MIN_REMAINING_TIME: Duration = Duration::from_millis(50);
 
 impl Shard {
     /// Starts a gang if there is room for all members now; otherwise reserves room for it.
@@ -50,14 +52,14 @@
             log::info!(target: "shard", did = "released", job:% = key.job, step:% = key, cause = "too long"; "Reservation is released.");
             self.reservations.remove(key);
         }
-        // Workers on which advice was requested meanwhile may have room sooner.
+        // Workers on which advice has arrived since the reservation may have room sooner.
         let may_search = self.step_state(key).is_some_and(|p| p.next_search <= now);
         let distant = |r: &GangReservation| may_search && r.ready_at > now + gather::NEAR_WITHIN;
         if round.underused.contains(&turn.pool) && self.reservations.get(key).is_some_and(distant) {
             self.reservations.remove(key);
         }
         let checked = self.reservations.get(key).map(|r| r.checked_at);
-        if checked.is_some_and(|t| t + CHECK_INTERVAL > now) {
+        if checked.is_some_and(|t| t + RESERVATION_CHECK_INTERVAL > now) {
             return;
         }
         if checked.is_some() || self.reserve_room(turn, round, now) {
@@ -74,9 +76,9 @@
         }
         let part = self.jobs.get_mut(&key.job).and_then(|j| j.step_state_mut(key.time, key.step));
         if let Some(part) = part {
-            part.next_search = now + SEARCH_INTERVAL;
+            part.next_search = now + GANG_SEARCH_INTERVAL;
         }
-        let offers = self.offers(turn, round, now);
+        let offers = self.room_offers(turn, round, now);
         let Some(places) = soonest_placement(offers, step.count) else {
             // If the permitted workers are merely busy, asking about more of them would take calls
             // from other steps.
@@ -119,9 +121,9 @@
         true
     }
 
-    /// Whether `more` room of the pool may be reserved.
+    /// Returns whether another `more` of the pool's resources may be reserved.
     ///
-    /// Guards against a pool that stands idle while several gangs arrive together: each reserves
+    /// Prevents several gangs that arrive together from leaving a pool idle: each would reserve
     /// room that it cannot use yet.
     fn may_reserve(&self, turn: &Turn, round: &Round, more: Size) -> bool {
         let quiet = round.underused.contains(&turn.pool);
@@ -137,14 +139,15 @@
         first || (kept + more).times(part).fits(&total)
     }
 
-    /// For each worker that may run the step, the times at which it gains room for more members.
-    fn offers(&self, turn: &Turn, round: &Round, now: Time) -> Vec<Offer<WorkerNo>> {
+    /// Returns for each worker that may run the step, the times at which it gains room for more
+    /// members.
+    fn room_offers(&self, turn: &Turn, round: &Round, now: Time) -> Vec<Offer<WorkerNo>> {
         let Turn { key, ref step, .. } = *turn;
         let size = step.reserved();
         let stops = self.may_preempt_for(key, now).then_some(turn.priority);
         let asker = self.requester(turn, round, false, now);
         let mut offers = vec![];
-        for no in self.permitted(turn) {
+        for no in self.permitted_workers(turn) {
             let Some(listed) = &self.workers[no.0].listed else { continue };
             if step.needs.as_ref().is_some_and(|label| !listed.has_label(label)) {
                 continue;
@@ -170,8 +173,8 @@
         offers
     }
 
-    /// The workers that may run a step and may receive starts.
-    pub(super) fn permitted(&self, turn: &Turn) -> Vec<WorkerNo> {
+    /// Returns the workers that may run a step and may receive starts.
+    pub(super) fn permitted_workers(&self, turn: &Turn) -> Vec<WorkerNo> {
         let part = self.step_state(turn.key);
         let may = |n: &WorkerNo| {
             turn.advice.is_none() || part.is_some_and(|p| p.tickets.eligible.contains_key(n))
@@ -179,8 +182,8 @@
         turn.usable.iter().copied().filter(may).collect()
     }
 
-    /// The times at which runs of a worker are expected to end, with the room that each frees. With
-    /// `stops`, includes runs that may be stopped for work of that priority.
+    /// Returns the times at which runs of a worker are expected to end, with the room that each
+    /// frees. If `stops` is given, includes runs that may be stopped for work of that priority.
     pub(super) fn expected_releases(
         &self,
         no: WorkerNo,
@@ -191,10 +194,10 @@
         let leaves = |(task, run): (&TaskKey, &Run)| {
             let by_itself = match run.phase {
                 Phase::Stopping => {
-                    Some((run.sent_at + self.setup.bounds.stop_time).max(now + MIN_REMAINING))
+                    Some((run.sent_at + self.setup.bounds.stop_time).max(now + MIN_REMAINING_TIME))
                 }
                 _ if self.is_long_running(task) => None,
-                _ => Some(super::prefetch::expected_end(run, now).max(now + MIN_REMAINING)),
+                _ => Some(super::prefetch::expected_end(run, now).max(now + MIN_REMAINING_TIME)),
             };
             let may = run.phase == Phase::Running
                 && stops.is_some_and(|p| run.preempt_priority.is_some_and(|y| y > p));
@@ -210,8 +213,8 @@
         all
     }
 
-    /// The free room that a worker will have at the time `by`. With `stops`, includes runs that may
-    /// be stopped for work of that priority.
+    /// Returns the free room that a worker will have at the time `by`. If `stops` is given,
+    /// includes runs that may be stopped for work of that priority.
     pub(super) fn free_by(&self, no: WorkerNo, stops: Option<u8>, by: Time, now: Time) -> Size {
         let worker = &self.workers[no.0];
         let leaves = |task: &TaskKey, run: &Run| match run.phase {
@@ -227,9 +230,9 @@
         ending.fold(worker.free(), |sum, (_, r)| sum + r.size)
     }
 
-    /// The time at which a worker has room for `need` in addition to what is reserved for preceding
-    /// steps.
-    fn fits_at(
+    /// Returns the time at which a worker has room for `need` in addition to what is reserved for
+    /// preceding steps.
+    fn fit_time(
         &self,
         key: &StepKey,
         (no, need): (WorkerNo, Size),
@@ -256,7 +259,7 @@
     fn check_reservation(&mut self, turn: &Turn, round: &Round, now: Time) {
         let Turn { key, advice, .. } = *turn;
         let Some(reserve) = self.reservations.get(key).cloned() else { return };
-        let good = self.permitted(turn);
+        let good = self.permitted_workers(turn);
         if reserve.members.iter().any(|(no, _)| !good.contains(no)) {
             log::info!(target: "shard", did = "released", job:% = key.job, step:% = key, cause = "a worker is out of use"; "Reservation is released.");
             self.reservations.remove(key);
@@ -266,7 +269,7 @@
             let each = reserve.members.iter();
             each.map(|(no, n)| {
                 let need = reserve.size.times((*n).into());
-                self.fits_at(key, (*no, need), stops, round, now)
+                self.fit_time(key, (*no, need), stops, round, now)
             })
             .collect()
         };
@@ -312,7 +315,7 @@
         }
     }
 
-    /// Stops less urgent runs of a worker until `wanted` will be free.
+    /// Stops as many less urgent runs of a worker as needed to free the resources `wanted`.
     fn preempt_at(&mut self, no: WorkerNo, wanted: Size, priority: u8, now: Time) {
         let worker = &self.workers[no.0];
         let soon = now + self.setup.bounds.stop_time;
@@ -328,7 +331,7 @@
                 victims.push((run.percent.1, *task, run.size));
             }
         }
-        // Runs that have done the least come first, since the others end soon anyway.
+        // Runs with the least progress are stopped first, since the others end soon anyway.
         victims.sort_unstable_by_key(|v| (v.0, v.1));
         for (_, task, size) in victims {
             if wanted.fits(&free) {
@@ -340,7 +343,8 @@
         }
     }
 
-    /// Whether less urgent work may be stopped for a step: only if the step would then be in time.
+    /// Returns whether less urgent runs may be stopped for a step, which requires that the step
+    /// could then meet its deadline.
     fn may_preempt_for(&self, key: &StepKey, now: Time) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let left = job.chain_lengths.get(usize::from(key.step)).copied().unwrap_or_default();
--- a/src/shard/in_flight.rs
+++ b/src/shard/in_flight.rs
@@ -8,10 +8,11 @@
 /// The contents of the write that is in progress.
 #[derive(Clone, Debug, Default)]
 pub(super) struct InFlight {
-    /// The jobs in the write, the journal position up to which each is covered, and the progress
-    /// that stays stored for those that have ended.
+    /// The jobs in the write, each with the sequence number of its last written change and, if the
+    /// job has ended, the progress that remains stored.
     pub jobs: Vec<(JobNo, u64, Option<Progress>)>,
-    /// The jobs whose records are removed, with the time from which they could be.
+    /// The finished jobs whose progress is removed, each with the Unix time in milliseconds from
+    /// which that was permitted.
     pub purged: Vec<(u64, JobNo)>,
     /// The workers of the roster, if the write contains it.
     pub roster: Option<Vec<WorkerNo>>,
--- a/src/shard/lifecycle.rs
+++ b/src/shard/lifecycle.rs
@@ -11,7 +11,9 @@
 };
 
 impl Shard {
-    pub(super) fn admit(
+    /// Adds a job whose record was read and creates its due steps. `old` says whether the job was
+    /// read when this owner took over the shard.
+    pub(super) fn admit_job(
         &mut self,
         no: JobNo,
         record: JobRecord,
@@ -61,9 +63,9 @@
 
     /// Cancels a job, even if the job itself becomes known only later.
     ///
-    /// Guards against a cancel that is read before its job, which happens when a range is read
-    /// again after the store has lost its history: the job would run although its caller was told
-    /// that it was cancelled.
+    /// A cancel may be read before its job when a range is read again after the store has lost its
+    /// history. If the cancel were ignored, the job would run although its caller was told that it
+    /// was cancelled.
     pub(super) fn cancel(&mut self, no: JobNo, now: Time) {
         match self.jobs.get(&no) {
             Some(job) if !job.state.is_final() => self.end_job(no, State::Cancelled, now),
--- a/src/shard/logging.rs
+++ b/src/shard/logging.rs
@@ -16,14 +16,14 @@
     std::{collections::BTreeMap, mem, time::Duration},
 };
 
-/// A delay below this is due to the round itself and has no other reason.
+/// The maximum delay of a start that is attributed to the scheduling round itself.
 const ROUND_DELAY: Duration = Duration::from_millis(60);
-/// Steps that wait for longer than this are logged.
-const LOGGED_AFTER: Duration = Duration::from_secs(3);
+/// The minimum wait after which a step is logged as waiting.
+const MIN_LOGGED_WAIT: Duration = Duration::from_secs(3);
 /// The maximum number of waiting steps that are logged at once.
-const MAX_LOGGED: usize = 4;
-/// A worker is logged as silent after this many consecutive unanswered calls.
-const SILENT_CALLS: u32 = 3;
+const MAX_LOGGED_STEPS: usize = 4;
+/// The minimum number of consecutive unanswered calls after which a worker is logged as silent.
+const MIN_SILENT_CALLS: u32 = 3;
 
 impl Shard {
     /// Returns the statistics since the last call and resets them.
@@ -31,8 +31,8 @@
         mem::take(&mut self.stats)
     }
 
-    /// The number of waiting tasks by priority, the age of the worker list, and the longest
-    /// absences.
+    /// Returns the number of waiting tasks by priority, the age of the worker list, and the longest
+    /// absence by cause.
     pub fn gauges(&self, now: Time) -> Gauges {
         let mut levels = Gauges {
             list_age: now - self.reported.listed_at,
@@ -76,14 +76,16 @@
         let lasts =
             |k: &StepKey| self.jobs.get(&k.job).and_then(|j| j.step(k)).is_some_and(|s| s.lasts);
         let since = |k: &StepKey| {
-            let ready =
-                self.step_state(k).and_then(|p| p.ready_since).filter(|t| *t + LOGGED_AFTER <= now);
+            let ready = self
+                .step_state(k)
+                .and_then(|p| p.ready_since)
+                .filter(|t| *t + MIN_LOGGED_WAIT <= now);
             ready.filter(|_| !lasts(k))
         };
         let mut all: Vec<(Time, StepKey)> =
             self.ranks.keys().filter_map(|k| Some((since(k)?, *k))).collect();
         all.sort_unstable();
-        let few: Vec<_> = all.into_iter().take(MAX_LOGGED).collect();
+        let few: Vec<_> = all.into_iter().take(MAX_LOGGED_STEPS).collect();
         if few.is_empty() {
             return;
         }
@@ -246,8 +248,8 @@
                 log::info!(target: "shard", worker:% = w.id, verdict:? = verdict, now:% = now, runs = w.runs.len(); "Worker is {said}.");
             }
             // A worker that was logged as silent stays so until its first answer.
-            let silent =
-                w.unanswered_calls >= SILENT_CALLS || (w.reported.silent && w.unanswered_calls > 0);
+            let silent = w.unanswered_calls >= MIN_SILENT_CALLS
+                || (w.reported.silent && w.unanswered_calls > 0);
             if mem::replace(&mut w.reported.silent, silent) != silent {
                 let heard_ms = w.last_answer.map_or(0, |h| millis(now - h));
                 let said = if silent { "is silent" } else { "answers again" };
--- a/src/shard/preempt.rs
+++ b/src/shard/preempt.rs
@@ -19,7 +19,7 @@
     std::time::Duration,
 };
 
-/// How long a step waits for room before room is made or reserved for it.
+/// The minimum time that a step waits before other runs are stopped or room is reserved for it.
 pub(super) const ROOM_WAIT: Duration = Duration::from_millis(300);
 
 /// The effect of stopping less urgent runs of one worker.
@@ -34,8 +34,8 @@
 }
 
 impl Shard {
-    /// Makes room for tasks that can still be in time by stopping less urgent work; returns their
-    /// places.
+    /// Stops less urgent runs to make room for tasks that can still meet their deadline; returns
+    /// the chosen worker of each task.
     pub(super) fn preempt(
         &mut self,
         turn: &Turn,
@@ -55,8 +55,8 @@
         waiting.iter().copied().zip(places).collect()
     }
 
-    /// The priority at which runs of a step may be preempted by more urgent work, or `None` if they
-    /// may not be.
+    /// Returns the priority at which runs of a step may be preempted by more urgent work, or `None`
+    /// if they may not be.
     pub(super) fn preemptible_at(&self, key: &StepKey, step: &Step) -> Option<u8> {
         let plain = step.saves && !step.gang && !step.lasts && !step.fills;
         let queue = self.jobs.get(&key.job).and_then(|j| self.queue_configs.get(&j.queue));
@@ -104,10 +104,11 @@
         places
     }
 
-    /// The effect of stopping less urgent runs of the worker of `room`.
+    /// Computes the effect of stopping less urgent runs of the worker of `room`.
     fn preemption(&self, room: &Room, size: &Size, apart: u32, priority: u8) -> Option<Preemption> {
         let worker = &self.workers[room.index];
-        // Preemption would stop the work that keeps this worker from going down for upkeep.
+        // A worker that is being emptied goes down for upkeep once its remaining runs have stopped,
+        // so they are not stopped for other work.
         if worker.is_draining() {
             return None;
         }
@@ -122,7 +123,7 @@
                 _ => {}
             }
         }
-        // Runs that have done the least come first, since the others end soon anyway.
+        // Runs with the least progress are stopped first, since the others end soon anyway.
         victims.sort_unstable_by_key(|v| (v.0, v.1));
         let all = victims.iter().fold(free, |sum, v| sum + v.2);
         let most = if apart > 0 { apart.saturating_sub(room.same_step).into() } else { u64::MAX };
--- a/src/shard/ready_queue.rs
+++ b/src/shard/ready_queue.rs
@@ -26,18 +26,19 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// How long a step waits before it counts as starving: in an underused pool, and in a busy pool if
-/// it is too late to be worth anything.
+/// The minimum wait after which a step counts as starving: first in an underused pool, then in a
+/// busy pool, where only steps count that are too late to have any value.
 const STARVING_AFTER: (Duration, Duration) = (Duration::from_secs(4), Duration::from_secs(30));
-/// The maximum number of such steps at a time.
-const MAX_STARVING: usize = 3;
-/// How long a long-running task may be away before its step comes first: a third of the 6 s within
-/// which it must run again, since an advice call takes up to 2 s and freeing capacity takes as
-/// long.
+/// The maximum number of starving steps, other than long-running ones, that come first in a round.
+const MAX_STARVING_STEPS: usize = 3;
+/// The time for which a long-running task may be away before its step comes first: a third of the
+/// 6 s within which it must run again, since an advice call takes up to 2 s and freeing capacity
+/// takes another 2 s.
 const AWAY_LIMIT: Duration = Duration::from_secs(2);
-/// The maximum number of such steps at a time: a quarter of those that a round examines, since each
-/// of them has to examine all runs on the workers that may run it.
-const MAX_AWAY: usize = MAX_ROUND_STEPS / 4;
+/// The maximum number of steps with an away long-running task that come first in a round: a quarter
+/// of the steps that a round examines, since each of them requires a look at all runs on the
+/// workers that may run it.
+const MAX_AWAY_STEPS: usize = MAX_ROUND_STEPS / 4;
 
 impl Shard {
     /// Updates which steps of a job are ready, and their ranks.
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Computes in how many waves the tasks of each step run, once the workers are known.
+    /// Computes how many successive waves each step's tasks need, once the workers are known.
     fn compute_waves(&mut self, no: JobNo) {
         let Some(job) = self.jobs.get_mut(&no).filter(|j| j.waves.is_empty()) else { return };
         let Some(queue) = self.queue_configs.get(&job.queue) else { return };
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Like [`Self::unready`], if all tasks of the step are placed.
+    /// Removes a step from the ready queue if all its tasks are placed.
     pub(super) fn unready_if_placed(&mut self, key: &StepKey) {
         let step_state =
             self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
@@ -126,15 +127,15 @@
         }
     }
 
-    /// The steps that come first in this round: those with a long-running task that is away, then
-    /// those that have waited too long. In an underused pool any step can be among the latter; in a
-    /// busy pool only those that are too late to be worth anything.
+    /// Returns the steps that come first in this round: those with a long-running task that is
+    /// away, then those that have waited too long. In an underused pool any step can be among the
+    /// latter; in a busy pool only those that are too late to have any value.
     ///
     /// Without the former, a long-running task would stay away as long as more urgent work arrives:
     /// each new step could still be on time, goes first, and takes all capacity that becomes free.
     ///
     /// Without the latter, a large task that only one or two workers may run would never start,
-    /// because smaller tasks that still bring their queue some worth take these workers again and
+    /// because smaller tasks that are still of value to their queue take these workers again and
     /// again. In a busy pool the exception makes such tasks late, so the step waits longer there.
     pub(super) fn starving(&self, round: &Round, now: Time) -> Vec<StepKey> {
         let (mut all, mut absent) = (vec![], vec![]);
@@ -163,11 +164,15 @@
             let keys = steps.into_iter().take(looks).map(|(_, key)| key);
             keys.filter(|key| self.can_ever_start(key, round, now)).take(most).collect::<Vec<_>>()
         };
-        [first(absent, MAX_AWAY, MAX_AWAY), first(all, MAX_AWAY, MAX_STARVING)].concat()
+        [
+            first(absent, MAX_AWAY_STEPS, MAX_AWAY_STEPS),
+            first(all, MAX_AWAY_STEPS, MAX_STARVING_STEPS),
+        ]
+        .concat()
     }
 
-    /// Whether a step will find capacity once the runs that end have ended, as far as its workers
-    /// are known.
+    /// Returns whether a step will have enough capacity after all runs that are not long-running
+    /// have ended, as far as its workers are known.
     ///
     /// A step that waits for workers which do not exist yet must not come before all others.
     fn can_ever_start(&self, key: &StepKey, round: &Round, now: Time) -> bool {
@@ -181,8 +186,8 @@
         more || self.eventual_slots(&turn) >= wanted
     }
 
-    /// The number of tasks of a step that fit on the workers that may run it, once the runs that
-    /// end have ended.
+    /// Returns how many tasks of a step fit on the workers that may run it, after all runs that are
+    /// not long-running have ended.
     pub(super) fn eventual_slots(&self, turn: &Turn) -> u64 {
         let step = &turn.step;
         let slots = |no: WorkerNo| {
@@ -196,18 +201,19 @@
                 apart => all.min(apart.saturating_sub(self.task_count(no, turn.key)).into()),
             }
         };
-        self.permitted(turn).into_iter().fold(0, |sum, no| slots(no).saturating_add(sum))
+        self.permitted_workers(turn).into_iter().fold(0, |sum, no| slots(no).saturating_add(sum))
     }
 
-    /// Since when the first task of a step has waited, counted from the end of its last run.
+    /// Returns the time since which the longest-waiting task of a step has waited: the end of its
+    /// last run, or else the time at which the step became ready.
     fn away_since(&self, key: &StepKey) -> Option<Time> {
         let step_state = self.step_state(key)?;
         let waiting = step_state.tasks.iter().filter(|t| t.placement == Placement::Waiting);
         waiting.filter_map(|t| t.ended_at.or(step_state.ready_since)).min()
     }
 
-    /// The workers on which a starving step should wait for capacity: those with the most free
-    /// resources first.
+    /// Returns the workers on which a starving step should wait for capacity: those with the most
+    /// free resources first.
     pub(super) fn preferred_workers(
         &self,
         turn: &Turn,
@@ -237,7 +243,7 @@
         preferred
     }
 
-    /// The resources of a worker that long-running tasks do not use.
+    /// Returns the resources of a worker that long-running tasks do not use.
     pub(super) fn eventual_free(&self, no: WorkerNo) -> Size {
         let worker = &self.workers[no.0];
         let stays =
--- a/src/shard/replies.rs
+++ b/src/shard/replies.rs
@@ -16,9 +16,10 @@
     std::time::Duration,
 };
 
-/// The interval between holds while ends wait to be stored.
-const UNSTORED_INTERVAL: Duration = Duration::from_millis(120);
-/// The pause between calls to a silent worker per missed call, and the longest pause.
+/// The interval between two hold calls to a worker while ends of its runs wait to be stored.
+const UNSTORED_HOLD_INTERVAL: Duration = Duration::from_millis(120);
+/// The pause before the next call to a silent worker for each unanswered call, and the maximum
+/// pause.
 const SILENT_PAUSE: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(900));
 
 impl Shard {
@@ -99,11 +100,11 @@
             }
         }
         self.observe_runs(no, &held, now);
-        self.drop_missing(no, sent, &held, now);
+        self.drop_missing_runs(no, sent, &held, now);
         self.adjust_filler_pace(no, now);
         let worker = &mut self.workers[no.0];
         if !worker.unstored_ends.is_empty() {
-            worker.next_hold = now + UNSTORED_INTERVAL;
+            worker.next_hold = now + UNSTORED_HOLD_INTERVAL;
         }
         if first {
             self.round_due = true;
@@ -123,13 +124,13 @@
                     }
                     self.stop_if_stuck(no, &row.task, now);
                 }
-                _ => self.adopt(no, row, now),
+                _ => self.adopt_run(no, row, now),
             }
         }
     }
 
     /// Adopts a run that a former owner has started, or stops it if it is not wanted.
-    fn adopt(&mut self, no: WorkerNo, row: &crate::ports::Row, now: Time) {
+    fn adopt_run(&mut self, no: WorkerNo, row: &crate::ports::Row, now: Time) {
         let job = self.jobs.get_mut(&row.task.step.job);
         let wanted = job.filter(|j| !j.state.is_final()).and_then(|j| {
             let step = j.step(&row.task.step)?.clone();
@@ -157,7 +158,7 @@
             reported_at: now,
             checkpoint: row.saved.clone(),
             tail_ms: row.load,
-            // The former owner may have slowed it down.
+            // The former owner may have changed the pace of the run, so it is unknown.
             pace: None,
             target_ms: step.target,
             fills: step.fills,
@@ -183,9 +184,9 @@
         self.unready_if_placed(&row.task.step);
     }
 
-    /// Processes runs that were known before the request was sent and that the reply reports
-    /// neither as running nor as ended: they are gone.
-    fn drop_missing(&mut self, no: WorkerNo, sent: Time, held: &Held, now: Time) {
+    /// Records as lost the runs that the worker must know of, since they were listed before the
+    /// request was sent, but that its reply reports neither as running nor as ended.
+    fn drop_missing_runs(&mut self, no: WorkerNo, sent: Time, held: &Held, now: Time) {
         let there =
             |t: &TaskKey, r: u32| held.running.iter().any(|row| row.task == *t && row.run == r);
         let gone: Vec<_> = self.workers[no.0]
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Records that work on a task has begun.
+    /// Marks the job of a task as running if it is still queued.
     pub(super) fn mark_running(&mut self, task: &TaskKey) {
         if let Some(job) = self.jobs.get_mut(&task.step.job)
             && job.state == State::Queued
--- a/src/shard/round.rs
+++ b/src/shard/round.rs
@@ -14,15 +14,16 @@
     std::rc::Rc,
 };
 
-/// The number of steps per round that may search beyond the free resources: for runs about to end,
-/// for runs to preempt, and for other workers.
+/// The maximum number of steps per round that may search beyond the free resources: for runs about
+/// to end, for runs to preempt, and for other workers.
 pub(super) const MAX_DEEP_SEARCHES: usize = 24;
 
 /// The working state of a round.
 #[derive(Default)]
 pub(super) struct Round {
+    /// The workers of each pool that may receive starts.
     pub(super) usable: FxHashMap<PoolId, Rc<[WorkerNo]>>,
-    /// The workers for long-running steps.
+    /// The workers of each pool that may receive starts of long-running steps.
     pub(super) long_running: FxHashMap<PoolId, Rc<[WorkerNo]>>,
     /// The workers of underused pools, with those being drained, for steps that have waited long
     /// enough.
@@ -35,14 +36,14 @@
     withheld: Vec<Size>,
     /// The resources of each worker that are reserved for gangs until they start.
     reservations: Vec<Vec<Reservation>>,
-    /// The demand for each worker, in hundredths of a waiting task.
+    /// The number of waiting tasks that compete for each worker, multiplied by 100.
     pub(super) demand: Vec<u32>,
     /// The steps that will soon have room at a worker.
     pub(super) upcoming: Backlog<WorkerNo>,
     /// The number of steps that have searched beyond the free resources, and how many of those are
     /// long-running.
     deep_searches: (usize, usize),
-    /// The queues for whose advice calls no member is free.
+    /// The queues whose advice calls cannot be made because no member is free.
     pub(super) advice_blocked: FxHashSet<Box<str>>,
 }
 
@@ -52,9 +53,9 @@
     size: Size,
     /// The priority of the gang's queue.
     priority: u8,
-    /// When the gang is expected to start.
+    /// The time at which the gang is expected to start.
     at: Time,
-    /// Whether the gang's turn in this round is over.
+    /// Whether the gang was already examined in this round.
     passed: bool,
 }
 
@@ -75,15 +76,16 @@
 pub(super) struct Turn<'a> {
     pub(super) key: &'a StepKey,
     pub(super) step: Step,
-    /// The name and the priority of the step's queue.
+    /// The name of the step's queue.
     pub(super) queue: Box<str>,
+    /// The priority of the step's queue.
     pub(super) priority: u8,
     pub(super) pool: PoolId,
-    /// The indices of its waiting tasks.
+    /// The indices of the step's waiting tasks.
     pub(super) waiting: Vec<u32>,
-    /// The workers of its pool that may receive starts.
+    /// The workers of the step's pool that may receive starts.
     pub(super) usable: Rc<[WorkerNo]>,
-    /// The cost of advice on it, if it needs advice.
+    /// The cost of an advice call for the step, if the step needs advice.
     pub(super) advice: Option<AdviceCost>,
 }
 
@@ -98,13 +100,13 @@
         }
     }
 
-    /// The resources of a worker that are withheld for steps earlier in this round.
+    /// Returns the resources of a worker that are withheld for steps earlier in this round.
     pub(super) fn withheld_before(&self, no: WorkerNo, key: &StepKey) -> Size {
         let passed = self.reservations[no.0].iter().filter(|c| c.passed && c.gang != *key);
         passed.fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
 
-    /// The resources of a worker that this step must not use.
+    /// Returns the resources of a worker that this step must not use.
     ///
     /// Resources reserved for a gang are open to tasks that end before the gang can start. The last
     /// of the gang's workers may become available seconds later, and the others would be idle until
@@ -123,18 +125,18 @@
             .fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
 
-    /// The resources of a worker that are withheld for earlier steps other than gangs.
+    /// Returns the resources of a worker that are withheld for earlier steps other than gangs.
     pub(super) fn withheld(&self, no: WorkerNo) -> Size {
         self.withheld[no.0]
     }
 
-    /// The resources of a worker that are withheld or reserved for any step.
+    /// Returns the resources of a worker that are withheld or reserved for any step.
     pub(super) fn all_withheld(&self, no: WorkerNo) -> Size {
         self.reservations[no.0].iter().fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
 
-    /// Whether one more step may search beyond the free resources. Long-running steps get at most
-    /// half of the searches.
+    /// Counts a search beyond the free resources and returns whether it is permitted. Long-running
+    /// steps get at most half of the searches.
     pub(super) fn try_deep_search(&mut self, lasts: bool) -> bool {
         if lasts && self.deep_searches.1 >= MAX_DEEP_SEARCHES / 2 {
             return false;
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Ends a gang's turn, replacing its former reservation by the new one.
+    /// Ends a gang's turn and replaces its former reservation with the new one.
     pub(super) fn end_turn(
         &mut self,
         gang: &StepKey,
--- a/src/shard/speculation.rs
+++ b/src/shard/speculation.rs
@@ -19,12 +19,12 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// A copy that takes more than this multiple of its siblings' duration is considered hung, and so
-/// is the first run.
+/// The maximum duration of a copy, as a multiple of the expected duration of its siblings. Beyond
+/// it, both the copy and the first run are considered hung.
 const MAX_COPY_FACTOR: u32 = 3;
 
 impl Shard {
-    /// Starts copies of slow tasks on room that nothing waits for.
+    /// Starts copies of slow tasks on spare workers.
     pub(super) fn start_copies(&mut self, now: Time) {
         if !self.may_act(now) {
             return;
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Whether a run without progress may continue because a copy of its task runs or can start at
-    /// once.
+    /// Returns whether a run without progress may continue because a copy of its task runs or can
+    /// start at once.
     ///
     /// A copy without progress is stopped like any other run. If the copy has taken too long as
     /// well, both runs are stopped, since two hung runs would never end.
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The time that a run still needs, if it is so slow that a copy is worth its cost.
+    /// Returns the remaining time of a run, if the run is so slow that a copy is worthwhile.
     fn remaining_if_slow(
         &self,
         task: &TaskKey,
@@ -123,7 +123,8 @@
         )
     }
 
-    /// A sound worker with room that nothing waits for, other than the worker of the first run.
+    /// Returns a sound worker of an underused pool that has room for a copy and is not the worker
+    /// of the first run.
     fn spare_worker(
         &self,
         task: &TaskKey,
--- a/src/shard/state_machine.rs
+++ b/src/shard/state_machine.rs
@@ -28,17 +28,17 @@
     },
 };
 
-/// How often the waiting steps are ranked again, since jobs become late while they wait.
+/// The interval at which the waiting steps are ranked again, since jobs become late while waiting.
 const RERANK_INTERVAL: Duration = Duration::from_millis(250);
-/// How often a summary of the state is logged.
+/// The interval between two logged summaries of the shard's state.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
-/// How often the periodic checks run, among them the one for occurrences that have come due.
+/// The interval between two periodic checks, for example for scheduled occurrences that are due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// A finished job is remembered for this many milliseconds beyond the time for which its state must
-/// be available.
-const EXTRA_KEEP_MS: u64 = 10_000;
+/// The time in milliseconds for which a finished job is kept beyond the retention time of its
+/// state.
+const EXTRA_RETENTION_MS: u64 = 10_000;
 
-/// What a new owner of a shard starts with, apart from the stored records.
+/// The parameters with which a new owner of a shard starts, in addition to the stored records.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// The shard.
@@ -67,6 +67,7 @@
     pub(super) finished: FxHashMap<JobNo, State>,
     /// Finished jobs by the Unix time in milliseconds at which their progress may be removed.
     pub(super) purge_queue: VecDeque<(u64, JobNo)>,
+    /// Jobs with occurrences that are not due yet.
     pub(super) scheduled: BTreeSet<JobNo>,
     /// Cancelled jobs whose record has not arrived yet.
     pub(super) early_cancels: FxHashSet<JobNo>,
@@ -75,11 +76,11 @@
     pub(super) pools: FxHashMap<PoolId, Vec<WorkerNo>>,
     /// Workers that a former owner may have used and that have not answered this owner yet.
     pub(super) unsettled: FxHashSet<WorkerNo>,
-    /// Tasks that have an extra run, not the current one, which is being stopped.
+    /// Tasks of which a run other than the current one is still being stopped.
     pub(super) strays: FxHashSet<TaskKey>,
-    /// When this owner took the shard over.
+    /// The time at which this owner took over the shard.
     pub(super) owned_since: Time,
-    /// When most workers of the roster had first answered this owner.
+    /// The time by which most workers of the roster had answered this owner for the first time.
     pub(super) majority_at: Option<Time>,
     /// Whether the former owner's lease had ended, or the shard had been released, when this owner
     /// took over.
@@ -94,9 +95,9 @@
     pub(super) reservations: BTreeMap<StepKey, GangReservation>,
     /// For each queue, the share of the named workers that advice has approved.
     pub(super) advice_shares: FxHashMap<Box<str>, AdviceShare>,
-    /// Advice calls per queue, for the log only.
+    /// Statistics of the advice calls of each queue, for the log only.
     pub(super) advice_stats: BTreeMap<Box<str>, AdviceStats>,
-    /// No dispatch before this time.
+    /// The earliest time of the next scheduling round.
     pub(super) next_round: Time,
     pub(super) lanes: Lanes,
     pub(super) turns: AdviceTurns,
@@ -109,7 +110,7 @@
     pub(super) roster_dirty: bool,
     /// The contents of the write in progress.
     pub(super) in_flight: InFlight,
-    /// When the last lease renewal that the store has confirmed was sent.
+    /// The time at which the last confirmed lease renewal was sent.
     pub(super) confirmed_at: Time,
     /// Orders that the next round returns.
     pub(super) orders: Vec<Order>,
@@ -117,7 +118,8 @@
     pub(super) closing: Arc<Closing>,
     pub(super) stats: Stats,
     deposed: bool,
-    /// When the platform's VM list may be read again; `None` while a read is in progress.
+    /// The earliest time of the next read of the platform's VM list; `None` while a read is in
+    /// progress.
     pub(super) next_vm_list: Option<Time>,
     next_rerank: Time,
     next_check: Time,
@@ -192,7 +194,7 @@
         self.purge_queue.make_contiguous().sort_unstable();
         for (no, record) in load.jobs {
             if !self.finished.contains_key(&no) {
-                self.admit(no, record, progress.get(&no), true, now);
+                self.admit_job(no, record, progress.get(&no), true, now);
             }
         }
         for no in load.cancels {
@@ -214,7 +216,7 @@
         match event {
             Event::Job(no, record) => {
                 if !self.jobs.contains_key(&no) && !self.finished.contains_key(&no) {
-                    self.admit(no, *record, None, false, now);
+                    self.admit_job(no, *record, None, false, now);
                 }
             }
             Event::Cancel(no) => {
@@ -311,8 +313,8 @@
         }
     }
 
-    /// The state of a job as far as it is stored. Returns `None` if the job is unknown here, or if
-    /// another owner may have a newer state.
+    /// Returns the stored state of a job, or `None` if the job is unknown here or another owner may
+    /// have a newer state.
     pub fn state(&self, no: JobNo, now: Time) -> Option<State> {
         self.owner_state(no).filter(|s| s.is_final() || self.may_tell(now))
     }
@@ -328,7 +330,7 @@
         }
     }
 
-    /// Number of jobs of a queue that have not started.
+    /// Returns the number of jobs of a queue that have not started.
     pub fn queued_jobs(&self, queue: &str) -> u64 {
         let begun = |j: &&ActiveJob| {
             *j.queue == *queue && j.state == State::Queued && j.job.times.is_none()
@@ -336,12 +338,12 @@
         self.jobs.values().filter(begun).count() as u64
     }
 
-    /// Whether every change is stored.
+    /// Returns whether every change is stored.
     pub fn is_flushed(&self) -> bool {
         self.deposed || (self.dirty_jobs.is_empty() && !self.commit.busy())
     }
 
-    /// Number of jobs whose current state may not be stored yet.
+    /// Returns the number of jobs whose current state may not be stored yet.
     pub fn unwritten_jobs(&self) -> usize {
         self.dirty_jobs.len() + self.in_flight.jobs.len()
     }
@@ -362,21 +364,21 @@
         mem::take(&mut self.orders)
     }
 
-    /// The state of a step in one occurrence, once that occurrence is due.
+    /// Returns the state of a step in one occurrence, once that occurrence is due.
     pub(super) fn step_state(&self, key: &StepKey) -> Option<&StepState> {
         self.jobs.get(&key.job)?.step_states.get(&(key.time, key.step))
     }
 
-    /// The given time in milliseconds of the Unix clock.
+    /// Converts a time to Unix milliseconds.
     pub(super) fn unix_ms(&self, now: Time) -> u64 {
         self.setup.unix_ms + millis(now - Time::ZERO)
     }
 
     pub(super) fn retention_ms(&self) -> u64 {
-        millis(self.setup.bounds.state_retention) + EXTRA_KEEP_MS
+        millis(self.setup.bounds.state_retention) + EXTRA_RETENTION_MS
     }
 
-    /// Stops this owner for good: another owner has a higher token, so this state no longer counts.
+    /// Ends this ownership permanently, because another owner has a higher token.
     pub(super) fn depose(&mut self) {
         log::warn!(target: "shard", did = "deposed", shard:% = self.setup.shard, token = self.setup.token; "Shard has another owner.");
         self.deposed = true;
@@ -396,7 +398,7 @@
         self.last_change
     }
 
-    /// Whether this run is a current run of a task, at this worker, of a job that is not over.
+    /// Returns whether the numbered run is a current run of the task on this worker.
     pub(super) fn has_run(&mut self, task: &crate::work::TaskKey, no: WorkerNo, run: u32) -> bool {
         let Some(job) = self.jobs.get_mut(&task.step.job) else { return false };
         job.task(task).is_some_and(|t| t.has_run(no, run))
--- a/src/shard/worker_loss.rs
+++ b/src/shard/worker_loss.rs
@@ -17,9 +17,9 @@
     std::time::Duration,
 };
 
-/// The interval between two readings of the list of machines.
-const READ_INTERVAL: Duration = Duration::from_millis(500);
-/// How far the list of machines may lag behind.
+/// The minimum interval between two reads of the list of machines.
+const MACHINE_LIST_INTERVAL: Duration = Duration::from_millis(500);
+/// The maximum delay with which the list of machines reflects a change.
 const MACHINE_LIST_LAG: Duration = Duration::from_millis(900);
 
 impl Shard {
@@ -68,7 +68,7 @@
         reply: Result<Vec<WorkerId>, Fault>,
         now: Time,
     ) {
-        self.next_vm_list = Some(now + READ_INTERVAL);
+        self.next_vm_list = Some(now + MACHINE_LIST_INTERVAL);
         let Ok(ids) = reply else { return };
         let listed: FxHashSet<&WorkerId> = ids.iter().collect();
         for no in (0..self.workers.len()).map(WorkerNo) {
@@ -108,12 +108,12 @@
     /// tasks shortly before the worker ends, so that they resume from a checkpoint instead of
     /// waiting for its lease to expire.
     ///
-    /// Guards against long-running tasks that are stopped although their worker stays for another
-    /// half minute: other workers may be full or being emptied, and a task that was stopped serves
-    /// nobody.
+    /// A long-running task is not stopped before another worker has room for it. Its worker stays
+    /// for another half minute, other workers may be full or being emptied, and a stopped task
+    /// serves no requests.
     pub(super) fn vacate_leaving(&mut self, now: Time) {
         let (mut stops, mut allocated) = (vec![], vec![]);
-        // Whether there was room for the last task of each step that was examined.
+        // For each examined step, whether its last examined task had room on another worker.
         let mut has_room: FxHashMap<StepKey, bool> = FxHashMap::default();
         for (n, w) in self.workers.iter().enumerate().filter(|(_, w)| !w.gone) {
             let Some(end) = w.leaves_at else { continue };
--- a/src/shard/writes.rs
+++ b/src/shard/writes.rs
@@ -17,7 +17,7 @@
     std::mem,
 };
 
-/// The maximum number of jobs that one write purges.
+/// The maximum number of finished jobs that one write removes.
 const MAX_PURGED: usize = 12;
 
 impl Shard {
@@ -32,7 +32,8 @@
         self.begin_write(urgent, now);
     }
 
-    /// Like [`Shard::flush`]; `urgent` says whether somebody waits for the write.
+    /// Begins a write like [`Shard::flush`]; `urgent` says whether a caller or a start waits for
+    /// it.
     pub(super) fn begin_write(&mut self, urgent: bool, now: Time) {
         let unix = self.unix_ms(now);
         let purge = self.purge_queue.front().is_some_and(|(at, _)| *at <= unix);
@@ -63,7 +64,7 @@
             self.purge_queue.pop_front();
             flight.purged.push((at, no));
             txn.remove.push(shard.progress(no));
-            // A cancel may have arrived after the job was over.
+            // A cancel may have been stored after the job ended.
             txn.remove.push(shard.cancel(no));
         }
         self.in_flight = flight;
