--- a/src/shard/advice.rs
+++ b/src/shard/advice.rs
@@ -32,8 +32,8 @@
 pub(super) const MAX_NAMED: usize = 100;
 /// The maximum number of workers that a call to renew tickets names.
 pub(super) const MAX_RENEWED: usize = 10;
-/// A ticket is no longer used when it has less than this time left: the margin covers the transit
-/// of the advice reply and of the start order.
+/// The minimum remaining validity of a ticket that may be used. It covers the transit of the advice
+/// reply and of the start order.
 const TICKET_MARGIN: Duration = Duration::from_millis(100);
 /// The pause before a step's next advice call after a failed one.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
@@ -71,8 +71,8 @@
         }
         let chunk = chunk(cost.base, cost.each);
         let duration = cost.base + cost.each * u32::try_from(chunk).unwrap_or(u32::MAX);
-        // For gangs, room can be made by preemption; other steps use only what is free or will
-        // become free.
+        // Only gangs can make room by preemption here; other steps use only room that is free or
+        // will become free.
         let (stops, by) = match step.gang {
             true => (Some(turn.priority), now + duration + self.setup.bounds.stop_time),
             false => (None, now + duration),
--- a/src/shard/cause.rs
+++ b/src/shard/cause.rs
@@ -10,35 +10,35 @@
 /// The reason why a worker is excluded from starts.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Exclusion {
-    /// The list of workers does not contain it.
+    /// The list of workers does not contain the worker.
     #[display("unlisted")]
     Unlisted,
-    /// It has not replied to this owner's token.
+    /// The worker has not replied to this owner's token.
     #[display("unfenced")]
     Unfenced,
-    /// The store does not record yet that something of this shard may run there.
+    /// The store does not record yet that something of this shard may run on the worker.
     #[display("unrostered")]
     Unrostered,
-    /// It is leaving.
+    /// The worker is leaving.
     #[display("leaving")]
     Leaving,
-    /// It is being emptied for upkeep.
+    /// The worker is being emptied for upkeep.
     #[display("closing")]
     Closing,
-    /// It does not answer.
+    /// The worker does not answer.
     #[display("silent")]
     Silent,
-    /// It has runs whose resource usage is unknown.
+    /// The worker has runs whose resource usage is unknown.
     #[display("blind")]
     Blind,
-    /// It recently reported that it is unwell.
+    /// The worker recently reported that it is unwell.
     #[display("unwell")]
     Unwell,
-    /// It is in quarantine.
+    /// The worker is in quarantine.
     #[display("quarantined")]
     Quarantined,
-    /// Its quarantine has ended or exceeds the share of the pool that may be in quarantine, and no
-    /// trial task may start there now.
+    /// The quarantine of the worker has ended or exceeds the share of the pool that may be in
+    /// quarantine, and no trial task may start on the worker now.
     #[display("unproven")]
     Unproven,
 }
@@ -49,10 +49,10 @@
     /// The owner is cut off and may start nothing.
     #[display("the owner's lease")]
     Lease,
-    /// Its queue is unknown.
+    /// The queue of the step is unknown.
     #[display("its queue")]
     Queue,
-    /// Its pool has no workers in this shard.
+    /// The pool of the step has no workers in this shard.
     #[display("its pool")]
     Pool,
     /// Former owners may have started something at workers that have not replied.
@@ -61,61 +61,61 @@
     /// A start order has not been answered.
     #[display("the answer to a start")]
     Start,
-    /// A run of it is being stopped.
+    /// A run of the step is being stopped.
     #[display("the end of a stop")]
     Stop,
-    /// Its task is at a worker that does not answer.
+    /// A task of the step is assigned to a worker that does not answer.
     #[display("a silent worker")]
     Silent,
-    /// An extra run of its tasks is being stopped.
+    /// An extra run of a task of the step is being stopped.
     #[display("the end of another run")]
     Stray,
-    /// More steps precede it than one round examines.
+    /// More steps precede the step than one round examines.
     #[display("its place in the order")]
     Order,
-    /// Room is reserved for it until there is enough.
+    /// Room is being reserved for the step until all its tasks fit.
     #[display("room that is kept for it")]
     Gathers,
-    /// Its first call for advice is in progress.
+    /// The first advice call of the step is in progress.
     #[display("its first advice")]
     First,
-    /// Calls for its tickets are in progress.
+    /// Advice calls to renew the tickets of the step are in progress.
     #[display("new tickets")]
     Tickets,
     /// An advice call has failed, and the next one is delayed.
     #[display("advice that has failed")]
     Failed,
-    /// No member is available to make its advice call.
+    /// No member is available to make the advice call of the step.
     #[display("a member for its call")]
     Member,
-    /// Its tickets have expired, and no advice call is in progress.
+    /// The tickets of the step have expired, and no advice call is in progress.
     #[display("a call for old tickets")]
     Old,
-    /// Some workers were never named in its advice calls.
+    /// Some workers were never named in the advice calls of the step.
     #[display("workers never asked about")]
     Unasked,
-    /// No worker may run it.
+    /// No worker may run the step.
     #[display("a worker that may run it")]
     Nobody,
-    /// Too few workers may run it, or they are too small.
+    /// Too few workers may run the step, or they are too small.
     #[display("more workers that may run it")]
     Few,
     /// The room is reserved for gangs.
     #[display("room kept for gangs")]
     Gangs,
-    /// The room is reserved for, or goes to, steps that precede it.
+    /// The room is reserved for, or goes to, steps that precede this one.
     #[display("steps before it")]
     Before,
     /// The workers with room are excluded from starts.
     #[display("{_0} workers")]
     Bar(Exclusion),
-    /// The workers with room already have as many of its tasks as the step allows per worker.
+    /// The workers with room already have as many tasks of the step as it allows per worker.
     #[display("workers at its bound")]
     Bound,
     /// The workers are full.
     #[display("room")]
     Room,
-    /// There is room, and the next round has not run yet.
+    /// There is room, but the next scheduling round has not run yet.
     #[display("the next round")]
     Round,
     /// There is room, but the last round did not use it.
@@ -166,10 +166,10 @@
     pub unasked: usize,
     /// Number of the `unasked` workers that appear to have room.
     pub roomy: usize,
-    /// How many of its tasks would fit on workers with valid tickets, and on all workers that may
-    /// run it.
+    /// How many tasks of the step would fit on workers with valid tickets, and on all workers that
+    /// may run it.
     pub slots: (u64, u64),
-    /// How many of its tasks would fit if all workers that may run it were empty.
+    /// How many tasks of the step would fit if all workers that may run it were empty.
     pub empty: u64,
     /// Number of the step's advice calls in progress.
     pub calls: usize,
@@ -196,20 +196,20 @@
 pub struct AbsentStep {
     /// The step.
     pub key: StepKey,
-    /// How many of its tasks wait.
+    /// How many tasks of the step wait.
     pub waiting: usize,
-    /// How many of its tasks are assigned to a worker but were not seen running there.
+    /// How many tasks of the step are assigned to a worker but were not seen running there.
     pub unseen: usize,
     /// The index of the task that has been away the longest.
     pub oldest: u32,
     /// How long that task has been away: since it last ran or could first run, as far as this owner
     /// knows.
     pub away: Duration,
-    /// The class of its rank.
+    /// The class of the step's rank.
     pub class: usize,
-    /// How many steps precede it in the ready queue.
+    /// How many steps precede the step in the ready queue.
     pub behind: usize,
-    /// The reason why it waits.
+    /// The reason why the step waits.
     pub cause: Cause,
     /// The data from which the reason is derived.
     pub sight: Sight,
--- a/src/shard/commit.rs
+++ b/src/shard/commit.rs
@@ -42,7 +42,7 @@
 
 /// The stage of the current write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stage {
+enum WriteStage {
     /// No write is in progress.
     Idle,
     /// The store has not replied to the write.
@@ -58,7 +58,7 @@
 pub struct Commit {
     revision: u64,
     number: u64,
-    stage: Stage,
+    stage: WriteStage,
     /// The earliest time of the next urgent write or of the next read of the commit row.
     next_attempt: Time,
     /// The earliest start of the next non-urgent write.
@@ -73,7 +73,7 @@
         Commit {
             revision,
             number: 0,
-            stage: Stage::Idle,
+            stage: WriteStage::Idle,
             next_attempt,
             next_lazy,
             backoff: BACKOFF.0,
@@ -84,18 +84,18 @@
     /// the write.
     pub fn may_begin(&self, urgent: bool, now: Time) -> bool {
         let from = if urgent { self.next_attempt } else { self.next_attempt.max(self.next_lazy) };
-        self.stage == Stage::Idle && from <= now
+        self.stage == WriteStage::Idle && from <= now
     }
 
     /// Returns whether a write is in progress or its outcome is unknown.
     pub fn busy(&self) -> bool {
-        self.stage != Stage::Idle
+        self.stage != WriteStage::Idle
     }
 
     /// Begins a write; returns its number and the revision of the commit row that it must expect.
     pub fn begin(&mut self, now: Time) -> (u64, u64) {
         self.number += 1;
-        self.stage = Stage::Writing;
+        self.stage = WriteStage::Writing;
         (self.next_attempt, self.next_lazy) = (now + MIN_INTERVAL, now + LAZY_INTERVAL);
         (self.number, self.revision)
     }
@@ -107,7 +107,7 @@
         reply: &Result<StoreReply, Fault>,
         now: Time,
     ) -> Outcome {
-        if number != self.number || self.stage != Stage::Writing {
+        if number != self.number || self.stage != WriteStage::Writing {
             return Outcome::Nothing;
         }
         match reply {
@@ -118,7 +118,7 @@
             // The conflict may come from an earlier write of this owner that took effect after it
             // was considered failed, so the commit row is read first.
             Ok(StoreReply::Conflict(_)) | Err(Fault::Unknown) => {
-                self.stage = Stage::Reading;
+                self.stage = WriteStage::Reading;
                 Outcome::Reread
             }
             _ => {
@@ -135,7 +135,7 @@
         token: u64,
         now: Time,
     ) -> Outcome {
-        if self.stage != Stage::Reading {
+        if self.stage != WriteStage::Reading {
             return Outcome::Nothing;
         }
         match row {
@@ -151,7 +151,7 @@
             }
             Err(_) => {
                 self.back_off(now);
-                self.stage = Stage::Unclear;
+                self.stage = WriteStage::Unclear;
                 Outcome::Nothing
             }
         }
@@ -160,21 +160,21 @@
     /// Returns whether the commit row has to be read again now; if so, records that the read has
     /// begun.
     pub fn begin_reread(&mut self, now: Time) -> bool {
-        let due = self.stage == Stage::Unclear && self.next_attempt <= now;
+        let due = self.stage == WriteStage::Unclear && self.next_attempt <= now;
         if due {
-            self.stage = Stage::Reading;
+            self.stage = WriteStage::Reading;
         }
         due
     }
 
     fn record_done(&mut self, revision: u64) {
         self.revision = revision;
-        self.stage = Stage::Idle;
+        self.stage = WriteStage::Idle;
         self.backoff = BACKOFF.0;
     }
 
     fn back_off(&mut self, now: Time) {
-        self.stage = Stage::Idle;
+        self.stage = WriteStage::Idle;
         self.next_attempt = now + self.backoff;
         self.backoff = (self.backoff * 2).min(BACKOFF.1);
     }
--- a/src/shard/diagnosis.rs
+++ b/src/shard/diagnosis.rs
@@ -37,7 +37,7 @@
             let lasts = |s: u16| job.job.steps.get(usize::from(s)).is_some_and(|s| s.lasts);
             for ((time, step), step_state) in job.step_states.iter().filter(|p| lasts(p.0.1)) {
                 let key = StepKey { job: *no, time: *time, step: *step };
-                all.extend(self.find_away(key, step_state, now));
+                all.extend(self.find_away_tasks(key, step_state, now));
             }
         }
         all.sort_unstable_by_key(|a| (Reverse(a.away), a.key));
@@ -58,7 +58,12 @@
 
     /// Returns the tasks of a long-running step that are away, if any. The caller fills in why the
     /// waiting tasks wait.
-    fn find_away(&self, key: StepKey, step_state: &StepState, now: Time) -> Option<AbsentStep> {
+    fn find_away_tasks(
+        &self,
+        key: StepKey,
+        step_state: &StepState,
+        now: Time,
+    ) -> Option<AbsentStep> {
         let ready = self.ranks.contains_key(&key);
         let (mut waiting, mut held) = (vec![], vec![]);
         for (index, task) in (0..).zip(&step_state.tasks) {
@@ -67,7 +72,7 @@
                 Placement::Waiting if ready => waiting.extend(since.map(|t| (t, index))),
                 Placement::Assigned(no) => {
                     let task = TaskKey { step: key, index };
-                    let lost = self.unseen(no, &task, since.unwrap_or(now));
+                    let lost = self.unseen_since(no, &task, since.unwrap_or(now));
                     held.extend(
                         lost.filter(|l| l.0 + AWAY_AFTER <= now).map(|l| (l.0, index, l.1)),
                     );
@@ -103,7 +108,7 @@
 
     /// Returns the time since which a task has not been seen running on its assigned worker, and
     /// the cause.
-    fn unseen(&self, no: WorkerNo, task: &TaskKey, since: Time) -> Option<(Time, Cause)> {
+    fn unseen_since(&self, no: WorkerNo, task: &TaskKey, since: Time) -> Option<(Time, Cause)> {
         let worker = &self.workers[no.0];
         let run = worker.runs.get(task)?;
         match run.phase {
@@ -134,7 +139,7 @@
         let mut sights = BTreeMap::new();
         for (behind, key) in order.iter().enumerate() {
             if keys.contains(key) {
-                let mut sight = self.diagnose(key, &round, now);
+                let mut sight = self.diagnose_step(key, &round, now);
                 if behind >= look {
                     sight.gate = sight.gate.or(Some(Cause::Order));
                 }
@@ -144,14 +149,14 @@
                 break;
             }
             if behind < look {
-                self.rehearse(key, &mut round, now);
+                self.rehearse_step(key, &mut round, now);
             }
         }
         sights
     }
 
     /// Withholds from later steps whatever a step would take or withhold in the next round.
-    fn rehearse(&self, key: &StepKey, round: &mut Round, now: Time) {
+    fn rehearse_step(&self, key: &StepKey, round: &mut Round, now: Time) {
         if !self.is_sole(&key.job) {
             return;
         }
@@ -176,7 +181,7 @@
     }
 
     /// Collects the facts that decide when a step's tasks start.
-    fn diagnose(&self, key: &StepKey, round: &Round, now: Time) -> Sight {
+    fn diagnose_step(&self, key: &StepKey, round: &Round, now: Time) -> Sight {
         let mut sight = Sight {
             wanted: 1,
             lanes: (self.lanes.idle_count(), self.lanes.len()),
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -38,13 +38,13 @@
     Cancel(JobNo),
     /// The complete list of this shard's workers.
     Listed(Vec<ListedWorker>),
-    /// A version of the configuration.
+    /// A new version of the configuration of queues.
     Queues(Arc<QueueConfig>),
     /// A worker's reply to a call, or its failure.
     Worker {
         /// The worker.
         worker: WorkerId,
-        /// When the call was sent.
+        /// The time at which the call was sent.
         sent: Time,
         /// The call.
         call: Box<WorkerCall>,
@@ -57,7 +57,7 @@
         call: Box<AdviceCall>,
         /// The member that made the call.
         via: Incarnation,
-        /// When the call was ordered.
+        /// The time at which the call was ordered.
         sent: Time,
         /// The reply.
         reply: Result<Advice, Fault>,
@@ -68,18 +68,18 @@
     CommitRead(Result<(u64, CommitRow), Fault>),
     /// The worker incarnations that the list of machines shows, or the failure to read the list.
     Machines {
-        /// When the list was requested.
+        /// The time at which the list was requested.
         sent: Time,
         /// The worker incarnations.
         reply: Result<Vec<WorkerId>, Fault>,
     },
-    /// The store has confirmed the renewal of this member's lease that was sent at this time.
+    /// The store has confirmed the renewal of this member's lease that was sent at the given time.
     Confirmed(Time),
     /// The members that can make advice calls for this shard, including this member.
     Peers(Peers),
     /// The workers that are to be emptied for upkeep.
     Closing(Arc<Closing>),
-    /// Time has passed.
+    /// Periodic tick, which runs the checks that depend on the time.
     Tick,
 }
 
@@ -90,7 +90,7 @@
     Worker {
         /// The worker.
         worker: WorkerId,
-        /// Its address.
+        /// The address of the worker.
         addr: SocketAddr,
         /// The call.
         call: Box<WorkerCall>,
@@ -103,7 +103,7 @@
         via: Incarnation,
         /// The call.
         call: Box<AdviceCall>,
-        /// When the call was ordered; [`Event::Advised`] repeats this time.
+        /// The time at which the call was ordered; [`Event::Advised`] repeats this time.
         sent: Time,
         /// The expected duration of the call at the service.
         expected: Duration,
@@ -116,6 +116,6 @@
     ReadCommit,
     /// Read the list of machines.
     ReadMachines,
-    /// Another member owns the shard: drop it.
+    /// Drop the shard, because another member owns it.
     Deposed,
 }
--- a/src/shard/gangs.rs
+++ b/src/shard/gangs.rs
@@ -80,8 +80,8 @@
         }
         let offers = self.room_offers(turn, round, now);
         let Some(places) = soonest_placement(offers, step.count) else {
-            // If the permitted workers are merely busy, asking about more of them would take calls
-            // from other steps.
+            // If the permitted workers are merely busy, requesting advice on more workers would
+            // take advice calls from other steps.
             let too_few = self.eventual_slots(turn) < u64::from(step.count) * MIN_CHOICE;
             if too_few || round.underused.contains(&turn.pool) {
                 self.ask_for_missing(turn, round, now);
@@ -139,7 +139,7 @@
         first || (kept + more).times(part).fits(&total)
     }
 
-    /// Returns for each worker that may run the step, the times at which it gains room for more
+    /// Returns, for each worker that may run the step, the times at which it gains room for more
     /// members.
     fn room_offers(&self, turn: &Turn, round: &Round, now: Time) -> Vec<Offer<WorkerNo>> {
         let Turn { key, ref step, .. } = *turn;
--- a/src/shard/preempt.rs
+++ b/src/shard/preempt.rs
@@ -23,7 +23,7 @@
 pub(super) const ROOM_WAIT: Duration = Duration::from_millis(300);
 
 /// The effect of stopping less urgent runs of one worker.
-struct Preemption {
+struct PreemptionPlan {
     no: WorkerNo,
     /// The room that is free now or will be free without further stops.
     free: Size,
@@ -76,7 +76,7 @@
         now: Time,
     ) -> Vec<WorkerNo> {
         let size = step.reserved();
-        let mut plans: Vec<Preemption> =
+        let mut plans: Vec<PreemptionPlan> =
             good.iter().filter_map(|r| self.preemption(r, &size, step.apart, priority)).collect();
         plans.sort_by_key(|p| (p.victims.len(), std::cmp::Reverse(p.slots)));
         let slots: u64 = plans.iter().map(|p| p.slots).sum();
@@ -105,7 +105,13 @@
     }
 
     /// Computes the effect of stopping less urgent runs of the worker of `room`.
-    fn preemption(&self, room: &Room, size: &Size, apart: u32, priority: u8) -> Option<Preemption> {
+    fn preemption(
+        &self,
+        room: &Room,
+        size: &Size,
+        apart: u32,
+        priority: u8,
+    ) -> Option<PreemptionPlan> {
         let worker = &self.workers[room.index];
         // A worker that is being emptied goes down for upkeep once its remaining runs have stopped,
         // so they are not stopped for other work.
@@ -129,6 +135,6 @@
         let most = if apart > 0 { apart.saturating_sub(room.same_step).into() } else { u64::MAX };
         let slots = size.count(&all).min(most).min(room.max_new.into());
         let victims = victims.into_iter().map(|v| (v.1, v.2)).collect();
-        (slots > 0).then_some(Preemption { no: WorkerNo(room.index), free, slots, victims })
+        (slots > 0).then_some(PreemptionPlan { no: WorkerNo(room.index), free, slots, victims })
     }
 }
--- a/src/shard/ready_queue.rs
+++ b/src/shard/ready_queue.rs
@@ -131,12 +131,14 @@
     /// away, then those that have waited too long. In an underused pool any step can be among the
     /// latter; in a busy pool only those that are too late to have any value.
     ///
-    /// Without the former, a long-running task would stay away as long as more urgent work arrives:
-    /// each new step could still be on time, goes first, and takes all capacity that becomes free.
+    /// Without the first rule, a long-running task would stay away as long as more urgent work
+    /// arrives: each new step could still be on time, goes first, and takes all capacity that
+    /// becomes free.
     ///
-    /// Without the latter, a large task that only one or two workers may run would never start,
-    /// because smaller tasks that are still of value to their queue take these workers again and
-    /// again. In a busy pool the exception makes such tasks late, so the step waits longer there.
+    /// Without the second rule, a large task that only one or two workers may run would never
+    /// start, because smaller tasks that are still of value to their queue take these workers again
+    /// and again. In a busy pool the exception makes such tasks late, so the step waits longer
+    /// there.
     pub(super) fn starving(&self, round: &Round, now: Time) -> Vec<StepKey> {
         let (mut all, mut absent) = (vec![], vec![]);
         for (rank, key) in self.ready.iter().rev() {
@@ -151,17 +153,17 @@
             if !quiet && rank.class() < 2 {
                 continue;
             }
-            let patience = if quiet { STARVING_AFTER.0 } else { STARVING_AFTER.1 };
+            let min_wait = if quiet { STARVING_AFTER.0 } else { STARVING_AFTER.1 };
             let step_state = job.step_states.get(&(key.time, key.step));
             if let Some(since) =
-                step_state.and_then(|p| p.ready_since).filter(|t| *t + patience <= now)
+                step_state.and_then(|p| p.ready_since).filter(|t| *t + min_wait <= now)
             {
                 all.push((since, *key));
             }
         }
-        let first = |mut steps: Vec<(Time, StepKey)>, looks: usize, most: usize| {
+        let first = |mut steps: Vec<(Time, StepKey)>, max_checked: usize, most: usize| {
             steps.sort_unstable();
-            let keys = steps.into_iter().take(looks).map(|(_, key)| key);
+            let keys = steps.into_iter().take(max_checked).map(|(_, key)| key);
             keys.filter(|key| self.can_ever_start(key, round, now)).take(most).collect::<Vec<_>>()
         };
         [
--- a/src/shard/round.rs
+++ b/src/shard/round.rs
@@ -35,8 +35,9 @@
     /// The resources of each worker that are withheld for steps earlier in the order.
     withheld: Vec<Size>,
     /// The resources of each worker that are reserved for gangs until they start.
-    reservations: Vec<Vec<Reservation>>,
-    /// The number of waiting tasks that compete for each worker, multiplied by 100.
+    reservations: Vec<Vec<WorkerReservation>>,
+    /// The number of waiting tasks that compete for each worker, in percent. Each step divides its
+    /// waiting tasks among the workers that may run it.
     pub(super) demand: Vec<u32>,
     /// The steps that will soon have room at a worker.
     pub(super) upcoming: Backlog<WorkerNo>,
@@ -48,7 +49,7 @@
 }
 
 /// The resources of one worker that are reserved for a gang.
-struct Reservation {
+struct WorkerReservation {
     gang: StepKey,
     size: Size,
     /// The priority of the gang's queue.
@@ -63,7 +64,7 @@
 pub(super) struct Requester<'a> {
     pub(super) key: &'a StepKey,
     pub(super) priority: u8,
-    /// When tasks that start now are expected to end.
+    /// The time at which tasks that start now are expected to end.
     pub(super) ends_at: Time,
     /// Whether the step may use resources reserved for less urgent gangs later in the order.
     pub(super) may_outrank: bool,
@@ -112,7 +113,7 @@
     /// of the gang's workers may become available seconds later, and the others would be idle until
     /// then.
     pub(super) fn unavailable(&self, no: WorkerNo, requester: &Requester) -> Size {
-        let holds = |c: &&Reservation| {
+        let holds = |c: &&WorkerReservation| {
             let mine = c.gang == *requester.key;
             let behind =
                 requester.overdue || (requester.may_outrank && c.priority > requester.priority);
@@ -163,7 +164,7 @@
             let claims = &mut self.reservations[no.0];
             claims.retain(|c| c.gang != *gang);
             let size = size.times((*n).into());
-            claims.push(Reservation { gang: *gang, size, priority, at, passed });
+            claims.push(WorkerReservation { gang: *gang, size, priority, at, passed });
         }
     }
 
--- a/src/shard/speculation.rs
+++ b/src/shard/speculation.rs
@@ -129,7 +129,7 @@
         &self,
         task: &TaskKey,
         step: &Step,
-        beside: WorkerNo,
+        original: WorkerNo,
         now: Time,
     ) -> Option<WorkerNo> {
         let key = &task.step;
@@ -143,7 +143,7 @@
         let open = |no: &&WorkerNo| {
             let w = &self.workers[no.0];
             let valid = || tickets.eligible.get(*no).is_some_and(|t| t.1 > now);
-            **no != beside
+            **no != original
                 && w.usable(now)
                 && w.health.verdict(now) == Verdict::Sound
                 && !w.runs.contains_key(task)
@@ -157,12 +157,12 @@
     fn start_copy(
         &mut self,
         task: TaskKey,
-        beside: WorkerNo,
+        original: WorkerNo,
         to: WorkerNo,
         step: &Step,
         now: Time,
     ) {
-        let saved = self.workers[beside.0].runs.get(&task).map(|r| r.checkpoint.clone());
+        let saved = self.workers[original.0].runs.get(&task).map(|r| r.checkpoint.clone());
         let Some(t) = self.jobs.get_mut(&task.step.job).and_then(|j| j.task(&task)) else { return };
         let saved = saved.filter(|s| !s.is_empty()).unwrap_or_else(|| t.checkpoint.clone());
         let run = t.last_run() + 1;
--- a/src/shard/writes.rs
+++ b/src/shard/writes.rs
@@ -152,7 +152,7 @@
         }
         let busy: Vec<JobNo> = self.in_flight.jobs.iter().map(|f| f.0).collect();
         let (jobs, workers) = (&self.jobs, &mut self.workers);
-        let noted = &mut self.stats.acknowledged;
+        let acknowledged = &mut self.stats.acknowledged;
         for w in workers.iter_mut().filter(|w| !w.unstored_ends.is_empty()) {
             while let Some((number, no, place)) = w.unstored_ends.front().copied() {
                 let stored = jobs.get(&no).is_none_or(|j| j.stored_seq >= place);
@@ -160,7 +160,7 @@
                     break;
                 }
                 w.stored_end = number;
-                *noted += 1;
+                *acknowledged += 1;
                 w.unstored_ends.pop_front();
                 w.next_hold = now;
             }
