--- a/src/shard/advice.rs
+++ b/src/shard/advice.rs
@@ -1,5 +1,5 @@
-//! Calls for advice: requests in time, and no more often than needed, which workers a step may run
-//! on.
+//! Advice calls: requests in time, and no more often than needed, advice on which workers may run a
+//! step.
 //!
 //! The set of workers that may run a step never changes, but tickets are valid for about two
 //! seconds and a call takes up to one second. A step's first call is therefore made while the
@@ -29,14 +29,14 @@
 };
 
 /// The maximum number of workers that one call names.
-pub(super) const MAX_NAMED: usize = 100;
+pub(super) const MAX_NAMED_WORKERS: usize = 100;
 /// The maximum number of workers that a call to renew tickets names.
-pub(super) const MAX_RENEWED: usize = 10;
+pub(super) const MAX_RENEWED_WORKERS: usize = 10;
 /// The minimum remaining validity of a ticket that may be used. It covers the transit of the advice
 /// reply and of the start order.
 const TICKET_MARGIN: Duration = Duration::from_millis(100);
 /// The pause before a step's next advice call after a failed one.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+const ADVICE_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 impl Shard {
     /// Requests advice on all workers that no earlier call of this step has named.
@@ -50,7 +50,7 @@
         if self.step_state(key).is_none_or(|p| p.tickets.is_pending()) {
             return;
         }
-        let workers = self.unnamed_workers(key, usable, MAX_NAMED);
+        let workers = self.unnamed_workers(key, usable, MAX_NAMED_WORKERS);
         self.order_call(key, workers, cost, now);
     }
 
@@ -164,8 +164,8 @@
         if self.step_state(key).is_none_or(|p| p.tickets.is_pending()) {
             return;
         }
-        all.truncate(MAX_RENEWED);
-        let more = self.unnamed_workers(key, usable, MAX_RENEWED - all.len());
+        all.truncate(MAX_RENEWED_WORKERS);
+        let more = self.unnamed_workers(key, usable, MAX_RENEWED_WORKERS - all.len());
         all.extend(more);
         self.order_call(key, all, cost, now);
     }
@@ -281,7 +281,7 @@
                 // A busy member refuses at once and other members are available, so a pause would
                 // only lose time.
                 if fault != Fault::Refused {
-                    part.tickets.next_call = now + RETRY_PAUSE;
+                    part.tickets.next_call = now + ADVICE_RETRY_PAUSE;
                 }
             }
         }
--- a/src/shard/cause.rs
+++ b/src/shard/cause.rs
@@ -1,4 +1,4 @@
-//! The reasons why a step waits, and the data from which they are derived; [`super::sight`]
+//! The reasons why a step waits, and the data from which they are derived; [`super::diagnosis`]
 //! collects the data.
 
 use {
@@ -194,7 +194,7 @@
 /// A long-running step with tasks that are not running.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AbsentStep {
-    /// The step.
+    /// The long-running step.
     pub key: StepKey,
     /// How many tasks of the step wait.
     pub waiting: usize,
--- a/src/shard/commit.rs
+++ b/src/shard/commit.rs
@@ -15,15 +15,15 @@
 
 /// The minimum interval between the starts of two writes. A store without load replies in 4 ms and
 /// each call is charged for, so changes within this interval share a write.
-const MIN_INTERVAL: Duration = Duration::from_millis(20);
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(20);
 /// The minimum interval before a non-urgent write, such as the ends of tasks whose jobs continue.
 /// Must not exceed 120 ms, the time after which a worker is asked again while ends are unwritten.
-const LAZY_INTERVAL: Duration = Duration::from_millis(100);
+const MIN_LAZY_WRITE_INTERVAL: Duration = Duration::from_millis(100);
 /// The first and the longest pause after a refused write; the pause doubles with each refusal.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
+const WRITE_BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(400));
 
 /// The maximum number of rows in a write, not counting the two entries for the commit row.
-pub const FREE_ROWS: usize = MAX_TXN_ROWS - 2;
+pub const MAX_PAYLOAD_ROWS: usize = MAX_TXN_ROWS - 2;
 
 /// The action that follows from a reply of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
             stage: WriteStage::Idle,
             next_attempt,
             next_lazy,
-            backoff: BACKOFF.0,
+            backoff: WRITE_BACKOFF.0,
         }
     }
 
@@ -96,7 +96,8 @@
     pub fn begin(&mut self, now: Time) -> (u64, u64) {
         self.number += 1;
         self.stage = WriteStage::Writing;
-        (self.next_attempt, self.next_lazy) = (now + MIN_INTERVAL, now + LAZY_INTERVAL);
+        (self.next_attempt, self.next_lazy) =
+            (now + MIN_WRITE_INTERVAL, now + MIN_LAZY_WRITE_INTERVAL);
         (self.number, self.revision)
     }
 
@@ -170,13 +171,13 @@
     fn record_done(&mut self, revision: u64) {
         self.revision = revision;
         self.stage = WriteStage::Idle;
-        self.backoff = BACKOFF.0;
+        self.backoff = WRITE_BACKOFF.0;
     }
 
     fn back_off(&mut self, now: Time) {
         self.stage = WriteStage::Idle;
         self.next_attempt = now + self.backoff;
-        self.backoff = (self.backoff * 2).min(BACKOFF.1);
+        self.backoff = (self.backoff * 2).min(WRITE_BACKOFF.1);
     }
 }
 
--- a/src/shard/diagnosis.rs
+++ b/src/shard/diagnosis.rs
@@ -7,7 +7,7 @@
     crate::{
         decide::{fit::Room, gather::chunk, health::Verdict, lanes::LONG_CALL},
         shard::{
-            advice::{MAX_NAMED, MAX_RENEWED},
+            advice::{MAX_NAMED_WORKERS, MAX_RENEWED_WORKERS},
             cause::{AbsentStep, Cause, Exclusion, Sight},
             dispatch::{MAX_ROUND_STEPS, choose_workers, withhold},
             jobs::{Placement, StepState},
@@ -24,10 +24,10 @@
 
 /// The minimum time without a run after which a long-running task counts as away. Most tasks run
 /// again by then, and a third of the maximum permitted time remains.
-const AWAY_AFTER: Duration = Duration::from_secs(2);
+const MIN_AWAY_TIME: Duration = Duration::from_secs(2);
 /// The maximum number of steps that are diagnosed; those that have been away longest come first.
 /// It exceeds the number of steps that a round examines.
-const MAX_DIAGNOSED: usize = 500;
+const MAX_DIAGNOSED_STEPS: usize = 500;
 
 impl Shard {
     /// Returns the long-running steps that have tasks away, longest first, each with its cause.
@@ -41,7 +41,7 @@
             }
         }
         all.sort_unstable_by_key(|a| (Reverse(a.away), a.key));
-        let waiting = all.iter().filter(|a| a.waiting > 0).take(MAX_DIAGNOSED);
+        let waiting = all.iter().filter(|a| a.waiting > 0).take(MAX_DIAGNOSED_STEPS);
         let keys: FxHashSet<StepKey> = waiting.map(|a| a.key).collect();
         let mut sights = match keys.is_empty() {
             true => BTreeMap::new(),
@@ -74,14 +74,14 @@
                     let task = TaskKey { step: key, index };
                     let lost = self.unseen_since(no, &task, since.unwrap_or(now));
                     held.extend(
-                        lost.filter(|l| l.0 + AWAY_AFTER <= now).map(|l| (l.0, index, l.1)),
+                        lost.filter(|l| l.0 + MIN_AWAY_TIME <= now).map(|l| (l.0, index, l.1)),
                     );
                 }
                 _ => {}
             }
         }
         held.sort_unstable();
-        let first = waiting.iter().min().filter(|w| w.0 + AWAY_AFTER <= now);
+        let first = waiting.iter().min().filter(|w| w.0 + MIN_AWAY_TIME <= now);
         let (since, first, cause) = match (first, held.first()) {
             (Some((since, index)), _) => (*since, *index, Cause::Turn),
             (None, Some(first)) => *first,
@@ -350,8 +350,8 @@
         let chunk = chunk(cost.base, cost.each);
         let named = match () {
             () if sight.good == 0 || turn.step.gang => sight.unasked.min(chunk),
-            () if sight.old > 0 => (sight.old + sight.unasked).min(MAX_RENEWED),
-            () => sight.unasked.min(MAX_NAMED),
+            () if sight.old > 0 => (sight.old + sight.unasked).min(MAX_RENEWED_WORKERS),
+            () => sight.unasked.min(MAX_NAMED_WORKERS),
         };
         let takes = cost.base + cost.each * u32::try_from(named).unwrap_or(u32::MAX);
         let shares = takes > LONG_CALL && !turn.step.lasts && !self.lanes.has_spare(now);
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -42,24 +42,24 @@
     Queues(Arc<QueueConfig>),
     /// A worker's reply to a call, or its failure.
     Worker {
-        /// The worker.
+        /// The worker that was called.
         worker: WorkerId,
         /// The time at which the call was sent.
         sent: Time,
-        /// The call.
+        /// The call to the worker.
         call: Box<WorkerCall>,
-        /// The reply.
+        /// The reply of the worker, or the failure of the call.
         reply: Result<WorkerReply, Fault>,
     },
     /// The reply to a call for advice, or its failure.
     Advised {
-        /// The call.
+        /// The advice call.
         call: Box<AdviceCall>,
         /// The member that made the call.
         via: Incarnation,
         /// The time at which the call was ordered.
         sent: Time,
-        /// The reply.
+        /// The advice, or the failure of the call.
         reply: Result<Advice, Fault>,
     },
     /// The store's reply to the transaction with this number.
@@ -70,7 +70,7 @@
     Machines {
         /// The time at which the list was requested.
         sent: Time,
-        /// The worker incarnations.
+        /// The listed worker incarnations, or the failure of the read.
         reply: Result<Vec<WorkerId>, Fault>,
     },
     /// The store has confirmed the renewal of this member's lease that was sent at the given time.
@@ -88,11 +88,11 @@
 pub enum Order {
     /// Call a worker.
     Worker {
-        /// The worker.
+        /// The worker to call.
         worker: WorkerId,
         /// The address of the worker.
         addr: SocketAddr,
-        /// The call.
+        /// The call to the worker.
         call: Box<WorkerCall>,
         /// The time limit for the reply.
         limit: Duration,
@@ -101,7 +101,7 @@
     Advise {
         /// The member that makes the call; it may be this one.
         via: Incarnation,
-        /// The call.
+        /// The advice call.
         call: Box<AdviceCall>,
         /// The time at which the call was ordered; [`Event::Advised`] repeats this time.
         sent: Time,
--- a/src/shard/gangs.rs
+++ b/src/shard/gangs.rs
@@ -12,7 +12,7 @@
         },
         shard::{
             dispatch::choose_workers,
-            preempt::ROOM_WAIT,
+            preempt::MIN_ROOM_WAIT,
             reservation::GangReservation,
             round::{Round, Turn},
             state_machine::Shard,
@@ -27,7 +27,7 @@
 
 /// The overhead of an advice call beyond its expected duration, plus the time to start the gang
 /// afterwards.
-const CALL_OVERHEAD: Duration = Duration::from_millis(150);
+const ADVICE_CALL_OVERHEAD: Duration = Duration::from_millis(150);
 /// The minimum interval between two searches for workers for the same gang, which leaves searches
 /// for the other gangs.
 const GANG_SEARCH_INTERVAL: Duration = Duration::from_millis(100);
@@ -276,10 +276,10 @@
         let last = |all: &Option<Vec<Time>>| all.as_ref().and_then(|a| a.iter().max().copied());
         let without_stops = fit_times(None);
         let mut at = last(&without_stops);
-        if at.is_none_or(|t| t > now + ROOM_WAIT) && self.may_preempt_for(key, now) {
+        if at.is_none_or(|t| t > now + MIN_ROOM_WAIT) && self.may_preempt_for(key, now) {
             let with_stops = last(&fit_times(Some(reserve.priority)));
-            let soon = now + self.setup.bounds.stop_time + ROOM_WAIT;
-            if with_stops.is_some_and(|w| w <= soon && at.is_none_or(|t| w + ROOM_WAIT < t)) {
+            let soon = now + self.setup.bounds.stop_time + MIN_ROOM_WAIT;
+            if with_stops.is_some_and(|w| w <= soon && at.is_none_or(|t| w + MIN_ROOM_WAIT < t)) {
                 at = with_stops;
                 for (i, (no, n)) in reserve.members.iter().enumerate() {
                     if without_stops
@@ -303,7 +303,7 @@
         let Some(cost) = advice else { return };
         let duration = cost.base
             + cost.each * u32::try_from(gather::chunk(cost.base, cost.each)).unwrap_or(u32::MAX);
-        if at > now + duration + CALL_OVERHEAD {
+        if at > now + duration + ADVICE_CALL_OVERHEAD {
             return;
         }
         let expired = |by: Time| -> Vec<WorkerNo> {
@@ -311,7 +311,12 @@
             each.filter(|no| self.valid_until(key, *no).is_none_or(|until| until <= by)).collect()
         };
         if !expired(at).is_empty() {
-            self.ask_parallel(key, expired(at.max(now + duration + CALL_OVERHEAD)), cost, now);
+            self.ask_parallel(
+                key,
+                expired(at.max(now + duration + ADVICE_CALL_OVERHEAD)),
+                cost,
+                now,
+            );
         }
     }
 
--- a/src/shard/in_flight.rs
+++ b/src/shard/in_flight.rs
@@ -1,4 +1,4 @@
-//! The contents of a shard's write that is in progress.
+//! The contents of the write to the store that a shard has in progress.
 
 use crate::{
     shard::{record::Progress, workers::WorkerNo},
--- a/src/shard/logging.rs
+++ b/src/shard/logging.rs
@@ -17,7 +17,7 @@
 };
 
 /// The maximum delay of a start that is attributed to the scheduling round itself.
-const ROUND_DELAY: Duration = Duration::from_millis(60);
+const MAX_ROUND_DELAY: Duration = Duration::from_millis(60);
 /// The minimum wait after which a step is logged as waiting.
 const MIN_LOGGED_WAIT: Duration = Duration::from_secs(3);
 /// The maximum number of waiting steps that are logged at once.
@@ -171,10 +171,10 @@
             return;
         }
         let ready = step_state.ready_since.unwrap_or(now);
-        let near = |at: Option<Time>| at.is_some_and(|t| t > ready && now - t < ROUND_DELAY);
+        let near = |at: Option<Time>| at.is_some_and(|t| t > ready && now - t < MAX_ROUND_DELAY);
         let delay = now - ready;
         let reason = match () {
-            () if delay < ROUND_DELAY => "none",
+            () if delay < MAX_ROUND_DELAY => "none",
             () if old && near(settled) => "settle",
             () if near(step_state.advised_at) => "advice",
             () => "room",
--- a/src/shard/preempt.rs
+++ b/src/shard/preempt.rs
@@ -20,7 +20,7 @@
 };
 
 /// The minimum time that a step waits before other runs are stopped or room is reserved for it.
-pub(super) const ROOM_WAIT: Duration = Duration::from_millis(300);
+pub(super) const MIN_ROOM_WAIT: Duration = Duration::from_millis(300);
 
 /// The effect of stopping less urgent runs of one worker.
 struct PreemptionPlan {
@@ -47,7 +47,7 @@
         let queue = self.jobs.get(&key.job).and_then(|j| self.queue_configs.get(&j.queue));
         let Some(priority) = queue.map(|q| q.priority) else { return vec![] };
         let part = self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
-        let waited = part.and_then(|p| p.ready_since).is_some_and(|t| t + ROOM_WAIT <= now);
+        let waited = part.and_then(|p| p.ready_since).is_some_and(|t| t + MIN_ROOM_WAIT <= now);
         if !waited || self.ranks.get(key).is_none_or(|r| r.class() > 0) {
             return vec![];
         }
--- a/src/shard/ready_queue.rs
+++ b/src/shard/ready_queue.rs
@@ -1,6 +1,6 @@
 //! The ready queue: the steps that have a task to start, in the order in which rounds examine them.
 //!
-//! More steps may wait than fit, some of them for long. The order is that of
+//! More steps may wait than there is room for, some of them for a long time. The order is that of
 //! [`crate::decide::rank`], except for steps that would never start by it, such as large tasks that
 //! only one or two workers may run. These starving steps come first.
 
@@ -13,7 +13,7 @@
         shard::{
             dispatch::MAX_ROUND_STEPS,
             jobs::Placement,
-            preempt::ROOM_WAIT,
+            preempt::MIN_ROOM_WAIT,
             round::{Round, Turn},
             state_machine::Shard,
             workers::{Phase, Run, WorkerNo},
@@ -28,7 +28,7 @@
 
 /// The minimum wait after which a step counts as starving: first in an underused pool, then in a
 /// busy pool, where only steps count that are too late to have any value.
-const STARVING_AFTER: (Duration, Duration) = (Duration::from_secs(4), Duration::from_secs(30));
+const MIN_STARVING_WAIT: (Duration, Duration) = (Duration::from_secs(4), Duration::from_secs(30));
 /// The maximum number of starving steps, other than long-running ones, that come first in a round.
 const MAX_STARVING_STEPS: usize = 3;
 /// The time for which a long-running task may be away before its step comes first: a third of the
@@ -153,7 +153,7 @@
             if !quiet && rank.class() < 2 {
                 continue;
             }
-            let min_wait = if quiet { STARVING_AFTER.0 } else { STARVING_AFTER.1 };
+            let min_wait = if quiet { MIN_STARVING_WAIT.0 } else { MIN_STARVING_WAIT.1 };
             let step_state = job.step_states.get(&(key.time, key.step));
             if let Some(since) =
                 step_state.and_then(|p| p.ready_since).filter(|t| *t + min_wait <= now)
@@ -223,7 +223,8 @@
         now: Time,
     ) -> Vec<(u32, WorkerNo)> {
         let Turn { key, ref step, .. } = *turn;
-        if self.step_state(key).and_then(|p| p.ready_since).is_none_or(|t| t + ROOM_WAIT > now) {
+        if self.step_state(key).and_then(|p| p.ready_since).is_none_or(|t| t + MIN_ROOM_WAIT > now)
+        {
             return vec![];
         }
         let size = step.reserved();
--- a/src/shard/replies.rs
+++ b/src/shard/replies.rs
@@ -1,4 +1,4 @@
-//! Processes the replies of workers and what they show about runs.
+//! Processes the replies of workers and updates the state of the runs that they report.
 
 use {
     crate::{
--- a/src/shard/state_machine.rs
+++ b/src/shard/state_machine.rs
@@ -33,7 +33,7 @@
 /// The interval between two logged summaries of the shard's state.
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
 /// The interval between two periodic checks, for example for scheduled occurrences that are due.
-const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const PERIODIC_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// The time in milliseconds for which a finished job is kept beyond the retention time of its
 /// state.
 const EXTRA_RETENTION_MS: u64 = 10_000;
@@ -268,7 +268,7 @@
 
     fn tick(&mut self, now: Time) {
         if self.next_check <= now {
-            self.next_check = now + CHECK_INTERVAL;
+            self.next_check = now + PERIODIC_CHECK_INTERVAL;
             for no in self.scheduled.clone() {
                 self.create_due_steps(no, now);
             }
@@ -319,7 +319,8 @@
         self.owner_state(no).filter(|s| s.is_final() || self.may_tell(now))
     }
 
-    /// Like [`Shard::state`], for a member whose own table shows that it owns the shard.
+    /// Returns the state of a job like [`Shard::state`], for a member whose own table shows that it
+    /// owns the shard.
     pub fn owner_state(&self, no: JobNo) -> Option<State> {
         match (self.finished.get(&no), self.jobs.get(&no)) {
             // This state is stored, so it holds under any owner.
--- a/src/shard/writes.rs
+++ b/src/shard/writes.rs
@@ -1,10 +1,10 @@
-//! Writes of a shard's changes to the store, and the consequences of a stored change.
+//! Writes a shard's changes to the store, and updates the shard's state once they are stored.
 
 use {
     crate::{
         ports::{Put, Txn},
         shard::{
-            commit::{FREE_ROWS, row_count},
+            commit::{MAX_PAYLOAD_ROWS, row_count},
             event::Order,
             in_flight::InFlight,
             record::{CommitRow, Roster, encode},
@@ -18,7 +18,7 @@
 };
 
 /// The maximum number of finished jobs that one write removes.
-const MAX_PURGED: usize = 12;
+const MAX_PURGED_JOBS: usize = 12;
 
 impl Shard {
     /// Begins a write if there is something to write and no write is in progress.
@@ -56,8 +56,8 @@
             flight.roster = Some(self.write_roster(&mut txn));
         }
         self.write_jobs(&mut txn, &mut flight, unix);
-        while flight.purged.len() < MAX_PURGED
-            && row_count(&txn) + 2 <= FREE_ROWS + 2
+        while flight.purged.len() < MAX_PURGED_JOBS
+            && row_count(&txn) + 2 <= MAX_PAYLOAD_ROWS + 2
             && let Some((at, no)) = self.purge_queue.front().copied()
             && at <= unix
         {
@@ -88,7 +88,7 @@
 
     fn write_jobs(&mut self, txn: &mut Txn, flight: &mut InFlight, unix: u64) {
         let shard = self.setup.shard;
-        while row_count(txn) + 3 <= FREE_ROWS + 2 {
+        while row_count(txn) + 3 <= MAX_PAYLOAD_ROWS + 2 {
             let Some(no) = self.dirty_jobs.pop_front() else { break };
             let Some(job) = self.jobs.get_mut(&no) else { continue };
             let over = job.state.is_final();
