--- a/src/shard/advice.rs
+++ b/src/shard/advice.rs
@@ -1,5 +1,5 @@
-//! Calls for advice: requests in time, and no more often than needed, which workers a step may run
-//! on.
+//! Advice calls: requests in time, and no more often than needed, advice on which workers may run a
+//! step.
 //!
 //! The set of workers that may run a step never changes, but tickets are valid for about two
 //! seconds and a call takes up to one second. A step's first call is therefore made while the
@@ -29,14 +29,14 @@
 };
 
 /// The maximum number of workers that one call names.
-pub(super) const MAX_NAMED: usize = 100;
+pub(super) const MAX_NAMED_WORKERS: usize = 100;
 /// The maximum number of workers that a call to renew tickets names.
-pub(super) const MAX_RENEWED: usize = 10;
-/// A ticket is no longer used when it has less than this time left: the margin covers the transit
-/// of the advice reply and of the start order.
+pub(super) const MAX_RENEWED_WORKERS: usize = 10;
+/// The minimum remaining validity of a ticket that may be used. It covers the transit of the advice
+/// reply and of the start order.
 const TICKET_MARGIN: Duration = Duration::from_millis(100);
-/// The pause after a call that failed.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// The pause before a step's next advice call after a failed one.
+const ADVICE_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 impl Shard {
     /// Requests advice on all workers that no earlier call of this step has named.
@@ -50,8 +50,8 @@
         if self.step_state(key).is_none_or(|p| p.tickets.is_pending()) {
             return;
         }
-        let workers = self.unnamed(key, usable, MAX_NAMED);
-        self.request(key, workers, cost, now);
+        let workers = self.unnamed_workers(key, usable, MAX_NAMED_WORKERS);
+        self.order_call(key, workers, cost, now);
     }
 
     /// Requests advice for the tasks that would find no room on the workers already known to be
@@ -71,8 +71,8 @@
         }
         let chunk = chunk(cost.base, cost.each);
         let duration = cost.base + cost.each * u32::try_from(chunk).unwrap_or(u32::MAX);
-        // For gangs, room can be made by preemption; other steps use only what is free or will
-        // become free.
+        // Only gangs can make room by preemption here; other steps use only room that is free or
+        // will become free.
         let (stops, by) = match step.gang {
             true => (Some(turn.priority), now + duration + self.setup.bounds.stop_time),
             false => (None, now + duration),
@@ -84,7 +84,7 @@
             let most = if step.apart > 0 { slots.min(step.apart.into()) } else { slots };
             u32::try_from(most).unwrap_or(u32::MAX)
         };
-        let known: u32 = self.permitted(turn).into_iter().map(slots).sum();
+        let known: u32 = self.permitted_workers(turn).into_iter().map(slots).sum();
         let asked = &part.tickets.asked;
         let new = turn.usable.iter().copied().filter(|n| !asked.contains(n));
         let mut new: Vec<(u32, WorkerNo)> = new.map(|n| (slots(n), n)).collect();
@@ -109,7 +109,8 @@
     ///
     /// Returns whether enough members were available.
     ///
-    /// Guards against a gang whose first tickets expire before its last tickets arrive.
+    /// Parallel calls prevent the first tickets of a gang from expiring before its last ones
+    /// arrive.
     pub(super) fn ask_parallel(
         &mut self,
         key: &StepKey,
@@ -122,11 +123,11 @@
             workers.into_iter().filter(|n| !part.tickets.pending.contains(n)).collect();
         let calls = new.len().div_ceil(chunk(cost.base, cost.each)).max(1);
         new.chunks(new.len().div_ceil(calls).max(1))
-            .all(|some| self.request(key, some.to_vec(), cost, now))
+            .all(|some| self.order_call(key, some.to_vec(), cost, now))
     }
 
-    /// Up to `most` workers that no earlier call of this step has named.
-    fn unnamed(&self, key: &StepKey, usable: &[WorkerNo], most: usize) -> Vec<WorkerNo> {
+    /// Returns up to `most` workers that no earlier call of this step has named.
+    fn unnamed_workers(&self, key: &StepKey, usable: &[WorkerNo], most: usize) -> Vec<WorkerNo> {
         let Some(part) = self.step_state(key) else { return vec![] };
         // If one call cannot name all workers, steps of different jobs begin at different
         // positions.
@@ -163,20 +164,20 @@
         if self.step_state(key).is_none_or(|p| p.tickets.is_pending()) {
             return;
         }
-        all.truncate(MAX_RENEWED);
-        let more = self.unnamed(key, usable, MAX_RENEWED - all.len());
+        all.truncate(MAX_RENEWED_WORKERS);
+        let more = self.unnamed_workers(key, usable, MAX_RENEWED_WORKERS - all.len());
         all.extend(more);
-        self.request(key, all, cost, now);
+        self.order_call(key, all, cost, now);
     }
 
-    /// The expiry of a step's ticket for a worker.
+    /// Returns the time at which a step's ticket for a worker expires.
     pub(super) fn valid_until(&self, key: &StepKey, no: WorkerNo) -> Option<Time> {
         self.step_state(key).and_then(|p| p.tickets.eligible.get(&no)).map(|t| t.1)
     }
 
-    /// Makes a call. Returns false if a call is needed but no member is available for it, or
-    /// another pool has precedence.
-    fn request(
+    /// Orders an advice call on these workers. Returns false if a call is needed but no member is
+    /// available for it or another pool has precedence.
+    fn order_call(
         &mut self,
         key: &StepKey,
         workers: Vec<WorkerNo>,
@@ -225,8 +226,8 @@
         true
     }
 
-    /// Whether one of these workers is expected to have room for a task of the step at the time
-    /// `by`. Always true for a gang, since room is made for it.
+    /// Returns whether one of these workers is expected to have room for a task of the step at the
+    /// time `by`. Always true for a gang, since room is made for it.
     fn has_room_by(&self, key: &StepKey, workers: &[WorkerNo], by: Time, now: Time) -> bool {
         let Some(step) = self.jobs.get(&key.job).and_then(|j| j.step(key)) else { return false };
         let size = step.reserved();
@@ -280,7 +281,7 @@
                 // A busy member refuses at once and other members are available, so a pause would
                 // only lose time.
                 if fault != Fault::Refused {
-                    part.tickets.next_call = now + RETRY_PAUSE;
+                    part.tickets.next_call = now + ADVICE_RETRY_PAUSE;
                 }
             }
         }
@@ -316,7 +317,7 @@
         }
     }
 
-    /// Whether all predecessors of a step are placed and expected to finish within `lead`.
+    /// Returns whether all predecessors of a step are placed and expected to finish within `lead`.
     fn predecessors_end_within(&self, key: &StepKey, lead: Duration, now: Time) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let Some(step) = job.step(key) else { return false };
--- a/src/shard/cause.rs
+++ b/src/shard/cause.rs
@@ -1,4 +1,4 @@
-//! The reasons why a step waits, and the data from which they are derived; [`super::sight`]
+//! The reasons why a step waits, and the data from which they are derived; [`super::diagnosis`]
 //! collects the data.
 
 use {
@@ -10,35 +10,35 @@
 /// The reason why a worker is excluded from starts.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Exclusion {
-    /// The list of workers does not contain it.
+    /// The list of workers does not contain the worker.
     #[display("unlisted")]
     Unlisted,
-    /// It has not replied to this owner's token.
+    /// The worker has not replied to this owner's token.
     #[display("unfenced")]
     Unfenced,
-    /// The store does not record yet that something of this shard may run there.
+    /// The store does not record yet that something of this shard may run on the worker.
     #[display("unrostered")]
     Unrostered,
-    /// It is leaving.
+    /// The worker is leaving.
     #[display("leaving")]
     Leaving,
-    /// It is being emptied for upkeep.
+    /// The worker is being emptied for upkeep.
     #[display("closing")]
     Closing,
-    /// It does not answer.
+    /// The worker does not answer.
     #[display("silent")]
     Silent,
-    /// It has runs whose resource usage is unknown.
+    /// The worker has runs whose resource usage is unknown.
     #[display("blind")]
     Blind,
-    /// It recently reported that it is unwell.
+    /// The worker recently reported that it is unwell.
     #[display("unwell")]
     Unwell,
-    /// It is in quarantine.
+    /// The worker is in quarantine.
     #[display("quarantined")]
     Quarantined,
-    /// Its quarantine has ended or exceeds the share of the pool that may be in quarantine, and no
-    /// trial task may start there now.
+    /// The quarantine of the worker has ended or exceeds the share of the pool that may be in
+    /// quarantine, and no trial task may start on the worker now.
     #[display("unproven")]
     Unproven,
 }
@@ -49,10 +49,10 @@
     /// The owner is cut off and may start nothing.
     #[display("the owner's lease")]
     Lease,
-    /// Its queue is unknown.
+    /// The queue of the step is unknown.
     #[display("its queue")]
     Queue,
-    /// Its pool has no workers in this shard.
+    /// The pool of the step has no workers in this shard.
     #[display("its pool")]
     Pool,
     /// Former owners may have started something at workers that have not replied.
@@ -61,61 +61,61 @@
     /// A start order has not been answered.
     #[display("the answer to a start")]
     Start,
-    /// A run of it is being stopped.
+    /// A run of the step is being stopped.
     #[display("the end of a stop")]
     Stop,
-    /// Its task is at a worker that does not answer.
+    /// A task of the step is assigned to a worker that does not answer.
     #[display("a silent worker")]
     Silent,
-    /// An extra run of its tasks is being stopped.
+    /// An extra run of a task of the step is being stopped.
     #[display("the end of another run")]
     Stray,
-    /// So many steps precede it that a round does not reach it.
+    /// More steps precede the step than one round examines.
     #[display("its place in the order")]
     Order,
-    /// Room is reserved for it until there is enough.
+    /// Room is being reserved for the step until all its tasks fit.
     #[display("room that is kept for it")]
     Gathers,
-    /// Its first call for advice is in progress.
+    /// The first advice call of the step is in progress.
     #[display("its first advice")]
     First,
-    /// Calls for its tickets are in progress.
+    /// Advice calls to renew the tickets of the step are in progress.
     #[display("new tickets")]
     Tickets,
-    /// A call has failed, and the next one has to wait.
+    /// An advice call has failed, and the next one is delayed.
     #[display("advice that has failed")]
     Failed,
-    /// No member is available to make its call.
+    /// No member is available to make the advice call of the step.
     #[display("a member for its call")]
     Member,
-    /// Its tickets have expired, and no call is in progress.
+    /// The tickets of the step have expired, and no advice call is in progress.
     #[display("a call for old tickets")]
     Old,
-    /// Some workers were never named in its calls.
+    /// Some workers were never named in the advice calls of the step.
     #[display("workers never asked about")]
     Unasked,
-    /// No worker may run it.
+    /// No worker may run the step.
     #[display("a worker that may run it")]
     Nobody,
-    /// Too few workers may run it, or they are too small.
+    /// Too few workers may run the step, or they are too small.
     #[display("more workers that may run it")]
     Few,
     /// The room is reserved for gangs.
     #[display("room kept for gangs")]
     Gangs,
-    /// The room is reserved for, or goes to, steps that precede it.
+    /// The room is reserved for, or goes to, steps that precede this one.
     #[display("steps before it")]
     Before,
     /// The workers with room are excluded from starts.
     #[display("{_0} workers")]
     Bar(Exclusion),
-    /// The workers with room already have as many of its tasks as the step allows per worker.
+    /// The workers with room already have as many tasks of the step as it allows per worker.
     #[display("workers at its bound")]
     Bound,
     /// The workers are full.
     #[display("room")]
     Room,
-    /// There is room, and the next round has not run yet.
+    /// There is room, but the next scheduling round has not run yet.
     #[display("the next round")]
     Round,
     /// There is room, but the last round did not use it.
@@ -130,93 +130,93 @@
 /// workers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Sight {
-    /// The reason that blocks it regardless of any worker.
+    /// The reason that blocks the step regardless of the state of any worker.
     pub gate: Option<Cause>,
     /// How many tasks have to start together: one, or all members of a gang.
     pub wanted: u64,
-    /// Workers of its pool that may receive starts.
+    /// Number of workers of the step's pool that may receive starts.
     pub usable: usize,
-    /// All workers of its pool.
+    /// Number of all workers of the step's pool.
     pub all: usize,
-    /// The other workers of the pool, by the reason for their exclusion.
+    /// Number of the pool's other workers by the reason for their exclusion.
     pub out: Exclusions,
-    /// Workers that calls of this step have named.
+    /// Number of workers that advice calls of this step have named.
     pub asked: usize,
-    /// Workers that may run it.
+    /// Number of workers that may run the step.
     pub good: usize,
-    /// Permitted workers with room and a valid ticket.
+    /// Number of permitted workers with room and a valid ticket.
     pub valid: usize,
-    /// Permitted workers with room and an expired ticket.
+    /// Number of permitted workers with room and an expired ticket.
     pub old: usize,
-    /// Workers with room that is reserved for gangs.
+    /// Number of workers with room that is reserved for gangs.
     pub gangs: usize,
-    /// Workers with room that is reserved for, or goes to, preceding steps.
+    /// Number of workers with room that is reserved for, or goes to, preceding steps.
     pub before: usize,
-    /// Workers that have as many of its tasks as they may have.
+    /// Number of workers that already have the maximum number of the step's tasks per worker.
     pub bound: usize,
-    /// Workers without room.
+    /// Number of workers without room.
     pub full: usize,
-    /// Workers that lack the required label or are too small.
+    /// Number of workers that lack the required label or are too small.
     pub unfit: usize,
-    /// Workers that are excluded from starts.
+    /// Number of permitted workers that are excluded from starts.
     pub barred: usize,
-    /// Excluded workers that would have room, by the reason for their exclusion.
+    /// Number of excluded workers that would have room, by the reason for their exclusion.
     pub bars: Exclusions,
-    /// Usable workers that no call has named.
+    /// Number of usable workers that no advice call of this step has named.
     pub unasked: usize,
-    /// Those of the `unasked` workers that appear to have room.
+    /// Number of the `unasked` workers that appear to have room.
     pub roomy: usize,
-    /// How many of its tasks would fit on workers with valid tickets, and on all workers that may
-    /// run it.
+    /// How many tasks of the step would fit on workers with valid tickets, and on all workers that
+    /// may run it.
     pub slots: (u64, u64),
-    /// How many of its tasks would fit if all workers that may run it were empty.
+    /// How many tasks of the step would fit if all workers that may run it were empty.
     pub empty: u64,
-    /// Calls in progress.
+    /// Number of the step's advice calls in progress.
     pub calls: usize,
-    /// The age of the oldest call in progress.
+    /// The age of the oldest advice call in progress.
     pub oldest: Option<Duration>,
-    /// The time since the last reply to a call.
+    /// The time since the last reply to an advice call of this step.
     pub heard: Option<Duration>,
-    /// Whether a failed call prevents the next call for now.
+    /// Whether the next advice call is delayed because the last one failed.
     pub failed: bool,
-    /// Members without a call, and all members.
+    /// Number of members without an advice call in progress, and number of all members.
     pub lanes: (usize, usize),
-    /// Whether a member would accept the call that the step needs.
+    /// Whether a member is free to make the advice call that the step needs.
     pub member: bool,
-    /// Whether a round is pending.
+    /// Whether the next scheduling round is delayed by the minimum interval between rounds.
     pub round: bool,
     /// The age of the list of workers.
     pub listed: Duration,
-    /// Workers of former owners that have not replied.
+    /// Number of workers used by former owners that have not replied to this owner.
     pub unsettled: usize,
 }
 
 /// A long-running step with tasks that are not running.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AbsentStep {
-    /// The step.
+    /// The long-running step.
     pub key: StepKey,
-    /// How many of its tasks wait.
+    /// How many tasks of the step wait.
     pub waiting: usize,
-    /// How many are assigned to a worker but were not seen running there.
+    /// How many tasks of the step are assigned to a worker but were not seen running there.
     pub unseen: usize,
     /// The index of the task that has been away the longest.
     pub oldest: u32,
     /// How long that task has been away: since it last ran or could first run, as far as this owner
     /// knows.
     pub away: Duration,
-    /// The class of its rank.
+    /// The class of the step's rank.
     pub class: usize,
-    /// How many steps precede it.
+    /// How many steps precede the step in the ready queue.
     pub behind: usize,
-    /// The reason why it waits.
+    /// The reason why the step waits.
     pub cause: Cause,
     /// The data from which the reason is derived.
     pub sight: Sight,
 }
 
 impl Sight {
-    /// The reason why the step waits.
+    /// Returns the reason why the step waits.
     pub fn cause(&self) -> Cause {
         let advice = |otherwise| match () {
             () if self.calls > 0 && self.asked == 0 => Cause::First,
--- a/src/shard/diagnosis.rs
+++ b/src/shard/diagnosis.rs
@@ -7,7 +7,7 @@
     crate::{
         decide::{fit::Room, gather::chunk, health::Verdict, lanes::LONG_CALL},
         shard::{
-            advice::{MAX_NAMED, MAX_RENEWED},
+            advice::{MAX_NAMED_WORKERS, MAX_RENEWED_WORKERS},
             cause::{AbsentStep, Cause, Exclusion, Sight},
             dispatch::{MAX_ROUND_STEPS, choose_workers, withhold},
             jobs::{Placement, StepState},
@@ -22,26 +22,26 @@
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// After this time a long-running task counts as away. Most tasks run again by then, and a third of
-/// the time for which one may be away is left.
-const AWAY_AFTER: Duration = Duration::from_secs(2);
-/// The maximum number of steps that are diagnosed, those that have been away longest. More than a
-/// round examines.
-const MAX_DIAGNOSED: usize = 500;
+/// The minimum time without a run after which a long-running task counts as away. Most tasks run
+/// again by then, and a third of the maximum permitted time remains.
+const MIN_AWAY_TIME: Duration = Duration::from_secs(2);
+/// The maximum number of steps that are diagnosed; those that have been away longest come first.
+/// It exceeds the number of steps that a round examines.
+const MAX_DIAGNOSED_STEPS: usize = 500;
 
 impl Shard {
-    /// The long-running steps that have tasks away, longest first, each with its cause.
+    /// Returns the long-running steps that have tasks away, longest first, each with its cause.
     pub fn absences(&self, now: Time) -> Vec<AbsentStep> {
         let mut all = vec![];
         for (no, job) in self.jobs.iter().filter(|(_, j)| !j.state.is_final()) {
             let lasts = |s: u16| job.job.steps.get(usize::from(s)).is_some_and(|s| s.lasts);
             for ((time, step), step_state) in job.step_states.iter().filter(|p| lasts(p.0.1)) {
                 let key = StepKey { job: *no, time: *time, step: *step };
-                all.extend(self.find_away(key, step_state, now));
+                all.extend(self.find_away_tasks(key, step_state, now));
             }
         }
         all.sort_unstable_by_key(|a| (Reverse(a.away), a.key));
-        let waiting = all.iter().filter(|a| a.waiting > 0).take(MAX_DIAGNOSED);
+        let waiting = all.iter().filter(|a| a.waiting > 0).take(MAX_DIAGNOSED_STEPS);
         let keys: FxHashSet<StepKey> = waiting.map(|a| a.key).collect();
         let mut sights = match keys.is_empty() {
             true => BTreeMap::new(),
@@ -56,9 +56,14 @@
         all
     }
 
-    /// The tasks of a long-running step that are away, if any. The cause for waiting tasks is
-    /// filled in later.
-    fn find_away(&self, key: StepKey, step_state: &StepState, now: Time) -> Option<AbsentStep> {
+    /// Returns the tasks of a long-running step that are away, if any. The caller fills in why the
+    /// waiting tasks wait.
+    fn find_away_tasks(
+        &self,
+        key: StepKey,
+        step_state: &StepState,
+        now: Time,
+    ) -> Option<AbsentStep> {
         let ready = self.ranks.contains_key(&key);
         let (mut waiting, mut held) = (vec![], vec![]);
         for (index, task) in (0..).zip(&step_state.tasks) {
@@ -67,16 +72,16 @@
                 Placement::Waiting if ready => waiting.extend(since.map(|t| (t, index))),
                 Placement::Assigned(no) => {
                     let task = TaskKey { step: key, index };
-                    let lost = self.unseen(no, &task, since.unwrap_or(now));
+                    let lost = self.unseen_since(no, &task, since.unwrap_or(now));
                     held.extend(
-                        lost.filter(|l| l.0 + AWAY_AFTER <= now).map(|l| (l.0, index, l.1)),
+                        lost.filter(|l| l.0 + MIN_AWAY_TIME <= now).map(|l| (l.0, index, l.1)),
                     );
                 }
                 _ => {}
             }
         }
         held.sort_unstable();
-        let first = waiting.iter().min().filter(|w| w.0 + AWAY_AFTER <= now);
+        let first = waiting.iter().min().filter(|w| w.0 + MIN_AWAY_TIME <= now);
         let (since, first, cause) = match (first, held.first()) {
             (Some((since, index)), _) => (*since, *index, Cause::Turn),
             (None, Some(first)) => *first,
@@ -101,8 +106,9 @@
         })
     }
 
-    /// Since when a task has not been seen to run at the worker that it is assigned to, and why.
-    fn unseen(&self, no: WorkerNo, task: &TaskKey, since: Time) -> Option<(Time, Cause)> {
+    /// Returns the time since which a task has not been seen running on its assigned worker, and
+    /// the cause.
+    fn unseen_since(&self, no: WorkerNo, task: &TaskKey, since: Time) -> Option<(Time, Cause)> {
         let worker = &self.workers[no.0];
         let run = worker.runs.get(task)?;
         match run.phase {
@@ -113,8 +119,8 @@
         }
     }
 
-    /// For each of these steps, the number of steps before it and the facts that decide when its
-    /// tasks start.
+    /// Returns, for each of these steps, the number of steps before it and the facts that decide
+    /// when its tasks start.
     pub(super) fn diagnose_steps(
         &self,
         keys: &FxHashSet<StepKey>,
@@ -133,7 +139,7 @@
         let mut sights = BTreeMap::new();
         for (behind, key) in order.iter().enumerate() {
             if keys.contains(key) {
-                let mut sight = self.diagnose(key, &round, now);
+                let mut sight = self.diagnose_step(key, &round, now);
                 if behind >= look {
                     sight.gate = sight.gate.or(Some(Cause::Order));
                 }
@@ -143,14 +149,14 @@
                 break;
             }
             if behind < look {
-                self.rehearse(key, &mut round, now);
+                self.rehearse_step(key, &mut round, now);
             }
         }
         sights
     }
 
     /// Withholds from later steps whatever a step would take or withhold in the next round.
-    fn rehearse(&self, key: &StepKey, round: &mut Round, now: Time) {
+    fn rehearse_step(&self, key: &StepKey, round: &mut Round, now: Time) {
         if !self.is_sole(&key.job) {
             return;
         }
@@ -175,7 +181,7 @@
     }
 
     /// Collects the facts that decide when a step's tasks start.
-    fn diagnose(&self, key: &StepKey, round: &Round, now: Time) -> Sight {
+    fn diagnose_step(&self, key: &StepKey, round: &Round, now: Time) -> Sight {
         let mut sight = Sight {
             wanted: 1,
             lanes: (self.lanes.idle_count(), self.lanes.len()),
@@ -206,7 +212,7 @@
         sight
     }
 
-    /// The cause that holds a step up regardless of the workers, if any.
+    /// Returns the cause that delays a step regardless of the workers, if any.
     fn blocking_cause(&self, turn: &Turn, now: Time) -> Option<Cause> {
         let stray = |i: &u32| self.strays.contains(&TaskKey { step: *turn.key, index: *i });
         let strays = turn.waiting.iter().filter(|i| stray(i)).count();
@@ -232,7 +238,7 @@
         let size = step.reserved();
         for no in self.pools.get(pool).into_iter().flatten() {
             sight.all += 1;
-            if let Some(bar) = self.bar(*no, &usable, step.lasts, now) {
+            if let Some(bar) = self.exclusion(*no, &usable, step.lasts, now) {
                 *sight.out.entry(bar).or_default() += 1;
                 continue;
             }
@@ -264,7 +270,7 @@
         };
         for no in good {
             sight.good += 1;
-            let bar = self.bar(no, &usable, step.lasts, now);
+            let bar = self.exclusion(no, &usable, step.lasts, now);
             sight.barred += usize::from(bar.is_some());
             let room = self.room(no, key, step, now);
             let Some(room) = room.filter(|r| size.fits(&r.total)) else {
@@ -313,8 +319,8 @@
         }
     }
 
-    /// Why a worker gets no starts, or `None` if it may get them.
-    fn bar(
+    /// Returns why a worker may receive no start orders, or `None` if it may.
+    fn exclusion(
         &self,
         no: WorkerNo,
         usable: &FxHashSet<WorkerNo>,
@@ -338,14 +344,14 @@
         }
     }
 
-    /// Whether a member is free to make the advice call that a step would need.
+    /// Returns whether a member is free to make the advice call that a step would need.
     fn member_is_free(&self, sight: &Sight, turn: &Turn, now: Time) -> bool {
         let Some(cost) = turn.advice else { return true };
         let chunk = chunk(cost.base, cost.each);
         let named = match () {
             () if sight.good == 0 || turn.step.gang => sight.unasked.min(chunk),
-            () if sight.old > 0 => (sight.old + sight.unasked).min(MAX_RENEWED),
-            () => sight.unasked.min(MAX_NAMED),
+            () if sight.old > 0 => (sight.old + sight.unasked).min(MAX_RENEWED_WORKERS),
+            () => sight.unasked.min(MAX_NAMED_WORKERS),
         };
         let takes = cost.base + cost.each * u32::try_from(named).unwrap_or(u32::MAX);
         let shares = takes > LONG_CALL && !turn.step.lasts && !self.lanes.has_spare(now);
--- a/src/shard/event.rs
+++ b/src/shard/event.rs
@@ -25,8 +25,7 @@
     pub roster: Roster,
     /// The revision of the commit row that this owner has just written.
     pub commit_revision: u64,
-    /// Whether the former owner can no longer consider itself confirmed: its lease had expired, or
-    /// it released the shard.
+    /// Whether the former owner's lease had expired or it had released the shard.
     pub lapsed: bool,
 }
 
@@ -39,28 +38,28 @@
     Cancel(JobNo),
     /// The complete list of this shard's workers.
     Listed(Vec<ListedWorker>),
-    /// A version of the configuration.
+    /// A new version of the configuration of queues.
     Queues(Arc<QueueConfig>),
     /// A worker's reply to a call, or its failure.
     Worker {
-        /// The worker.
+        /// The worker that was called.
         worker: WorkerId,
-        /// When the call was sent.
+        /// The time at which the call was sent.
         sent: Time,
-        /// The call.
+        /// The call to the worker.
         call: Box<WorkerCall>,
-        /// The reply.
+        /// The reply of the worker, or the failure of the call.
         reply: Result<WorkerReply, Fault>,
     },
     /// The reply to a call for advice, or its failure.
     Advised {
-        /// The call.
+        /// The advice call.
         call: Box<AdviceCall>,
-        /// The member that made it.
+        /// The member that made the call.
         via: Incarnation,
-        /// When it was ordered.
+        /// The time at which the call was ordered.
         sent: Time,
-        /// The reply.
+        /// The advice, or the failure of the call.
         reply: Result<Advice, Fault>,
     },
     /// The store's reply to the transaction with this number.
@@ -69,18 +68,18 @@
     CommitRead(Result<(u64, CommitRow), Fault>),
     /// The worker incarnations that the list of machines shows, or the failure to read the list.
     Machines {
-        /// When the list was requested.
+        /// The time at which the list was requested.
         sent: Time,
-        /// The worker incarnations.
+        /// The listed worker incarnations, or the failure of the read.
         reply: Result<Vec<WorkerId>, Fault>,
     },
-    /// The store has confirmed the renewal of this member's lease that was sent at this time.
+    /// The store has confirmed the renewal of this member's lease that was sent at the given time.
     Confirmed(Time),
-    /// The members that may be asked to make calls for advice, including this one.
+    /// The members that can make advice calls for this shard, including this member.
     Peers(Peers),
     /// The workers that are to be emptied for upkeep.
     Closing(Arc<Closing>),
-    /// Time has passed.
+    /// Periodic tick, which runs the checks that depend on the time.
     Tick,
 }
 
@@ -89,26 +88,26 @@
 pub enum Order {
     /// Call a worker.
     Worker {
-        /// The worker.
+        /// The worker to call.
         worker: WorkerId,
-        /// Its address.
+        /// The address of the worker.
         addr: SocketAddr,
-        /// The call.
+        /// The call to the worker.
         call: Box<WorkerCall>,
-        /// The time limit for its reply.
+        /// The time limit for the reply.
         limit: Duration,
     },
     /// Call for advice.
     Advise {
         /// The member that makes the call; it may be this one.
         via: Incarnation,
-        /// The call.
+        /// The advice call.
         call: Box<AdviceCall>,
-        /// When it was ordered; its event repeats this time.
+        /// The time at which the call was ordered; [`Event::Advised`] repeats this time.
         sent: Time,
         /// The expected duration of the call at the service.
         expected: Duration,
-        /// The time limit for its reply.
+        /// The time limit for the reply.
         limit: Duration,
     },
     /// Write this transaction, which has the given number, to the store.
@@ -117,6 +116,6 @@
     ReadCommit,
     /// Read the list of machines.
     ReadMachines,
-    /// Another member owns the shard: drop it.
+    /// Drop the shard, because another member owns it.
     Deposed,
 }
--- a/src/shard/preempt.rs
+++ b/src/shard/preempt.rs
@@ -19,11 +19,11 @@
     std::time::Duration,
 };
 
-/// How long a step waits for room before room is made or reserved for it.
-pub(super) const ROOM_WAIT: Duration = Duration::from_millis(300);
+/// The minimum time that a step waits before other runs are stopped or room is reserved for it.
+pub(super) const MIN_ROOM_WAIT: Duration = Duration::from_millis(300);
 
 /// The effect of stopping less urgent runs of one worker.
-struct Preemption {
+struct PreemptionPlan {
     no: WorkerNo,
     /// The room that is free now or will be free without further stops.
     free: Size,
@@ -34,8 +34,8 @@
 }
 
 impl Shard {
-    /// Makes room for tasks that can still be in time by stopping less urgent work; returns their
-    /// places.
+    /// Stops less urgent runs to make room for tasks that can still meet their deadline; returns
+    /// the chosen worker of each task.
     pub(super) fn preempt(
         &mut self,
         turn: &Turn,
@@ -47,7 +47,7 @@
         let queue = self.jobs.get(&key.job).and_then(|j| self.queue_configs.get(&j.queue));
         let Some(priority) = queue.map(|q| q.priority) else { return vec![] };
         let part = self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
-        let waited = part.and_then(|p| p.ready_since).is_some_and(|t| t + ROOM_WAIT <= now);
+        let waited = part.and_then(|p| p.ready_since).is_some_and(|t| t + MIN_ROOM_WAIT <= now);
         if !waited || self.ranks.get(key).is_none_or(|r| r.class() > 0) {
             return vec![];
         }
@@ -55,8 +55,8 @@
         waiting.iter().copied().zip(places).collect()
     }
 
-    /// The priority at which runs of a step may be preempted by more urgent work, or `None` if they
-    /// may not be.
+    /// Returns the priority at which runs of a step may be preempted by more urgent work, or `None`
+    /// if they may not be.
     pub(super) fn preemptible_at(&self, key: &StepKey, step: &Step) -> Option<u8> {
         let plain = step.saves && !step.gang && !step.lasts && !step.fills;
         let queue = self.jobs.get(&key.job).and_then(|j| self.queue_configs.get(&j.queue));
@@ -76,7 +76,7 @@
         now: Time,
     ) -> Vec<WorkerNo> {
         let size = step.reserved();
-        let mut plans: Vec<Preemption> =
+        let mut plans: Vec<PreemptionPlan> =
             good.iter().filter_map(|r| self.preemption(r, &size, step.apart, priority)).collect();
         plans.sort_by_key(|p| (p.victims.len(), std::cmp::Reverse(p.slots)));
         let slots: u64 = plans.iter().map(|p| p.slots).sum();
@@ -104,10 +104,17 @@
         places
     }
 
-    /// The effect of stopping less urgent runs of the worker of `room`.
-    fn preemption(&self, room: &Room, size: &Size, apart: u32, priority: u8) -> Option<Preemption> {
+    /// Computes the effect of stopping less urgent runs of the worker of `room`.
+    fn preemption(
+        &self,
+        room: &Room,
+        size: &Size,
+        apart: u32,
+        priority: u8,
+    ) -> Option<PreemptionPlan> {
         let worker = &self.workers[room.index];
-        // Preemption would stop the work that keeps this worker from going down for upkeep.
+        // A worker that is being emptied goes down for upkeep once its remaining runs have stopped,
+        // so they are not stopped for other work.
         if worker.is_draining() {
             return None;
         }
@@ -122,12 +129,12 @@
                 _ => {}
             }
         }
-        // Runs that have done the least come first, since the others end soon anyway.
+        // Runs with the least progress are stopped first, since the others end soon anyway.
         victims.sort_unstable_by_key(|v| (v.0, v.1));
         let all = victims.iter().fold(free, |sum, v| sum + v.2);
         let most = if apart > 0 { apart.saturating_sub(room.same_step).into() } else { u64::MAX };
         let slots = size.count(&all).min(most).min(room.max_new.into());
         let victims = victims.into_iter().map(|v| (v.1, v.2)).collect();
-        (slots > 0).then_some(Preemption { no: WorkerNo(room.index), free, slots, victims })
+        (slots > 0).then_some(PreemptionPlan { no: WorkerNo(room.index), free, slots, victims })
     }
 }
--- a/src/shard/round.rs
+++ b/src/shard/round.rs
@@ -14,15 +14,16 @@
     std::rc::Rc,
 };
 
-/// The number of steps per round that may search beyond the free resources: for runs about to end,
-/// for runs to preempt, and for other workers.
+/// The maximum number of steps per round that may search beyond the free resources: for runs about
+/// to end, for runs to preempt, and for other workers.
 pub(super) const MAX_DEEP_SEARCHES: usize = 24;
 
 /// The working state of a round.
 #[derive(Default)]
 pub(super) struct Round {
+    /// The workers of each pool that may receive starts.
     pub(super) usable: FxHashMap<PoolId, Rc<[WorkerNo]>>,
-    /// The workers for long-running steps.
+    /// The workers of each pool that may receive starts of long-running steps.
     pub(super) long_running: FxHashMap<PoolId, Rc<[WorkerNo]>>,
     /// The workers of underused pools, with those being drained, for steps that have waited long
     /// enough.
@@ -34,27 +35,28 @@
     /// The resources of each worker that are withheld for steps earlier in the order.
     withheld: Vec<Size>,
     /// The resources of each worker that are reserved for gangs until they start.
-    reservations: Vec<Vec<Reservation>>,
-    /// The demand for each worker, in hundredths of a waiting task.
+    reservations: Vec<Vec<WorkerReservation>>,
+    /// The number of waiting tasks that compete for each worker, in percent. Each step divides its
+    /// waiting tasks among the workers that may run it.
     pub(super) demand: Vec<u32>,
     /// The steps that will soon have room at a worker.
     pub(super) upcoming: Backlog<WorkerNo>,
     /// The number of steps that have searched beyond the free resources, and how many of those are
     /// long-running.
     deep_searches: (usize, usize),
-    /// The queues for whose advice calls no member is free.
+    /// The queues whose advice calls cannot be made because no member is free.
     pub(super) advice_blocked: FxHashSet<Box<str>>,
 }
 
 /// The resources of one worker that are reserved for a gang.
-struct Reservation {
+struct WorkerReservation {
     gang: StepKey,
     size: Size,
     /// The priority of the gang's queue.
     priority: u8,
-    /// When the gang is expected to start.
+    /// The time at which the gang is expected to start.
     at: Time,
-    /// Whether the gang's turn in this round is over.
+    /// Whether the gang was already examined in this round.
     passed: bool,
 }
 
@@ -62,7 +64,7 @@
 pub(super) struct Requester<'a> {
     pub(super) key: &'a StepKey,
     pub(super) priority: u8,
-    /// When tasks that start now are expected to end.
+    /// The time at which tasks that start now are expected to end.
     pub(super) ends_at: Time,
     /// Whether the step may use resources reserved for less urgent gangs later in the order.
     pub(super) may_outrank: bool,
@@ -75,15 +77,16 @@
 pub(super) struct Turn<'a> {
     pub(super) key: &'a StepKey,
     pub(super) step: Step,
-    /// The name and the priority of the step's queue.
+    /// The name of the step's queue.
     pub(super) queue: Box<str>,
+    /// The priority of the step's queue.
     pub(super) priority: u8,
     pub(super) pool: PoolId,
-    /// The indices of its waiting tasks.
+    /// The indices of the step's waiting tasks.
     pub(super) waiting: Vec<u32>,
-    /// The workers of its pool that may receive starts.
+    /// The workers of the step's pool that may receive starts.
     pub(super) usable: Rc<[WorkerNo]>,
-    /// The cost of advice on it, if it needs advice.
+    /// The cost of an advice call for the step, if the step needs advice.
     pub(super) advice: Option<AdviceCost>,
 }
 
@@ -98,19 +101,19 @@
         }
     }
 
-    /// The resources of a worker that are withheld for steps earlier in this round.
+    /// Returns the resources of a worker that are withheld for steps earlier in this round.
     pub(super) fn withheld_before(&self, no: WorkerNo, key: &StepKey) -> Size {
         let passed = self.reservations[no.0].iter().filter(|c| c.passed && c.gang != *key);
         passed.fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
 
-    /// The resources of a worker that this step must not use.
+    /// Returns the resources of a worker that this step must not use.
     ///
     /// Resources reserved for a gang are open to tasks that end before the gang can start. The last
     /// of the gang's workers may become available seconds later, and the others would be idle until
     /// then.
     pub(super) fn unavailable(&self, no: WorkerNo, requester: &Requester) -> Size {
-        let holds = |c: &&Reservation| {
+        let holds = |c: &&WorkerReservation| {
             let mine = c.gang == *requester.key;
             let behind =
                 requester.overdue || (requester.may_outrank && c.priority > requester.priority);
@@ -123,18 +126,18 @@
             .fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
 
-    /// The resources of a worker that are withheld for earlier steps other than gangs.
+    /// Returns the resources of a worker that are withheld for earlier steps other than gangs.
     pub(super) fn withheld(&self, no: WorkerNo) -> Size {
         self.withheld[no.0]
     }
 
-    /// The resources of a worker that are withheld or reserved for any step.
+    /// Returns the resources of a worker that are withheld or reserved for any step.
     pub(super) fn all_withheld(&self, no: WorkerNo) -> Size {
         self.reservations[no.0].iter().fold(self.withheld[no.0], |sum, c| sum + c.size)
     }
 
-    /// Whether one more step may search beyond the free resources. Long-running steps get at most
-    /// half of the searches.
+    /// Counts a search beyond the free resources and returns whether it is permitted. Long-running
+    /// steps get at most half of the searches.
     pub(super) fn try_deep_search(&mut self, lasts: bool) -> bool {
         if lasts && self.deep_searches.1 >= MAX_DEEP_SEARCHES / 2 {
             return false;
@@ -161,11 +164,11 @@
             let claims = &mut self.reservations[no.0];
             claims.retain(|c| c.gang != *gang);
             let size = size.times((*n).into());
-            claims.push(Reservation { gang: *gang, size, priority, at, passed });
+            claims.push(WorkerReservation { gang: *gang, size, priority, at, passed });
         }
     }
 
-    /// Ends a gang's turn, replacing its former reservation by the new one.
+    /// Ends a gang's turn and replaces its former reservation with the new one.
     pub(super) fn end_turn(
         &mut self,
         gang: &StepKey,
--- a/src/shard/speculation.rs
+++ b/src/shard/speculation.rs
@@ -19,12 +19,12 @@
     std::{cmp::Reverse, time::Duration},
 };
 
-/// A copy that takes more than this multiple of its siblings' duration is considered hung, and so
-/// is the first run.
+/// The maximum duration of a copy, as a multiple of the expected duration of its siblings. Beyond
+/// it, both the copy and the first run are considered hung.
 const MAX_COPY_FACTOR: u32 = 3;
 
 impl Shard {
-    /// Starts copies of slow tasks on room that nothing waits for.
+    /// Starts copies of slow tasks on spare workers.
     pub(super) fn start_copies(&mut self, now: Time) {
         if !self.may_act(now) {
             return;
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Whether a run without progress may continue because a copy of its task runs or can start at
-    /// once.
+    /// Returns whether a run without progress may continue because a copy of its task runs or can
+    /// start at once.
     ///
     /// A copy without progress is stopped like any other run. If the copy has taken too long as
     /// well, both runs are stopped, since two hung runs would never end.
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The time that a run still needs, if it is so slow that a copy is worth its cost.
+    /// Returns the remaining time of a run, if the run is so slow that a copy is worthwhile.
     fn remaining_if_slow(
         &self,
         task: &TaskKey,
@@ -123,12 +123,13 @@
         )
     }
 
-    /// A sound worker with room that nothing waits for, other than the worker of the first run.
+    /// Returns a sound worker of an underused pool that has room for a copy and is not the worker
+    /// of the first run.
     fn spare_worker(
         &self,
         task: &TaskKey,
         step: &Step,
-        beside: WorkerNo,
+        original: WorkerNo,
         now: Time,
     ) -> Option<WorkerNo> {
         let key = &task.step;
@@ -142,7 +143,7 @@
         let open = |no: &&WorkerNo| {
             let w = &self.workers[no.0];
             let valid = || tickets.eligible.get(*no).is_some_and(|t| t.1 > now);
-            **no != beside
+            **no != original
                 && w.usable(now)
                 && w.health.verdict(now) == Verdict::Sound
                 && !w.runs.contains_key(task)
@@ -156,12 +157,12 @@
     fn start_copy(
         &mut self,
         task: TaskKey,
-        beside: WorkerNo,
+        original: WorkerNo,
         to: WorkerNo,
         step: &Step,
         now: Time,
     ) {
-        let saved = self.workers[beside.0].runs.get(&task).map(|r| r.checkpoint.clone());
+        let saved = self.workers[original.0].runs.get(&task).map(|r| r.checkpoint.clone());
         let Some(t) = self.jobs.get_mut(&task.step.job).and_then(|j| j.task(&task)) else { return };
         let saved = saved.filter(|s| !s.is_empty()).unwrap_or_else(|| t.checkpoint.clone());
         let run = t.last_run() + 1;
--- a/src/shard/writes.rs
+++ b/src/shard/writes.rs
@@ -1,10 +1,10 @@
-//! Writes of a shard's changes to the store, and the consequences of a stored change.
+//! Writes a shard's changes to the store, and updates the shard's state once they are stored.
 
 use {
     crate::{
         ports::{Put, Txn},
         shard::{
-            commit::{FREE_ROWS, row_count},
+            commit::{MAX_PAYLOAD_ROWS, row_count},
             event::Order,
             in_flight::InFlight,
             record::{CommitRow, Roster, encode},
@@ -17,8 +17,8 @@
     std::mem,
 };
 
-/// The maximum number of jobs that one write purges.
-const MAX_PURGED: usize = 12;
+/// The maximum number of finished jobs that one write removes.
+const MAX_PURGED_JOBS: usize = 12;
 
 impl Shard {
     /// Begins a write if there is something to write and no write is in progress.
@@ -32,7 +32,8 @@
         self.begin_write(urgent, now);
     }
 
-    /// Like [`Shard::flush`]; `urgent` says whether somebody waits for the write.
+    /// Begins a write like [`Shard::flush`]; `urgent` says whether a caller or a start waits for
+    /// it.
     pub(super) fn begin_write(&mut self, urgent: bool, now: Time) {
         let unix = self.unix_ms(now);
         let purge = self.purge_queue.front().is_some_and(|(at, _)| *at <= unix);
@@ -55,15 +56,15 @@
             flight.roster = Some(self.write_roster(&mut txn));
         }
         self.write_jobs(&mut txn, &mut flight, unix);
-        while flight.purged.len() < MAX_PURGED
-            && row_count(&txn) + 2 <= FREE_ROWS + 2
+        while flight.purged.len() < MAX_PURGED_JOBS
+            && row_count(&txn) + 2 <= MAX_PAYLOAD_ROWS + 2
             && let Some((at, no)) = self.purge_queue.front().copied()
             && at <= unix
         {
             self.purge_queue.pop_front();
             flight.purged.push((at, no));
             txn.remove.push(shard.progress(no));
-            // A cancel may have arrived after the job was over.
+            // A cancel may have been stored after the job ended.
             txn.remove.push(shard.cancel(no));
         }
         self.in_flight = flight;
@@ -87,7 +88,7 @@
 
     fn write_jobs(&mut self, txn: &mut Txn, flight: &mut InFlight, unix: u64) {
         let shard = self.setup.shard;
-        while row_count(txn) + 3 <= FREE_ROWS + 2 {
+        while row_count(txn) + 3 <= MAX_PAYLOAD_ROWS + 2 {
             let Some(no) = self.dirty_jobs.pop_front() else { break };
             let Some(job) = self.jobs.get_mut(&no) else { continue };
             let over = job.state.is_final();
@@ -151,7 +152,7 @@
         }
         let busy: Vec<JobNo> = self.in_flight.jobs.iter().map(|f| f.0).collect();
         let (jobs, workers) = (&self.jobs, &mut self.workers);
-        let noted = &mut self.stats.acknowledged;
+        let acknowledged = &mut self.stats.acknowledged;
         for w in workers.iter_mut().filter(|w| !w.unstored_ends.is_empty()) {
             while let Some((number, no, place)) = w.unstored_ends.front().copied() {
                 let stored = jobs.get(&no).is_none_or(|j| j.stored_seq >= place);
@@ -159,7 +160,7 @@
                     break;
                 }
                 w.stored_end = number;
-                *noted += 1;
+                *acknowledged += 1;
                 w.unstored_ends.pop_front();
                 w.next_hold = now;
             }
