--- a/src/clock.rs
+++ b/src/clock.rs
@@ -25,12 +25,12 @@
         Clock { start: Instant::now() }
     }
 
-    /// The time since the clock was started.
+    /// Returns the time since the clock was started.
     pub fn now(&self) -> Time {
         Time::ZERO + self.start.elapsed()
     }
 
-    /// Whether the member is stopping.
+    /// Returns whether the member is stopping.
     pub fn is_draining(&self) -> bool {
         DRAINING.load(Ordering::Relaxed)
     }
@@ -41,7 +41,7 @@
     }
 }
 
-/// The Unix time; zero if the machine's clock is set to before 1970.
+/// Returns the Unix time; zero if the machine's clock is set to before 1970.
 pub(crate) fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/src/job_api.rs
+++ b/src/job_api.rs
@@ -41,9 +41,9 @@
 
 /// Time limit of a request without a deadline header.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
-/// A request with less time left than this makes no further call.
+/// Minimum remaining time of a request that makes a further call.
 const MIN_REMAINING: Duration = Duration::from_millis(20);
-/// When a caller may retry if the configuration or the table is not known yet or not current.
+/// Delay after which a caller may retry if the configuration or the table is unknown or outdated.
 const STALE_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Upper bound of the time limit of one call of the store.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -56,9 +56,9 @@
     common: Arc<SharedState>,
     services: ServiceClients,
     peers: PeerClients,
-    /// Inputs of the shards that this member owns.
+    /// Sends inputs to the shards that this member owns.
     input: Sender<ShardInput>,
-    /// Lengths of queues, and when each was counted.
+    /// Cached length of each queue, and the time at which it was counted.
     lengths: Mutex<FxHashMap<Box<str>, (Time, u64)>>,
     state_queries: Arc<StateQueries>,
     /// Limits the reads of the store for states of jobs.
@@ -163,7 +163,7 @@
         })
     }
 
-    /// Errs if the configuration known here may have been replaced too long ago.
+    /// Returns an error if the configuration known here may have been replaced too long ago.
     fn check_current(&self) -> Result<(), Error> {
         if self.common.is_current() {
             return Ok(());
@@ -172,7 +172,7 @@
             .with_retry_after(STALE_RETRY_AFTER))
     }
 
-    /// The queue of a request.
+    /// Returns the queue of a request.
     ///
     /// An outdated configuration may lack a new queue, so a request is refused as unknown only by a
     /// current configuration.
@@ -180,7 +180,7 @@
         request.queue(config).or_else(|unknown| self.check_current().and(Err(unknown)))
     }
 
-    /// The shard of a job whose queue uses this pool.
+    /// Returns the shard of a job whose queue uses this pool.
     fn shard(&self, job: JobNo, pool: &PoolId) -> Result<ShardNo, Error> {
         let layout = self.common.view.borrow().layout.clone();
         match layout {
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Whether the store has a job: its record, or its progress once it has begun.
+    /// Returns whether the store has a job: its record, or its progress once it has begun.
     ///
     /// Errs if the store doesn't answer, with an error that suits a request that changes nothing.
     async fn is_stored(
@@ -220,7 +220,7 @@
 }
 
 impl CallerRequest {
-    /// The queue of the request: by its host as given, then by the host without the port.
+    /// Returns the queue of the request: by its host as given, then by the host without the port.
     fn queue<'a>(&self, config: &'a Config) -> Result<&'a Queue, Error> {
         let find = |host: &str| config.queues.find(host, &self.path);
         let bare = self.host.rsplit_once(':').map_or(&*self.host, |(host, _)| host);
--- a/src/job_api/queries.rs
+++ b/src/job_api/queries.rs
@@ -18,16 +18,16 @@
 
 /// Time limit of a call of a shard's owner.
 pub(super) const OWNER_TIMEOUT: Duration = Duration::from_millis(250);
-/// When a caller may retry for a state that is not available now: a takeover may be under way.
+/// Delay after which a caller may retry for a state that is unavailable, as during a takeover.
 const STATE_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// How long the length of a queue is cached.
 const LENGTH_TTL: Duration = Duration::from_millis(500);
 
 impl JobApi {
-    /// The state of a job, as the body of the answer.
+    /// Returns the state of a job, as the body of the answer.
     ///
-    /// Errs at once if the job's owner doesn't report it and the reads of the store for states are
-    /// used up (see [`ReadBudget`]).
+    /// Returns an error at once if the job's owner doesn't report the state and the budget of store
+    /// reads is used up (see [`ReadBudget`]).
     pub(super) async fn job_state(
         &self,
         request: &CallerRequest,
@@ -50,7 +50,7 @@
         Ok((self.common.forms.encode_state)(state))
     }
 
-    /// The state that the shard's owner reports; `None` if it doesn't.
+    /// Returns the state that the shard's owner reports; `None` if it doesn't.
     ///
     /// A member that is in touch with the store knows the owner by its own table and says so in the
     /// call. Otherwise an owner whose lease renewal is late would report nothing, and all members
@@ -64,7 +64,8 @@
         self.state_queries.query((owner, addr), shard, job).await
     }
 
-    /// Whether the store may be read for one more state; counts the reads if so.
+    /// Returns whether the store may be read for one more state; if so, counts the reads against
+    /// the budget.
     fn admit_read(&self) -> bool {
         let rate = self.common.site.borrow().read_rate;
         let members = self.common.view.borrow().members.len();
@@ -75,7 +76,7 @@
         self.read_budget.lock().expect("no holder panics")
     }
 
-    /// The state of a job by its progress and its record in the store.
+    /// Returns the state of a job by its progress and its record in the store.
     ///
     /// A job's record is removed by the same write that adds its progress, so a job that ends between
     /// the two reads would be missed by both. The progress is therefore read again after the record
@@ -106,7 +107,8 @@
         item.map_err(|_| Error::new(Kind::Platform, "the store doesn't answer"))
     }
 
-    /// How many jobs of a queue have not begun in all shards, as the body of the answer.
+    /// Returns the number of jobs of a queue that have not begun, over all shards, as the body of
+    /// the answer.
     pub(super) async fn queue_length(&self, queue: &str) -> Result<Bytes, Error> {
         let now = self.common.now();
         let cached = self.lengths.lock().expect("no holder panics").get(queue).copied();
@@ -157,7 +159,7 @@
     }
 }
 
-/// The state in a job's progress item.
+/// Returns the state in a job's progress item.
 fn parse_state(item: &Item) -> Result<State, Error> {
     let progress = item.value.as_ref().and_then(|v| record::decode::<Progress>(v));
     let unreadable = || Error::new(Kind::Platform, "the job's progress can't be read");
--- a/src/job_api/state_queries.rs
+++ b/src/job_api/state_queries.rs
@@ -18,7 +18,7 @@
     tokio::sync::oneshot,
 };
 
-/// The largest number of jobs in one call.
+/// Maximum number of jobs in one call.
 const MAX_BATCH: usize = 256;
 
 /// Asks owners for the states of jobs, with one call at a time to each owner. A call carries all jobs
@@ -46,7 +46,7 @@
         StateQueries { common, peers, queued: Mutex::default() }
     }
 
-    /// The state of a job, as its shard's owner reports it; `None` if it doesn't.
+    /// Returns the state of a job, as its shard's owner reports it; `None` if it doesn't.
     pub async fn query(
         self: &Arc<Self>,
         (owner, addr): (Incarnation, SocketAddr),
@@ -84,7 +84,8 @@
         }
     }
 
-    /// The queries of the next call; `None`, and the owner's entry is removed, if there are none.
+    /// Returns the queries of the next call; `None`, and the owner's entry is removed, if there are
+    /// none.
     fn next_batch(&self, owner: Incarnation) -> Option<Vec<Query>> {
         let mut queued = self.queued();
         let all = queued.get_mut(&owner)?;
--- a/src/job_api/submit.rs
+++ b/src/job_api/submit.rs
@@ -16,30 +16,30 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Time limit of the notice of a job to its shard's owner.
+/// Time limit of the call that notifies a shard's owner of a job.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(400);
-/// The number of tries of a write that is refused or whose outcome is unknown.
+/// Maximum number of attempts of a write that is refused or whose outcome is unknown.
 const MAX_TRIES: u32 = 2;
-/// The number of repeats of a write that failed only because the configuration has changed.
+/// Maximum number of repeats of a write that failed only because the configuration had changed.
 const MAX_OVERTAKEN: u32 = 8;
 
-/// When a caller may retry after a refusal by the store: the store refuses one machine for a short
-/// time only, and another member may be asked meanwhile.
+/// Delay after which a caller may retry after a refusal by the store: the store refuses one machine
+/// for a short time only, and meanwhile the caller may use another member.
 const STORE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The outcome of the tries of a write so far.
+/// Counts the failed attempts of one write.
 #[derive(Default)]
 struct Tries {
-    /// Number of tries that were refused or whose outcome is unknown.
+    /// Number of attempts that were refused or whose outcome is unknown.
     failed: u32,
-    /// Whether one of them may have taken effect, or may do so later.
+    /// Whether a failed attempt may have taken effect or may do so later.
     uncertain: bool,
-    /// Number of repeats after a change of the configuration.
+    /// Number of attempts that failed because the configuration had changed.
     overtaken: u32,
 }
 
 impl Tries {
-    /// The error to return if no try succeeded.
+    /// Returns the error for the caller if no attempt succeeded.
     ///
     /// A caller that gets status 503 relies on its job never running. So once the outcome of one try
     /// is unknown, the answer says so, whatever the other tries returned.
@@ -54,7 +54,7 @@
     Job,
     /// Another configuration is in force.
     Config,
-    /// Neither of them.
+    /// The cause is neither a stored job nor another configuration.
     Other,
 }
 
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The configuration; waits until it is the newest that the store is known to have.
+    /// Returns the configuration; waits until it is the newest that the store is known to have.
     ///
     /// The reply to a write that expects an older configuration carries the newer one. If that is
     /// large, the replies to many such writes would fill the member's link. Writes therefore wait for
@@ -165,8 +165,8 @@
         found.map_err(|_| outdated())?.clone().ok_or_else(outdated)
     }
 
-    /// The write that stores a job, on the conditions that its number is unused and that the
-    /// configuration is unchanged.
+    /// Returns the write that stores a job, on the conditions that its number is unused and that
+    /// the configuration is unchanged.
     fn submission(&self, shard: ShardNo, no: JobNo, rev: u64, record: &JobRecord) -> Txn {
         let (key, value) = (shard.job(no), record::encode(record));
         Txn {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Waits before the next try, or errs if there is none left.
+    /// Waits before the next attempt; returns an error if no attempt is left.
     async fn wait_retry(&self, fault: &Fault, tries: &mut Tries) -> Result<(), Error> {
         let kind = match fault {
             Fault::Refused => Kind::Platform,
@@ -255,7 +255,7 @@
         );
     }
 
-    /// Makes a write that may be made twice, with retries.
+    /// Makes an idempotent write, with retries.
     async fn repeat_write(
         &self,
         request: &CallerRequest,
--- a/src/kv_session.rs
+++ b/src/kv_session.rs
@@ -19,10 +19,10 @@
     tokio::{sync::watch, time::sleep},
 };
 
-/// The interval at which the list of VMs is read, and the time-out of a read. More often would
-/// bring little, as the list lags anyway, and a VM that leaves has seconds until it is gone.
+/// The interval at which the list of VMs is read, and the time-out of a read. Reading it more often
+/// would help little: the list lags anyway, and a VM is listed as leaving seconds before it stops.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// The first and the longest pause after a failed call.
+/// Shortest and longest pause after a failed call.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
 
 /// The session's connections and channels.
--- a/src/layout.rs
+++ b/src/layout.rs
@@ -18,9 +18,9 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// The most workers of a deployment that has one shard for all its pools.
+/// Maximum number of workers of a deployment that has one shard for all its pools.
 const MAX_SINGLE_SHARD_WORKERS: usize = 100;
-/// The most workers of one shard.
+/// Maximum number of workers of one shard.
 ///
 /// Guards against a step that fits into no shard although it fits into its pool. Such a step runs
 /// at most one task on each worker, and three workers in ten can run it. In a shard of
@@ -48,12 +48,12 @@
 }
 
 impl ListMonitor {
-    /// Starts to monitor the list at this time.
+    /// Creates a monitor that starts at `now`.
     pub fn new(now: Time) -> Self {
         ListMonitor { started_at: now, max_count: 0, last_growth: now }
     }
 
-    /// Notes a read of the list with this number of workers. Returns whether the list counts as
+    /// Records that the list was read with `count` workers. Returns whether the list counts as
     /// complete.
     pub fn observe(&mut self, count: usize, now: Time) -> bool {
         if count > self.max_count {
@@ -86,7 +86,7 @@
     Layout { shards: first.max(1), secret, homes: homes.into_iter().collect(), pools }
 }
 
-/// The number of shards for a pool with this number of workers.
+/// Returns the number of shards for a pool with this number of workers.
 fn shard_count(workers: usize) -> u16 {
     u16::try_from(workers.div_ceil(MAX_SHARD_WORKERS).clamp(1, MAX_SHARDS)).unwrap_or(1)
 }
@@ -111,8 +111,8 @@
 }
 
 impl Layout {
-    /// The shard of a worker: the one that the layout assigns to its address, or one chosen by its
-    /// rack if the address is not in the layout.
+    /// Returns the shard of a worker: the one that the layout assigns to its address, or one chosen
+    /// by its rack if the address is not in the layout.
     ///
     /// An address that now belongs to a worker of another pool doesn't count: in the shard of the
     /// former worker the new one would get no tasks.
@@ -123,13 +123,13 @@
         home.unwrap_or_else(|| span.shard_for(xxh3_64(worker.rack().as_bytes())))
     }
 
-    /// The shard of a job whose queue uses this pool. It depends on the layout alone, which no
-    /// version of the configuration changes.
+    /// Returns the shard of a job whose queue uses this pool. It depends on the layout alone, which
+    /// no version of the configuration changes.
     pub fn job_shard(&self, job: JobNo, pool: &PoolId) -> ShardNo {
         self.span(pool).shard_for(xxh3_64(&job.0.to_le_bytes()))
     }
 
-    /// The shards of a pool; a pool that is not in the layout uses all shards.
+    /// Returns the shards of a pool; a pool that is not in the layout uses all shards.
     fn span(&self, pool: &PoolId) -> ShardRange {
         self.pools.get(pool).copied().unwrap_or(ShardRange(0, self.shards))
     }
--- a/src/member_rpc.rs
+++ b/src/member_rpc.rs
@@ -53,7 +53,8 @@
     step: u16,
     workers: Vec<WorkerId>,
     limit_ms: u64,
-    /// How long the service is expected to take; members of an earlier version don't send it.
+    /// Expected duration of the advice call, in milliseconds; members of an earlier version don't
+    /// send it.
     #[serde(default)]
     takes_ms: u64,
 }
@@ -77,7 +78,7 @@
     sure: bool,
 }
 
-/// Notice of a job that was stored, or of its cancel if `record` is absent.
+/// Notice of a stored job, or of a job's cancellation if `record` is absent.
 #[derive(Debug, Serialize, Deserialize)]
 struct JobNotice {
     shard: ShardNo,
@@ -188,7 +189,7 @@
             let limit = Duration::from_millis(request.limit_ms).min(MAX_TIMEOUT);
             let repeats = request.repeats;
             let relayed = services.relay(request.call, repeats, limit);
-            // A watch must not wait here if this member has lost its connection to the store, too.
+            // If this member has lost its connection to the store too, a watch must not wait here.
             Ok(tokio::select! {
                 answer = relayed => RelayReply::from(answer),
                 () = routes.wait_lost(), if repeats => RelayReply::Unknown,
@@ -287,7 +288,8 @@
     reply
 }
 
-/// The states of jobs, as the shards of this member know them; `None` if their input queue is full.
+/// Returns the states of jobs, as the shards of this member know them; `None` if their input queue
+/// is full.
 pub(crate) async fn local_states(
     input: &Sender<ShardInput>,
     jobs: Box<[(ShardNo, JobNo)]>,
@@ -298,7 +300,7 @@
     receiver.await.ok()
 }
 
-/// Passes the notice of a stored job, or of its cancel, to this member's shards.
+/// Notifies this member's shards of a stored job, or of a job's cancellation if `record` is `None`.
 pub(crate) fn notify_local_shard(
     input: &Sender<ShardInput>,
     shard: ShardNo,
@@ -313,7 +315,8 @@
     let _ = input.try_send(ShardInput::PeerEvent(shard, event));
 }
 
-/// What workers of these shards hold, and how long work waits, as this member's shards know it.
+/// Returns the tasks on workers of these shards and how long tasks wait, as this member's shards
+/// know them.
 pub(crate) async fn local_held_tasks(
     input: &Sender<ShardInput>,
     workers: Box<[WorkerId]>,
@@ -324,7 +327,7 @@
     receiver.await.ok().flatten()
 }
 
-/// How many jobs of a queue have not begun, as this member's shards know it.
+/// Returns the number of jobs of a queue that have not begun, as this member's shards know it.
 pub(crate) async fn local_queue_length(
     input: &Sender<ShardInput>,
     queue: Box<str>,
@@ -417,8 +420,8 @@
         answer
     }
 
-    /// The states of jobs, asked of the member that owns their shards: `None` for each job whose
-    /// state it doesn't know, and `None` for all if it doesn't answer.
+    /// Asks the member that owns the shards of these jobs for their states: `None` for each job
+    /// whose state it doesn't know, and `None` for all if it doesn't answer.
     pub async fn job_states(
         &self,
         addr: SocketAddr,
@@ -431,7 +434,8 @@
         self.call(addr, "states", &request, limit).await.flatten()
     }
 
-    /// Notifies the owner of a shard of a job that was stored, or of its cancel if `record` is `None`.
+    /// Notifies the owner of a shard of a stored job, or of a job's cancellation if `record` is
+    /// `None`.
     pub async fn notify_job(
         &self,
         addr: SocketAddr,
@@ -444,8 +448,8 @@
         let _: Option<()> = self.call(addr, "heard", &request, limit).await;
     }
 
-    /// What workers of shards that a member owns hold, and how long work waits; `None` if the
-    /// member doesn't answer or doesn't know for certain.
+    /// Asks a member for the tasks on workers of its shards and for how long tasks wait; `None` if
+    /// the member doesn't answer or may no longer own the shards.
     pub async fn held_tasks(
         &self,
         addr: SocketAddr,
@@ -457,8 +461,8 @@
         self.call(addr, "held", &request, limit).await.flatten()
     }
 
-    /// How many jobs of a queue have not begun in shards that a member owns; `None` if the member
-    /// doesn't answer or doesn't know for certain.
+    /// Asks a member for the number of jobs of a queue that have not begun in its shards; `None` if
+    /// the member doesn't answer or may no longer own the shards.
     pub async fn queue_length(
         &self,
         addr: SocketAddr,
--- a/src/member_table.rs
+++ b/src/member_table.rs
@@ -38,9 +38,9 @@
 /// Additional delay of a member that reaches the store only through other members. The members that
 /// the store serves directly may learn late that a shard has no owner.
 pub const RELAYED_DELAY: Duration = Duration::from_secs(2);
-/// If the store has not answered for this long, this member takes over no shards.
+/// Maximum time since the store's last answer for a member that takes over shards.
 pub const MAX_STORE_SILENCE: Duration = Duration::from_millis(1500);
-/// The smallest share of a processor that is counted; a member that reports none counts with this.
+/// Minimum number of cores assumed for a member, also for one that reports none.
 const MIN_CORES: f64 = 0.01;
 /// Delay before a takeover of the same shard is tried again.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -60,7 +60,7 @@
     owned: BTreeMap<ShardNo, u64>,
     /// Shards whose takeover is being written.
     pending: BTreeSet<ShardNo>,
-    /// When a takeover of a shard may be tried again.
+    /// Earliest time at which a takeover of a shard may be tried again.
     not_before: BTreeMap<ShardNo, Time>,
     stopping: bool,
     /// Whether this member reaches the store only through other members.
@@ -113,7 +113,7 @@
 }
 
 impl Outcome {
-    /// The outcome as it is logged.
+    /// Returns the name of the outcome for the log.
     pub fn name(&self) -> &'static str {
         match self {
             Outcome::Done(..) => "done",
@@ -140,13 +140,13 @@
 }
 
 impl TableView {
-    /// The owner of a shard and the address of its control port, if the owner is alive.
+    /// Returns the owner of a shard and the address of its control port, if the owner is alive.
     pub fn owner(&self, shard: ShardNo) -> Option<(Incarnation, SocketAddr)> {
         let owner = self.owners.get(&shard)?;
         Some((*owner, self.members.get(owner)?.control))
     }
 
-    /// The members through which a shard may make advice calls.
+    /// Returns the members through which a shard may make advice calls.
     ///
     /// Guards against several shards calling through the same member: each shard knows only its own
     /// calls, so that a short call queued behind another shard's long call waits for up to two
@@ -172,22 +172,22 @@
         peers
     }
 
-    /// The number of live members with a lower id than this one.
+    /// Returns the number of live members with a lower id than this one.
     pub fn id_rank(&self, me: Incarnation) -> usize {
         self.members.keys().take_while(|m| **m < me).count()
     }
 
-    /// The number of shards; 0 if the layout is not known yet.
+    /// Returns the number of shards; 0 if the layout is not known yet.
     pub fn shards(&self) -> u16 {
         self.layout.as_ref().map_or(0, |l| l.shards)
     }
 
-    /// The members that accept calls from other members: all that are not draining.
+    /// Returns the members that accept calls from other members: all that are not draining.
     pub fn available_members(&self) -> Vec<Incarnation> {
         self.members.iter().filter(|(_, m)| !m.draining).map(|(i, _)| *i).collect()
     }
 
-    /// The members that a member may ask to relay a call to the store.
+    /// Returns the members that a member may ask to relay a call to the store.
     ///
     /// Members that the store serves directly are preferred. If the table lists none, all are
     /// candidates: a member that was cut off just as the others were served again has not seen
@@ -200,7 +200,8 @@
         if served.is_empty() { available } else { served }
     }
 
-    /// Whether a member that registered at this revision has lost its row and must register again.
+    /// Returns whether a member that registered at this revision has lost its row and must register
+    /// again.
     pub fn must_register(&self, me: Incarnation, registered: Rev) -> bool {
         self.rev > registered && !self.members.contains_key(&me)
     }
@@ -247,7 +248,7 @@
         self.remove_lost()
     }
 
-    /// Notes that the store answered a call at this time.
+    /// Records that the store answered a call at `now`.
     pub fn note_answer(&mut self, now: Time) {
         if self.last_answer.is_none_or(|a| now - a > MAX_STORE_SILENCE) {
             self.answering_since = now;
@@ -260,8 +261,8 @@
         self.stopping = true;
     }
 
-    /// Notes whether this member reaches the store only through other members. If so, it takes over
-    /// a shard after all others.
+    /// Records whether this member reaches the store only through other members. If so, it takes
+    /// over a shard only after all others had the chance to.
     pub fn set_relayed(&mut self, relayed: bool) {
         self.relayed = relayed;
     }
@@ -308,36 +309,36 @@
         self.remove_lost()
     }
 
-    /// Notes that this member no longer owns a shard.
+    /// Records that this member no longer owns a shard.
     pub fn remove_owned(&mut self, shard: ShardNo, now: Time) {
         self.owned.remove(&shard);
         self.not_before.insert(shard, now + RETRY_DELAY);
         self.update_unowned(now);
     }
 
-    /// The owner row of a shard that this member owns, with the row's revision; used to release the
-    /// shard.
+    /// Returns the owner row of a shard that this member owns, with the row's revision; used to
+    /// release the shard.
     pub fn owner_row(&self, shard: ShardNo) -> Option<(Rev, OwnerRow)> {
         self.owned.get(&shard)?;
         self.owners.get(&shard).cloned()
     }
 
-    /// The shards that this member owns, with their tokens.
+    /// Returns the shards that this member owns, with their tokens.
     pub fn owned(&self) -> &BTreeMap<ShardNo, u64> {
         &self.owned
     }
 
-    /// Whether the outcome of a takeover is outstanding.
+    /// Returns whether the outcome of a takeover is outstanding.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Whether at least one shard has no live owner.
+    /// Returns whether at least one shard has no live owner.
     pub fn has_unowned(&self) -> bool {
         !self.unowned.is_empty()
     }
 
-    /// Whether the table has been read and holds no layout.
+    /// Returns whether the table has been read and holds no layout.
     pub fn lacks_layout(&self) -> bool {
         self.loaded && self.layout.is_none()
     }
@@ -354,8 +355,8 @@
         }
     }
 
-    /// The members without those whose address has been registered again by a later process: such a
-    /// member was killed and restarted.
+    /// Returns the members except those whose address a later process has registered: such a member
+    /// was killed and restarted.
     ///
     /// Guards against calling one machine twice. After all members had been killed, the table
     /// listed each machine twice until the old leases had ended, and of two long calls to one
@@ -406,8 +407,8 @@
         }
     }
 
-    /// Whether the process that an owner row names is known to have ended: another process has
-    /// registered its address after it.
+    /// Returns whether the process that an owner row names is known to have ended: another process
+    /// has registered its address after it.
     ///
     /// Guards against waiting for the lease of a process that was killed and restarted: its shards
     /// would have no working owner for three seconds although that process can't act any more. This
@@ -423,7 +424,8 @@
         self.members.iter().any(successor)
     }
 
-    /// The address at which this member accepts calls of other members, according to its row.
+    /// Returns the address at which this member accepts calls of other members, according to its
+    /// row.
     pub fn control(&self) -> Option<SocketAddr> {
         self.members.get(&self.me).map(|(_, m)| m.control)
     }
@@ -441,7 +443,7 @@
         lost
     }
 
-    /// The next shard that this member has to take over now.
+    /// Returns the next shard that this member has to take over now.
     fn next_due(&self, now: Time) -> Option<ShardNo> {
         let in_touch = self.last_answer.is_some_and(|a| now - a <= MAX_STORE_SILENCE);
         let eligible = self.members.get(&self.me).is_some_and(|(_, m)| !m.draining);
@@ -452,7 +454,7 @@
         unowned.find(|(s, u)| self.takeover_at(**s, u) <= now).map(|(s, _)| *s)
     }
 
-    /// The time at which this member takes over a shard without a live owner.
+    /// Returns the time at which this member may take over a shard that has no live owner.
     fn takeover_at(&self, shard: ShardNo, unowned: &Unowned) -> Time {
         let not_before = self.not_before.get(&shard).copied().unwrap_or(Time::ZERO);
         if unowned.owner == Some(self.me) {
@@ -466,8 +468,8 @@
         (since + grace + relay_delay + RANK_DELAY * rank).max(not_before)
     }
 
-    /// This member's rank among the candidates for a shard. The member that would own the fewest
-    /// shards for its share of a processor comes first; the rendezvous hash orders equals.
+    /// Returns this member's rank among the candidates for a shard. The member that would own the
+    /// fewest shards per core comes first; the rendezvous hash breaks ties.
     ///
     /// Members that reach the store only through others rank behind all that the store serves
     /// directly. Guards against an owner that can't read its shard.
@@ -496,7 +498,7 @@
     }
 }
 
-/// The key of a member's row in the store.
+/// Returns the key of a member's row in the store.
 pub fn member_key(member: Incarnation) -> Box<str> {
     format!("{MEMBERS_PREFIX}{member}").into()
 }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -37,7 +37,7 @@
     pub common: Arc<SharedState>,
     /// The store.
     pub outside: ServiceClients,
-    /// Sends events to the owned shards.
+    /// Sends inputs to the owned shards.
     pub decisions: Sender<ShardInput>,
     /// Publishes the lease's id, so that it can be ended at shutdown; 0 if there is none.
     pub lease: watch::Sender<u64>,
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Waits for the next renewal. A stop of this member ends the wait, so that the row says so at
-    /// once.
+    /// Waits until the next renewal is due. Returns early if this member is stopping, so that its
+    /// row is marked as draining at once.
     async fn wait(&self, due: Instant, draining: bool) {
         tokio::select! {
             () = sleep_until(due) => {}
--- a/src/owned_shards.rs
+++ b/src/owned_shards.rs
@@ -41,7 +41,7 @@
     outside: ServiceClients,
     peers: PeerClients,
     decisions: Sender<ShardInput>,
-    /// Reports lost ownership to the task that applies the table.
+    /// Sends notices of lost shards to the task that applies the table.
     notices: Sender<ShardOutput>,
     /// The owned shards, each with its task that loads it and follows its inbox.
     owned: Arc<Mutex<BTreeMap<ShardNo, OwnedShard>>>,
@@ -55,7 +55,7 @@
 }
 
 impl OwnedShards {
-    /// Starts without any owned shard.
+    /// Creates a set without shards.
     pub fn new(
         common: Arc<SharedState>,
         outside: ServiceClients,
@@ -295,12 +295,12 @@
     }
 }
 
-/// The job number at the end of a key.
+/// Returns the job number at the end of a key.
 fn job_number(key: &str) -> Option<JobNo> {
     key.rsplit('/').next()?.parse().ok()
 }
 
-/// The event for an item of an inbox; none if the item was removed.
+/// Returns the event for an item of an inbox; none if the item was removed.
 fn inbox_event(inbox: &str, item: &Item) -> Option<Event> {
     let value = item.value.as_ref()?;
     let (kind, _) = item.key.strip_prefix(inbox)?.split_once('/')?;
--- a/src/prefix_watch.rs
+++ b/src/prefix_watch.rs
@@ -13,20 +13,20 @@
     tokio::time::{Instant, sleep},
 };
 
-/// How often a watch that resumes from a revision reads the whole prefix again, in case that it has
-/// missed a change.
+/// Interval at which a watch that resumes from a revision reads the whole prefix again, in case it
+/// has missed a change.
 const REREAD_INTERVAL: Duration = Duration::from_secs(5);
-/// The pause after a change, for watches of items of which the watcher is also notified directly.
+/// Pause after a change, for a watch whose changes also reach this member by direct notices.
 ///
 /// Each change ends a watch call, so that 20 jobs a second cost 20 watch calls a second. An owner
 /// watches its inbox only in case that another member's notice was lost: a job that only the watch
 /// brings may arrive this much later.
 const CHANGE_PAUSE: Duration = Duration::from_millis(400);
-/// As [`REREAD_INTERVAL`], for prefixes that hundreds of members watch.
+/// Interval like [`REREAD_INTERVAL`], for prefixes that hundreds of members watch.
 const SHARED_REREAD_INTERVAL: Duration = Duration::from_secs(30);
-/// The part of its time that an empty watch must have taken to count as not cut short.
+/// Minimum fraction of its wait after which an empty watch reply does not count as cut short.
 const FULL_WAIT: f64 = 0.9;
-/// The first and the longest pause after a fault, in milliseconds.
+/// Shortest and longest pause after a fault, in milliseconds.
 const BACKOFF_MS: (u64, u64) = (20, 300);
 
 /// Exponential backoff between retries: each pause is drawn from the upper half of a range that
@@ -40,7 +40,7 @@
 }
 
 impl Backoff {
-    /// Waits after a fault; longer after each further one.
+    /// Waits after a fault; the pause grows with each consecutive fault.
     pub async fn wait(&mut self) {
         let most = (BACKOFF_MS.0 << self.faults.min(4)).min(BACKOFF_MS.1);
         self.faults += 1;
@@ -53,11 +53,12 @@
     }
 }
 
-/// What a watch has read.
+/// An update that a watch delivers.
 pub(crate) enum WatchUpdate {
     /// All items of the prefix, and the revision at which the read began.
     Snapshot(Vec<Item>, Rev),
-    /// The items that have changed since, and the revision that they bring the reader to.
+    /// The items changed since the previous update, and the revision up to which they include all
+    /// changes.
     Changes(Vec<Item>, Rev),
 }
 
@@ -68,16 +69,17 @@
     wait: Duration,
     /// The revision after which changes are requested; `None` if the prefix is to be read.
     after: Option<Rev>,
-    /// How often the whole prefix is read again. `None` if it is read after each fault instead.
+    /// Interval at which the whole prefix is read again; `None` if it is read after each fault
+    /// instead.
     reread_interval: Option<Duration>,
     /// The pause after a change.
     change_pause: Duration,
     /// Whether to pause before the next watch call.
     pause_next: bool,
-    /// When the periodic read of the prefix last ran.
+    /// Time of the last read of the whole prefix.
     last_read: Instant,
-    /// Whether each change is followed by a watch call that doesn't wait, to learn whether it was
-    /// the last one.
+    /// Whether each change is followed by a watch call that doesn't wait, to learn whether more
+    /// changes follow.
     confirms: bool,
     /// Whether the next watch call doesn't wait.
     skip_wait: bool,
@@ -158,7 +160,8 @@
         Ok((items, rev))
     }
 
-    /// The time up to which all changes have been seen; `None` before the prefix was first read.
+    /// Returns the time up to which all changes have been seen; `None` before the prefix was first
+    /// read.
     pub fn complete_at(&self) -> Option<Instant> {
         self.complete_at
     }
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -1,5 +1,5 @@
-//! Which way calls of the store take, shared by a member's threads, and the messages by which one
-//! member asks another to relay a call.
+//! Chooses whether calls of the store go direct or through another member, and defines the messages
+//! by which one member asks another to relay a call.
 //!
 //! While the store doesn't serve a member, other members make its calls for it; see
 //! [`decide::relay`](crate::decide::relay) for the rules. Without it such a member would refuse its
@@ -96,7 +96,8 @@
     }
 }
 
-/// Asks other members to make a call, and returns the reply; `None` if there is no member to ask.
+/// A function that asks other members to make a call and returns the reply; `None` if there is no
+/// member to ask.
 ///
 /// The flag says whether the call may be made twice, the duration is its time limit.
 pub type Relayer = Arc<dyn Fn(WireRequest, bool, Duration) -> RelayFuture + Send + Sync>;
@@ -109,7 +110,7 @@
     /// The time that [`StoreRoutes::now`] counts from.
     start: Instant,
     state: Mutex<RelayState>,
-    /// Whether the direct connection is lost, for those who wait for it.
+    /// Publishes whether the direct connection is lost.
     lost: watch::Sender<bool>,
 }
 
@@ -121,13 +122,14 @@
 }
 
 impl StoreRoutes {
-    /// Chooses the way of a call; `repeats` says whether it may be made twice.
+    /// Chooses whether a call goes direct or is relayed; `repeats` says whether it may be made
+    /// twice.
     pub fn choose(&self, repeats: bool) -> StorePath {
         let now = self.now();
         self.state().choose_path(repeats, now)
     }
 
-    /// Whether a call that was not served may be relayed now.
+    /// Returns whether a call that was not served may be relayed now.
     pub fn may_relay(&self) -> bool {
         let now = self.now();
         !self.state().is_paused(now)
@@ -168,18 +170,18 @@
         let _ = lost.wait_for(|l| *l).await;
     }
 
-    /// Whether the direct connection is lost.
+    /// Returns whether the direct connection is lost.
     pub fn is_direct_lost(&self) -> bool {
         self.state().is_direct_lost()
     }
 
-    /// Whether this member should leave its shards to members that the store serves.
+    /// Returns whether this member should leave its shards to members that the store serves.
     pub fn yields_shards(&self) -> bool {
         let now = self.now();
         self.state().yields_ownership(now)
     }
 
-    /// The members to ask to relay a call, in order, of those that are able to.
+    /// Returns which of the members in `able` to ask to relay a call, in order of preference.
     pub fn candidates(&self, able: &[Incarnation], me: Incarnation) -> Vec<Incarnation> {
         let now = self.now();
         self.state().candidates(able, me, now)
@@ -191,13 +193,13 @@
         self.state().record_relay(by, served, now);
     }
 
-    /// Records a call that none of the members that were asked has relayed.
+    /// Records that none of the members that were asked relayed a call.
     pub fn record_unrelayed(&self) {
         let now = self.now();
         self.state().record_unrelayed(now);
     }
 
-    /// The time since this value was created, on the clock of its other methods.
+    /// Returns the time since this value was created; the other methods use the same clock.
     pub fn now(&self) -> Time {
         Time::ZERO + self.start.elapsed()
     }
--- a/src/service_clients.rs
+++ b/src/service_clients.rs
@@ -33,21 +33,21 @@
 
 /// Time limit of a call of the store, other than a watch.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
-/// How much longer than the time that it waits for changes a watch may take.
+/// Extra time limit of a watch call beyond the time for which it waits for changes.
 pub const WATCH_MARGIN: Duration = Duration::from_millis(700);
 /// The longest pause between two parts of the body of a large reply.
 const PART_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a large reply may take to transfer: 10 MB over a link of 10 Mbit/s.
+/// Time limit for the transfer of a large reply: 10 MB over a link of 10 Mbit/s.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Sorts after every character that a key may have after its prefix.
 const LAST_CHAR: char = '~';
-/// Longest reply to a write that is read, in bytes.
+/// Maximum length of the reply to a write, in bytes.
 const MAX_WRITE_REPLY_BYTES: usize = 64 * 1024;
-/// Number of idle connections that are kept open to one address.
+/// Maximum number of idle connections that are kept open to one address.
 const MAX_IDLE: usize = 4;
 /// Time limit of a direct call of the store while the direct connection is lost.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// A call with less time left than this is not relayed.
+/// Minimum remaining time of a call that is relayed.
 const MIN_RELAY_TIME: Duration = Duration::from_millis(50);
 
 /// Makes calls of the services in the wire format of [`Codec`].
@@ -88,7 +88,8 @@
         ServiceClients { client, forms, site, metrics, on_answer, health, routes: None }
     }
 
-    /// Has other members relay the calls of the store while it doesn't serve this member.
+    /// Sets up relaying: other members make the calls of the store while the store doesn't serve
+    /// this member.
     pub fn with_relay(self, routes: Arc<StoreRoutes>, relayer: Relayer) -> Self {
         ServiceClients { routes: Some((routes, relayer)), ..self }
     }
@@ -450,7 +451,7 @@
     b.body(Full::new(wire.body.clone())).map_err(|_| Fault::Unsent)
 }
 
-/// The label of a call in metrics.
+/// Returns the label of a call in metrics.
 fn store_call_name(call: &StoreCall) -> &'static str {
     match call {
         StoreCall::Get { .. } => "store_get",
@@ -464,7 +465,7 @@
     }
 }
 
-/// The label of the result of a call in metrics.
+/// Returns the label of the result of a call in metrics.
 fn store_result_name(reply: &Result<StoreReply, Fault>) -> &'static str {
     match reply {
         Ok(StoreReply::Conflict(_)) => "conflict",
@@ -475,7 +476,7 @@
     }
 }
 
-/// The label of a fault in metrics.
+/// Returns the label of a fault in metrics.
 pub fn fault_label(fault: &Fault) -> &'static str {
     match fault {
         Fault::Refused => "refused",
--- a/src/service_health.rs
+++ b/src/service_health.rs
@@ -17,7 +17,7 @@
 pub struct Reachability {
     /// Number of consecutive calls without an answer.
     failures: u32,
-    /// When the first of them failed.
+    /// Time of the first of these failed calls.
     since: Time,
     lost: bool,
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// Number of latest answers whose median is compared with [`SLOW_THRESHOLDS`].
+/// Number of recent answers whose median is compared with [`SLOW_THRESHOLDS`].
 pub const SAMPLES: usize = 9;
 /// Medians from which a service counts as slow, and below which it counts as quick again.
 ///
@@ -60,8 +60,8 @@
 
 /// Tracks how fast a service answers.
 ///
-/// A slow store refuses and loses nothing, so no error shows the cause, yet its delay makes each
-/// submitted job late, twice over.
+/// A slow store refuses and loses nothing, so no error shows the cause, yet each submitted job
+/// waits for it twice.
 #[derive(Clone, Debug, Default)]
 pub struct Latency {
     samples: VecDeque<Duration>,
--- a/src/shard_runner.rs
+++ b/src/shard_runner.rs
@@ -31,9 +31,9 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// How often the metrics are updated.
 const METRICS_INTERVAL: Duration = Duration::from_millis(500);
-/// How long shards may take to finish their writes before they are released.
+/// Maximum time that shards get to finish their writes before they are released.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// The number of further inputs that are processed before the shards' orders are passed on.
+/// Maximum number of further inputs processed before the shards' orders are passed on.
 const MAX_BATCH: usize = 64;
 
 /// An input of [`ShardRunner`].
@@ -46,7 +46,7 @@
     PeerEvent(ShardNo, Event),
     /// An event for all shards.
     Broadcast(Event),
-    /// The members that the shards may ask to call for them have changed.
+    /// The members that may make advice calls for the shards have changed.
     PeersChanged,
     /// Another member owns this shard.
     Lost(ShardNo),
@@ -72,7 +72,7 @@
 pub(crate) enum ShardOutput {
     /// An order of a shard that is owned with this token.
     Order(ShardNo, u64, Order),
-    /// A shard can be released; its writes are done but for this number of jobs.
+    /// A shard can be released; holds the number of jobs whose writes are unfinished.
     Releasable(ShardNo, usize),
     /// This member has lost a shard to another owner.
     Deposed(ShardNo),
@@ -93,13 +93,14 @@
     orders: Sender<ShardOutput>,
     notes: Sender<ShardOutput>,
     shards: BTreeMap<ShardNo, OwnedShard>,
-    /// Failure events of orders that found their queue full; processed with the next tick.
+    /// Failure events of orders that were dropped because the queue was full; processed with the
+    /// next tick.
     deferred: Vec<(ShardNo, u64, Event)>,
     /// The time of the latest [`Event::Confirmed`].
     confirmed: Option<Time>,
-    /// When the metrics are updated next.
+    /// Time of the next update of the metrics.
     next_metrics: Time,
-    /// Set once the shards are to be released: until when they may finish their writes.
+    /// Time until which the shards may finish their writes; `None` unless they are to be released.
     release_by: Option<Time>,
 }
 
@@ -205,7 +206,8 @@
         }
     }
 
-    /// A shard, if this member owns it for certain, so that it may report its state to others.
+    /// Returns a shard if this member certainly owns it and may therefore report its state to
+    /// others.
     fn certain_shard(&self, no: &ShardNo, now: Time) -> Option<&Shard> {
         self.shards.get(no).map(|o| &o.shard).filter(|s| s.may_tell(now))
     }
@@ -248,7 +250,7 @@
         }
     }
 
-    /// Tells each shard which members it may ask to call for it.
+    /// Tells each shard which members may make advice calls for it.
     async fn update_peers(&mut self) {
         let view = self.common.view.borrow().clone();
         let all: Vec<_> = self.shards.iter().map(|(s, o)| (*s, o.token)).collect();
@@ -296,7 +298,7 @@
         metrics.set_age("workers", oldest);
     }
 
-    /// Passes an event to its shard; its orders are passed on by the next [`Self::run_round`].
+    /// Passes an event to its shard; the next [`Self::round`] passes the shard's orders on.
     ///
     /// A shard that is to be released gets only the results of its writes: anything else that it
     /// started now would be left half done to its next owner.
@@ -354,7 +356,7 @@
         }
     }
 
-    /// Releases the shards that have nothing left to write, and all shards once the time is over.
+    /// Releases the shards that have no writes left, and all shards once `release_by` has passed.
     async fn release_settled(&mut self) {
         let overdue = self.release_by.is_some_and(|until| self.common.now() >= until);
         let done: Vec<(ShardNo, usize)> = self
@@ -370,7 +372,7 @@
     }
 }
 
-/// The event that reports an order as not sent.
+/// Returns the event that reports an order as not sent.
 fn unsent_result(order: Order, now: Time) -> Option<Event> {
     match order {
         Order::Worker { worker, call, .. } => {
--- a/src/shared_state.rs
+++ b/src/shared_state.rs
@@ -26,7 +26,7 @@
     tokio::sync::watch,
 };
 
-/// A member is not ready if the store has not answered it for this long.
+/// Maximum time since the store's last answer for a member that reports itself ready.
 const MAX_STORE_SILENCE: Duration = Duration::from_millis(1500);
 
 /// The divisor that gives the safety margin of the configuration's maximum age, as a part of that
@@ -65,25 +65,24 @@
     pub view: watch::Sender<Arc<TableView>>,
     /// Whether this member is stopping.
     pub stop: watch::Sender<bool>,
-    /// The ways to reach the store: directly or through other members.
+    /// Chooses whether calls of the store go direct or through other members.
     pub ways: Arc<StoreRoutes>,
-    /// The advice calls that this member has under way, on behalf of all members that asked for
-    /// one.
+    /// The advice calls that this member has in flight, for itself and for other members.
     pub desk: Mutex<CallQueue>,
     start: Instant,
-    /// When the store last answered; [`Time::ZERO`] if it never has.
+    /// Time of the store's last answer; [`Time::ZERO`] if it never has answered.
     last_answer: AtomicU64,
     /// The highest revision of the configuration that is known to have been replaced.
     outdated_rev: AtomicU64,
-    /// When the configuration known here was last certainly the store's latest.
+    /// Last time at which the configuration known here was certainly the store's latest.
     confirmed_at: AtomicU64,
     /// Whether this member has a row in the table.
     registered: AtomicBool,
-    /// When the configuration last changed here.
+    /// Time of the last change of the configuration known here.
     configured_at: AtomicU64,
 }
 
-/// The Unix time, in milliseconds.
+/// Returns the Unix time, in milliseconds.
 pub(crate) fn unix_ms() -> u64 {
     millis(clock::unix_time())
 }
@@ -112,12 +111,12 @@
         }
     }
 
-    /// The present time.
+    /// Returns the present time.
     pub fn now(&self) -> Time {
         Time::ZERO + self.start.elapsed()
     }
 
-    /// Creates a client for the calling thread that calls all services directly, without a relay.
+    /// Creates clients for the calling thread that call all services directly, without a relay.
     pub fn outside(self: &Arc<Self>) -> ServiceClients {
         let common = self.clone();
         let note_answer = move || common.last_answer.store(common.now().0, Ordering::Relaxed);
@@ -129,42 +128,43 @@
         )
     }
 
-    /// When the store last answered; none if it never has.
+    /// Returns the time of the store's last answer; `None` if it never has answered.
     pub fn last_answer(&self) -> Option<Time> {
         Some(Time(self.last_answer.load(Ordering::Relaxed))).filter(|t| *t > Time::ZERO)
     }
 
-    /// When the configuration last changed here.
+    /// Time of the last change of the configuration known here.
     pub fn configured_at(&self) -> Time {
         Time(self.configured_at.load(Ordering::Relaxed))
     }
 
-    /// Notes that the store has a newer configuration than the one of this revision.
+    /// Records that the store has a newer configuration than the one of this revision.
     pub fn note_newer_config(&self, rev: Rev) {
         self.outdated_rev.fetch_max(rev, Ordering::Relaxed);
     }
 
-    /// Whether the store is known to have a newer configuration than the one known here.
+    /// Returns whether the store is known to have a newer configuration than the one known here.
     pub fn config_outdated(&self) -> bool {
         self.config.borrow().as_ref().is_some_and(|c| self.is_outdated(c))
     }
 
-    /// Whether the store is known to have a newer configuration than this one.
+    /// Returns whether the store is known to have a newer configuration than this one.
     pub fn is_outdated(&self, config: &Config) -> bool {
         config.rev <= self.outdated_rev.load(Ordering::Relaxed)
     }
 
-    /// Notes that the configuration known here was the store's latest at this time.
+    /// Records that the configuration known here was the store's latest at this time.
     pub fn confirm(&self, at: Time) {
         self.confirmed_at.fetch_max(at.0, Ordering::Relaxed);
     }
 
-    /// The last time at which the configuration known here was certainly the store's latest.
+    /// Returns the last time at which the configuration known here was certainly the store's
+    /// latest.
     pub fn confirmed_at(&self) -> Time {
         Time(self.confirmed_at.load(Ordering::Relaxed))
     }
 
-    /// Whether the configuration known here was confirmed recently enough to answer by it.
+    /// Returns whether the configuration known here was confirmed recently enough to answer by it.
     ///
     /// Guards against a member that answers by a configuration that was replaced seconds ago,
     /// because no change reaches it or the newer one is still on its way.
@@ -173,7 +173,7 @@
         self.now() - self.confirmed_at() <= bound - bound / CONFIG_MARGIN_DIVISOR
     }
 
-    /// Whether this member is stopping.
+    /// Returns whether this member is stopping.
     pub fn is_stopping(&self) -> bool {
         *self.stop.borrow()
     }
@@ -181,22 +181,22 @@
     /// Waits until this member is told to stop.
     pub async fn wait_for_stop(&self) {
         let mut stop = self.stop.subscribe();
-        // A closed channel means the same.
+        // A closed channel also means that this member is told to stop.
         let _ = stop.wait_for(|s| *s).await;
     }
 
-    /// Notes whether this member has a row in the table.
+    /// Records whether this member has a row in the table.
     pub fn set_registered(&self, registered: bool) {
         self.registered.store(registered, Ordering::Relaxed);
     }
 
-    /// Whether the store has answered this member recently. Every member calls the store at least
-    /// twice a second.
+    /// Returns whether the store has answered this member recently. Every member calls the store at
+    /// least twice a second.
     pub fn reaches_store(&self) -> bool {
         self.last_answer().is_some_and(|at| self.now() - at <= MAX_STORE_SILENCE)
     }
 
-    /// Whether this member can serve callers.
+    /// Returns whether this member can serve callers.
     pub fn ready(&self) -> bool {
         let in_touch = self.reaches_store();
         let registered = self.registered.load(Ordering::Relaxed);
--- a/src/site.rs
+++ b/src/site.rs
@@ -41,14 +41,14 @@
 
 /// The log filter if the environment sets none.
 const DEFAULT_LOG_FILTER: &str = "info,hyper=warn,jsonrpsee=warn,soketto=warn";
-/// The length of the queue of events for the decisions.
+/// Maximum length of the queue of inputs of the shards.
 const EVENT_QUEUE_LEN: usize = 8 * 1024;
-/// The length of the queues of orders and of notices from the decisions.
+/// Maximum length of the queues of the shards' orders and notices.
 const ORDER_QUEUE_LEN: usize = 4 * 1024;
 /// How long callers are served after the signal to stop, as the load balancer notices the stop with
 /// a delay.
 const CALLER_DRAIN_TIME: Duration = Duration::from_secs(2);
-/// The part of the grace period of a shutdown that is left unused.
+/// Time of the shutdown's grace period that is kept in reserve.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(1500);
 /// Time-out of ending the lease.
 const LEASE_END_TIMEOUT: Duration = Duration::from_millis(400);
--- a/src/table_sync.rs
+++ b/src/table_sync.rs
@@ -31,16 +31,16 @@
 
 /// How long the store holds a watch of the table open without a change.
 const TABLE_WATCH_WAIT: Duration = Duration::from_secs(10);
-/// How many watches of the configuration fit into its maximum age: if one of them gets no answer,
-/// the next one still completes in time.
+/// Number of watches of the configuration that fit into its maximum age: if one of them gets no
+/// answer, the next one still completes in time.
 const CONFIG_WATCHES: u32 = 2;
 /// Interval at which the table is checked while a shard has no live owner or the store doesn't
 /// serve this member.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The most attempts to write the release of a shard while the outcome is unknown.
+/// Maximum number of attempts to write the release of a shard while the outcome is unknown.
 const RELEASE_ATTEMPTS: u32 = 3;
-/// The shortest interval at which a member that the store doesn't serve gives up its shards. If it
-/// owns shards again by then, no other member was able to take them over.
+/// Minimum interval at which a member that the store doesn't serve gives up its shards. If it owns
+/// shards again by then, no other member was able to take them over.
 const GIVE_UP_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Pause between two watches of the table, per member: all members together make at most 500
@@ -116,15 +116,15 @@
     sender: Sender<Message>,
     /// Whether a task is creating the layout.
     making_layout: bool,
-    /// When this member was told to stop.
+    /// Time at which this member was told to stop; `None` while it runs on.
     stopping: Option<Time>,
-    /// When this member last gave up its shards because the store didn't serve it.
+    /// Last time at which this member gave up its shards because the store didn't serve it.
     last_give_up: Option<Time>,
 }
 
 /// The messages to the [`TableSync`].
 enum Message {
-    /// What the watch of the table has delivered.
+    /// An update from the watch of the table.
     Seen(WatchUpdate),
     TakeoverDone(Takeover, Outcome),
     /// The attempt to create the layout has ended.
@@ -132,7 +132,7 @@
     /// The release of a shard has been written or given up; with the number of jobs whose writes
     /// are not settled.
     Released(ShardNo, usize),
-    /// A notice of the decisions about a shard.
+    /// A shard can be released or is lost.
     Notice(ShardOutput),
     /// This member is told to stop.
     Stop,
@@ -350,7 +350,8 @@
     log::info!(target: "table", did = "taken_over", shard:% = takeover.shard, member:% = me, token, row = takeover.owner_rev, answer = outcome.name(); "Takeover was tried.");
 }
 
-/// Writes that a shard has no owner. An unclear answer is resolved by the next attempt.
+/// Writes that a shard has no owner. If the outcome of an attempt is unknown, the next one settles
+/// it.
 async fn write_release(
     outside: &ServiceClients,
     shard: ShardNo,
@@ -402,12 +403,12 @@
     let value = record::encode(&layout);
     let put = Put { key: LAYOUT_KEY.into(), value, lease: 0 };
     let txn = Txn { expect: vec![(LAYOUT_KEY.into(), 0)], puts: vec![put], remove: vec![] };
-    // Whatever the answer, the watch delivers the layout that is in force.
+    // The outcome doesn't matter here: the watch delivers the layout that is in force.
     let _ = outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await;
     log::info!(target: "table", shards, workers = count; "A layout was written, unless another member was first.");
 }
 
-/// Writes a takeover. If the answer is unclear, reads the owner row back.
+/// Writes a takeover. If the outcome is unknown, reads the owner row back.
 async fn take_over(
     outside: &ServiceClients,
     me: Incarnation,
--- a/src/wave_driver.rs
+++ b/src/wave_driver.rs
@@ -25,9 +25,9 @@
 const TICK: Duration = Duration::from_millis(50);
 /// Time-out of reading the list of VMs and of a call for one VM.
 const VM_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time-out for another owner to report what runs on its workers.
+/// Time limit of the call that asks another owner what runs on its workers.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
-/// The length of the queue of answers.
+/// Maximum length of the queue of answers.
 const QUEUE_LEN: usize = 256;
 
 /// Drives maintenance waves by means of the store, the VM service and the other owners.
