--- a/src/job_api.rs
+++ b/src/job_api.rs
@@ -48,8 +48,8 @@
 /// Upper bound of the time limit of one call of the store.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 
-const CLOSE: HeaderValue = HeaderValue::from_static("close");
-const JSON: HeaderValue = HeaderValue::from_static("application/json");
+const CLOSE_CONNECTION: HeaderValue = HeaderValue::from_static("close");
+const JSON_TYPE: HeaderValue = HeaderValue::from_static("application/json");
 
 /// Serves callers.
 pub(crate) struct JobApi {
@@ -65,7 +65,7 @@
     read_budget: Mutex<ReadBudget>,
 }
 
-/// The parts of a caller's request that all methods use.
+/// The parts of a caller's request that all HTTP methods use.
 struct CallerRequest {
     host: Box<str>,
     path: Box<str>,
@@ -94,7 +94,7 @@
                 self.common.metrics.count_answered();
                 let mut ok = answer(200, body);
                 if !ok.body().is_end_stream() {
-                    ok.headers_mut().insert(CONTENT_TYPE, JSON);
+                    ok.headers_mut().insert(CONTENT_TYPE, JSON_TYPE);
                 }
                 ok
             }
@@ -106,7 +106,7 @@
         };
         self.common.metrics.observe_request(self.common.now() - begin);
         if self.common.is_stopping() {
-            response.headers_mut().insert(CONNECTION, CLOSE);
+            response.headers_mut().insert(CONNECTION, CLOSE_CONNECTION);
         }
         response
     }
@@ -202,7 +202,7 @@
 
     /// Returns whether the store has a job: its record, or its progress once it has begun.
     ///
-    /// Errs if the store doesn't answer, with an error that suits a request that changes nothing.
+    /// Returns an error if the store doesn't answer; its kind is that of a request without effect.
     async fn is_stored(
         &self,
         request: &CallerRequest,
--- a/src/job_api/queries.rs
+++ b/src/job_api/queries.rs
@@ -20,7 +20,7 @@
 pub(super) const OWNER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Delay after which a caller may retry for a state that is unavailable, as during a takeover.
 const STATE_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// How long the length of a queue is cached.
+/// Time for which the length of a queue is cached.
 const LENGTH_TTL: Duration = Duration::from_millis(500);
 
 impl JobApi {
--- a/src/job_api/submit.rs
+++ b/src/job_api/submit.rs
@@ -19,9 +19,9 @@
 /// Time limit of the call that notifies a shard's owner of a job.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum number of attempts of a write that is refused or whose outcome is unknown.
-const MAX_TRIES: u32 = 2;
+const MAX_ATTEMPTS: u32 = 2;
 /// Maximum number of repeats of a write that failed only because the configuration had changed.
-const MAX_OVERTAKEN: u32 = 8;
+const MAX_CONFIG_RETRIES: u32 = 8;
 
 /// Delay after which a caller may retry after a refusal by the store: the store refuses one machine
 /// for a short time only, and meanwhile the caller may use another member.
@@ -41,8 +41,8 @@
 impl Tries {
     /// Returns the error for the caller if no attempt succeeded.
     ///
-    /// A caller that gets status 503 relies on its job never running. So once the outcome of one try
-    /// is unknown, the answer says so, whatever the other tries returned.
+    /// A caller that gets status 503 relies on its job never running. So once the outcome of one attempt
+    /// is unknown, the answer says so, whatever the other attempts returned.
     fn final_error(&self, error: Error) -> Error {
         if self.uncertain { Kind::OutcomeUnknown.into() } else { error }
     }
@@ -103,7 +103,7 @@
     ) -> Result<(), Error> {
         let mut record = JobRecord { queue: "".into(), came: unix_ms(), job, terms: None };
         loop {
-            // Read again for each try: the write must match the configuration in force.
+            // Read again for each attempt: the write must match the configuration in force.
             let config = self.newest_config(request).await?;
             let queue = self.queue(request, &config)?;
             (record.queue, record.terms) = (queue.name.clone(), Some(Box::new(queue.clone())));
@@ -118,12 +118,14 @@
                 Ok(StoreReply::Conflict(items)) => {
                     match self.classify(shard, no, config.rev, &items) {
                         Conflict::Job => return Ok(()),
-                        Conflict::Config if tries.overtaken < MAX_OVERTAKEN => tries.overtaken += 1,
+                        Conflict::Config if tries.overtaken < MAX_CONFIG_RETRIES => {
+                            tries.overtaken += 1
+                        }
                         Conflict::Config | Conflict::Other => return Err(Kind::Platform.into()),
                     }
                     self.common.metrics.count_retry(Kind::Conflict);
                 }
-                Err(Fault::TooLarge) if tries.overtaken < MAX_OVERTAKEN => {
+                Err(Fault::TooLarge) if tries.overtaken < MAX_CONFIG_RETRIES => {
                     // The reply to a conflict carries the configuration, which made it too large, even
                     // if only the job was in conflict.
                     if self.is_stored(request, shard, no).await? {
@@ -203,7 +205,7 @@
             Fault::Unknown | Fault::TooLarge | Fault::Bad(_) => Kind::OutcomeUnknown,
         };
         tries.failed += 1;
-        if tries.failed >= MAX_TRIES {
+        if tries.failed >= MAX_ATTEMPTS {
             let error = Error::new(Kind::Platform, "the store refuses or doesn't answer");
             return Err(error.with_retry_after(STORE_RETRY_AFTER));
         }
--- a/src/kv_session.rs
+++ b/src/kv_session.rs
@@ -1,6 +1,6 @@
 //! A member's session with the key-value service: its lease, the member record under the lease, the
-//! watch of the shared keys, and the reads and writes that the decisions order. Also polls the
-//! platform's list of VMs.
+//! watch of the shared keys, and the reads and writes that the member's state machine orders. Also
+//! polls the platform's list of VMs.
 
 use {
     crate::{
@@ -23,7 +23,7 @@
 /// would help little: the list lags anyway, and a VM is listed as leaving seconds before it stops.
 const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// Shortest and longest pause after a failed call.
-const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
+const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(1));
 
 /// The session's connections and channels.
 pub struct Session {
@@ -33,9 +33,9 @@
     pub vms: SocketAddr,
     /// This member's record at the start.
     pub record: MemberRecord,
-    /// Sends events to the decisions.
+    /// Sends events to the member's state machine.
     pub inbox: Inbox,
-    /// Receives the orders of the decisions.
+    /// Receives the orders of the member's state machine.
     pub orders: Receiver<Order>,
     /// The member's clock.
     pub clock: Clock,
@@ -44,7 +44,7 @@
 }
 
 impl Session {
-    /// Runs until the decisions close the channel of orders, then ends the lease.
+    /// Runs until the channel of orders is closed, then ends the lease.
     pub async fn run(self) {
         let (record, records) = watch::channel(self.record.clone());
         let (lease_tx, lease_rx) = watch::channel(0);
@@ -103,7 +103,7 @@
     async fn lease(self, mut records: watch::Receiver<MemberRecord>, lease_tx: watch::Sender<u64>) {
         let mut lease = 0;
         let mut revision = Revision(0);
-        let mut pause = BACKOFF.0;
+        let mut pause = BACKOFF_RANGE.0;
         loop {
             let sent = self.clock.now();
             let renewed = self.kv.lease(lease, LEASE).await;
@@ -133,7 +133,7 @@
                 pause = self.back_off(pause).await;
                 continue;
             }
-            pause = BACKOFF.0;
+            pause = BACKOFF_RANGE.0;
             let _ = self.inbox.send(Event::Renewed(sent)).await;
             tokio::select! {
                 () = sleep(LEASE / 4) => {}
@@ -181,17 +181,17 @@
         }
     }
 
-    /// Watches the shared keys and sends changes to the decisions.
+    /// Watches the shared keys and sends their changes to the member's state machine.
     async fn watch(self) {
         let mut after = Revision(0);
-        let mut pause = BACKOFF.0;
+        let mut pause = BACKOFF_RANGE.0;
         loop {
             let list = self.kv.watch(SHARED, after).await;
             self.count("watch", list.is_ok());
             match list {
                 Ok(list) => {
                     after = list.at;
-                    pause = BACKOFF.0;
+                    pause = BACKOFF_RANGE.0;
                     if self.inbox.send(Event::Watched(list)).await.is_err() {
                         return;
                     }
@@ -205,7 +205,7 @@
     /// Returns the next pause.
     async fn back_off(&self, pause: Duration) -> Duration {
         sleep(pause.mul_f64(0.5 + fastrand::f64())).await;
-        (pause * 2).min(BACKOFF.1)
+        (pause * 2).min(BACKOFF_RANGE.1)
     }
 
     fn count(&self, call: &str, ok: bool) {
@@ -214,7 +214,7 @@
     }
 }
 
-/// Polls the platform's list of VMs and sends it to the decisions.
+/// Polls the platform's list of VMs and sends it to the member's state machine.
 async fn poll_vms(addr: SocketAddr, inbox: Inbox) {
     let client = Client::new(1);
     loop {
--- a/src/layout.rs
+++ b/src/layout.rs
@@ -31,7 +31,7 @@
 const MAX_SHARDS: usize = 64;
 /// The list of workers counts as complete once it has not grown for this long.
 pub const STABLE_PERIOD: Duration = Duration::from_millis(1500);
-/// The longest time to wait for a complete list of workers.
+/// Maximum time to wait for a complete list of workers.
 pub const MAX_LIST_WAIT: Duration = Duration::from_secs(5);
 
 /// Decides when the list of workers is complete enough to create the layout.
--- a/src/member_rpc.rs
+++ b/src/member_rpc.rs
@@ -1,11 +1,11 @@
 //! Calls between members over JSON-RPC: the server that answers other members, and their clients.
 //!
-//! A member asks the owner of a shard for the states of jobs, for the number of jobs that a queue
-//! has waiting, and for the tasks that its workers hold; it tells the owner of a job that was
-//! stored or cancelled; and it asks other members to call the store or the advice service for it.
-//! Without these calls members would read the store for each caller's question, a job would wait
-//! until a watch brings it to its shard's owner, and a member that is cut off from the store could
-//! not serve its callers.
+//! A member asks the owner of a shard for the states of jobs, for the number of jobs that wait in a
+//! queue, and for the tasks on its workers; it tells the owner of a job that was stored or
+//! cancelled; and it asks other members to call the store or the advice service for it. Without
+//! these calls members would read the store for each caller's question, a job would wait until a
+//! watch brings it to its shard's owner, and a member that is cut off from the store could not
+//! serve its callers.
 
 use {
     crate::{
@@ -42,7 +42,7 @@
 
 /// Upper bound of the time limit of any call; each call also has a limit of its own.
 const MAX_TIMEOUT: Duration = Duration::from_secs(30);
-/// An error code of the range that JSON-RPC reserves for applications.
+/// Error code for invalid parameters, from the range that JSON-RPC reserves for applications.
 const BAD_PARAMS: i32 = -32000;
 
 /// An advice call that one member asks another to make.
@@ -151,7 +151,7 @@
         Err(_) => return Ok(()),
     };
     let gate = Gate::new(&secret, common.metrics.clone());
-    let module = module(&common, input).map_err(io::Error::other)?;
+    let module = rpc_module(&common, input).map_err(io::Error::other)?;
     let server = rpc::serve(listener, gate, module).await?;
     // The server runs until the process ends: other members call a stopping member until its
     // shards have moved.
@@ -159,7 +159,7 @@
     Ok(())
 }
 
-fn module(
+fn rpc_module(
     common: &Arc<SharedState>,
     input: Sender<ShardInput>,
 ) -> Result<RpcModule<()>, jsonrpsee::core::RegisterMethodError> {
--- a/src/member_table.rs
+++ b/src/member_table.rs
@@ -28,12 +28,12 @@
     },
 };
 
-/// How long an owner's row has to be missing before its shards are taken over.
+/// Time for which an owner's row must be missing before its shards are taken over.
 ///
 /// After an outage of the store every lease may have ended. Without this delay, the first member to
 /// reach the store again would take over all shards from owners that are about to register again.
 pub const TAKEOVER_GRACE: Duration = Duration::from_secs(1);
-/// Additional delay per rank of a candidate.
+/// Additional delay of a takeover for each rank of the candidate.
 pub const RANK_DELAY: Duration = Duration::from_millis(300);
 /// Additional delay of a member that reaches the store only through other members. The members that
 /// the store serves directly may learn late that a shard has no owner.
@@ -42,7 +42,7 @@
 pub const MAX_STORE_SILENCE: Duration = Duration::from_millis(1500);
 /// Minimum number of cores assumed for a member, also for one that reports none.
 const MIN_CORES: f64 = 0.01;
-/// Delay before a takeover of the same shard is tried again.
+/// Delay before this member tries to take over the same shard again.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The table as one member knows it.
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -36,14 +36,14 @@
     /// The state that the threads of this member share.
     pub common: Arc<SharedState>,
     /// The store.
-    pub outside: ServiceClients,
+    pub services: ServiceClients,
     /// Sends inputs to the owned shards.
-    pub decisions: Sender<ShardInput>,
+    pub shard_inputs: Sender<ShardInput>,
     /// Publishes the lease's id, so that it can be ended at shutdown; 0 if there is none.
     pub lease: watch::Sender<u64>,
 }
 
-/// The fields of the member row that change while the member runs.
+/// Fields of the member row that change while the member runs.
 #[derive(Clone, Copy, PartialEq)]
 struct Status {
     draining: bool,
@@ -58,7 +58,7 @@
         loop {
             let ttl = LEASE_TTL.max(self.common.site.borrow().bounds.min_ttl);
             let acquired =
-                self.outside.call_store(&StoreCall::CreateLease { ttl }, CALL_TIMEOUT).await;
+                self.services.call_store(&StoreCall::CreateLease { ttl }, CALL_TIMEOUT).await;
             let Ok(StoreReply::Lease(lease, _)) = acquired else {
                 pause.wait().await;
                 continue;
@@ -96,7 +96,7 @@
                 }
             }
             let sent = self.common.now();
-            match self.outside.call_store(&StoreCall::RenewLease { lease }, RENEW_TIMEOUT).await {
+            match self.services.call_store(&StoreCall::RenewLease { lease }, RENEW_TIMEOUT).await {
                 Ok(StoreReply::Kept) => {
                     pause.reset();
                     // Guards against an owner whose lease had ended and whose shards were taken
@@ -105,7 +105,7 @@
                     let table_rev = self.common.view.borrow().rev;
                     if registered.is_some_and(|(rev, _)| table_rev >= rev) {
                         let _ = self
-                            .decisions
+                            .shard_inputs
                             .send(ShardInput::Broadcast(Event::Confirmed(sent)))
                             .await;
                     }
@@ -137,6 +137,6 @@
         };
         let put = Put { key: member_key(self.common.me), value: record::encode(&row), lease };
         let txn = Txn { puts: vec![put], ..Txn::default() };
-        self.outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await
+        self.services.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await
     }
 }
--- a/src/owned_shards.rs
+++ b/src/owned_shards.rs
@@ -1,5 +1,5 @@
-//! The I/O of owning shards: loads each shard from the store, watches its inbox, reads the list of
-//! workers, and carries out the orders of the decisions.
+//! Does the I/O for the shards that this member owns: loads each from the store, watches its inbox,
+//! reads the list of workers, and carries out the shards' orders.
 
 use {
     crate::{
@@ -27,7 +27,7 @@
     tokio::{sync::Notify, task::AbortHandle, time::timeout},
 };
 
-/// How long the store holds a watch of an inbox open without a change.
+/// Maximum time for which the store holds a watch of an inbox open without a change.
 const INBOX_WATCH_WAIT: Duration = Duration::from_secs(3);
 /// Time-out of reading a page of the list of machines.
 const MACHINES_TIMEOUT: Duration = Duration::from_millis(800);
@@ -38,9 +38,9 @@
 #[derive(Clone)]
 pub(crate) struct OwnedShards {
     common: Arc<SharedState>,
-    outside: ServiceClients,
+    services: ServiceClients,
     peers: PeerClients,
-    decisions: Sender<ShardInput>,
+    shard_inputs: Sender<ShardInput>,
     /// Sends notices of lost shards to the task that applies the table.
     notices: Sender<ShardOutput>,
     /// The owned shards, each with its task that loads it and follows its inbox.
@@ -58,17 +58,18 @@
     /// Creates a set without shards.
     pub fn new(
         common: Arc<SharedState>,
-        outside: ServiceClients,
+        services: ServiceClients,
         peers: PeerClients,
-        decisions: Sender<ShardInput>,
+        shard_inputs: Sender<ShardInput>,
         notices: Sender<ShardOutput>,
     ) -> Self {
         let (owned, loaded) = Default::default();
-        OwnedShards { common, outside, peers, decisions, notices, owned, loaded }
+        OwnedShards { common, services, peers, shard_inputs, notices, owned, loaded }
     }
 
-    /// Starts to own a shard. `commit_revision` is the revision at which the takeover wrote the commit row.
-    /// `lapsed` tells that the former owner's lease had ended or that it released the shard.
+    /// Starts to own a shard. `commit_revision` is the revision at which the takeover wrote the
+    /// commit row. `lapsed` says whether the former owner's lease had ended or it had released the
+    /// shard.
     pub fn begin(&self, shard: ShardNo, token: u64, commit: Rev, lapsed: bool) {
         let this = self.clone();
         let task = tokio::spawn(async move { this.run_shard(shard, token, commit, lapsed).await });
@@ -85,7 +86,7 @@
         if let Some(previous) = previous {
             previous.task.abort();
         }
-        let _ = self.decisions.send(ShardInput::Lost(shard)).await;
+        let _ = self.shard_inputs.send(ShardInput::Lost(shard)).await;
     }
 
     /// Loads a shard, then follows its inbox; the owner of [`WAVE_SHARD`] also drives the waves.
@@ -103,31 +104,31 @@
         };
         load.lapsed = lapsed;
         log::info!(target: "owner", did = "owned", shard:% = shard, token, jobs = load.jobs.len(), roster = load.roster.workers.len(), rev; "Shard is owned.");
-        let _ = self.decisions.send(ShardInput::Own(shard, token, Box::new(load))).await;
+        let _ = self.shard_inputs.send(ShardInput::Own(shard, token, Box::new(load))).await;
         self.loaded.notify_one();
         if shard != WAVE_SHARD {
             return self.follow(shard, token, rev).await;
         }
         let driver = WaveDriver {
             common: self.common.clone(),
-            outside: self.outside.clone(),
+            services: self.services.clone(),
             peers: self.peers.clone(),
-            decisions: self.decisions.clone(),
+            shard_inputs: self.shard_inputs.clone(),
         };
         // Both futures are dropped when this member no longer owns the shard.
         tokio::join!(self.follow(shard, token, rev), driver.drive(token));
     }
 
-    /// Sends the items of a shard's inbox to the decisions as they are written.
+    /// Sends the items of a shard's inbox to the shard as they are written.
     async fn follow(&self, shard: ShardNo, token: u64, rev: Rev) {
         let inbox = shard.inbox();
         let mut follow =
-            PrefixWatch::from_revision(self.outside.clone(), &inbox, INBOX_WATCH_WAIT, rev);
+            PrefixWatch::from_revision(self.services.clone(), &inbox, INBOX_WATCH_WAIT, rev);
         loop {
             let (WatchUpdate::Snapshot(items, _) | WatchUpdate::Changes(items, _)) =
                 follow.next().await;
             for event in items.iter().filter_map(|i| inbox_event(&inbox, i)) {
-                let _ = self.decisions.send(ShardInput::Event(shard, token, event)).await;
+                let _ = self.shard_inputs.send(ShardInput::Event(shard, token, event)).await;
             }
         }
     }
@@ -140,9 +141,9 @@
     async fn load(&self, shard: ShardNo, commit: Rev) -> Result<(Snapshot, Rev), Fault> {
         let (inbox, begun, roster) = (shard.inbox(), shard.all_progress(), shard.roster());
         let (arrived, begun, roster) = tokio::try_join!(
-            self.outside.read_prefix(&inbox, false),
-            self.outside.read_prefix(&begun, false),
-            self.outside.get(&roster, CALL_TIMEOUT),
+            self.services.read_prefix(&inbox, false),
+            self.services.read_prefix(&begun, false),
+            self.services.get(&roster, CALL_TIMEOUT),
         )?;
         let mut load = Snapshot { commit_revision: commit, ..Snapshot::default() };
         for event in arrived.0.iter().filter_map(|i| inbox_event(&inbox, i)) {
@@ -163,7 +164,7 @@
         Ok((load, commit))
     }
 
-    /// Reads the list of workers periodically while this member owns a shard.
+    /// Reads the list of workers periodically while this member owns any shard.
     pub async fn poll_workers(self) {
         let mut known: FxHashMap<Box<str>, (Rev, ListedWorker)> = FxHashMap::default();
         loop {
@@ -177,7 +178,7 @@
                 continue;
             }
             if let Ok((items, _)) =
-                self.outside.read_prefix(self.common.forms.worker_prefix, false).await
+                self.services.read_prefix(self.common.forms.worker_prefix, false).await
             {
                 known = self.parse_changed(items, known);
                 self.send_listed(&owned, &known).await;
@@ -225,7 +226,7 @@
             let mut workers = by_shard.remove(shard).unwrap_or_default();
             workers.sort_by(|a, b| a.id.cmp(&b.id));
             let event = Event::Listed(workers);
-            let _ = self.decisions.send(ShardInput::Event(*shard, *token, event)).await;
+            let _ = self.shard_inputs.send(ShardInput::Event(*shard, *token, event)).await;
         }
     }
 
@@ -236,7 +237,7 @@
             let this = self.clone();
             tokio::spawn(async move {
                 let Some(event) = this.execute(shard, token, order).await else { return };
-                let _ = this.decisions.send(ShardInput::Event(shard, token, event)).await;
+                let _ = this.shard_inputs.send(ShardInput::Event(shard, token, event)).await;
             });
         }
     }
@@ -245,23 +246,23 @@
         let sent = self.common.now();
         match order {
             Order::Worker { worker, addr, call, limit } => {
-                let reply = self.outside.call_worker(addr, &worker, &call, limit).await;
+                let reply = self.services.call_worker(addr, &worker, &call, limit).await;
                 Some(Event::Worker { worker, sent, call, reply })
             }
             Order::Advise { via, call, sent, expected: takes, limit } => {
                 let reply = if via == self.common.me {
-                    advise_locally(&self.common, &self.outside, &call, takes, limit).await
+                    advise_locally(&self.common, &self.services, &call, takes, limit).await
                 } else {
                     self.advise(via, &call, takes, limit).await
                 };
                 Some(Event::Advised { call, via, sent, reply })
             }
             Order::ReadMachines => {
-                let reply = self.outside.live_workers(MACHINES_TIMEOUT).await;
+                let reply = self.services.live_workers(MACHINES_TIMEOUT).await;
                 Some(Event::Machines { sent, reply })
             }
             Order::Store(number, txn) => {
-                let reply = self.outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await;
+                let reply = self.services.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await;
                 Some(Event::Stored(number, reply))
             }
             Order::ReadCommit => match self.reread(shard).await {
@@ -288,7 +289,7 @@
 
     async fn reread(&self, shard: ShardNo) -> Result<(Rev, CommitRow), Fault> {
         let bad = || Fault::Bad("not a commit row".into());
-        let item = self.outside.get(&shard.commit(), CALL_TIMEOUT).await?.ok_or_else(bad)?;
+        let item = self.services.get(&shard.commit(), CALL_TIMEOUT).await?.ok_or_else(bad)?;
         let row: CommitRow =
             record::decode(item.value.as_ref().ok_or_else(bad)?).ok_or_else(bad)?;
         Ok((item.rev, row))
--- a/src/prefix_watch.rs
+++ b/src/prefix_watch.rs
@@ -25,9 +25,9 @@
 /// Interval like [`REREAD_INTERVAL`], for prefixes that hundreds of members watch.
 const SHARED_REREAD_INTERVAL: Duration = Duration::from_secs(30);
 /// Minimum fraction of its wait after which an empty watch reply does not count as cut short.
-const FULL_WAIT: f64 = 0.9;
+const FULL_WAIT_FRACTION: f64 = 0.9;
 /// Shortest and longest pause after a fault, in milliseconds.
-const BACKOFF_MS: (u64, u64) = (20, 300);
+const BACKOFF_RANGE_MS: (u64, u64) = (20, 300);
 
 /// Exponential backoff between retries: each pause is drawn from the upper half of a range that
 /// doubles with each fault, up to a bound.
@@ -42,7 +42,7 @@
 impl Backoff {
     /// Waits after a fault; the pause grows with each consecutive fault.
     pub async fn wait(&mut self) {
-        let most = (BACKOFF_MS.0 << self.faults.min(4)).min(BACKOFF_MS.1);
+        let most = (BACKOFF_RANGE_MS.0 << self.faults.min(4)).min(BACKOFF_RANGE_MS.1);
         self.faults += 1;
         sleep(Duration::from_millis(fastrand::u64(most / 2..=most))).await;
     }
@@ -67,12 +67,12 @@
     services: ServiceClients,
     prefix: Box<str>,
     wait: Duration,
-    /// The revision after which changes are requested; `None` if the prefix is to be read.
+    /// The revision after which changes are requested; `None` if the whole prefix is read next.
     after: Option<Rev>,
     /// Interval at which the whole prefix is read again; `None` if it is read after each fault
     /// instead.
     reread_interval: Option<Duration>,
-    /// The pause after a change.
+    /// Pause after a change.
     change_pause: Duration,
     /// Whether to pause before the next watch call.
     pause_next: bool,
@@ -166,7 +166,7 @@
         self.complete_at
     }
 
-    /// Waits for the next update; retries what fails.
+    /// Waits for the next update; retries reads and watches that fail.
     pub async fn next(&mut self) -> WatchUpdate {
         loop {
             if let Some(update) = self.poll().await {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Reads the whole prefix again at the next turn.
+    /// Makes the next [`Self::poll`] read the whole prefix again.
     pub fn restart(&mut self) {
         self.after = None;
     }
@@ -199,7 +199,7 @@
             Ok(StoreReply::Events(items, rev)) => {
                 self.after = Some(rev.max(after));
                 // An empty reply at the end of the wait shows that nothing has changed meanwhile.
-                let waited = wait.mul_f64(FULL_WAIT);
+                let waited = wait.mul_f64(FULL_WAIT_FRACTION);
                 let full = items.is_empty() && sent.elapsed() >= waited;
                 self.complete_at = Some(if full { sent + waited } else { sent });
                 if !items.is_empty() {
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -24,7 +24,7 @@
     tokio::sync::watch,
 };
 
-/// The HTTP status and body of a reply, or why there is none.
+/// The HTTP status and body of a reply, or the fault if there is no reply.
 pub type WireReply = Result<(u16, Bytes), Fault>;
 
 /// A call of the store in the form in which one member passes it to another.
@@ -105,9 +105,10 @@
 /// The future of a call that other members are asked to make.
 pub type RelayFuture = Pin<Box<dyn Future<Output = Option<WireReply>> + Send>>;
 
-/// Whether calls of the store go direct or through other members; shared by a member's threads.
+/// Decides whether calls of the store go direct or through other members; shared by a member's
+/// threads.
 pub struct StoreRoutes {
-    /// The time that [`StoreRoutes::now`] counts from.
+    /// The time at which [`StoreRoutes::now`] is zero.
     start: Instant,
     state: Mutex<RelayState>,
     /// Publishes whether the direct connection is lost.
--- a/src/service_clients.rs
+++ b/src/service_clients.rs
@@ -35,16 +35,16 @@
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Extra time limit of a watch call beyond the time for which it waits for changes.
 pub const WATCH_MARGIN: Duration = Duration::from_millis(700);
-/// The longest pause between two parts of the body of a large reply.
+/// Maximum pause between two parts of the body of a large reply.
 const PART_TIMEOUT: Duration = Duration::from_millis(700);
 /// Time limit for the transfer of a large reply: 10 MB over a link of 10 Mbit/s.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Sorts after every character that a key may have after its prefix.
-const LAST_CHAR: char = '~';
+/// A character that sorts after all characters of keys; it ends the range of a prefix.
+const RANGE_END_CHAR: char = '~';
 /// Maximum length of the reply to a write, in bytes.
 const MAX_WRITE_REPLY_BYTES: usize = 64 * 1024;
 /// Maximum number of idle connections that are kept open to one address.
-const MAX_IDLE: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 /// Time limit of a direct call of the store while the direct connection is lost.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Minimum remaining time of a call that is relayed.
@@ -64,7 +64,7 @@
     routes: Option<(Arc<StoreRoutes>, Relayer)>,
 }
 
-/// Whether the services answer this thread, and how fast the store does.
+/// Tracks whether the services answer this thread and how fast the store answers.
 struct Health {
     start: Instant,
     store: Mutex<Reachability>,
@@ -84,7 +84,7 @@
     ) -> Self {
         let (store, advice, latency) = Default::default();
         let health = Health { start: Instant::now(), store, advice, latency };
-        let (client, health) = (Client::new(MAX_IDLE), Arc::new(health));
+        let (client, health) = (Client::new(MAX_IDLE_CONNECTIONS), Arc::new(health));
         ServiceClients { client, forms, site, metrics, on_answer, health, routes: None }
     }
 
@@ -190,7 +190,7 @@
     /// its beginning, would never complete, and would take the link's whole bandwidth.
     async fn direct(&self, call: &StoreCall, wire: &WireRequest, limit: Duration) -> WireReply {
         let addr = self.site.borrow().store_addr;
-        let patience = match call {
+        let limits = match call {
             StoreCall::Range { .. } | StoreCall::Watch { .. } => CallLimits {
                 frame_timeout: PART_TIMEOUT,
                 total_timeout: limit + BODY_TIMEOUT,
@@ -201,12 +201,12 @@
             }
             _ => CallLimits::new(limit),
         };
-        self.exchange(request(addr, wire)?, &patience).await
+        self.exchange(request(addr, wire)?, &limits).await
     }
 
     /// Makes a call of the store for another member, as that member has encoded it.
     ///
-    /// `is_repeatable` says whether the call may be made twice.
+    /// `repeats` says whether the call may be made twice.
     ///
     /// # Errors
     ///
@@ -273,7 +273,7 @@
     ///
     /// As [`ServiceClients::get`].
     pub async fn revision(&self, prefix: &str) -> Result<Rev, Fault> {
-        let after = format!("{prefix}{LAST_CHAR}").into();
+        let after = format!("{prefix}{RANGE_END_CHAR}").into();
         let call = StoreCall::Range { prefix: prefix.into(), after, stale: false };
         match self.call_store(&call, CALL_TIMEOUT).await? {
             StoreReply::Page(_, _, rev) => Ok(rev),
@@ -396,8 +396,8 @@
         self.exchange(request(addr, &wire)?, &CallLimits::new(limit)).await
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>, patience: &CallLimits) -> WireReply {
-        match self.client.send_with_limits(request, patience).await {
+    async fn exchange(&self, request: Request<Full<Bytes>>, limits: &CallLimits) -> WireReply {
+        match self.client.send_with_limits(request, limits).await {
             Ok((head, body)) => Ok((head.status.as_u16(), body)),
             Err(Failure::TooLarge(status)) => Ok((status, Bytes::new())),
             Err(Failure::Unsent) => Err(Fault::Unsent),
--- a/src/service_health.rs
+++ b/src/service_health.rs
@@ -1,5 +1,5 @@
-//! Whether a service that this member depends on answers, and how fast: detects when to log that a
-//! service is lost or slow, and when it has recovered.
+//! Tracks whether a service that this member depends on answers, and how fast. Detects when to log
+//! that a service is lost or slow and that it has recovered.
 //!
 //! A single failed call or late answer is normal. Without a threshold the log would have a line for
 //! each of them; without these lines nothing would tell why jobs are late at all members alike.
@@ -9,7 +9,7 @@
     std::{collections::VecDeque, time::Duration},
 };
 
-/// A service counts as lost after this number of consecutive calls without an answer.
+/// Minimum number of consecutive calls without an answer after which a service counts as lost.
 pub const LOST_AFTER: u32 = 3;
 
 /// Tracks whether a service answers.
@@ -52,7 +52,7 @@
 
 /// Number of recent answers whose median is compared with [`SLOW_THRESHOLDS`].
 pub const SAMPLES: usize = 9;
-/// Medians from which a service counts as slow, and below which it counts as quick again.
+/// Medians: a service counts as slow from the first, and as quick again below the second.
 ///
 /// The store usually answers in 4 ms, and in 10 to 20 ms during a burst of this member's own calls.
 pub const SLOW_THRESHOLDS: (Duration, Duration) =
--- a/src/shard_runner.rs
+++ b/src/shard_runner.rs
@@ -57,14 +57,14 @@
     /// has a recent table that names this one as the owner.
     JobStates(Box<[(ShardNo, JobNo)]>, bool, oneshot::Sender<Vec<Option<State>>>),
     /// A request for what these workers of these shards hold, and how long work waits. The reply is
-    /// `None` if this member doesn't own one of the shards for certain.
+    /// `None` if this member may no longer own one of the shards.
     HeldTasks(
         Box<[WorkerId]>,
         Box<[ShardNo]>,
         oneshot::Sender<Option<(Vec<Occupancy>, Vec<PoolWait>)>>,
     ),
-    /// A request for the number of jobs of a queue that have not begun in these shards. The reply is
-    /// `None` if this member doesn't own one of the shards for certain.
+    /// A request for the number of jobs of a queue that have not begun in these shards. The reply
+    /// is `None` if this member may no longer own one of the shards.
     QueueLength(Box<str>, Box<[ShardNo]>, oneshot::Sender<Option<u64>>),
 }
 
@@ -81,7 +81,7 @@
 /// A shard that this member owns.
 struct OwnedShard {
     token: u64,
-    /// Whether it has processed an event since its last round.
+    /// Whether the shard has processed an event since its last round.
     pending: bool,
     shard: Shard,
 }
--- a/src/site.rs
+++ b/src/site.rs
@@ -45,8 +45,8 @@
 const EVENT_QUEUE_LEN: usize = 8 * 1024;
 /// Maximum length of the queues of the shards' orders and notices.
 const ORDER_QUEUE_LEN: usize = 4 * 1024;
-/// How long callers are served after the signal to stop, as the load balancer notices the stop with
-/// a delay.
+/// Time for which callers are still served after the signal to stop, as the load balancer notices
+/// the stop with a delay.
 const CALLER_DRAIN_TIME: Duration = Duration::from_secs(2);
 /// Time of the shutdown's grace period that is kept in reserve.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(1500);
@@ -58,7 +58,7 @@
 const CALLER_LIMITS: Limits =
     Limits { body: 1 << 20, connections: 2500, read_timeout: Duration::from_secs(20) };
 /// Limits of the servers for readiness and metrics.
-const PAGE_LIMITS: Limits =
+const PAGE_SERVER_LIMITS: Limits =
     Limits { body: 0, connections: 64, read_timeout: Duration::from_secs(5) };
 
 /// The addresses that a member listens on.
@@ -89,34 +89,34 @@
 
 fn start(forms: &'static Codec, settings: &Path) -> Result<(), Error> {
     let failed = |e: io::Error| Error::new(Kind::BadSettings, e.to_string());
-    let runtime = runtime().map_err(failed)?;
+    let runtime = new_runtime().map_err(failed)?;
     // The handlers come first: without them, the signal to reload the settings would end the
     // process.
     let signals = {
         let _inside = runtime.enter();
         Signals::new().map_err(failed)?
     };
-    let site = read(forms, settings)?;
+    let site = read_settings(forms, settings)?;
     let listeners = Listeners::bind(&site)?;
     let me = Incarnation(random_id(&site).max(1));
-    seed(me, "shards");
+    seed_rng(me, "shards");
     let metrics = listeners.metrics.local_addr().map_err(failed)?.port();
     log::info!(target: "site", did = "started", member:% = me, node = &*site.node, zone:% = site.zone, callers:% = site.caller_addr, store:% = site.store_addr, metrics; "Member starts.");
     let common = Arc::new(SharedState::new(forms, site, me, Arc::new(Metrics::new())));
-    let (decisions, events) = bounded(EVENT_QUEUE_LEN);
+    let (shard_inputs, events) = bounded(EVENT_QUEUE_LEN);
     let (ended, end) = oneshot::channel();
     let Listeners { callers, ready, control, metrics } = listeners;
-    let (shared, sender) = (common.clone(), decisions.clone());
+    let (shared, sender) = (common.clone(), shard_inputs.clone());
     spawn_thread("callers", me, move || async move {
         let served = serve_callers(shared, callers, ready, metrics, sender).await;
         let _ = ended.send(());
         served
     })
     .map_err(failed)?;
-    let (shared, sender) = (common.clone(), decisions.clone());
+    let (shared, sender) = (common.clone(), shard_inputs.clone());
     spawn_thread("control", me, move || member_rpc::serve(shared, control, sender))
         .map_err(failed)?;
-    runtime.block_on(own_shards(common, signals, settings.into(), (decisions, events), end))
+    runtime.block_on(own_shards(common, signals, settings.into(), (shard_inputs, events), end))
 }
 
 /// Owns shards until this member is told to stop, then shuts down in order: shards, callers, lease.
@@ -124,18 +124,18 @@
     common: Arc<SharedState>,
     signals: Signals,
     settings: PathBuf,
-    (decisions, events): (Sender<ShardInput>, Receiver<ShardInput>),
+    (shard_inputs, events): (Sender<ShardInput>, Receiver<ShardInput>),
     mut callers: oneshot::Receiver<()>,
 ) -> Result<(), Error> {
     let peers = member_rpc::PeerClients::new(common.clone());
-    let outside = member_rpc::relaying_clients(&common, &peers);
+    let services = member_rpc::relaying_clients(&common, &peers);
     let (order_tx, orders) = bounded(ORDER_QUEUE_LEN);
     let (notices, notice_rx) = bounded(ORDER_QUEUE_LEN);
     let owner = OwnedShards::new(
         common.clone(),
-        outside.clone(),
+        services.clone(),
         peers,
-        decisions.clone(),
+        shard_inputs.clone(),
         notices.clone(),
     );
     let (lease, lease_rx) = watch::channel(0);
@@ -144,16 +144,21 @@
     tokio::spawn(owner.clone().poll_workers());
     tokio::spawn(log_calls(common.clone()));
     tokio::spawn(owner.clone().run_orders(orders));
-    tokio::spawn(table_sync::follow_config(common.clone(), outside.clone(), decisions.clone()));
+    tokio::spawn(table_sync::follow_config(common.clone(), services.clone(), shard_inputs.clone()));
     let membership = Membership {
         common: common.clone(),
-        outside: outside.clone(),
-        decisions: decisions.clone(),
+        services: services.clone(),
+        shard_inputs: shard_inputs.clone(),
         lease,
     };
     tokio::spawn(membership.run());
-    let released =
-        tokio::spawn(TableSync::run(common.clone(), outside.clone(), owner, decisions, notice_rx));
+    let released = tokio::spawn(TableSync::run(
+        common.clone(),
+        services.clone(),
+        owner,
+        shard_inputs,
+        notice_rx,
+    ));
     tokio::select! {
         () = common.wait_for_stop() => {}
         _ = &mut callers => return Err(Error::new(Kind::BadSettings, "caller server failed")),
@@ -170,7 +175,7 @@
     if lease != 0 {
         let _ = timeout(
             LEASE_END_TIMEOUT,
-            outside.call_store(&StoreCall::EndLease { lease }, LEASE_END_TIMEOUT),
+            services.call_store(&StoreCall::EndLease { lease }, LEASE_END_TIMEOUT),
         )
         .await;
     }
@@ -194,12 +199,12 @@
     callers: TcpListener,
     ready: TcpListener,
     metrics: TcpListener,
-    decisions: Sender<ShardInput>,
+    shard_inputs: Sender<ShardInput>,
 ) -> io::Result<()> {
     let listen = tokio::net::TcpListener::from_std;
     let (callers, ready, metrics) = (listen(callers)?, listen(ready)?, listen(metrics)?);
     let shared = common.clone();
-    tokio::spawn(serve(ready, PAGE_LIMITS, pending(), move |head, _| {
+    tokio::spawn(serve(ready, PAGE_SERVER_LIMITS, pending(), move |head, _| {
         let ready = shared.ready();
         shared.metrics.set_ready(ready);
         let status = match (head.uri.path() == shared.forms.ready_path, ready) {
@@ -210,7 +215,7 @@
         async move { answer(status, "") }
     }));
     let (pages, shared) = (common.metrics.clone(), common.clone());
-    tokio::spawn(serve(metrics, PAGE_LIMITS, pending(), move |head, _| {
+    tokio::spawn(serve(metrics, PAGE_SERVER_LIMITS, pending(), move |head, _| {
         let now = shared.now();
         pages.set_age("configuration", now - shared.configured_at());
         pages.set_age("configuration_confirmed", now - shared.confirmed_at());
@@ -218,7 +223,7 @@
         let page = pages.page(head.uri.path());
         async move { page }
     }));
-    let entry = Arc::new(JobApi::new(common.clone(), decisions));
+    let entry = Arc::new(JobApi::new(common.clone(), shard_inputs));
     let stop = async move {
         common.wait_for_stop().await;
         sleep(CALLER_DRAIN_TIME).await;
@@ -274,14 +279,14 @@
         loop {
             tokio::select! {
                 _ = self.hangup.recv() => reload(&common, &settings),
-                _ = self.terminate.recv() => stop(&common),
-                _ = self.interrupt.recv() => stop(&common),
+                _ = self.terminate.recv() => signal_stop(&common),
+                _ = self.interrupt.recv() => signal_stop(&common),
             }
         }
     }
 }
 
-fn stop(common: &SharedState) {
+fn signal_stop(common: &SharedState) {
     if !common.stop.send_replace(true) {
         log::info!(target: "site", did = "stopping", member:% = common.me; "Member is stopping.");
     }
@@ -289,7 +294,7 @@
 
 /// Reloads the settings. The addresses that this member listens on can't change while it runs.
 fn reload(common: &SharedState, settings: &Path) {
-    match read(common.forms, settings) {
+    match read_settings(common.forms, settings) {
         Ok(site) => {
             let old = common.site.send_replace(Arc::new(site.clone()));
             let same = (old.caller_addr, old.ready_addr, old.control_addr, &old.metrics_addrs)
@@ -305,7 +310,7 @@
     }
 }
 
-fn read(forms: &Codec, settings: &Path) -> Result<Site, Error> {
+fn read_settings(forms: &Codec, settings: &Path) -> Result<Site, Error> {
     let named = |e: &dyn std::fmt::Display| {
         Error::new(Kind::BadSettings, format!("{}: {e}", settings.display()))
     };
@@ -326,7 +331,7 @@
 }
 
 /// Seeds this thread's random numbers differently from all other threads of all members.
-fn seed(me: Incarnation, thread: &str) {
+fn seed_rng(me: Incarnation, thread: &str) {
     fastrand::seed(xxhash_rust::xxh3::xxh3_64(format!("{me} {thread}").as_bytes()));
 }
 
@@ -339,8 +344,8 @@
     F: Future<Output = io::Result<()>>,
 {
     thread::Builder::new().name(name.into()).spawn(move || {
-        seed(me, name);
-        let done = runtime().and_then(|r| r.block_on(run()));
+        seed_rng(me, name);
+        let done = new_runtime().and_then(|r| r.block_on(run()));
         if let Err(e) = done {
             log::error!(target: "site", "The thread {name} has ended: {e}.");
         }
@@ -348,6 +353,6 @@
     Ok(())
 }
 
-fn runtime() -> io::Result<Runtime> {
+fn new_runtime() -> io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
--- a/src/table_sync.rs
+++ b/src/table_sync.rs
@@ -29,13 +29,13 @@
     tokio::time::{sleep, timeout},
 };
 
-/// How long the store holds a watch of the table open without a change.
+/// Maximum time for which the store holds a watch of the table open without a change.
 const TABLE_WATCH_WAIT: Duration = Duration::from_secs(10);
 /// Number of watches of the configuration that fit into its maximum age: if one of them gets no
 /// answer, the next one still completes in time.
-const CONFIG_WATCHES: u32 = 2;
-/// Interval at which the table is checked while a shard has no live owner or the store doesn't
-/// serve this member.
+const WATCHES_PER_CONFIG_AGE: u32 = 2;
+/// Interval of checks of the table while a shard has no live owner or the store doesn't serve this
+/// member.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of attempts to write the release of a shard while the outcome is unknown.
 const RELEASE_ATTEMPTS: u32 = 3;
@@ -50,11 +50,11 @@
 /// Follows the items that the operators write: the configuration and the maintenance waves.
 pub(crate) async fn follow_config(
     common: Arc<SharedState>,
-    outside: ServiceClients,
-    decisions: Sender<ShardInput>,
+    services: ServiceClients,
+    shard_inputs: Sender<ShardInput>,
 ) {
-    let wait = common.site.borrow().bounds.config_lag / CONFIG_WATCHES;
-    let mut follow = PrefixWatch::from_snapshot(outside, common.forms.operator_prefix, wait);
+    let wait = common.site.borrow().bounds.config_lag / WATCHES_PER_CONFIG_AGE;
+    let mut follow = PrefixWatch::from_snapshot(services, common.forms.operator_prefix, wait);
     let mut sent: Option<Arc<QueueConfig>> = None;
     loop {
         match follow.poll().await {
@@ -73,7 +73,7 @@
         let Some(queues) = queues else { continue };
         if !sent.as_ref().is_some_and(|s| Arc::ptr_eq(s, &queues)) {
             sent = Some(queues.clone());
-            let _ = decisions.send(ShardInput::Broadcast(Event::Queues(queues))).await;
+            let _ = shard_inputs.send(ShardInput::Broadcast(Event::Queues(queues))).await;
         }
     }
 }
@@ -108,10 +108,10 @@
 /// The task that applies changes of the table and carries out takeovers and releases.
 pub(crate) struct TableSync {
     common: Arc<SharedState>,
-    outside: ServiceClients,
+    services: ServiceClients,
     owned_shards: OwnedShards,
     table: MemberTable,
-    decisions: Sender<ShardInput>,
+    shard_inputs: Sender<ShardInput>,
     /// Sends messages to this task itself.
     sender: Sender<Message>,
     /// Whether a task is creating the layout.
@@ -129,8 +129,8 @@
     TakeoverDone(Takeover, Outcome),
     /// The attempt to create the layout has ended.
     LayoutDone,
-    /// The release of a shard has been written or given up; with the number of jobs whose writes
-    /// are not settled.
+    /// The release of a shard has been written or given up; holds the number of jobs whose writes
+    /// are unfinished.
     Released(ShardNo, usize),
     /// A shard can be released or is lost.
     Notice(ShardOutput),
@@ -142,13 +142,13 @@
     /// Runs until this member has been told to stop and owns no shards.
     pub async fn run(
         common: Arc<SharedState>,
-        outside: ServiceClients,
+        services: ServiceClients,
         owned_shards: OwnedShards,
-        decisions: Sender<ShardInput>,
+        shard_inputs: Sender<ShardInput>,
         notices: Receiver<ShardOutput>,
     ) {
         let (sender, messages) = async_channel::bounded(256);
-        let follow = PrefixWatch::shared(outside.clone(), TABLE_PREFIX, TABLE_WATCH_WAIT);
+        let follow = PrefixWatch::shared(services.clone(), TABLE_PREFIX, TABLE_WATCH_WAIT);
         tokio::spawn(follow_table(common.clone(), follow, sender.clone()));
         let notice_tx = sender.clone();
         tokio::spawn(async move {
@@ -165,10 +165,10 @@
         let (making_layout, stopping, last_give_up) = (false, None, None);
         let this = TableSync {
             common,
-            outside,
+            services,
             owned_shards,
             table,
-            decisions,
+            shard_inputs,
             sender,
             making_layout,
             stopping,
@@ -241,7 +241,7 @@
             Message::Stop => {
                 self.stopping = self.stopping.or(Some(now));
                 self.table.stop();
-                let _ = self.decisions.send(ShardInput::Release).await;
+                let _ = self.shard_inputs.send(ShardInput::Release).await;
             }
         }
     }
@@ -256,7 +256,7 @@
             self.last_give_up = Some(now);
             let shards = self.table.owned().len();
             log::warn!(target: "table", did = "yields", shards; "The store doesn't serve this member; its shards are given up.");
-            let _ = self.decisions.send(ShardInput::Release).await;
+            let _ = self.shard_inputs.send(ShardInput::Release).await;
         }
     }
 
@@ -279,10 +279,10 @@
         let closing = view.closing.clone();
         self.common.view.send_replace(Arc::new(view));
         if closing != old {
-            let _ = self.decisions.send(ShardInput::Broadcast(Event::Closing(closing))).await;
+            let _ = self.shard_inputs.send(ShardInput::Broadcast(Event::Closing(closing))).await;
         }
         if peers != before {
-            let _ = self.decisions.send(ShardInput::PeersChanged).await;
+            let _ = self.shard_inputs.send(ShardInput::PeersChanged).await;
         }
     }
 
@@ -298,10 +298,10 @@
     }
 
     fn spawn_takeover(&self, takeover: Takeover) {
-        let (outside, sender, me) = (self.outside.clone(), self.sender.clone(), self.common.me);
+        let (services, sender, me) = (self.services.clone(), self.sender.clone(), self.common.me);
         let control = self.table.control();
         tokio::spawn(async move {
-            let outcome = take_over(&outside, me, control, &takeover).await;
+            let outcome = take_over(&services, me, control, &takeover).await;
             log_takeover(me, &takeover, &outcome);
             let _ = sender.send(Message::TakeoverDone(takeover, outcome)).await;
         });
@@ -310,12 +310,12 @@
     /// Writes the release of a shard. The token stays in the row, so that the next owner has a
     /// higher one.
     fn release(&self, shard: ShardNo, left: usize) {
-        let (outside, sender) = (self.outside.clone(), self.sender.clone());
+        let (services, sender) = (self.services.clone(), self.sender.clone());
         let row = self.table.owner_row(shard);
         let attempts = if self.stopping.is_some() { 1 } else { RELEASE_ATTEMPTS };
         tokio::spawn(async move {
             if let Some((rev, row)) = row {
-                write_release(&outside, shard, rev, row, attempts).await;
+                write_release(&services, shard, rev, row, attempts).await;
             }
             let _ = sender.send(Message::Released(shard, left)).await;
         });
@@ -323,7 +323,7 @@
 
     /// Creates the layout, unless another member does.
     fn spawn_layout(&self) {
-        let (outside, sender) = (self.outside.clone(), self.sender.clone());
+        let (services, sender) = (self.services.clone(), self.sender.clone());
         let common = self.common.clone();
         tokio::spawn(async move {
             // Members that start together have to see each other first. Two members count the
@@ -336,7 +336,7 @@
                     .await;
             }
             if common.view.borrow().layout.is_none() {
-                make_layout(&outside, &common).await;
+                make_layout(&services, &common).await;
                 sleep(RENEW_INTERVAL).await;
             }
             let _ = sender.send(Message::LayoutDone).await;
@@ -353,7 +353,7 @@
 /// Writes that a shard has no owner. If the outcome of an attempt is unknown, the next one settles
 /// it.
 async fn write_release(
-    outside: &ServiceClients,
+    services: &ServiceClients,
     shard: ShardNo,
     rev: Rev,
     row: OwnerRow,
@@ -366,7 +366,7 @@
     let call = StoreCall::Txn(txn);
     let mut pause = Backoff::default();
     for attempt in 1..=attempts {
-        match outside.call_store(&call, CALL_TIMEOUT).await {
+        match services.call_store(&call, CALL_TIMEOUT).await {
             // If the row has changed, an earlier attempt has succeeded or another member owns the
             // shard.
             Ok(StoreReply::Done(_) | StoreReply::Conflict(_)) => return,
@@ -380,11 +380,11 @@
 }
 
 /// Writes the layout for the listed workers, once their list has stopped growing.
-async fn make_layout(outside: &ServiceClients, common: &SharedState) {
+async fn make_layout(services: &ServiceClients, common: &SharedState) {
     let mut monitor = ListMonitor::new(common.now());
     let mut workers = vec![];
     loop {
-        if let Ok((items, _)) = outside.read_prefix(common.forms.worker_prefix, false).await {
+        if let Ok((items, _)) = services.read_prefix(common.forms.worker_prefix, false).await {
             workers = items;
         }
         if common.view.borrow().layout.is_some() || monitor.observe(workers.len(), common.now()) {
@@ -404,18 +404,18 @@
     let put = Put { key: LAYOUT_KEY.into(), value, lease: 0 };
     let txn = Txn { expect: vec![(LAYOUT_KEY.into(), 0)], puts: vec![put], remove: vec![] };
     // The outcome doesn't matter here: the watch delivers the layout that is in force.
-    let _ = outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await;
+    let _ = services.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await;
     log::info!(target: "table", shards, workers = count; "A layout was written, unless another member was first.");
 }
 
 /// Writes a takeover. If the outcome is unknown, reads the owner row back.
 async fn take_over(
-    outside: &ServiceClients,
+    services: &ServiceClients,
     me: Incarnation,
     control: Option<SocketAddr>,
     takeover: &Takeover,
 ) -> Outcome {
-    let Ok(commit) = outside.get(&takeover.shard.commit(), CALL_TIMEOUT).await else {
+    let Ok(commit) = services.get(&takeover.shard.commit(), CALL_TIMEOUT).await else {
         return Outcome::NotWritten;
     };
     let row: Option<CommitRow> =
@@ -440,12 +440,12 @@
         ],
         remove: vec![],
     };
-    match outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await {
+    match services.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await {
         Ok(StoreReply::Done(rev)) => Outcome::Done(rev, token),
         Ok(StoreReply::Conflict(items)) => Outcome::Conflict(items),
         Err(Fault::Refused | Fault::Unsent) => Outcome::NotWritten,
         _ => Outcome::Unclear(
-            outside.get(&takeover.shard.owner(), CALL_TIMEOUT).await.ok().flatten(),
+            services.get(&takeover.shard.owner(), CALL_TIMEOUT).await.ok().flatten(),
         ),
     }
 }
--- a/src/wave_driver.rs
+++ b/src/wave_driver.rs
@@ -1,7 +1,7 @@
 //! Drives the maintenance waves (`upkeep`) of a site; runs at the owner of the first shard.
 //!
-//! Feeds the state machine [`Upkeep`] with the ordered waves, the list of VMs and what runs on the
-//! workers, and carries out its orders.
+//! Passes the ordered waves, the list of VMs and the tasks on the workers to the state machine
+//! [`Upkeep`], and carries out its orders.
 
 use {
     crate::{
@@ -21,14 +21,14 @@
 
 /// The shard whose owner drives the maintenance waves.
 pub(crate) const WAVE_SHARD: ShardNo = ShardNo(0);
-/// The interval of the state machine's ticks while a wave is under way.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval of the state machine's ticks during a maintenance wave.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time-out of reading the list of VMs and of a call for one VM.
 const VM_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time limit of the call that asks another owner what runs on its workers.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum length of the queue of answers.
-const QUEUE_LEN: usize = 256;
+const ANSWER_QUEUE_LEN: usize = 256;
 
 /// Drives maintenance waves by means of the store, the VM service and the other owners.
 #[derive(Clone)]
@@ -36,11 +36,11 @@
     /// The state that the threads of this member share.
     pub common: Arc<SharedState>,
     /// Clients of the store and the VM service.
-    pub outside: ServiceClients,
+    pub services: ServiceClients,
     /// Clients of the other owners.
     pub peers: PeerClients,
     /// Sends queries to this member's own shards.
-    pub decisions: Sender<ShardInput>,
+    pub shard_inputs: Sender<ShardInput>,
 }
 
 impl WaveDriver {
@@ -51,7 +51,7 @@
         let (holder, fleet, unix) = (site.node.clone(), site.vm_limits, common.start_unix_ms);
         let mut upkeep =
             Upkeep::new(Setup { holder, token, limits: fleet, unix_ms: unix, encode_state: told });
-        let (sender, events) = async_channel::bounded(QUEUE_LEN);
+        let (sender, events) = async_channel::bounded(ANSWER_QUEUE_LEN);
         let mut waves = common.waves.subscribe();
         waves.mark_changed();
         let mut config = common.config.subscribe();
@@ -69,7 +69,7 @@
                     Event::Pools(pools.filter(|p| p.standby).map(|p| p.name.clone()).collect())
                 }
                 Ok(event) = events.recv() => event,
-                () = sleep(TICK), if upkeep.busy() => Event::Tick,
+                () = sleep(TICK_INTERVAL), if upkeep.busy() => Event::Tick,
             };
             for order in upkeep.on(event, common.now()) {
                 let (this, sender) = (self.clone(), sender.clone());
@@ -86,19 +86,19 @@
         let sent = self.common.now();
         match order {
             Order::ReadLedger => {
-                Event::LedgerRead(self.outside.get(LEDGER_KEY, CALL_TIMEOUT).await)
+                Event::LedgerRead(self.services.get(LEDGER_KEY, CALL_TIMEOUT).await)
             }
             Order::Write(number, txn) => Event::Written(
                 number,
-                self.outside.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await,
+                self.services.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await,
             ),
-            Order::ListVms => Event::VmsListed(sent, self.outside.list_vms(VM_TIMEOUT).await),
+            Order::ListVms => Event::VmsListed(sent, self.services.list_vms(VM_TIMEOUT).await),
             Order::AskOwners(workers) => {
                 let (held, needs) = self.collect_held(workers).await;
                 Event::OwnersReported(sent, held, needs)
             }
             Order::OrderVm(call) => {
-                let reply = self.outside.call_vm(&call, VM_TIMEOUT).await;
+                let reply = self.services.call_vm(&call, VM_TIMEOUT).await;
                 Event::Answered(call, reply)
             }
         }
@@ -118,7 +118,7 @@
         let (mut held, mut needs) = (vec![], vec![]);
         for ((owner, addr), shards) in shards_by_owner {
             let answer = if owner == self.common.me {
-                local_held_tasks(&self.decisions, workers.clone().into(), shards.into()).await
+                local_held_tasks(&self.shard_inputs, workers.clone().into(), shards.into()).await
             } else {
                 self.peers.held_tasks(addr, &workers, &shards, OWNER_TIMEOUT).await
             };
