--- a/src/prefix_watch.rs
+++ b/src/prefix_watch.rs
@@ -19,8 +19,8 @@
 /// Pause after a change, for a watch whose changes also reach this member by direct notices.
 ///
 /// Each change ends a watch call, so that 20 jobs a second cost 20 watch calls a second. An owner
-/// watches its inbox only in case that another member's notice was lost: a job that only the watch
-/// brings may arrive this much later.
+/// watches its inbox only in case another member's notice was lost; the pause delays only such a
+/// job.
 const CHANGE_PAUSE: Duration = Duration::from_millis(400);
 /// Interval like [`REREAD_INTERVAL`], for prefixes that hundreds of members watch.
 const SHARED_REREAD_INTERVAL: Duration = Duration::from_secs(30);
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -163,8 +163,8 @@
 
     /// Waits until the direct connection is lost.
     ///
-    /// Lets a watch end early on an unresponsive connection: it would otherwise wait there for its
-    /// full time, although other calls have shown that the store doesn't answer.
+    /// Lets a watch on an unresponsive connection end early. Otherwise it would wait for its full
+    /// time, although other calls have shown that the store doesn't answer.
     pub async fn wait_lost(&self) {
         let mut lost = self.lost.subscribe();
         // The sender can't be dropped while `self` is borrowed.
--- a/src/service_clients.rs
+++ b/src/service_clients.rs
@@ -267,7 +267,8 @@
         }
     }
 
-    /// Reads the store's revision, by requesting the empty page after the last item of a prefix.
+    /// Reads the store's current revision by requesting the empty page after the last item of a
+    /// prefix.
     ///
     /// # Errors
     ///
--- a/src/shard_runner.rs
+++ b/src/shard_runner.rs
@@ -42,7 +42,8 @@
     Own(ShardNo, u64, Box<Snapshot>),
     /// An event for a shard; ignored if this member doesn't own the shard with this token.
     Event(ShardNo, u64, Event),
-    /// An event that another member sent for a shard, whichever token the shard is owned with.
+    /// An event that another member sent for a shard. It reaches the shard whatever token this
+    /// member owns it with.
     PeerEvent(ShardNo, Event),
     /// An event for all shards.
     Broadcast(Event),
@@ -50,14 +51,15 @@
     PeersChanged,
     /// Another member owns this shard.
     Lost(ShardNo),
-    /// Finish the writes of all shards and report each with [`ShardOutput::Releasable`].
+    /// A command to finish the writes of all shards and to report each shard with
+    /// [`ShardOutput::Releasable`].
     Release,
-    /// A request for the states of jobs. The reply is `None` for a job that isn't known here. If the
-    /// flag is false, also for one whose shard may have another owner; it is true if the asking member
-    /// has a recent table that names this one as the owner.
+    /// A request for the states of jobs. The flag says whether the asking member has a recent table
+    /// that names this member as the owner. The reply is `None` for an unknown job and, if the flag
+    /// is false, for a job whose shard may have another owner.
     JobStates(Box<[(ShardNo, JobNo)]>, bool, oneshot::Sender<Vec<Option<State>>>),
-    /// A request for what these workers of these shards hold, and how long work waits. The reply is
-    /// `None` if this member may no longer own one of the shards.
+    /// A request for the tasks on these workers of these shards, and for how long tasks wait. The
+    /// reply is `None` if this member may no longer own one of the shards.
     HeldTasks(
         Box<[WorkerId]>,
         Box<[ShardNo]>,
--- a/src/shared_state.rs
+++ b/src/shared_state.rs
@@ -29,8 +29,8 @@
 /// Maximum time since the store's last answer for a member that reports itself ready.
 const MAX_STORE_SILENCE: Duration = Duration::from_millis(1500);
 
-/// The divisor that gives the safety margin of the configuration's maximum age, as a part of that
-/// age. The margin covers the transit time of a request and clocks that differ.
+/// Divisor of the configuration's maximum age that gives the safety margin. The margin covers the
+/// transit time of a request and clocks that differ.
 const CONFIG_MARGIN_DIVISOR: u32 = 20;
 
 /// A version of the configuration and the revision of its item in the store.
@@ -42,7 +42,8 @@
     pub queues: Arc<QueueConfig>,
 }
 
-/// The ordered maintenance waves by the key of their item, each with the item's revision.
+/// The maintenance waves that operators have ordered, by the key of their item, each with the
+/// item's revision.
 pub(crate) type Waves = BTreeMap<Box<str>, (Rev, Wave)>;
 
 /// The state that the threads of a member share.
--- a/src/site.rs
+++ b/src/site.rs
@@ -57,7 +57,7 @@
 /// Limits of the server for callers.
 const CALLER_LIMITS: Limits =
     Limits { body: 1 << 20, connections: 2500, read_timeout: Duration::from_secs(20) };
-/// Limits of the servers for readiness and metrics.
+/// Limits of the servers for readiness checks and metrics.
 const PAGE_SERVER_LIMITS: Limits =
     Limits { body: 0, connections: 64, read_timeout: Duration::from_secs(5) };
 
--- a/src/table_sync.rs
+++ b/src/table_sync.rs
@@ -132,9 +132,9 @@
     /// The release of a shard has been written or given up; holds the number of jobs whose writes
     /// are unfinished.
     Released(ShardNo, usize),
-    /// A shard can be released or is lost.
+    /// A shard can be released, or this member has lost it.
     Notice(ShardOutput),
-    /// This member is told to stop.
+    /// This member has to stop.
     Stop,
 }
 
@@ -327,8 +327,8 @@
         let common = self.common.clone();
         tokio::spawn(async move {
             // Members that start together have to see each other first. Two members count the
-            // workers, in case that one of them fails; the others wait, as each read of the list
-            // costs capacity of the store and one layout is enough.
+            // workers, in case one of them fails; the others wait, as each read of the list costs
+            // capacity of the store and one layout is enough.
             sleep(RENEW_INTERVAL).await;
             let rank = common.view.borrow().id_rank(common.me);
             if rank > 1 {
