--- a/src/job_api/submit.rs
+++ b/src/job_api/submit.rs
@@ -16,33 +16,33 @@
     tokio::time::{sleep, timeout},
 };
 
-/// Time limit of the notice of a job to its shard's owner.
+/// Time limit of the call that notifies a shard's owner of a job.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(400);
-/// The number of tries of a write that is refused or whose outcome is unknown.
-const MAX_TRIES: u32 = 2;
-/// The number of repeats of a write that failed only because the configuration has changed.
-const MAX_OVERTAKEN: u32 = 8;
+/// Maximum number of attempts of a write that is refused or whose outcome is unknown.
+const MAX_ATTEMPTS: u32 = 2;
+/// Maximum number of repeats of a write that failed only because the configuration had changed.
+const MAX_CONFIG_RETRIES: u32 = 8;
 
-/// When a caller may retry after a refusal by the store: the store refuses one machine for a short
-/// time only, and another member may be asked meanwhile.
+/// Delay after which a caller may retry after a refusal by the store: the store refuses one machine
+/// for a short time only, and meanwhile the caller may use another member.
 const STORE_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The outcome of the tries of a write so far.
+/// Counts the failed attempts of one write.
 #[derive(Default)]
 struct Tries {
-    /// Number of tries that were refused or whose outcome is unknown.
+    /// Number of attempts that were refused or whose outcome is unknown.
     failed: u32,
-    /// Whether one of them may have taken effect, or may do so later.
+    /// Whether a failed attempt may have taken effect or may do so later.
     uncertain: bool,
-    /// Number of repeats after a change of the configuration.
+    /// Number of attempts that failed because the configuration had changed.
     overtaken: u32,
 }
 
 impl Tries {
-    /// The error to return if no try succeeded.
+    /// Returns the error for the caller if no attempt succeeded.
     ///
-    /// A caller that gets status 503 relies on its job never running. So once the outcome of one try
-    /// is unknown, the answer says so, whatever the other tries returned.
+    /// A caller that gets status 503 relies on its job never running. So once the outcome of one attempt
+    /// is unknown, the answer says so, whatever the other attempts returned.
     fn final_error(&self, error: Error) -> Error {
         if self.uncertain { Kind::OutcomeUnknown.into() } else { error }
     }
@@ -54,7 +54,7 @@
     Job,
     /// Another configuration is in force.
     Config,
-    /// Neither of them.
+    /// The cause is neither a stored job nor another configuration.
     Other,
 }
 
@@ -103,7 +103,7 @@
     ) -> Result<(), Error> {
         let mut record = JobRecord { queue: "".into(), came: unix_ms(), job, terms: None };
         loop {
-            // Read again for each try: the write must match the configuration in force.
+            // Read again for each attempt: the write must match the configuration in force.
             let config = self.newest_config(request).await?;
             let queue = self.queue(request, &config)?;
             (record.queue, record.terms) = (queue.name.clone(), Some(Box::new(queue.clone())));
@@ -118,12 +118,14 @@
                 Ok(StoreReply::Conflict(items)) => {
                     match self.classify(shard, no, config.rev, &items) {
                         Conflict::Job => return Ok(()),
-                        Conflict::Config if tries.overtaken < MAX_OVERTAKEN => tries.overtaken += 1,
+                        Conflict::Config if tries.overtaken < MAX_CONFIG_RETRIES => {
+                            tries.overtaken += 1
+                        }
                         Conflict::Config | Conflict::Other => return Err(Kind::Platform.into()),
                     }
                     self.common.metrics.count_retry(Kind::Conflict);
                 }
-                Err(Fault::TooLarge) if tries.overtaken < MAX_OVERTAKEN => {
+                Err(Fault::TooLarge) if tries.overtaken < MAX_CONFIG_RETRIES => {
                     // The reply to a conflict carries the configuration, which made it too large, even
                     // if only the job was in conflict.
                     if self.is_stored(request, shard, no).await? {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// The configuration; waits until it is the newest that the store is known to have.
+    /// Returns the configuration; waits until it is the newest that the store is known to have.
     ///
     /// The reply to a write that expects an older configuration carries the newer one. If that is
     /// large, the replies to many such writes would fill the member's link. Writes therefore wait for
@@ -165,8 +167,8 @@
         found.map_err(|_| outdated())?.clone().ok_or_else(outdated)
     }
 
-    /// The write that stores a job, on the conditions that its number is unused and that the
-    /// configuration is unchanged.
+    /// Returns the write that stores a job, on the conditions that its number is unused and that
+    /// the configuration is unchanged.
     fn submission(&self, shard: ShardNo, no: JobNo, rev: u64, record: &JobRecord) -> Txn {
         let (key, value) = (shard.job(no), record::encode(record));
         Txn {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Waits before the next try, or errs if there is none left.
+    /// Waits before the next attempt; returns an error if no attempt is left.
     async fn wait_retry(&self, fault: &Fault, tries: &mut Tries) -> Result<(), Error> {
         let kind = match fault {
             Fault::Refused => Kind::Platform,
@@ -203,7 +205,7 @@
             Fault::Unknown | Fault::TooLarge | Fault::Bad(_) => Kind::OutcomeUnknown,
         };
         tries.failed += 1;
-        if tries.failed >= MAX_TRIES {
+        if tries.failed >= MAX_ATTEMPTS {
             let error = Error::new(Kind::Platform, "the store refuses or doesn't answer");
             return Err(error.with_retry_after(STORE_RETRY_AFTER));
         }
@@ -255,7 +257,7 @@
         );
     }
 
-    /// Makes a write that may be made twice, with retries.
+    /// Makes an idempotent write, with retries.
     async fn repeat_write(
         &self,
         request: &CallerRequest,
