--- a/src/shard/authority.rs
+++ b/src/shard/authority.rs
@@ -1,5 +1,5 @@
-//! Decides whether this owner may act: while the store does not answer, and while runs that former
-//! owners started may still exist.
+//! Decides whether this owner may start work and renew leases while the store does not answer, and
+//! which jobs it may start while runs of former owners may still exist.
 
 use {
     crate::{
@@ -13,28 +13,28 @@
     std::time::Duration,
 };
 
-/// The time for which a confirmed lease renewal counts, from when it was sent: shorter than the
-/// shortest lease.
+/// Time after sending a renewal of the member's lease during which its confirmation proves that the
+/// lease is valid; shorter than the shortest lease.
 const RENEWAL_VALID: Duration = Duration::from_millis(1900);
-/// The time for which a worker's reply counts, from when it was given.
+/// Maximum age of a worker's reply that still shows that the worker obeys this owner.
 const REPLY_VALID: Duration = Duration::from_millis(2600);
 
 impl Shard {
-    /// Whether this owner may start work and renew leases.
+    /// Returns whether this owner may start work and renew leases.
     pub(super) fn may_act(&self, now: Time) -> bool {
         self.lease_start(now).is_some()
     }
 
-    /// The time from which leases that this owner grants now are counted, or `None` if it may grant
-    /// none.
+    /// Returns the time from which the length of a lease granted now is counted, or `None` if this
+    /// owner may grant none.
     ///
     /// Guards against an owner that is cut off from the store and continues beside its successor.
     /// While the store does not answer, an owner needs replies from more than half of its workers.
     /// A successor needs the same before it treats leases of others as expired, so at least one
     /// worker has seen both owners and rejects the older one. The owner's leases are counted from
-    /// the time at which more than half of its workers had replied. That was before any successor
-    /// had heard from more than half, so the successor need not wait longer than the length of one
-    /// lease.
+    /// the time at which more than half of its workers had replied. No successor can have heard
+    /// from more than half of them earlier, so a successor need not wait longer than the length of
+    /// one lease.
     pub(super) fn lease_start(&self, now: Time) -> Option<Time> {
         if self.is_confirmed(now) {
             return Some(now);
@@ -42,12 +42,12 @@
         let listed = self.workers.iter().filter(|w| w.listed.is_some() && !w.gone);
         let mut heard: Vec<Option<Time>> = listed.map(|w| w.last_answer).collect();
         heard.sort_unstable();
-        // More than half of the workers have replied since then.
+        // More than half of the workers have replied at or after the time at this index.
         let majority = heard.len().checked_sub(1)? / 2;
         heard[majority].filter(|at| now - *at <= REPLY_VALID)
     }
 
-    /// Whether this owner may report its state to others.
+    /// Returns whether this owner may report its state to others.
     ///
     /// Guards against an owner that was paused or is cut off and already has a successor: it
     /// reported jobs as queued to callers who had been told that they were completed, and told the
@@ -59,13 +59,14 @@
         self.is_confirmed(now)
     }
 
-    /// Whether the store has confirmed this member's lease recently enough that it cannot have
-    /// expired.
+    /// Returns whether the store has confirmed this member's lease recently enough that it cannot
+    /// have expired.
     pub(super) fn is_confirmed(&self, now: Time) -> bool {
         now - self.confirmed_at <= RENEWAL_VALID
     }
 
-    /// Whether no other owner can have started anything of a job without this owner knowing of it.
+    /// Returns whether no other owner can have started a task of the job without this owner knowing
+    /// of it.
     ///
     /// Guards against a task that is started both by a former owner and by its successor. For jobs
     /// that existed at the takeover, the successor finds them in the store and starts none of them
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Processes the store's confirmation of a lease renewal that was sent at `sent`.
+    /// Records that the store has confirmed the lease renewal sent at `sent`.
     pub(super) fn on_confirmed(&mut self, sent: Time, now: Time) {
         self.round_due |= !self.is_confirmed(now);
         self.confirmed_at = self.confirmed_at.max(sent);
@@ -92,8 +93,8 @@
     ///
     /// Guards against a second run of a task that still runs at an unreachable worker: no job from
     /// before the takeover starts until every worker that may run something has replied, or until
-    /// all leases of former owners have expired. No former owner grants a lease that counts from
-    /// later than the time at which more than half of the workers have replied to this owner.
+    /// all leases of former owners have expired. Once more than half of the workers have replied to
+    /// this owner, no former owner can grant a lease that counts from a later time.
     pub(super) fn settle(&mut self, now: Time) {
         if self.unsettled.is_empty() {
             return;
--- a/src/shard/closing.rs
+++ b/src/shard/closing.rs
@@ -23,15 +23,15 @@
 pub struct Occupancy {
     /// The worker.
     pub worker: WorkerId,
-    /// Whether its owner no longer starts anything there.
+    /// Whether the shard's owner no longer starts tasks on the worker.
     pub closed: bool,
-    /// Whether its owner knows everything that runs there.
+    /// Whether the shard's owner knows every run on the worker.
     pub known: bool,
-    /// Whether it is leaving.
+    /// Whether the worker is about to shut down.
     pub leaving: bool,
-    /// The number of tasks there that end by themselves.
+    /// The number of tasks on the worker that are not long-running.
     pub brief: u32,
-    /// The number of long-running tasks there.
+    /// The number of long-running tasks on the worker.
     pub lasting: u32,
 }
 
@@ -45,13 +45,13 @@
 }
 
 impl Occupancy {
-    /// Whether nothing runs there and nothing will start.
+    /// Returns whether nothing runs on the worker and nothing will start there.
     pub fn is_vacant(&self) -> bool {
         self.closed && self.known && self.brief + self.lasting == 0
     }
 }
 
-/// Room at a worker that is allocated to a task which is to move there.
+/// Room at a worker that is allocated to one task that is to move to it.
 pub(super) struct Allocation {
     no: WorkerNo,
     step: StepKey,
@@ -74,18 +74,18 @@
         self.round_due = true;
     }
 
-    /// What is running at those of the given workers that belong to this shard.
+    /// Returns what is running on each of the given workers that belongs to this shard.
     pub fn occupancy(&self, workers: &[WorkerId]) -> Vec<Occupancy> {
         let known = workers.iter().filter_map(|id| self.ids.get(id));
         let listed = known.map(|n| &self.workers[n.0]).filter(|w| !w.gone && w.listed.is_some());
         listed.map(|w| self.occupancy_of(w)).collect()
     }
 
-    /// How long the work of each pool has been waiting, counting only work that any worker of the
-    /// pool could run.
+    /// Returns how long the work of each pool has been waiting, counting only work that any worker
+    /// of the pool could run.
     ///
-    /// Work that waits for advice or needs a label is excluded: another VM kept open would stay
-    /// empty beside it.
+    /// Work that waits for advice or needs a label is excluded, because keeping another VM open
+    /// would not let it start.
     pub fn pool_waits(&self, now: Time) -> Vec<PoolWait> {
         let mut needs: BTreeMap<&PoolId, u64> = BTreeMap::new();
         for (_, key) in &self.ready {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether a long-running task may be stopped now to start elsewhere.
+    /// Returns whether a long-running task may be stopped now to start elsewhere.
     ///
     /// Unless room for it is known to be free, the task stays until the turn is forced: room may
     /// become free meanwhile, and a task that is stopped without room elsewhere serves nobody.
@@ -171,8 +171,8 @@
         self.allocate_room(key, 1, allocated, now)
     }
 
-    /// Whether room is known to be free for `count` tasks of a step, not counting room that is
-    /// reserved for gangs or already allocated; if so, allocates it.
+    /// Allocates room for `count` tasks of a step if enough is known to be free, not counting room
+    /// that is reserved for gangs or already allocated; returns whether it did.
     ///
     /// Guards against tasks of several steps being stopped for the same room, and against a task
     /// being stopped for room that it does not get.
@@ -214,7 +214,7 @@
         all
     }
 
-    /// How many tasks of a step are waiting or being stopped.
+    /// Returns the number of tasks of a step that are waiting or being stopped.
     pub(super) fn unplaced(&self, key: &StepKey) -> u32 {
         let placed = |(index, t): (u32, &Task)| match t.placement {
             Placement::Waiting => false,
@@ -229,7 +229,7 @@
         u32::try_from(unplaced).unwrap_or(u32::MAX)
     }
 
-    /// How many tasks of a step are not serving.
+    /// Returns the number of tasks of a step that are not fully running on a healthy worker.
     fn absent_count(&self, key: &StepKey, now: Time) -> u32 {
         let part = self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
         let Some(part) = part else { return 0 };
--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -18,7 +18,7 @@
 };
 
 impl Shard {
-    /// The runs that may have caused the end of a worker; none if the end was planned.
+    /// Returns the runs that may have crashed a worker; none if the worker's end was planned.
     pub(super) fn suspect_runs(&self, no: WorkerNo) -> Vec<(TaskKey, u32)> {
         let worker = &self.workers[no.0];
         if worker.leaves_at.is_some() || worker.is_draining() {
@@ -40,7 +40,8 @@
         blamed(&all).into_iter().map(|i| (*runs[i].0, runs[i].1.run)).collect()
     }
 
-    /// Counts a crash for a task, and fails its job if there were too many.
+    /// Counts a worker crash against a task, and fails the task's job if it has crashed too many
+    /// workers.
     ///
     /// Guards against a task that takes down one worker after another.
     pub(super) fn count_crash(&mut self, task: &TaskKey, run: u32, now: Time) {
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Counts a crash for each task that has crashed workers before and whose last run, begun by a
-    /// former owner, is neither present nor known to have ended.
+    /// Counts a crash against each task that has crashed workers before and whose last run, begun
+    /// by a former owner, is neither on any worker nor known to have ended.
     ///
     /// Guards against a count that never rises because owners end as often as workers crash. Such
     /// an unobserved crash never fails a job: the run may have ended otherwise, and its owner may
--- a/src/shard/dispatch.rs
+++ b/src/shard/dispatch.rs
@@ -23,7 +23,7 @@
 
 /// The maximum number of ready steps that a round takes from the head of the order.
 pub(super) const MAX_ROUND_STEPS: usize = 400;
-/// The pause after a round, per waiting step, and its maximum.
+/// The pause after a round: the part for each waiting step, and the maximum of the whole pause.
 ///
 /// Examining one step costs about 10 µs, so without a pause the owner would spend its processor on
 /// rounds when many steps wait.
@@ -33,7 +33,7 @@
 /// How long a step waits in an underused pool before it may start on a worker that is being
 /// drained: a third of the time for which a job may wait beside free capacity.
 const DRAINING_USE_DELAY: Duration = Duration::from_secs(1);
-/// A task may run longer than expected by one part in this many.
+/// The expected run time divided by this is how much longer a task may run than expected.
 const OVERRUN_DIVISOR: u32 = 3;
 /// A pool is underused while at most this percentage of each resource is in use.
 const UNDERUSED_PERCENT: u64 = 55;
@@ -64,7 +64,8 @@
 }
 
 impl Shard {
-    /// Runs a round: starts every task that has a worker, in the order of the steps.
+    /// Runs a scheduling round: goes through the steps in order and starts every task for which a
+    /// worker has room.
     pub(super) fn dispatch(&mut self, now: Time) {
         if !self.round_due || self.ready.is_empty() || self.next_round > now || !self.may_act(now) {
             return;
@@ -72,7 +73,7 @@
         self.round_due = false;
         let waiting = u32::try_from(self.ready.len()).unwrap_or(u32::MAX);
         self.next_round = now + ROUND_PAUSE.0.saturating_mul(waiting).min(ROUND_PAUSE.1);
-        self.forget_strays();
+        self.forget_ended_strays();
         let mut round = self.new_round(now);
         let starving = self.starving(&round, now);
         let keys = self.round_steps(&starving);
@@ -87,8 +88,8 @@
         }
     }
 
-    /// The steps that a round examines, in order: starving steps, then the first ready steps, then
-    /// steps with reservations.
+    /// Returns the steps that a round examines, in order: starving steps, then the first ready
+    /// steps, then steps with reservations.
     ///
     /// Steps with reservations are included because a gang may reserve resources and then fall
     /// behind later, more urgent steps. If no round examined it, nobody would request its tickets
@@ -135,11 +136,11 @@
         round
     }
 
-    /// Forgets the extra runs that have ended.
+    /// Forgets the extra runs of tasks (`strays`) that have ended.
     ///
     /// While an extra run, begun by a former owner, is still stopping, a task whose current run is
     /// lost must not start again, or it would run twice.
-    fn forget_strays(&mut self) {
+    fn forget_ended_strays(&mut self) {
         let workers = &self.workers;
         let stopping = |t: &TaskKey, w: &Worker| {
             !w.gone && w.runs.get(t).is_some_and(|r| r.phase == Phase::Stopping)
@@ -147,7 +148,7 @@
         self.strays.retain(|t| workers.iter().any(|w| stopping(t, w)));
     }
 
-    /// Whether the pool of these workers is underused in every resource.
+    /// Returns whether the pool of these workers is underused in every resource.
     pub(super) fn is_underused(&self, all: &[WorkerNo]) -> bool {
         let sum = |size: fn(&Worker) -> Size| {
             all.iter().fold(Size::default(), |sum, n| sum + size(&self.workers[n.0]))
@@ -157,8 +158,8 @@
         used.times(100).fits(&total.times(UNDERUSED_PERCENT))
     }
 
-    /// The workers that may receive starts: those not in quarantine, and quarantined ones that may
-    /// be probed.
+    /// Returns the workers that may receive starts: those not in quarantine, and quarantined ones
+    /// that may be probed.
     ///
     /// At most about a third of a pool is kept in quarantine. If more workers look faulty, the
     /// cause is probably elsewhere, and the others are offered to gangs as well.
@@ -187,8 +188,8 @@
         usable.filter(not_held).collect()
     }
 
-    /// The maximum number of tasks of a step that a worker may receive now, regardless of its free
-    /// resources.
+    /// Returns the maximum number of tasks of a step that a worker may receive now, regardless of
+    /// its free resources.
     ///
     /// Without this limit all tasks of a step would choose the one worker that is open to a probe;
     /// all but one would be refused there, and none would go to other workers that have capacity.
@@ -215,7 +216,8 @@
         }
     }
 
-    /// The properties of a step that a round needs; `None` if its queue or its pool is unknown.
+    /// Returns the properties of a step that a round needs; `None` if its queue or its pool is
+    /// unknown.
     pub(super) fn turn<'a>(&self, key: &'a StepKey, round: &Round, now: Time) -> Option<Turn<'a>> {
         let job = self.jobs.get(&key.job)?;
         let queue = self.queue_configs.get(&job.queue)?;
@@ -241,7 +243,7 @@
         })
     }
 
-    /// Whether a step may start on workers that are being drained and still run something.
+    /// Returns whether a step may start on workers that are being drained and still run something.
     ///
     /// When most of a pool is draining, a long-running task may have no place except the draining
     /// worker, so it stays there; short work would then wait beside an idle worker until new
@@ -253,7 +255,7 @@
             && step_state.ready_since.is_some_and(|t| t + DRAINING_USE_DELAY <= now)
     }
 
-    /// Starts the tasks of one step that have a worker.
+    /// Starts those tasks of a step for which a worker has room.
     fn place_step(&mut self, key: &StepKey, round: &mut Round, now: Time) {
         if !self.is_sole(&key.job) {
             return;
@@ -286,7 +288,7 @@
     fn place_tasks(&mut self, turn: &Turn, round: &mut Round, now: Time) {
         let Turn { key, ref step, ref usable, advice, .. } = *turn;
         let (valid, mut stale) = self.rooms(turn, round, now);
-        // A healthy worker with capacity is worth the wait for its ticket.
+        // If a healthy worker has capacity, the task waits for that worker's ticket.
         let unfavourable = |r: &Room| {
             let w = &self.workers[r.index];
             w.is_draining()
@@ -326,8 +328,8 @@
         self.start_tasks(key, step, &chosen, now);
     }
 
-    /// The workers that can take a task of the step now: first those with a valid ticket, then
-    /// those whose ticket has expired.
+    /// Returns the workers that can take a task of the step now: first those with a valid ticket,
+    /// then those whose ticket has expired.
     pub(super) fn rooms(&self, turn: &Turn, round: &Round, now: Time) -> (Vec<Room>, Vec<Room>) {
         let (mut valid, mut stale) = (vec![], vec![]);
         let Some(step_state) = self.step_state(turn.key) else { return (valid, stale) };
@@ -362,7 +364,7 @@
         (valid, stale)
     }
 
-    /// Describes a step for comparison with resources that are reserved for others.
+    /// Describes a step so that its claim can be compared with resources reserved for other steps.
     pub(super) fn requester<'a>(
         &self,
         turn: &Turn<'a>,
@@ -381,7 +383,7 @@
         Requester { key: turn.key, priority: turn.priority, ends_at, may_outrank, overdue }
     }
 
-    /// All workers that may run a step, including full ones.
+    /// Returns all workers that may run a step, including full ones.
     fn all_rooms(&self, turn: &Turn, round: &Round, now: Time) -> Vec<Room> {
         let Some(step_state) = self.step_state(turn.key) else { return vec![] };
         let may =
@@ -396,13 +398,14 @@
         turn.usable.iter().filter(may).filter_map(room).collect()
     }
 
-    /// The number of tasks of a step at a worker.
+    /// Returns the number of tasks of a step at a worker.
     pub(super) fn task_count(&self, no: WorkerNo, key: &StepKey) -> u32 {
         let tasks = self.workers[no.0].runs.keys();
         u32::try_from(tasks.filter(|t| t.step == *key).count()).unwrap_or(u32::MAX)
     }
 
-    /// The capacity of a worker for a task of this step; `None` if the task must not run there.
+    /// Returns the capacity of a worker for a task of this step; `None` if the task must not run
+    /// there.
     pub(super) fn room(&self, no: WorkerNo, key: &StepKey, step: &Step, now: Time) -> Option<Room> {
         let w = &self.workers[no.0];
         let listed = w.listed.as_ref()?;
--- a/src/shard/explain.rs
+++ b/src/shard/explain.rs
@@ -10,9 +10,9 @@
 };
 
 impl Shard {
-    /// Summarizes what the waiting steps wait for and how full the pools are.
+    /// Summarizes in one line what the waiting steps wait for and how full the pools are.
     pub(super) fn summary(&self, now: Time) -> Box<str> {
-        let (mut steps, mut tasks, mut unasked, mut stale) = ([0; 3], 0, 0, 0);
+        let (mut steps, mut tasks, mut unadvised, mut stale) = ([0; 3], 0, 0, 0);
         let mut without: BTreeMap<&str, u32> = BTreeMap::new();
         for (rank, key) in &self.ready {
             steps[rank.class().min(2)] += 1;
@@ -26,14 +26,14 @@
             if let Some(job) =
                 self.jobs.get(&key.job).filter(|_| advised && part.tickets.eligible.is_empty())
             {
-                unasked += 1;
+                unadvised += 1;
                 *without.entry(&job.queue).or_default() += 1;
             }
             let valid = part.tickets.eligible.values().any(|(_, until)| *until > now);
             stale += u32::from(advised && !part.tickets.eligible.is_empty() && !valid);
         }
         let mut text = format!(
-            "jobs {}, ready steps {steps:?} with {tasks} tasks, {unasked} without advice, {stale} with expired tickets, lanes {}",
+            "jobs {}, ready steps {steps:?} with {tasks} tasks, {unadvised} without advice, {stale} with expired tickets, lanes {}",
             self.jobs.len(),
             self.lanes.total_calls(),
         );
--- a/src/shard/health.rs
+++ b/src/shard/health.rs
@@ -17,13 +17,14 @@
     std::time::Duration,
 };
 
-/// The minimum time between two progress readings that are compared.
-const MIN_READING_GAP: Duration = Duration::from_millis(2200);
-/// The number of completed runs that is needed for an expected duration.
+/// Minimum interval between two progress reports of a run that are compared.
+const MIN_READING_INTERVAL: Duration = Duration::from_millis(2200);
+/// Minimum number of completed runs of a step from which the expected duration of a run is
+/// estimated.
 pub(super) const MIN_PEERS: usize = 3;
-/// The shortest run that is used to measure speed: in shorter runs, the transit time of orders
-/// distorts the result.
-const MIN_MEASURED: Duration = Duration::from_millis(200);
+/// Minimum expected duration of a run from which a worker's speed is measured; in shorter runs, the
+/// transit time of orders distorts the result.
+const MIN_MEASURED_RUN: Duration = Duration::from_millis(200);
 
 impl Shard {
     /// Updates a worker's health from the outcome of a run.
@@ -34,18 +35,18 @@
         let Some(step) = job.step(&key) else { return };
         let plain = !step.gang && !step.fills && !step.lasts && run.percent.0 == 0;
         let full_run = plain && run.checkpoint.is_empty() && run.pace == Some(FULL_PACE_PERCENT);
-        let sound = &mut self.workers[no.0].health;
+        let health = &mut self.workers[no.0].health;
         match end.how {
-            EndReason::Failed => sound.record_end(key.job, false, before, now),
+            EndReason::Failed => health.record_end(key.job, false, before, now),
             EndReason::Done => {
-                sound.record_end(key.job, true, before, now);
+                health.record_end(key.job, true, before, now);
                 let duration = now - run.started_at;
                 if let (true, Some(part)) = (plain, job.step_states.get_mut(&(key.time, key.step)))
                 {
                     if let Some(expected) =
-                        part.expected_duration(MIN_PEERS).filter(|e| *e >= MIN_MEASURED)
+                        part.expected_duration(MIN_PEERS).filter(|e| *e >= MIN_MEASURED_RUN)
                     {
-                        sound.record_speed(
+                        health.record_speed(
                             expected.as_secs_f64() / duration.as_secs_f64().max(0.01),
                             now,
                         );
@@ -75,7 +76,7 @@
             job.step_states.get(&(key.time, key.step)).and_then(|p| p.expected_duration(MIN_PEERS));
         let Some(run) = self.workers[no.0].runs.get_mut(task) else { return };
         let elapsed = now - run.earlier_report.0;
-        if run.phase != Phase::Running || elapsed < MIN_READING_GAP {
+        if run.phase != Phase::Running || elapsed < MIN_READING_INTERVAL {
             return;
         }
         let expected = peers.unwrap_or(run.estimate);
@@ -89,13 +90,14 @@
             }
             let Some(run) = self.workers[no.0].runs.get(task) else { return };
             log::info!(target: "shard", did = "stop", job:% = key.job, task:% = task, run = run.run, percent, since_ms = super::workers::millis(elapsed), expected_ms = super::workers::millis(expected), cause = "stands still"; "Run is stopped.");
-            let sound = &mut self.workers[no.0].health;
-            sound.record_speed(0.0, now);
+            let health = &mut self.workers[no.0].health;
+            health.record_speed(0.0, now);
             self.stop_run(no, task, now);
         }
     }
 
-    /// Counts the time that a long-running task has been at work as evidence of a healthy worker.
+    /// Counts the time for which a long-running task has been fully running as evidence that its
+    /// worker is healthy.
     fn count_uptime(&mut self, no: WorkerNo, task: &TaskKey, now: Time) {
         let worker = &mut self.workers[no.0];
         let working = |r: &&Run| r.phase == Phase::Running && r.percent.1 >= AT_WORK_PERCENT;
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Sets the pace of a worker's fillers from the tail latency of the tasks that serve there.
+    /// Sets the pace of a worker's fillers according to the tail latency of its serving tasks.
     pub(super) fn adjust_filler_pace(&mut self, no: WorkerNo, now: Time) {
         let worker = &mut self.workers[no.0];
         if !worker.runs.values().any(|r| r.fills) {
--- a/src/shard/jobs.rs
+++ b/src/shard/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of a shard that are not over: the state of their steps, tasks and runs.
+//! The unfinished jobs of a shard: the state of their steps, tasks and runs.
 
 use {
     crate::{
@@ -13,10 +13,10 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// Where a task is.
+/// Whether a task is waiting, assigned to a worker or done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Placement {
-    /// The task is at no worker and waits.
+    /// The task is assigned to no worker and waits.
     #[default]
     Waiting,
     /// The task is assigned to this worker.
@@ -30,58 +30,60 @@
 pub struct Task {
     /// Where the task is.
     pub placement: Placement,
-    /// The number of its last run; 0 before the first. If a speculative copy runs too, the earlier
-    /// of the two.
+    /// The number of the task's last run; 0 before the first. While a speculative copy runs too,
+    /// this is the run that began earlier.
     pub run: u32,
-    /// The worker and the run of its speculative copy, if there is one.
+    /// The worker and the run number of the task's speculative copy, if there is one.
     pub copy: Option<(WorkerNo, u32)>,
-    /// The highest run number that a copy has had.
+    /// The highest run number of any speculative copy of the task.
     pub last_copy: u32,
-    /// The runs that have failed.
+    /// The numbers of the runs that have failed.
     pub failed_runs: Vec<u32>,
-    /// The runs that are blamed for a worker's crash.
+    /// The numbers of the runs that are blamed for a worker's crash.
     pub crashed_runs: Vec<u32>,
-    /// The run that a former owner had begun, until its fate is known; 0 if there is none.
+    /// The number of the run that a former owner began and of which it is not known whether it
+    /// ended; 0 if there is none.
     pub former_run: u32,
-    /// Its last checkpoint.
+    /// The task's last checkpoint.
     pub checkpoint: Box<str>,
-    /// When the last run that this owner has seen ended.
+    /// End time of the last run seen by this owner.
     pub ended_at: Option<Time>,
 }
 
 impl Task {
-    /// The highest run number that it has had.
+    /// Returns the highest run number that the task has had.
     pub fn last_run(&self) -> u32 {
         self.run.max(self.last_copy)
     }
 
-    /// Whether this run is its current run, or that of its copy, at this worker.
+    /// Returns whether this run, at this worker, is the task's current run or the run of its
+    /// speculative copy.
     pub fn has_run(&self, at: WorkerNo, run: u32) -> bool {
         (self.placement == Placement::Assigned(at) && self.run == run)
             || self.copy == Some((at, run))
     }
 }
 
-/// What advice has said about a step.
+/// The answers to advice calls about a step, and the calls that are unanswered.
 #[derive(Clone, Debug, Default)]
 pub struct Tickets {
     /// The workers that may run the step, each with its ticket and the end of the ticket's
     /// validity. Whether a worker may run the step does not change.
     pub eligible: FxHashMap<WorkerNo, (Box<str>, Time)>,
-    /// The workers that were asked about.
+    /// The workers that advice calls have named so far.
     pub asked: FxHashSet<WorkerNo>,
-    /// The workers that unanswered calls name.
+    /// The workers named in advice calls that are still unanswered.
     pub pending: FxHashSet<WorkerNo>,
-    /// No call before this time.
+    /// Earliest time for the next advice call.
     pub next_call: Time,
-    /// When the unanswered calls were made; for the log only.
+    /// The times at which the unanswered advice calls were made; for the log only.
     pub call_times: Vec<Time>,
-    /// When the last answer arrived; for the log only.
+    /// Arrival time of the last answer to an advice call; for the log only.
     pub answered_at: Option<Time>,
 }
 
 impl Tickets {
-    /// Whether a call is unanswered.
+    /// Returns whether an advice call is unanswered.
     pub fn is_pending(&self) -> bool {
         !self.pending.is_empty()
     }
@@ -90,40 +92,41 @@
 /// The state of one step in one occurrence of a job.
 #[derive(Clone, Debug, Default)]
 pub struct StepState {
-    /// Its tasks.
+    /// The tasks of the step.
     pub tasks: Vec<Task>,
     /// The number of tasks that are not done.
     pub unfinished: u32,
-    /// The number of tasks that wait.
+    /// The number of tasks that are waiting.
     pub waiting: u32,
     /// What advice has said about the step.
     pub tickets: Tickets,
-    /// For a gang: no search for workers before this time.
+    /// Earliest time for the next search for workers; used for gangs only.
     pub next_search: Time,
-    /// When the step could first have started.
+    /// The time from which the step could have started.
     pub ready_since: Option<Time>,
-    /// When advice first named a worker for it; for the log only.
+    /// The time at which advice first named a worker for the step; for the log only.
     pub advised_at: Option<Time>,
-    /// Whether its first start was logged; for the log only.
+    /// Whether the step's first start has been logged.
     pub start_logged: bool,
-    /// The durations of runs that did all of the work, in ascending order.
+    /// The durations of the runs that did all of a task's work, in ascending order.
     pub durations: Vec<Duration>,
 }
 
 impl StepState {
-    /// Adds the duration of a complete run.
+    /// Adds the duration of a run that did all of a task's work.
     pub fn add_duration(&mut self, time: Duration) {
         let at = self.durations.partition_point(|t| *t < time);
         self.durations.insert(at, time);
     }
 
-    /// The expected duration of a run of this step: the median, if there are at least `least` runs.
+    /// Returns the expected duration of a run of this step: the median of the recorded durations,
+    /// or `None` if there are fewer than `least`.
     pub fn expected_duration(&self, least: usize) -> Option<Duration> {
         (self.durations.len() >= least).then(|| self.durations[self.durations.len() / 2])
     }
 }
 
-/// A job that is not over.
+/// A job that has not ended.
 #[derive(Clone, Debug)]
 pub struct ActiveJob {
     /// The name of its queue.
@@ -136,18 +139,19 @@
     pub state: State,
     /// Whether a former owner may have started some of its tasks.
     pub inherited: bool,
-    /// When this owner learnt of it.
+    /// The time at which this owner learnt of the job.
     pub known_since: Time,
     /// The steps of the occurrences that have come due, by occurrence and step.
     pub step_states: BTreeMap<(u32, u16), StepState>,
-    /// For each step, the length of the longest chain of steps that begins with it, by their
-    /// estimates.
+    /// Returns for each step the summed estimates of the longest chain of steps that begins with
+    /// it.
     pub chain_lengths: Box<[Duration]>,
-    /// The number of waves in which the tasks of each step run; empty until the workers are known.
+    /// For each step, the number of batches in which its tasks have to run one after another; empty
+    /// until the workers are known.
     pub waves: Box<[u32]>,
-    /// Whether its first start was counted; for the log only.
+    /// Whether the job's first start has been counted; for the log only.
     pub start_counted: bool,
-    /// The sequence number of its last change.
+    /// The sequence number of the job's last change.
     pub changed_seq: u64,
     /// The sequence number of the last change that is stored, or being written.
     pub stored_seq: u64,
@@ -159,7 +163,7 @@
         let mut active = ActiveJob {
             queue: record.queue,
             submitted_ms: record.came,
-            chain_lengths: tails(&record.job.steps),
+            chain_lengths: longest_chains(&record.job.steps),
             waves: [].into(),
             job: record.job,
             state: State::Queued,
@@ -194,7 +198,7 @@
         active
     }
 
-    /// The state of a step in an occurrence; created if it does not exist.
+    /// Returns the state of a step in an occurrence, and creates it if it does not exist.
     pub fn step_state_mut(&mut self, time: u32, step: u16) -> Option<&mut StepState> {
         let count = self.job.steps.get(usize::from(step))?.count;
         Some(self.step_states.entry((time, step)).or_insert_with(|| StepState {
@@ -205,12 +209,12 @@
         }))
     }
 
-    /// The specification of the step with this key.
+    /// Returns the specification of the step with this key.
     pub fn step(&self, key: &StepKey) -> Option<&Step> {
         self.job.steps.get(usize::from(key.step))
     }
 
-    /// The state of a task.
+    /// Returns the state of a task.
     pub fn task(&mut self, key: &TaskKey) -> Option<&mut Task> {
         let step_state = self.step_states.get_mut(&(key.step.time, key.step.step))?;
         step_state.tasks.get_mut(key.index as usize)
@@ -233,7 +237,7 @@
         }
     }
 
-    /// Ends one of a task's runs. If the task has another run, that one continues alone.
+    /// Removes one of a task's runs. If the task has another run, that run becomes its only one.
     pub fn end_run(&mut self, key: &TaskKey, run: u32) {
         let Some(task) = self.task(key) else { return };
         match task.copy.take() {
@@ -243,7 +247,7 @@
         }
     }
 
-    /// Changes where a task is, and updates the counts of its step.
+    /// Sets a task's placement, and updates the counts of its step.
     pub fn set_placement(&mut self, key: &TaskKey, at: Placement) {
         let Some(step_state) = self.step_states.get_mut(&(key.step.time, key.step.step)) else {
             return;
@@ -262,8 +266,9 @@
         task.placement = at;
     }
 
-    /// The longest chain of steps in an occurrence, as the objective counts it: a step takes its
-    /// estimate once for each wave, plus once for each failure of its most often failed task.
+    /// Returns the length of the longest chain of steps in an occurrence as the latency objective
+    /// defines it: a step takes its estimate once for each batch of its tasks, plus once for each
+    /// failure of the task that failed most often.
     pub fn objective_time(&self, time: u32) -> Duration {
         let mut ends: Vec<Duration> = vec![];
         for (no, step) in (0_u16..).zip(&self.job.steps) {
@@ -279,30 +284,30 @@
         ends.into_iter().max().unwrap_or_default()
     }
 
-    /// The number of occurrences.
+    /// Returns the number of occurrences.
     pub fn occurrences(&self) -> u32 {
         self.job.times.map_or(1, |t| t.count)
     }
 
-    /// When an occurrence is due, in milliseconds of the Unix clock.
+    /// Returns the time at which an occurrence is due, in milliseconds of the Unix clock.
     pub fn due(&self, time: u32) -> u64 {
         self.job.times.map_or(0, |t| t.first.saturating_add(t.every.saturating_mul(time.into())))
     }
 
-    /// Whether all steps that a step depends on are done.
+    /// Returns whether all steps that a step depends on are done.
     pub fn is_unblocked(&self, time: u32, step: u16) -> bool {
         let Some(s) = self.job.steps.get(usize::from(step)) else { return false };
         s.after.iter().all(|a| self.step_states.get(&(time, *a)).is_some_and(|p| p.unfinished == 0))
     }
 
-    /// Whether all tasks of all occurrences are done.
+    /// Returns whether all tasks of all occurrences are done.
     pub fn is_done(&self) -> bool {
         let wanted = self.occurrences() as usize * self.job.steps.len();
         self.step_states.len() == wanted && self.step_states.values().all(|p| p.unfinished == 0)
     }
 
-    /// The record of its progress for the store. `is_final` is when the job ended, in milliseconds of
-    /// the Unix clock, or 0.
+    /// Returns the record of the job's progress for the store. `over` is the time at which the job
+    /// ended, in milliseconds of the Unix clock, or 0.
     pub fn progress(&self, over: u64) -> Progress {
         let (mut tasks, mut crashes) = (vec![], vec![]);
         if !self.state.is_final() {
@@ -329,13 +334,13 @@
         Progress { state: self.state, over, queue: self.queue.clone(), tasks, crashes }
     }
 
-    /// The number of failed runs, over all tasks.
+    /// Returns the number of failed runs of all tasks together.
     pub fn failures(&self) -> u32 {
         let tasks = self.step_states.values().flat_map(|p| &p.tasks);
         u32::try_from(tasks.map(|t| t.failed_runs.len()).sum::<usize>()).unwrap_or(u32::MAX)
     }
 
-    /// All runs of tasks that are assigned to a worker, copies included.
+    /// Returns all runs of tasks that are assigned to a worker, including speculative copies.
     pub fn assigned_runs(&self, no: JobNo) -> Vec<(TaskKey, WorkerNo, u32)> {
         let mut all = vec![];
         for ((time, step), step_state) in &self.step_states {
@@ -351,8 +356,8 @@
     }
 }
 
-/// For each step, the length of the longest chain of steps that begins with it, by their estimates.
-fn tails(steps: &[Step]) -> Box<[Duration]> {
+/// Returns for each step the summed estimates of the longest chain of steps that begins with it.
+fn longest_chains(steps: &[Step]) -> Box<[Duration]> {
     let mut tails: Vec<u64> = steps.iter().map(|s| s.estimate).collect();
     for (i, step) in steps.iter().enumerate().rev() {
         for before in step.after.iter().map(|a| usize::from(*a)) {
--- a/src/shard/listing.rs
+++ b/src/shard/listing.rs
@@ -14,9 +14,9 @@
     std::{net::SocketAddr, sync::Arc, time::Duration},
 };
 
-/// How long a leaving worker is assumed to stay if it does not say.
+/// How long a leaving worker is assumed to stay if it does not say when it shuts down.
 const DEFAULT_LEAVE: Duration = Duration::from_secs(2);
-/// The maximum age of the list of workers.
+/// The maximum age of a worker list that is processed.
 const MAX_LIST_AGE: Duration = Duration::from_millis(700);
 
 impl Shard {
@@ -106,7 +106,7 @@
         self.round_due = true;
     }
 
-    /// Ends workers whose address another worker incarnation has taken.
+    /// Treats workers as gone if a newer worker incarnation has their address.
     fn end_replaced(&mut self, seen: &FxHashSet<WorkerNo>, now: Time) {
         let addrs: FxHashSet<SocketAddr> = seen.iter().map(|n| self.workers[n.0].addr).collect();
         for no in (0..self.workers.len()).map(WorkerNo) {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The number of a worker incarnation; assigns one if the incarnation is new.
+    /// Returns the number of a worker incarnation, and assigns one if the incarnation is new.
     pub(super) fn worker_no(&mut self, id: &WorkerId, addr: SocketAddr, now: Time) -> WorkerNo {
         // A worker that was considered gone and reappears gets a new number and starts without any
         // known state.
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -1,4 +1,4 @@
-//! Calls to workers: handling of the answers, retries, and the holds that renew leases.
+//! Handles the answers to calls to workers, repeats calls, and sends the holds that renew leases.
 
 use {
     crate::{
@@ -14,12 +14,13 @@
     std::time::Duration,
 };
 
-/// How long to wait for the answer to a start, a stop or a change of pace: workers answer within
-/// some milliseconds, and an order without an answer by then is one that will be carried out late.
+/// Timeout of a start, a stop or a change of pace. Workers answer within some milliseconds; an
+/// order that is unanswered after this time may still be carried out late.
 pub(super) const ORDER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often a start is sent before the run is given up and blocked.
-const MAX_STARTS: u32 = 3;
-/// The pause after a worker has reported that it is unwell or has less capacity than expected.
+/// Maximum number of times that the start of a run is sent before the run is given up and stopped.
+const MAX_START_ATTEMPTS: u32 = 3;
+/// Time without starts after a worker has reported that it is unwell or has less capacity than
+/// expected.
 pub(super) const UNWELL_PAUSE: Duration = Duration::from_millis(700);
 
 impl Shard {
@@ -40,14 +41,16 @@
             return;
         }
         let first = run.start_count == 1;
-        let more = run.start_count < MAX_STARTS && from.is_some() && worker.leaves_at.is_none();
+        let more =
+            run.start_count < MAX_START_ATTEMPTS && from.is_some() && worker.leaves_at.is_none();
         match reply {
             Ok(WorkerReply::Done(_)) => {
                 run.phase = Phase::Running;
                 run.listed_from = Some(now);
                 self.mark_running(&start.task);
             }
-            // The run was there and has ended: the next hold reports how.
+            // The worker has had this run and it has ended; the answer to the next hold reports
+            // how.
             Ok(WorkerReply::Refused(_, Refusal::Old)) => {
                 run.phase = Phase::Stopping;
                 run.listed_from = Some(now);
@@ -58,7 +61,7 @@
                 run.start_count += 1;
                 run.phase = Phase::Unsure;
                 run.sent_at = now;
-                // A silent worker gets no new lease, as in `send_holds`.
+                // An unresponsive worker gets no new lease; `send_holds` has the reason.
                 let from = from.filter(|_| worker.unanswered_calls == 0);
                 let new = from.and_then(|f| worker.extend_lease(&self.setup.bounds, f, now));
                 let until = new.unwrap_or(start.until);
@@ -151,7 +154,7 @@
         });
     }
 
-    /// Repeats stops that had no answer, or that were answered and had no effect.
+    /// Repeats the stops that were not answered, or that were answered but had no effect.
     pub(super) fn repeat_stops(&mut self, now: Time) {
         let due = |r: &Run| {
             let again = if r.listed_from.is_none() { ORDER_TIMEOUT * 2 } else { ORDER_TIMEOUT * 4 };
@@ -178,8 +181,9 @@
             if !wanted {
                 continue;
             }
-            // A silent worker gets no new lease: each lease may still arrive, so it would postpone
-            // the time from which the worker's tasks can start elsewhere, without end.
+            // An unresponsive worker gets no new lease. Each lease may still arrive, so repeated
+            // leases would postpone without end the time from which the worker's tasks can start
+            // elsewhere.
             let from = from.filter(|_| w.fenced && w.unanswered_calls == 0);
             let until = from.and_then(|f| w.extend_lease(&self.setup.bounds, f, now));
             let wait = match () {
--- a/src/shard/prefetch.rs
+++ b/src/shard/prefetch.rs
@@ -19,8 +19,8 @@
 const ASSUMED_WORKERS: u32 = 5;
 
 impl Shard {
-    /// Returns the workers that will soon have room for a task of this step, if at least one of
-    /// their tickets has to be requested now; otherwise returns none.
+    /// Returns the workers that will soon have room for a task of this step, or none if no ticket
+    /// for them has to be requested yet.
     pub(super) fn freeing_workers(
         &self,
         turn: &Turn,
@@ -32,30 +32,30 @@
         let size = turn.step.reserved();
         let duration = cost.base + cost.each * ASSUMED_WORKERS;
         let by = ahead::horizon(duration, now);
-        let mut coming = vec![];
+        let mut freeing = vec![];
         let apart = turn.step.apart;
         let full = |r: &&Room| !size.fits(&r.free) && (apart == 0 || r.same_step < apart);
         for room in good.iter().filter(full) {
             let no = WorkerNo(room.index);
-            if self.frees_by(no, &size, by, now) && round.upcoming.add(no) {
-                coming.push(no);
+            if self.will_have_room(no, &size, by, now) && round.upcoming.add(no) {
+                freeing.push(no);
             }
         }
         let ends = |no: &WorkerNo| {
             self.valid_until(turn.key, *no)
                 .is_none_or(|until| ahead::expires_early(until, duration, now))
         };
-        if !coming.iter().any(ends)
+        if !freeing.iter().any(ends)
             || !ahead::may_call_ahead(self.lanes.idle_count(), self.lanes.len())
         {
-            coming.clear();
+            freeing.clear();
         }
-        coming
+        freeing
     }
 
-    /// Whether a worker is expected to have room for `size` by the time `by`. Long-running tasks
-    /// are assumed to stay.
-    fn frees_by(&self, no: WorkerNo, size: &Size, by: Time, now: Time) -> bool {
+    /// Returns whether a worker is expected to have room for `size` by the time `by`. Long-running
+    /// tasks are assumed to stay.
+    fn will_have_room(&self, no: WorkerNo, size: &Size, by: Time, now: Time) -> bool {
         let worker = &self.workers[no.0];
         let lasts = |t: &TaskKey| {
             let step = self.jobs.get(&t.step.job).and_then(|j| j.step(&t.step));
@@ -66,7 +66,7 @@
     }
 }
 
-/// The time at which a run is expected to end.
+/// Returns the time at which a run is expected to end.
 pub(super) fn expected_end(run: &Run, now: Time) -> Time {
     if run.phase == Phase::Stopping {
         return now;
--- a/src/shard/record.rs
+++ b/src/shard/record.rs
@@ -23,7 +23,7 @@
     std::{collections::BTreeMap, net::SocketAddr},
 };
 
-/// Prefix of the keys that every member watches.
+/// Prefix of the keys that all members watch.
 pub const TABLE_PREFIX: &str = "dwr/t/";
 /// Prefix of the keys of members.
 pub const MEMBERS_PREFIX: &str = "dwr/t/m/";
@@ -52,42 +52,42 @@
 pub struct ShardNo(pub u16);
 
 impl ShardNo {
-    /// Prefix of the keys of jobs and their cancels.
+    /// Returns the prefix of the keys of submitted jobs and of the requests to cancel them.
     pub fn inbox(self) -> Box<str> {
         format!("dwr/in/{self}/").into()
     }
 
-    /// Key of a job.
+    /// Returns the key of a job.
     pub fn job(self, job: JobNo) -> Box<str> {
         format!("dwr/in/{self}/j/{job}").into()
     }
 
-    /// Key of a job's cancel.
+    /// Returns the key of the request to cancel a job.
     pub fn cancel(self, job: JobNo) -> Box<str> {
         format!("dwr/in/{self}/c/{job}").into()
     }
 
-    /// Prefix of the keys of progress records.
+    /// Returns the prefix of the keys of progress records.
     pub fn all_progress(self) -> Box<str> {
         format!("dwr/p/{self}/").into()
     }
 
-    /// Key of a job's progress.
+    /// Returns the key of a job's progress.
     pub fn progress(self, job: JobNo) -> Box<str> {
         format!("dwr/p/{self}/{job}").into()
     }
 
-    /// Key of the roster.
+    /// Returns the key of the shard's [`Roster`].
     pub fn roster(self) -> Box<str> {
         format!("dwr/r/{self}").into()
     }
 
-    /// Key of the commit row.
+    /// Returns the key of the shard's [`CommitRow`].
     pub fn commit(self) -> Box<str> {
         format!("dwr/c/{self}").into()
     }
 
-    /// Key of the owner's row.
+    /// Returns the key of the shard's [`OwnerRow`].
     pub fn owner(self) -> Box<str> {
         format!("{OWNERS_PREFIX}{self}").into()
     }
@@ -103,18 +103,19 @@
 );
 
 impl ShardRange {
-    /// Whether a shard is in the range.
+    /// Returns whether a shard is in the range.
     pub fn contains(self, shard: ShardNo) -> bool {
         shard.0 >= self.0 && shard.0 - self.0 < self.1
     }
 
-    /// The shard of the range that a hash maps to.
+    /// Returns the shard of the range that a hash maps to.
     pub fn shard_for(self, hash: u64) -> ShardNo {
         ShardNo(self.0 + (hash % u64::from(self.1.max(1))) as u16)
     }
 }
 
-/// The division of a deployment into shards, and the secret that its members share. Never changed.
+/// The division of a deployment into shards, and the secret that its members share. The record is
+/// never changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Layout {
     /// The number of shards, above 0.
@@ -133,13 +134,13 @@
 /// A member, as the store's membership table describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// The address for calls of other members.
+    /// The address at which the member takes calls of other members.
     pub control: SocketAddr,
     /// The member's availability zone.
     pub zone: Zone,
     /// Whether the member is shutting down.
     pub draining: bool,
-    /// The processor share of the member, in cores.
+    /// The processor time available to the member, in cores.
     #[serde(default)]
     pub cores: f64,
     /// Whether the member reaches the store only through other members.
@@ -152,14 +153,15 @@
 pub struct OwnerRow {
     /// The owner; `None` if the shard was released.
     pub owner: Option<Incarnation>,
-    /// The number of owners that the shard has had.
+    /// The number of owners that the shard has had, including this one.
     pub token: u64,
     /// The owner's address for calls of other members.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub control: Option<SocketAddr>,
 }
 
-/// Changed by each write of an owner, so that none of its earlier writes can take effect later.
+/// A row that each write of an owner changes, so that none of its earlier writes can take effect
+/// later.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommitRow {
     /// The owner's token.
@@ -187,7 +189,7 @@
 pub struct Progress {
     /// The state of the job.
     pub state: State,
-    /// When the job ended, in milliseconds of the Unix clock; 0 until then.
+    /// The time at which the job ended, in milliseconds of the Unix clock; 0 until then.
     #[serde(default)]
     pub over: u64,
     /// The name of its queue.
@@ -209,13 +211,13 @@
     pub u16,
     /// The index of the task in its step.
     pub u32,
-    /// The last known run.
+    /// The number of the last known run.
     pub u32,
-    /// The runs that have failed.
+    /// The numbers of the runs that have failed.
     pub Vec<u32>,
     /// Whether the task is done.
     pub bool,
-    /// Its last checkpoint.
+    /// The task's last checkpoint.
     pub Box<str>,
 );
 
@@ -228,16 +230,16 @@
     pub u16,
     /// The index of the task in its step.
     pub u32,
-    /// The runs during which workers have crashed.
+    /// The numbers of the runs during which workers have crashed.
     pub Vec<u32>,
-    /// The run that is in progress; 0 if there is none.
+    /// The number of the run that is in progress; 0 if there is none.
     pub u32,
 );
 
 /// The workers that may run tasks of a shard.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Roster {
-    /// Their ids and addresses.
+    /// The ids and addresses of the workers.
     pub workers: Vec<(WorkerId, SocketAddr)>,
 }
 
@@ -254,32 +256,35 @@
 /// Key of the [`Closing`] record; all members watch it.
 pub const CLOSING_KEY: &str = "dwr/t/closing";
 
-/// The turn of a worker in a wave of upkeep.
+/// How far a worker has come in a wave of upkeep.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpkeepTurn {
-    /// The worker has no turn.
+    /// The worker is not due for upkeep.
     #[default]
     Open,
-    /// Its turn is still to come; long-running tasks had better start elsewhere.
+    /// The worker is due for upkeep but is not being drained yet; long-running tasks should start
+    /// elsewhere.
     Due,
-    /// It is being drained: nothing starts there, long-running tasks move, other tasks may finish.
+    /// The worker is being drained: nothing starts there, long-running tasks move, other tasks may
+    /// finish.
     Closing,
-    /// As `Closing`, but the tasks that still run there are no longer waited for.
+    /// As `Closing`, but tasks that still run on the worker are stopped.
     Forced,
 }
 
 /// The workers whose VMs are due for upkeep.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Closing {
-    /// The token of the writer, and the number of its earlier writes; the pair only increases.
+    /// The version of the record: the token of its writer, and the number of that writer's earlier
+    /// writes. The pair only increases.
     pub place: (u64, u64),
     /// The turn of each worker.
     pub turns: BTreeMap<WorkerId, UpkeepTurn>,
 }
 
 impl Closing {
-    /// The turn of a worker; `Open` if it is not in the record.
+    /// Returns the turn of a worker; `Open` if the worker is not in the record.
     pub fn turn(&self, worker: &WorkerId) -> UpkeepTurn {
         self.turns.get(worker).copied().unwrap_or_default()
     }
--- a/src/shard/run_end.rs
+++ b/src/shard/run_end.rs
@@ -27,14 +27,14 @@
         }
         self.apply_end(&end.task, end.run, end.how, saved, current, now);
         if current {
-            self.record_left_at(&end.task, now);
+            self.record_ended_at(&end.task, now);
         }
         let place = self.mark_changed(end.task.step.job);
         self.workers[no.0].unstored_ends.push_back((end.number, end.task.step.job, place));
         self.finish_if_done(end.task.step.job, now);
     }
 
-    /// Processes the disappearance of a run whose end was not reported.
+    /// Handles a run that is no longer on its worker although the worker reported no end.
     pub(super) fn on_run_lost(&mut self, no: WorkerNo, task: &TaskKey, run: u32, now: Time) {
         self.log_lost(no, task, run, now);
         let Some(old) = self.workers[no.0].remove_run(task, run) else { return };
@@ -44,16 +44,17 @@
             self.apply_end(task, run, EndReason::Stopped, old.checkpoint, true, now);
         }
         if current && old.was_seen {
-            self.record_left_at(task, now);
+            self.record_ended_at(task, now);
         }
         if old.crash_suspect {
-            // A successor that does not find this run would count it as a crash.
+            // Without a stored change, a successor that does not find this run would count it as a
+            // crash.
             self.mark_changed(task.step.job);
         }
     }
 
-    /// Records when a task's run has ended, unless another run of the task continues.
-    fn record_left_at(&mut self, task: &TaskKey, now: Time) {
+    /// Records the end time of a task's run, unless another run of the task continues.
+    fn record_ended_at(&mut self, task: &TaskKey, now: Time) {
         let task = self.jobs.get_mut(&task.step.job).and_then(|j| j.task(task));
         if let Some(task) = task.filter(|t| t.placement == Placement::Waiting) {
             task.ended_at = Some(now);
@@ -81,7 +82,8 @@
             t.former_run = 0;
         }
         let was_done = t.placement == Placement::Done;
-        // With speculative copies, another run must not be confused with the one that is present.
+        // If the task has a speculative copy, the number of this run must not replace the number of
+        // the run that is still in progress.
         let running = step.copies && matches!(t.placement, Placement::Assigned(_));
         let highest = if running { &mut t.last_copy } else { &mut t.run };
         *highest = run.max(*highest);
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Counts a failed run, once for all members of a gang.
+    /// Counts a failed run of a task. The failures of several members of one gang run count once.
     ///
     /// Guards against an end that is reported twice: a new owner receives ends again that are
     /// already stored but were not acknowledged to the worker. Without this the job would fail too
--- a/src/shard/start.rs
+++ b/src/shard/start.rs
@@ -1,4 +1,4 @@
-//! Starting of tasks: numbers the runs, adds them to their workers and orders the starts.
+//! Starts tasks: numbers the runs, adds them to their workers and sends the orders to start them.
 
 use {
     crate::{
@@ -17,8 +17,8 @@
     std::time::Duration,
 };
 
-/// Each owner gets a block of this many run numbers for jobs of which former owners may have
-/// started tasks, so that its numbers are higher than theirs.
+/// Number of run numbers set aside for each owner. In jobs of which former owners may have started
+/// tasks, an owner's run numbers are thereby higher than those of former owners.
 const RUNS_PER_OWNER: u64 = 1000;
 
 impl Shard {
--- a/src/shard/stats.rs
+++ b/src/shard/stats.rs
@@ -1,4 +1,4 @@
-//! Statistics of a shard's decisions for the metrics, and the values that were last reported.
+//! Statistics of a shard's decisions for the metrics, and the values that the shard last reported.
 
 use {
     crate::{shard::cause::Cause, time::Time},
@@ -8,15 +8,15 @@
 /// Events since the statistics were last collected.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Stats {
-    /// First starts of steps, by the reason for their delay.
+    /// The number of steps that have started for the first time, by the reason for their delay.
     pub starts: BTreeMap<&'static str, u64>,
-    /// Times from a job's arrival to its first start.
+    /// The times from a job's arrival to its first start, one for each job.
     pub first_starts: Vec<Duration>,
-    /// Times from a job's arrival to its completion.
+    /// The times from a job's arrival to its completion, one for each job.
     pub completions: Vec<Duration>,
-    /// Ended runs, by the way in which they ended.
+    /// The number of runs that have ended, by the way in which they ended.
     pub ends: BTreeMap<&'static str, u64>,
-    /// Stored ends of runs that were acknowledged to their workers.
+    /// The number of stored ends of runs that were acknowledged to their workers.
     pub acknowledged: u64,
 }
 
@@ -29,8 +29,8 @@
     pub named: u64,
     /// The sum of the expected durations of the calls.
     pub expected_time: Duration,
-    /// The number of calls of which no named worker was expected to have room for a task when the
-    /// answer arrives.
+    /// The number of calls made although none of the named workers was expected to have room for a
+    /// task by the time of the answer.
     pub without_room: u64,
     /// The number of tasks that were started with tickets.
     pub starts: u64,
@@ -39,18 +39,18 @@
 /// The values that were last reported of a shard.
 #[derive(Clone, Debug)]
 pub(super) struct Reported {
-    /// When the last worker list was received.
+    /// The time at which the last worker list was received.
     pub listed_at: Time,
     /// The number of workers in that list.
     pub listed_count: usize,
-    /// When the shard was settled.
+    /// The time at which the shard was settled: since then, no run of a former owner is unknown.
     pub settled_at: Option<Time>,
     /// The longest time for which a long-running task has been away, by cause.
     pub away: BTreeMap<Cause, Duration>,
 }
 
 impl Reported {
-    /// The values before any report.
+    /// Returns the values before any report.
     pub fn new(now: Time) -> Self {
         Reported { listed_at: now, listed_count: 0, settled_at: None, away: BTreeMap::new() }
     }
@@ -59,7 +59,7 @@
 /// The gauges of a shard.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Waiting tasks that could start, by the priority of their queue.
+    /// The number of waiting tasks that could start, by the priority of their queue.
     pub waiting: BTreeMap<u8, usize>,
     /// The age of the worker list.
     pub list_age: Duration,
--- a/src/shard/workers.rs
+++ b/src/shard/workers.rs
@@ -16,16 +16,20 @@
 
 /// The lowest rate at which a worker's clock may run, relative to the owner's.
 pub const MIN_CLOCK_RATE: f64 = 0.98;
-/// Added to a bound on another machine's clock, for network delay and rounding.
+/// Margin for network delay and rounding, added to time bounds that are derived from another
+/// machine's clock.
 pub const CLOCK_MARGIN: Duration = Duration::from_millis(250);
-/// From this percentage of its work on, a long-running task counts as running.
+/// Minimum reported progress, as a percentage, at which a long-running task counts as fully
+/// running.
 pub const AT_WORK_PERCENT: u8 = 100;
 /// The pace at which a run begins, in percent.
 pub const FULL_PACE_PERCENT: u8 = 100;
-/// Leases are requested shorter than the bound by this much, so that a worker never truncates them.
+/// Leases are requested this much shorter than the worker's maximum, so that the worker never
+/// truncates them.
 const LEASE_MARGIN: Duration = Duration::from_millis(200);
-/// The longest lease that is requested: the time for which a long-running task may be away. If
-/// nothing shows that a lost worker has ended, its tasks have to wait for the end of its lease.
+/// Maximum length of a lease: the time for which a long-running task may be absent. If nothing
+/// shows that a lost worker has ended, its tasks cannot start elsewhere before the end of its
+/// lease.
 const MAX_LEASE: Duration = Duration::from_secs(6);
 
 /// The index of one incarnation of a worker in `Shard::workers`; an owner never reuses one.
@@ -37,9 +41,9 @@
 pub enum Phase {
     /// The start has been sent.
     Starting,
-    /// The start had no answer: the run may be there, or begin later.
+    /// The start was not answered: the worker may have the run, or may begin it later.
     Unsure,
-    /// The run is there.
+    /// The worker has the run.
     Running,
     /// The run has to end; its resources count as used until it has.
     Stopping,
@@ -54,43 +58,44 @@
     pub size: Size,
     /// Whether the resources that it uses are unknown.
     pub size_unknown: bool,
-    /// What is known of it.
+    /// What is known of the run.
     pub phase: Phase,
     /// When the last order for this run was sent.
     pub sent_at: Time,
-    /// From this time on, an answer that does not list the run shows that it is gone.
+    /// If an answer given after this time does not list the run, the run is gone.
     pub listed_from: Option<Time>,
-    /// Whether the worker has reported it as running.
+    /// Whether the worker has reported the run as running.
     pub was_seen: bool,
-    /// Whether the worker has reported it so long after its start that the start cannot have
-    /// crashed the worker.
+    /// Whether the worker has reported the run long enough after its start to rule out that the
+    /// start crashes the worker.
     pub settled: bool,
     /// Whether another worker has crashed while it ran this task.
     pub crash_suspect: bool,
     /// When the run was started.
     pub started_at: Time,
-    /// How often its start was sent.
+    /// The number of times that the run's start was sent.
     pub start_count: u32,
-    /// Its progress at the start and at the last report, in percent.
+    /// The progress of the run at its start and at the last report, as percentages.
     pub percent: (u8, u8),
-    /// When the worker last reported it.
+    /// The time at which the worker last reported the run.
     pub reported_at: Time,
-    /// Its last checkpoint.
+    /// The run's last checkpoint.
     pub checkpoint: Box<str>,
     /// The tail latency of a serving task, in milliseconds.
     pub tail_ms: u64,
-    /// Its pace in percent, if known.
+    /// The pace of the run in percent, if known.
     pub pace: Option<u8>,
     /// The latency target of a serving task, in milliseconds; 0 if it has none.
     pub target_ms: u64,
-    /// Whether it is a filler: it uses only what other tasks leave free.
+    /// Whether the run is a filler, which uses only resources that other tasks leave free.
     pub fills: bool,
-    /// The priority of its queue, if it may be preempted by work of a lower number because it loses
-    /// little.
+    /// The priority of the run's queue if the run loses little when preempted; work with a lower
+    /// priority number may then preempt it.
     pub preempt_priority: Option<u8>,
     /// The expected duration of its work.
     pub estimate: Duration,
-    /// An earlier report, some seconds old: its time, and the progress in percent.
+    /// The time of an earlier report, and the progress in it as a percentage; later reports are
+    /// compared with it.
     pub earlier_report: (Time, u8),
 }
 
@@ -101,21 +106,22 @@
     pub id: WorkerId,
     /// The address that takes its orders.
     pub addr: SocketAddr,
-    /// Its entry in the worker list; `None` once it has left the list.
+    /// The worker's entry in the worker list; `None` if the list does not contain it.
     pub listed: Option<ListedWorker>,
-    /// Whether it has answered to this owner's token.
+    /// Whether the worker has answered a call with this owner's token, so that it rejects former
+    /// owners.
     pub fenced: bool,
     /// Whether the stored roster includes it, so that it may receive starts.
     pub rostered: bool,
-    /// Whether nothing can run there any more.
+    /// Whether the worker has ended, so that nothing can run on it any more.
     pub gone: bool,
-    /// When this owner first learnt of it.
+    /// The time at which this owner first learnt of the worker.
     pub first_seen: Time,
-    /// When it shuts down, if it is leaving.
+    /// The time at which the worker shuts down, if it is leaving.
     pub leaves_at: Option<Time>,
-    /// Its turn in a wave of upkeep.
+    /// The worker's turn in a wave of upkeep.
     pub turn: UpkeepTurn,
-    /// The runs that are there, or may be.
+    /// The runs that the worker has or may have.
     pub runs: FxHashMap<TaskKey, Run>,
     /// The sum of the resources of its runs.
     pub used: Size,
@@ -132,48 +138,50 @@
     /// Ends that were received and are not stored yet: number, job and sequence number of the
     /// change.
     pub unstored_ends: VecDeque<(u64, JobNo, u64)>,
-    /// When the hold without an answer so far was sent.
+    /// The time at which the unanswered hold was sent; `None` if no hold is unanswered.
     pub hold_sent: Option<Time>,
-    /// When the next hold is due, if there is no unanswered one.
+    /// The time at which the next hold is due, unless a hold is unanswered.
     pub next_hold: Time,
-    /// When the worker gave its last answer.
+    /// The time at which the worker gave its last answer.
     pub last_answer: Option<Time>,
-    /// The number of unanswered calls since that answer.
+    /// The number of unanswered calls since the worker's last answer.
     pub unanswered_calls: u32,
     /// The number of unanswered orders since the last answered call.
     pub unanswered_orders: u32,
-    /// The worker's clock in milliseconds, and the latest time at which it can have been read.
+    /// The last reading of the worker's clock in milliseconds, and the latest time at which it can
+    /// have been taken.
     clock: Option<(u64, Time)>,
     /// The worker's clock at its last answer, and when that answer was given.
     last_clock: Option<(u64, Time)>,
     /// The end of the longest lease that was requested, on the worker's clock.
     lease_until: u64,
-    /// When the platform's VM list was requested that first lacked this worker.
+    /// The time of the request for the first VM list of the platform that did not contain this
+    /// worker.
     pub missing_since: Option<Time>,
-    /// No starts before this time.
+    /// The time until which nothing may start on the worker.
     pub paused_until: Time,
-    /// No starts before this time, because a task has just begun there under which another worker
-    /// has crashed.
+    /// The time until which nothing may start on the worker because it has just begun a task that
+    /// has crashed another worker.
     pub isolated_until: Time,
-    /// Its health, judged by failures and speed.
+    /// The worker's health, judged by failures and speed.
     pub health: WorkerHealth,
     /// The pace for fillers on this worker.
     pub pace: Pace,
-    /// What was last logged about it.
+    /// The state of the worker that was last logged.
     pub reported: Reported,
 }
 
 /// What was last logged about a worker, so that each change is logged once.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reported {
-    /// Whether it is in quarantine.
+    /// Whether the worker is in quarantine.
     pub quarantined: bool,
-    /// Whether it is silent.
+    /// Whether the worker is unresponsive.
     pub silent: bool,
 }
 
 impl Worker {
-    /// A worker of which only the id and the address are known.
+    /// Creates a worker of which only the id and the address are known.
     pub fn new(id: WorkerId, addr: SocketAddr, now: Time) -> Self {
         Worker {
             id,
@@ -210,7 +218,7 @@
         }
     }
 
-    /// Whether it may receive starts.
+    /// Returns whether the worker may receive starts.
     ///
     /// A worker with runs of unknown size may not. A new owner finds runs of jobs that are over,
     /// which go on until they are stopped and use an unknown amount of resources; a start could
@@ -219,10 +227,12 @@
         self.can_start(now) && !self.is_draining()
     }
 
-    /// Whether a task without a place elsewhere may start there while the worker is being drained.
+    /// Returns whether a task that fits on no other worker may start on this one while it is being
+    /// drained.
     ///
-    /// Only if something runs there: a worker without runs may already have been reported empty,
-    /// and its VM may go down at any moment. A worker with runs has never been reported empty.
+    /// It may only if the worker has runs: a worker without runs may already have been reported
+    /// empty, and its VM may go down at any moment. A worker with runs has never been reported
+    /// empty.
     pub fn usable_draining(&self, now: Time) -> bool {
         self.can_start(now) && self.turn == UpkeepTurn::Closing && !self.runs.is_empty()
     }
@@ -238,28 +248,28 @@
             && self.paused_until <= now
     }
 
-    /// Whether its turn in a wave of upkeep is still to come.
+    /// Returns whether the worker is due for upkeep but is not being drained yet.
     pub fn upkeep_due(&self) -> bool {
         self.turn == UpkeepTurn::Due
     }
 
-    /// Whether it is being drained.
+    /// Returns whether the worker is being drained.
     pub fn is_draining(&self) -> bool {
         matches!(self.turn, UpkeepTurn::Closing | UpkeepTurn::Forced)
     }
 
-    /// Whether the stored roster has to include it, because something may run there.
+    /// Returns whether the stored roster has to include the worker because something may run on it.
     pub fn needs_roster(&self) -> bool {
         let live = self.listed.is_some() && self.leaves_at.is_none() && self.unanswered_calls < 3;
         !self.gone && (live || !self.runs.is_empty() || !self.fenced)
     }
 
-    /// The pool of the worker, if it is listed.
+    /// Returns the pool of the worker, if it is listed.
     pub fn pool(&self) -> Option<&PoolId> {
         self.listed.as_ref().map(|l| &l.pool)
     }
 
-    /// Its free resources.
+    /// Returns the worker's free resources.
     pub fn free(&self) -> Size {
         self.listed.as_ref().map_or(Size::default(), |l| l.capacity.saturating_sub(&self.used))
     }
@@ -303,17 +313,18 @@
     /// `clock`.
     ///
     /// A new owner that is suspended before it renews the lease would otherwise know of no lease,
-    /// take the worker's runs for lapsed and start them a second time. From then on no order of a
-    /// former owner counts, since the worker has seen the new token.
+    /// take the leases of the worker's runs for expired and start the runs a second time. Former
+    /// owners can give no later lease, since the worker has seen the new token.
     pub fn inherit_lease(&mut self, clock: u64, bounds: &Bounds) {
         self.lease_until = self.lease_until.max(clock + millis(bounds.max_lease));
     }
 
-    /// When the lease of all runs there has certainly ended.
+    /// Returns the time at which the lease of all runs on the worker has certainly ended.
     ///
     /// A run on a worker that is cut off may go on until then and must not start elsewhere before.
-    /// Leases are times on the worker's own clock, which may be slow. So the bound counts from the
-    /// last reading of that clock, and it holds whenever unanswered renewals arrive.
+    /// Leases are times on the worker's own clock, which may be slow. The result is therefore
+    /// counted from the last reading of that clock; it is valid no matter when unanswered renewals
+    /// arrive.
     pub fn lease_end(&self, bounds: &Bounds) -> Time {
         let Some((clock, at)) = self.clock else {
             return self.first_seen + bounds.max_lease.div_f64(MIN_CLOCK_RATE) + CLOCK_MARGIN;
@@ -329,7 +340,7 @@
         self.fillers += u32::from(run.fills);
         self.serving += u32::from(run.target_ms > 0);
         if let Some(old) = self.runs.insert(task, run) {
-            self.uncount(&old);
+            self.deduct_run(&old);
         }
     }
 
@@ -339,18 +350,18 @@
             return None;
         }
         let old = self.runs.remove(task)?;
-        self.uncount(&old);
+        self.deduct_run(&old);
         Some(old)
     }
 
-    fn uncount(&mut self, run: &Run) {
+    fn deduct_run(&mut self, run: &Run) {
         self.used = self.used.saturating_sub(&run.size);
         self.unsized_runs -= usize::from(run.size_unknown);
         self.fillers -= u32::from(run.fills);
         self.serving -= u32::from(run.target_ms > 0);
     }
 
-    /// Whether a serving task runs there.
+    /// Returns whether a serving task runs on the worker.
     pub fn serves(&self) -> bool {
         self.serving > 0
     }
