--- a/src/shard/closing.rs
+++ b/src/shard/closing.rs
@@ -30,8 +30,10 @@
     /// Whether the worker is about to shut down.
     pub leaving: bool,
     /// The number of tasks on the worker that are not long-running.
+    #[serde(rename = "brief")]
     pub brief: u32,
     /// The number of long-running tasks on the worker.
+    #[serde(rename = "lasting")]
     pub lasting: u32,
 }
 
@@ -41,6 +43,7 @@
     /// The pool.
     pub pool: PoolId,
     /// The waiting time of the oldest work that could start, in milliseconds.
+    #[serde(rename = "waits")]
     pub waits: u64,
 }
 
@@ -62,7 +65,7 @@
     /// Sets which workers are to be emptied; an older list never replaces a newer one.
     ///
     /// Guards against an older list that arrives after the shard began with a newer one: it would
-    /// reopen a worker that was just reported as clear, and whatever starts there ends with its VM.
+    /// reopen a worker that was just reported as empty, and a task started there would end with its VM.
     pub(super) fn close_workers(&mut self, closing: &Arc<Closing>) {
         if closing.place < self.closing.place {
             return;
--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -25,7 +25,7 @@
             return vec![];
         }
         // Stopping runs are included: a stop may have been ordered after the crash, because the
-        // other members of a gang ended when their member here was lost.
+        // other members of a gang ended when the member on this worker was lost.
         let runs: Vec<_> = worker.runs.iter().collect();
         let all: Vec<CrashedRun> = runs
             .iter()
--- a/src/shard/dispatch.rs
+++ b/src/shard/dispatch.rs
@@ -191,8 +191,9 @@
     /// Returns the maximum number of tasks of a step that a worker may receive now, regardless of
     /// its free resources.
     ///
-    /// Without this limit all tasks of a step would choose the one worker that is open to a probe;
-    /// all but one would be refused there, and none would go to other workers that have capacity.
+    /// A quarantined worker takes one task as a probe. Without this limit all tasks of a step would
+    /// choose that worker; all but one would be refused, and none would go to other workers that
+    /// have capacity.
     fn start_limit(&self, no: WorkerNo, step: &Step, now: Time) -> u32 {
         let sound = &self.workers[no.0].health;
         match sound.verdict(now) {
@@ -405,7 +406,7 @@
     }
 
     /// Returns the capacity of a worker for a task of this step; `None` if the task must not run
-    /// there.
+    /// on the worker.
     pub(super) fn room(&self, no: WorkerNo, key: &StepKey, step: &Step, now: Time) -> Option<Room> {
         let w = &self.workers[no.0];
         let listed = w.listed.as_ref()?;
--- a/src/shard/jobs.rs
+++ b/src/shard/jobs.rs
@@ -129,15 +129,15 @@
 /// A job that has not ended.
 #[derive(Clone, Debug)]
 pub struct ActiveJob {
-    /// The name of its queue.
+    /// The name of the job's queue.
     pub queue: Box<str>,
-    /// When it was submitted, in milliseconds of the Unix clock.
+    /// The time at which the job was submitted, in milliseconds of the Unix clock.
     pub submitted_ms: u64,
     /// The specification of the job.
     pub job: Job,
     /// The state of the job.
     pub state: State,
-    /// Whether a former owner may have started some of its tasks.
+    /// Whether a former owner may have started some tasks of the job.
     pub inherited: bool,
     /// The time at which this owner learnt of the job.
     pub known_since: Time,
--- a/src/shard/prefetch.rs
+++ b/src/shard/prefetch.rs
@@ -15,7 +15,7 @@
     work::{AdviceCost, TaskKey},
 };
 
-/// The number of workers that the estimated cost of an advance call is based on.
+/// The number of workers that an advice call is assumed to name when its duration is estimated.
 const ASSUMED_WORKERS: u32 = 5;
 
 impl Shard {
--- a/src/shard/record.rs
+++ b/src/shard/record.rs
@@ -124,7 +124,7 @@
     /// whoever can read the store knows it.
     pub secret: Box<str>,
     /// The shards of the workers that were listed when the layout was made, sorted by address.
-    #[serde(default)]
+    #[serde(default, rename = "homes")]
     pub homes: Vec<(SocketAddr, ShardNo)>,
     /// The shards of each pool that had workers when the layout was made.
     #[serde(default)]
@@ -173,14 +173,16 @@
 /// A job as it was submitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The name of its queue.
+    /// The name of the job's queue.
     pub queue: Box<str>,
-    /// When it was submitted, in milliseconds of the Unix clock of the member that received it.
+    /// The time of submission, in milliseconds of the Unix clock of the member that received the
+    /// job.
+    #[serde(rename = "came")]
     pub came: u64,
     /// The specification of the job.
     pub job: Job,
-    /// The settings of its queue at that time; `None` in records of older versions.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
+    /// The settings of the job's queue at submission; `None` in records of older versions.
+    #[serde(default, rename = "terms", skip_serializing_if = "Option::is_none")]
     pub terms: Option<Box<Queue>>,
 }
 
@@ -190,9 +192,9 @@
     /// The state of the job.
     pub state: State,
     /// The time at which the job ended, in milliseconds of the Unix clock; 0 until then.
-    #[serde(default)]
+    #[serde(default, rename = "over")]
     pub over: u64,
-    /// The name of its queue.
+    /// The name of the job's queue.
     pub queue: Box<str>,
     /// The tasks that have a run or are done.
     #[serde(default)]
@@ -278,6 +280,7 @@
 pub struct Closing {
     /// The version of the record: the token of its writer, and the number of that writer's earlier
     /// writes. The pair only increases.
+    #[serde(rename = "place")]
     pub place: (u64, u64),
     /// The turn of each worker.
     pub turns: BTreeMap<WorkerId, UpkeepTurn>,
--- a/src/shard/workers.rs
+++ b/src/shard/workers.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, derive_more::Display)]
 pub struct WorkerNo(pub usize);
 
-/// What is known of a run at a worker.
+/// How far a run is known to have come at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// The start has been sent.
@@ -274,8 +274,8 @@
         self.listed.as_ref().map_or(Size::default(), |l| l.capacity.saturating_sub(&self.used))
     }
 
-    /// Records an answer to a call, given the sending time of the call and the worker's clock in the
-    /// answer, which is 0 if the answer has none.
+    /// Records an answer to a call. `clock` is the reading of the worker's clock in the answer, or
+    /// 0 if the answer has none; `sent` is the time at which the call was sent.
     ///
     /// An owner that was suspended must not take old answers for fresh ones: it would act as if
     /// most of its workers still obeyed it, beside its successor. The worker's clock shows how old
