--- a/src/shard/authority.rs
+++ b/src/shard/authority.rs
@@ -40,11 +40,11 @@
             return Some(now);
         }
         let listed = self.workers.iter().filter(|w| w.listed.is_some() && !w.gone);
-        let mut heard: Vec<Option<Time>> = listed.map(|w| w.last_answer).collect();
-        heard.sort_unstable();
+        let mut reply_times: Vec<Option<Time>> = listed.map(|w| w.last_answer).collect();
+        reply_times.sort_unstable();
         // More than half of the workers have replied at or after the time at this index.
-        let majority = heard.len().checked_sub(1)? / 2;
-        heard[majority].filter(|at| now - *at <= REPLY_VALID)
+        let majority = reply_times.len().checked_sub(1)? / 2;
+        reply_times[majority].filter(|at| now - *at <= REPLY_VALID)
     }
 
     /// Returns whether this owner may report its state to others.
--- a/src/shard/closing.rs
+++ b/src/shard/closing.rs
@@ -65,7 +65,8 @@
     /// Sets which workers are to be emptied; an older list never replaces a newer one.
     ///
     /// Guards against an older list that arrives after the shard began with a newer one: it would
-    /// reopen a worker that was just reported as empty, and a task started there would end with its VM.
+    /// reopen a worker that was just reported as empty, and a task started there would end with its
+    /// VM.
     pub(super) fn close_workers(&mut self, closing: &Arc<Closing>) {
         if closing.place < self.closing.place {
             return;
@@ -137,13 +138,13 @@
             let running = w.runs.iter().filter(|(_, r)| r.phase == Phase::Running);
             let tasks: Vec<TaskKey> = running.map(|(t, _)| *t).collect();
             for task in tasks {
-                let go = match self.is_long_running(&task) {
+                let may_stop = match self.is_long_running(&task) {
                     true => self.may_stop_now(&task, forced, &mut allocated, now),
                     false => forced,
                 };
                 // An earlier iteration may already have stopped this task as a member of its gang.
-                let there = self.workers[no.0].runs.get(&task);
-                if go && there.is_some_and(|r| r.phase == Phase::Running) {
+                let current_run = self.workers[no.0].runs.get(&task);
+                if may_stop && current_run.is_some_and(|r| r.phase == Phase::Running) {
                     self.log_stop(no, &task, "upkeep");
                     self.stop_run(no, &task, now);
                 }
@@ -240,9 +241,12 @@
             let Placement::Assigned(no) = at else { return false };
             let w = &self.workers[no.0];
             let run = w.runs.get(&TaskKey { step: *key, index });
-            let works =
+            let fully_running =
                 run.is_some_and(|r| r.phase == Phase::Running && r.percent.1 >= AT_WORK_PERCENT);
-            works && w.unanswered_calls == 0 && !w.gone && w.health.verdict(now) == Verdict::Sound
+            fully_running
+                && w.unanswered_calls == 0
+                && !w.gone
+                && w.health.verdict(now) == Verdict::Sound
         };
         let away = (0..).zip(&part.tasks).filter(|(i, t)| !at_work(*i, t.placement));
         u32::try_from(away.count()).unwrap_or(u32::MAX)
--- a/src/shard/dispatch.rs
+++ b/src/shard/dispatch.rs
@@ -195,9 +195,9 @@
     /// choose that worker; all but one would be refused, and none would go to other workers that
     /// have capacity.
     fn start_limit(&self, no: WorkerNo, step: &Step, now: Time) -> u32 {
-        let sound = &self.workers[no.0].health;
-        match sound.verdict(now) {
-            Verdict::Quarantined { .. } if !step.gang => u32::from(sound.allows(step.lasts, now)),
+        let health = &self.workers[no.0].health;
+        match health.verdict(now) {
+            Verdict::Quarantined { .. } if !step.gang => u32::from(health.allows(step.lasts, now)),
             _ => u32::MAX,
         }
     }
--- a/src/shard/explain.rs
+++ b/src/shard/explain.rs
@@ -52,15 +52,15 @@
                 sum(|w| w.listed.as_ref().map_or(0, |l| l.capacity.accels.0)),
             );
         }
-        for (queue, asked) in &self.advice_stats {
-            let total = asked.expected_time.as_secs_f64();
+        for (queue, stats) in &self.advice_stats {
+            let total = stats.expected_time.as_secs_f64();
             let _ = write!(
                 text,
                 "; advice {queue}: {} calls, {} named, {total:.1} s, {} without room, {} tasks started, {} steps without",
-                asked.calls,
-                asked.named,
-                asked.without_room,
-                asked.starts,
+                stats.calls,
+                stats.named,
+                stats.without_room,
+                stats.starts,
                 without.get(&**queue).copied().unwrap_or_default(),
             );
         }
--- a/src/shard/jobs.rs
+++ b/src/shard/jobs.rs
@@ -120,9 +120,9 @@
     }
 
     /// Returns the expected duration of a run of this step: the median of the recorded durations,
-    /// or `None` if there are fewer than `least`.
-    pub fn expected_duration(&self, least: usize) -> Option<Duration> {
-        (self.durations.len() >= least).then(|| self.durations[self.durations.len() / 2])
+    /// or `None` if there are fewer than `min_count`.
+    pub fn expected_duration(&self, min_count: usize) -> Option<Duration> {
+        (self.durations.len() >= min_count).then(|| self.durations[self.durations.len() / 2])
     }
 }
 
@@ -159,7 +159,12 @@
 
 impl ActiveJob {
     /// Builds a job from its record and its stored progress.
-    pub fn new(record: JobRecord, progress: Option<&Progress>, old: bool, heard: Time) -> Self {
+    pub fn new(
+        record: JobRecord,
+        progress: Option<&Progress>,
+        from_former_owner: bool,
+        learnt_at: Time,
+    ) -> Self {
         let mut active = ActiveJob {
             queue: record.queue,
             submitted_ms: record.came,
@@ -167,8 +172,8 @@
             waves: [].into(),
             job: record.job,
             state: State::Queued,
-            inherited: old,
-            known_since: heard,
+            inherited: from_former_owner,
+            known_since: learnt_at,
             step_states: BTreeMap::new(),
             start_counted: false,
             changed_seq: 0,
--- a/src/shard/record.rs
+++ b/src/shard/record.rs
@@ -153,7 +153,7 @@
 pub struct OwnerRow {
     /// The owner; `None` if the shard was released.
     pub owner: Option<Incarnation>,
-    /// The number of owners that the shard has had, including this one.
+    /// The number of owners that the shard has had so far.
     pub token: u64,
     /// The owner's address for calls of other members.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/src/shard/start.rs
+++ b/src/shard/start.rs
@@ -34,9 +34,9 @@
             return;
         }
         for (_, no) in chosen {
-            let sound = &mut self.workers[no.0].health;
-            if sound.allows(step.lasts, now) {
-                sound.record_start(now);
+            let health = &mut self.workers[no.0].health;
+            if health.allows(step.lasts, now) {
+                health.record_start(now);
             }
         }
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
@@ -54,10 +54,10 @@
             let run = gang.unwrap_or_else(|| last(*index, job)).max(floor) + 1;
             all.push((TaskKey { step: *key, index: *index }, *no, run));
         }
-        if let Some(asked) =
+        if let Some(stats) =
             self.jobs.get(&key.job).and_then(|j| self.advice_stats.get_mut(&j.queue))
         {
-            asked.starts += all.len() as u64;
+            stats.starts += all.len() as u64;
         }
         self.log_start(key, &all, now);
         for (task, no, run) in all {
