--- a/src/shard/jobs.rs
+++ b/src/shard/jobs.rs
@@ -106,7 +106,7 @@
     pub ready_since: Option<Time>,
     /// The time at which advice first named a worker for the step; for the log only.
     pub advised_at: Option<Time>,
-    /// Whether the step's first start has been logged.
+    /// Whether the step's first start has been logged; for the log only.
     pub start_logged: bool,
     /// The durations of the runs that did all of a task's work, in ascending order.
     pub durations: Vec<Duration>,
@@ -143,8 +143,7 @@
     pub known_since: Time,
     /// The steps of the occurrences that have come due, by occurrence and step.
     pub step_states: BTreeMap<(u32, u16), StepState>,
-    /// Returns for each step the summed estimates of the longest chain of steps that begins with
-    /// it.
+    /// For each step, the summed estimates of the longest chain of steps that begins with it.
     pub chain_lengths: Box<[Duration]>,
     /// For each step, the number of batches in which its tasks have to run one after another; empty
     /// until the workers are known.
