--- a/src/shard/start.rs
+++ b/src/shard/start.rs
@@ -1,4 +1,4 @@
-//! Starting of tasks: numbers the runs, adds them to their workers and orders the starts.
+//! Starts tasks: numbers the runs, adds them to their workers and sends the orders to start them.
 
 use {
     crate::{
@@ -17,8 +17,8 @@
     std::time::Duration,
 };
 
-/// Each owner gets a block of this many run numbers for jobs of which former owners may have
-/// started tasks, so that its numbers are higher than theirs.
+/// Number of run numbers set aside for each owner. In jobs of which former owners may have started
+/// tasks, an owner's run numbers are thereby higher than those of former owners.
 const RUNS_PER_OWNER: u64 = 1000;
 
 impl Shard {
@@ -34,9 +34,9 @@
             return;
         }
         for (_, no) in chosen {
-            let sound = &mut self.workers[no.0].health;
-            if sound.allows(step.lasts, now) {
-                sound.record_start(now);
+            let health = &mut self.workers[no.0].health;
+            if health.allows(step.lasts, now) {
+                health.record_start(now);
             }
         }
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
@@ -54,10 +54,10 @@
             let run = gang.unwrap_or_else(|| last(*index, job)).max(floor) + 1;
             all.push((TaskKey { step: *key, index: *index }, *no, run));
         }
-        if let Some(asked) =
+        if let Some(stats) =
             self.jobs.get(&key.job).and_then(|j| self.advice_stats.get_mut(&j.queue))
         {
-            asked.starts += all.len() as u64;
+            stats.starts += all.len() as u64;
         }
         self.log_start(key, &all, now);
         for (task, no, run) in all {
