--- a/src/ports/site.rs
+++ b/src/ports/site.rs
@@ -12,7 +12,7 @@
     pub node: Box<str>,
     /// Availability zone of this VM.
     pub zone: Zone,
-    /// Share of the processors that this process may use, in cores.
+    /// Number of cores that this process may use; may be fractional.
     pub cores: f64,
     /// Address on which callers are served.
     pub caller_addr: SocketAddr,
@@ -39,43 +39,43 @@
 /// Limits for VM orders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VmLimits {
-    /// Most orders per second, of all members together.
+    /// Maximum number of VM orders per second, of all members together.
     pub order_rate: f64,
     /// Time from the start of a VM's maintenance until a new incarnation of its worker joins.
     pub upkeep_time: Duration,
     /// Time from the start of a VM's move until a new incarnation of its worker joins.
     pub move_time: Duration,
-    /// Least time between the orders of two holders for the same VM.
+    /// Minimum time between the orders of two holders for the same VM.
     pub holder_gap: Duration,
 }
 
 /// The bounds of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Longest lease for the runs at a worker.
+    /// Maximum duration of the lease for the runs at a worker.
     pub max_lease: Duration,
-    /// Longest time that a stop of a run takes.
+    /// Maximum time that stopping a run takes.
     pub stop_time: Duration,
     /// Time for which the members of a gang wait for each other.
     pub gang_timeout: Duration,
     /// Time for which the state of a finished job is kept.
     pub state_retention: Duration,
-    /// Factor by which work takes longer away from its rack.
+    /// Factor by which a task takes longer on a rack other than its preferred one.
     pub remote_factor: f64,
-    /// Work between two checkpoints.
+    /// Interval between two checkpoints of a task.
     pub checkpoint_interval: Duration,
-    /// Time that a start from a checkpoint takes.
+    /// Time that restoring a task from a checkpoint takes.
     pub restore_time: Duration,
     /// Time for which a long-running task may exceed its latency target.
     pub target_grace: Duration,
-    /// Time after its start within which a long-running task may not be serving yet.
+    /// Maximum time from the start of a long-running task until it serves requests.
     pub serving_delay: Duration,
-    /// Longest delay until an acknowledged change of the configuration is visible.
+    /// Maximum delay until an acknowledged change of the configuration is visible.
     pub config_lag: Duration,
-    /// Time after the notice of its leaving for which a worker may still get work.
+    /// Time for which a worker may still get tasks after it has announced that it leaves.
     pub drain_time: Duration,
-    /// Time that a stop of this process may take.
+    /// Maximum time that stopping this process may take.
     pub stop_grace: Duration,
-    /// Shortest lease that the store grants.
+    /// Minimum duration of a lease that the store grants.
     pub min_ttl: Duration,
 }
--- a/src/ports/store.rs
+++ b/src/ports/store.rs
@@ -25,7 +25,7 @@
         prefix: Box<str>,
         /// Revision after which changes are reported.
         after: Rev,
-        /// Longest wait.
+        /// Maximum time to wait for a change.
         wait: Duration,
     },
     /// Changes items, all or none.
@@ -48,7 +48,7 @@
 }
 
 impl StoreCall {
-    /// Whether the call may be repeated safely: a second execution changes nothing.
+    /// Returns whether the call may be repeated safely, as a second execution changes nothing.
     pub fn is_repeatable(&self) -> bool {
         !matches!(self, StoreCall::Txn(_) | StoreCall::CreateLease { .. })
     }
@@ -65,7 +65,7 @@
     pub remove: Vec<Box<str>>,
 }
 
-/// Most rows of a [`Txn`]: expectations, writes and removals together.
+/// Maximum number of rows of a [`Txn`]: expectations, writes and removals together.
 pub const MAX_TXN_ROWS: usize = 32;
 
 /// An item to be written.
@@ -75,7 +75,7 @@
     pub key: Box<str>,
     /// Value of the item.
     pub value: Bytes,
-    /// The lease with which the item expires; 0 for none.
+    /// Number of the lease whose end removes the item; 0 for none.
     pub lease: u64,
 }
 
@@ -101,7 +101,7 @@
     Events(Vec<Item>, Rev),
     /// The store no longer has the requested changes: the range has to be read again.
     Forgotten,
-    /// The change is done, with this revision.
+    /// The change was made, with this revision.
     Done(Rev),
     /// Nothing was changed, because expectations were not met; the present items follow.
     Conflict(Vec<Item>),
--- a/src/ports/vms.rs
+++ b/src/ports/vms.rs
@@ -48,7 +48,7 @@
 /// An order for one VM, which ends everything that runs there at once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VmCall {
-    /// The VM.
+    /// Id of the VM.
     pub vm: VmId,
     /// The requested change.
     pub action: VmAction,
@@ -92,10 +92,10 @@
 pub struct Wave {
     /// Number of the wave.
     pub number: WaveNo,
-    /// The VMs; each needs its maintenance once.
+    /// The VMs to be maintained, each once.
     pub vms: Vec<VmId>,
     /// Time limit for the whole wave.
     pub time_limit: Duration,
-    /// Most VMs that may be down for the wave at once.
+    /// Maximum number of VMs that may be down for the wave at once.
     pub max_down: u32,
 }
--- a/src/ports/worker.rs
+++ b/src/ports/worker.rs
@@ -29,9 +29,9 @@
         until: Option<u64>,
         /// Token of the owner.
         token: u64,
-        /// Number of the last end that the owner has stored.
+        /// Number of the last ended run that the owner has stored.
         seen: u64,
-        /// Time for which the answer may wait for an end, in whole milliseconds.
+        /// Time for which the worker may delay its answer until a run ends, in whole milliseconds.
         wait: Duration,
     },
     /// Throttles a run to a share of its speed.
@@ -40,7 +40,7 @@
         task: TaskKey,
         /// Number of the run.
         run: u32,
-        /// The share, in percent.
+        /// Speed of the throttled run, in percent of its full speed.
         percent: u8,
         /// Token of the owner.
         token: u64,
@@ -110,7 +110,7 @@
     pub ended: Vec<End>,
 }
 
-/// Most ended runs in one answer.
+/// Maximum number of ended runs in one answer of a worker.
 pub const MAX_ENDS: usize = 500;
 
 /// A run that is present at a worker.
--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -53,15 +53,15 @@
 const IDLE_ASK_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Share of the members' common limit of VM orders that the holder uses.
+/// Fraction of the members' common rate limit of VM orders that the holder uses.
 const RATE_SHARE: f64 = 0.5;
-/// Most wave states in one write; the rest goes out with the next write.
+/// Maximum number of wave states in one write; further states wait for the next write.
 const MAX_STATES: usize = 20;
 
-/// The parameters of a holder.
+/// Parameters of the holder, the member that runs maintenance waves and loans.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Name of the holder in its orders.
+    /// Name that the holder gives in its orders.
     pub holder: Box<str>,
     /// Token of the holder, higher than that of any predecessor.
     pub token: u64,
@@ -73,7 +73,7 @@
     pub encode_state: fn(WaveNo, bool) -> (Box<str>, Bytes),
 }
 
-/// An input of the holder.
+/// An input to the state machine [`Upkeep`].
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The waves that the operators have ordered, with the revisions of their items, and whether
@@ -91,11 +91,11 @@
     OwnersReported(Time, Vec<Occupancy>, Vec<PoolWait>),
     /// The outcome of an order for a VM.
     Answered(VmCall, Result<VmReply, Fault>),
-    /// Time has passed.
+    /// Periodic call that lets due requests be sent.
     Tick,
 }
 
-/// A request of the holder to its surroundings.
+/// A request that the state machine returns for its caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Read the ledger.
@@ -106,7 +106,7 @@
     ListVms,
     /// Ask the owners for the state of these workers.
     AskOwners(Vec<WorkerId>),
-    /// Order the maintenance or the move of a VM.
+    /// Send an order for the maintenance or the move of a VM.
     OrderVm(VmCall),
 }
 
@@ -119,7 +119,7 @@
     Writing,
 }
 
-/// The state machine of the holder.
+/// State machine that runs maintenance waves and loans of standby VMs.
 #[derive(Debug)]
 pub struct Upkeep {
     setup: Setup,
@@ -129,10 +129,10 @@
     /// Whether the store names workers to be emptied that a predecessor wrote.
     stale_closing: bool,
     stage: Stage,
-    /// Revision of the stored ledger, and its content.
+    /// Revision of the stored ledger; its content is in `stored`.
     rev: Rev,
     stored: Ledger,
-    /// The workers to be emptied, as stored; `None` if that is not known.
+    /// The workers to be emptied, as stored; `None` if the stored set is not known.
     closing: Option<Closing>,
     /// Content of the write in flight.
     in_flight: (Ledger, Option<Closing>),
@@ -152,7 +152,7 @@
 }
 
 impl Upkeep {
-    /// Creates a holder that knows nothing yet.
+    /// Creates a holder that has not read the ledger yet.
     pub fn new(setup: Setup) -> Self {
         Upkeep {
             setup,
@@ -206,23 +206,23 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Whether another holder has taken over; this one then orders nothing more.
+    /// Returns whether another holder has taken over. A deposed holder sends no further orders.
     pub fn is_deposed(&self) -> bool {
         self.deposed
     }
 
-    /// Whether work is left; if not, the caller need not send [`Event::Tick`].
+    /// Returns whether work is left. If not, the caller need not send [`Event::Tick`].
     pub fn busy(&self) -> bool {
         let unread = self.stage != Stage::Idle && self.needed();
         !self.deposed && (self.active() || self.dirty() || unread || self.loans.any())
     }
 
-    /// Whether a wave or a loan is under way.
+    /// Returns whether a wave or a loan is under way.
     fn active(&self) -> bool {
         self.progress.values().any(|c| !c.over) || self.loans.busy()
     }
 
-    /// Whether there is a wave, a loan, a standby pool or leftover state of a predecessor.
+    /// Returns whether a wave, a loan, a standby pool or leftover state of a predecessor exists.
     ///
     /// The leftover state counts because workers could otherwise stay closed for good: the holder
     /// died, and the operators withdrew the wave before a successor took over.
@@ -269,7 +269,7 @@
             self.loans.load(&ledger.loans, now);
         }
         (self.rev, self.stored, self.stage) = (rev, ledger, Stage::Idle);
-        // Whether this holder's own last write has reached the owners is not known.
+        // It is not known whether the owners have seen this holder's last write.
         self.closing = None;
         self.sync_waves(now);
     }
@@ -304,7 +304,7 @@
             && (self.ledger() != self.stored || self.closing_changed())
     }
 
-    /// Whether the stored set of workers to be emptied differs from the intended one.
+    /// Returns whether the stored set of workers to be emptied differs from the intended one.
     ///
     /// The set stays as it is until the list of VMs is known. Otherwise a new holder would reopen
     /// workers that its predecessor has emptied, and a predecessor's order that is still under way
@@ -377,7 +377,7 @@
     fn listed(&mut self, sent: Time, reply: Result<Vec<Vm>, Fault>) {
         self.listing = false;
         let Ok(all) = reply else { return };
-        // An empty list is treated as a failed read.
+        // An empty list of VMs is treated as a failed read.
         if all.is_empty() {
             return;
         }
--- a/src/upkeep/course.rs
+++ b/src/upkeep/course.rs
@@ -17,16 +17,16 @@
 
 /// Pause before an order is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Number of answers that a VM is not part of the wave after which the holder believes them: the
-/// platform may not have seen the operators' latest order yet.
+/// Number of answers "not part of the wave" after which the holder drops a VM. Earlier
+/// answers are ignored, since the platform may not have seen the operators' latest order yet.
 const MAX_DENIALS: u32 = 3;
-/// Greatest age of an owner's report that still counts.
+/// Maximum age of an owner's report; older reports are ignored.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 
-/// The last list of VMs.
+/// The list of VMs as last read from the platform.
 #[derive(Debug, Default)]
 pub(super) struct List {
-    /// Time of the request.
+    /// Time at which the list was requested.
     pub sent: Time,
     /// The VMs by id.
     pub all: BTreeMap<VmId, Vm>,
@@ -54,17 +54,17 @@
 #[derive(Debug, Default)]
 struct VmProgress {
     phase: Phase,
-    /// Number of orders decided, and number of these that were sent.
+    /// Number of orders decided for the VM, and number of orders sent.
     tries: (u32, u32),
     /// Whether an unanswered order may still be carried out.
     unsettled: bool,
-    /// Whether the maintenance has begun.
+    /// Whether the maintenance of the VM has begun.
     begun: bool,
-    /// The worker's incarnation in the last list.
+    /// Id of the VM's worker in the last list.
     worker: Option<WorkerId>,
     /// No order is sent before this time.
     retry_at: Time,
-    /// Time since which the list lacks the VM.
+    /// Time since which the VM has been missing from the list.
     missing_since: Option<Time>,
     /// Number of answers that the VM is not part of the wave.
     denials: u32,
@@ -74,12 +74,12 @@
 enum Phase {
     #[default]
     Due,
-    /// The VM is being emptied since this time; whether tasks that end by themselves are no longer
-    /// waited for.
+    /// The VM has been emptied since this time. The flag says whether the holder no longer waits
+    /// for tasks that would end by themselves.
     Closing(Time, bool),
-    /// The VM is to go down: the worker's incarnation, and whether an order is in flight.
+    /// The VM is to go down: id of its worker, and whether an order is in flight.
     Ordered(Option<WorkerId>, bool),
-    /// The VM is down since this time; the incarnation that its worker had before.
+    /// The VM has been down since this time; id of the worker that it had before.
     Down(Time, Option<WorkerId>),
     Over,
 }
@@ -99,8 +99,8 @@
                     (progress.phase, progress.begun) = (Phase::Over, true);
                 } else if let Some(tries) = entry.out.get(m) {
                     progress.tries = (*tries, *tries);
-                    // Whether the order was carried out is not known; the answer to a repeated
-                    // order shows it.
+                    // It is not known whether the order was carried out; the answer to a repeated
+                    // order shows that.
                     (progress.phase, progress.unsettled) = (Phase::Closing(now, false), true);
                 }
             }
@@ -111,7 +111,7 @@
         WaveProgress { wave, rev, since, over, deadline, vms }
     }
 
-    /// The entry of this wave for the ledger.
+    /// Returns the ledger entry of this wave.
     pub fn entry(&self) -> WaveEntry {
         let out =
             |p: &VmProgress| !p.begun && (p.unsettled || matches!(p.phase, Phase::Ordered(..)));
@@ -126,13 +126,13 @@
         }
     }
 
-    /// The VMs that this wave is emptying or has taken down.
+    /// Returns the VMs that this wave is emptying or has taken down.
     pub fn taken(&self) -> impl Iterator<Item = &VmId> {
         let taken = |p: &VmProgress| !matches!(p.phase, Phase::Due | Phase::Over);
         self.vms.iter().filter(move |(_, p)| taken(p)).map(|(m, _)| m)
     }
 
-    /// The workers of the wave's VMs, and their turns.
+    /// Returns the workers of the wave's VMs and how far each is in its maintenance.
     pub fn turns(&self) -> impl Iterator<Item = (WorkerId, UpkeepTurn)> {
         self.vms.values().flat_map(|p| {
             let now = p.worker.clone();
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Number of VMs that are down for this wave or may go down at any moment.
+    /// Returns the number of VMs that are down for this wave or may go down at any moment.
     fn down(&self, list: &List) -> u32 {
         let upkeep = |m: &VmId| list.all.get(m).is_some_and(|m| m.state == VmState::Upkeep);
         let down = |(m, p): &(&VmId, &VmProgress)| {
@@ -355,8 +355,8 @@
     }
 }
 
-/// Whether a recent report of the owner says that nothing runs at a worker and nothing will start
-/// there. A VM without a worker is clear.
+/// Returns whether a recent report of the owner says that no task runs at a worker and none will
+/// start there. A VM without a worker is clear.
 pub(super) fn clear(worker: Option<&WorkerId>, reports: &Reports, now: Time) -> bool {
     let Some(worker) = worker else { return true };
     reports
--- a/src/upkeep/ledger.rs
+++ b/src/upkeep/ledger.rs
@@ -20,7 +20,7 @@
     pub token: u64,
     /// The waves by number.
     pub waves: BTreeMap<WaveNo, WaveEntry>,
-    /// The VMs that are lent, or may be if an order is unanswered.
+    /// The VMs that are lent, or that an unanswered order may have lent.
     #[serde(default)]
     pub loans: BTreeMap<VmId, LoanEntry>,
 }
@@ -32,9 +32,9 @@
     pub home: PoolId,
     /// The pool to which it is lent.
     pub to: PoolId,
-    /// Whether it is to return to its home pool.
+    /// Whether the VM is to return to its home pool.
     pub back: bool,
-    /// Number of orders that were sent for it or are about to be.
+    /// Number of orders that were sent for the VM or are about to be sent.
     pub tries: u32,
 }
 
--- a/src/upkeep/loans.rs
+++ b/src/upkeep/loans.rs
@@ -1,4 +1,4 @@
-//! Loans: VMs of standby pools that are lent to pools whose work waits.
+//! Loans of VMs from standby pools to pools in which tasks are waiting.
 
 use {
     crate::{
@@ -18,13 +18,13 @@
     },
 };
 
-/// Pause before an order is repeated: after a failure, and after an accepted order whose effect the
-/// list does not show yet.
+/// Pauses before an order is repeated: the first after a failure, the second after an accepted
+/// order whose effect the list of VMs does not show yet.
 const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
-/// Time within which a closed VM has to become clear. After it, the VM is used again.
+/// Maximum time for a closed VM to become clear; after this time, the VM is used again.
 const CLOSING_LIMIT: Duration = Duration::from_secs(4);
 
-/// All loans.
+/// The standby pools and the VMs that are lent from them.
 #[derive(Debug, Default)]
 pub(super) struct Loans {
     standby: BTreeSet<PoolId>,
@@ -40,7 +40,7 @@
     home: PoolId,
     to: PoolId,
     phase: Phase,
-    /// Number of orders decided, and number of these that were sent.
+    /// Number of orders decided for the VM, and number of orders sent.
     tries: (u32, u32),
     in_flight: bool,
     /// Whether an unanswered order may still be carried out.
@@ -54,9 +54,9 @@
 enum Phase {
     /// The VM is on its way to the other pool.
     Going,
-    /// The VM has arrived; if it is empty, since when.
+    /// The VM has arrived; time since which it has been empty, if it is.
     Arrived(Option<Time>),
-    /// The VM is to return: nothing starts there since this time.
+    /// The VM is to return; no task has been started on it since this time.
     Closing(Time),
     /// The VM is on its way back.
     Returning,
@@ -68,18 +68,18 @@
         self.standby = standby;
     }
 
-    /// Whether there are standby pools or lent VMs.
+    /// Returns whether there are standby pools or lent VMs.
     pub fn any(&self) -> bool {
         !self.standby.is_empty() || !self.all.is_empty()
     }
 
-    /// Whether the list of VMs is needed now.
+    /// Returns whether the list of VMs is needed now.
     pub fn busy(&self) -> bool {
         let wanted = self.tides.values().any(|t| t.is_waiting());
         !self.all.is_empty() || (wanted && !self.standby.is_empty())
     }
 
-    /// The entries of all loans for the ledger.
+    /// Returns the ledger entries of all loans.
     pub fn entries(&self) -> BTreeMap<VmId, LoanEntry> {
         let entry = |l: &Loan| LoanEntry {
             home: l.home.clone(),
@@ -93,8 +93,8 @@
     /// Restores the loans from the stored ledger.
     pub fn load(&mut self, entries: &BTreeMap<VmId, LoanEntry>, now: Time) {
         for (vm, e) in entries {
-            // Whether the last order was carried out is not known. The list shows it, and until
-            // then the VM is not used, because the order may still be under way.
+            // It is not known whether the last order was carried out. Until the list shows that,
+            // the VM is not used, because the order may still be under way.
             let phase = if e.back { Phase::Closing(now) } else { Phase::Going };
             let loan = Loan {
                 tries: (e.tries, e.tries),
@@ -105,20 +105,20 @@
         }
     }
 
-    /// The VMs that are on their way or being emptied.
+    /// Returns the VMs that are moving between pools or being emptied.
     pub fn taken(&self) -> impl Iterator<Item = &VmId> {
         let taken = |l: &Loan| !matches!(l.phase, Phase::Arrived(_));
         self.all.iter().filter(move |(_, l)| taken(l)).map(|(vm, _)| vm)
     }
 
-    /// The workers at which nothing may start.
+    /// Returns the workers at which no task may be started.
     pub fn turns(&self) -> impl Iterator<Item = (WorkerId, UpkeepTurn)> {
         let closed = |l: &&Loan| matches!(l.phase, Phase::Closing(_) | Phase::Returning);
         let all = self.all.values().filter(closed);
         all.filter_map(|l| Some((l.worker.clone()?, UpkeepTurn::Closing)))
     }
 
-    /// The workers of lent VMs.
+    /// Returns the workers of lent VMs.
     pub fn workers(&self) -> impl Iterator<Item = &WorkerId> {
         self.all.values().filter_map(|l| l.worker.as_ref())
     }
@@ -134,7 +134,7 @@
         });
     }
 
-    /// Updates how long the work of each pool has waited.
+    /// Records how long the tasks of each pool have waited.
     pub fn set_needs(&mut self, needs: &[PoolWait], now: Time) {
         let mut waits: BTreeMap<&PoolId, Duration> = BTreeMap::new();
         for need in needs {
@@ -274,7 +274,7 @@
                     self.phase = Phase::Returning;
                     self.tries.0 += 1;
                 } else if now - *since >= CLOSING_LIMIT && !self.unsettled {
-                    // A task started there just before the VM was closed, so the VM is still
+                    // A task was started on the VM just before it was closed, so the VM is still
                     // needed.
                     self.phase = Phase::Arrived(None);
                 }
--- a/src/work.rs
+++ b/src/work.rs
@@ -12,7 +12,7 @@
     std::{fmt, num::ParseIntError, str::FromStr, time::Duration},
 };
 
-/// Most tasks of one job, because the progress of a job must fit into one record of the store.
+/// Maximum number of tasks of a job, whose progress must fit into one record of the store.
 pub const MAX_TASKS: u64 = 20_000;
 
 /// Number of a job, chosen by its caller.
@@ -132,7 +132,7 @@
     pub needs: Option<Box<str>>,
     /// The rack on which the tasks run fastest.
     pub near: Option<RackId>,
-    /// Most tasks of the step on one worker; 0 for no limit.
+    /// Maximum number of the step's tasks on one worker; 0 for no limit.
     pub apart: u32,
     /// Whether speculative copies of a task may run.
     pub copies: bool,
@@ -145,13 +145,13 @@
     pub target: u64,
     /// Whether the tasks are fillers, which run on processors that other tasks leave unused.
     pub fills: bool,
-    /// Most long-running tasks of the step that the system may take away at once by its own
-    /// decisions; `None` if the job does not say.
+    /// Maximum number of the step's long-running tasks that the scheduler may stop at the same time
+    /// by its own decisions; `None` if the job does not say.
     pub may_miss: Option<u32>,
 }
 
 impl Step {
-    /// Resources that are reserved at a worker for one task. Fillers reserve no processors.
+    /// Returns the resources reserved at a worker for one task. Fillers reserve no processors.
     pub fn reserved(&self) -> Size {
         let mut size = self.size;
         if self.fills {
@@ -218,7 +218,7 @@
 }
 
 impl State {
-    /// Whether the state is final: nothing of the job will start again.
+    /// Returns whether the state is final, so that no task of the job will start again.
     pub fn is_final(self) -> bool {
         matches!(self, State::Done | State::Failed | State::Cancelled)
     }
@@ -239,9 +239,9 @@
     pub priority: u8,
     /// Number of failures of one task after which its job fails.
     pub attempts: u32,
-    /// Factor on the longest chain of work of a job, for the time that the job may take.
+    /// Factor by which a job may take longer than its longest chain of dependent steps.
     pub stretch: f64,
-    /// Time that the job may take in addition.
+    /// Time that a job may take in addition to its stretched longest chain of steps.
     pub slack: Duration,
     /// Cost of placement advice on its steps; `None` if it needs no advice.
     pub advice: Option<AdviceCost>,
@@ -250,11 +250,11 @@
 /// The cost of placement advice.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdviceCost {
-    /// Time for each call.
+    /// Time that an advice call takes, apart from the workers it names.
     pub base: Duration,
-    /// Additional time for each worker named in a call.
+    /// Additional time that an advice call takes for each worker it names.
     pub each: Duration,
-    /// Validity of the tickets.
+    /// Time for which a ticket is valid.
     pub valid: Duration,
 }
 
@@ -276,9 +276,9 @@
 pub struct Pool {
     /// Name of the pool.
     pub name: PoolId,
-    /// Whether its workers refuse tasks for which they have no room.
+    /// Whether the pool's workers refuse tasks for which they have no room.
     pub checks_room: bool,
-    /// Whether it is a standby pool, whose VMs are off.
+    /// Whether the pool is a standby pool, whose VMs are off.
     pub standby: bool,
 }
 
@@ -310,7 +310,7 @@
     pub zone: Zone,
     /// Whether the worker is leaving.
     pub draining: bool,
-    /// Least time for which a leaving worker stays.
+    /// Minimum time for which a leaving worker stays.
     pub min_stay: Option<Duration>,
     /// Total resources of the worker.
     pub capacity: Size,
@@ -319,12 +319,12 @@
 }
 
 impl ListedWorker {
-    /// The rack of the worker, or the worker's id if its labels name no rack.
+    /// Returns the rack of the worker, or the worker's id if its labels name no rack.
     pub fn rack(&self) -> &str {
         self.labels.get(1).map_or(self.id.as_str(), |rack| rack)
     }
 
-    /// Whether the worker has this label.
+    /// Returns whether the worker has this label.
     pub fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|l| **l == *label)
     }
