--- a/src/ids.rs
+++ b/src/ids.rs
@@ -17,7 +17,7 @@
         pub struct $name(pub Box<str>);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -39,9 +39,9 @@
 }
 
 text_id! {
-    /// A worker incarnation, by the name in the platform's list of VMs.
+    /// Id of a worker incarnation in the platform's list of VMs.
     WorkerId
-    /// A VM, by the name that it keeps over all incarnations of its worker.
+    /// Id of a VM, which stays the same over all incarnations of its worker.
     VmId
     /// A rack of workers, the unit of worker ownership.
     RackId
@@ -56,7 +56,7 @@
     JobId
     /// A team with quotas.
     TeamId
-    /// A caller, by the name in its requests.
+    /// Name that a caller gives in its requests.
     CallerId
     /// The key of a non-idempotent request.
     Key
@@ -79,8 +79,8 @@
 number_id! {
     /// Number of a maintenance wave, given by the operators.
     WaveNo(u64)
-    /// Number of owners that a row has had; a worker refuses dispatches with a lower one than it
-    /// has seen.
+    /// Number of owners that a row of the ownership table has had. A worker refuses dispatches with
+    /// a lower number than it has seen.
     Epoch(u64)
     /// Version of the configuration; it rises with each accepted text.
     Version(u64)
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -24,14 +24,14 @@
     },
 };
 
-/// Most lines per second of one log statement.
+/// Maximum number of lines per second of one log statement.
 pub const LINES_PER_SECOND: u32 = 100;
-/// Most bytes that wait for the writer.
+/// Maximum number of bytes of log lines that wait to be written.
 pub const RING_BYTES: usize = 256 * 1024;
 /// Time for which lines are collected before a write, because each write costs two wake-ups. Lines
 /// collected when a process dies are lost.
 const BATCH_DELAY: Duration = Duration::from_millis(250);
-/// Longest wait for the last write at the end of the process, and the interval between checks.
+/// Maximum wait for the last write when the process ends, and the interval between checks.
 const EXIT_WAIT: (Duration, Duration) = (Duration::from_millis(600), Duration::from_millis(10));
 /// A day, in seconds.
 const DAY_SECONDS: u64 = 86_400;
@@ -51,8 +51,8 @@
         Budget { limit, since: Time::ZERO, lines: 0, left_out: 0 }
     }
 
-    /// Requests one line: returns the number of lines left out before it, or `None` if this line is
-    /// to be left out too.
+    /// Returns the number of lines left out before this line, or `None` if this line is to be left
+    /// out too.
     pub fn take(&mut self, now: Time) -> Option<u64> {
         if self.lines == 0 || now - self.since >= Duration::from_secs(1) {
             (self.since, self.lines) = (now, 0);
@@ -65,7 +65,7 @@
         Some(mem::take(&mut self.left_out))
     }
 
-    /// Number of lines left out since the last line that was granted.
+    /// Returns the number of lines left out since the last line that was written.
     pub fn left_out(&self) -> u64 {
         self.left_out
     }
--- a/src/ports/worker.rs
+++ b/src/ports/worker.rs
@@ -124,15 +124,15 @@
     pub saved: Box<str>,
     /// Progress of the run, in percent.
     pub percent: u8,
-    /// For a task that serves requests, its tail latency in milliseconds; for other tasks, the
-    /// processors in use.
+    /// Tail latency in milliseconds for a task that serves requests; processors in use for other
+    /// tasks.
     pub load: u64,
 }
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct End {
-    /// Number of this end among those of the worker's incarnation, from 1.
+    /// Sequence number of this ended run at the worker's incarnation, from 1.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
@@ -147,7 +147,7 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum EndReason {
-    /// The work is done.
+    /// The task has completed.
     #[display("done")]
     Done,
     /// The task or the worker failed.
--- a/src/upkeep/course.rs
+++ b/src/upkeep/course.rs
@@ -17,7 +17,7 @@
 
 /// Pause before an order is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Number of answers "not part of the wave" after which the holder drops a VM. Earlier
+/// Number of answers that a VM is not part of the wave after which the holder drops the VM. Earlier
 /// answers are ignored, since the platform may not have seen the operators' latest order yet.
 const MAX_DENIALS: u32 = 3;
 /// Maximum age of an owner's report; older reports are ignored.
