--- a/src/ports/worker.rs
+++ b/src/ports/worker.rs
@@ -25,7 +25,7 @@
     /// Renews the lease of all runs at the worker, and asks which runs are present and which have
     /// ended.
     Hold {
-        /// New end of the lease, in milliseconds of the worker's clock; `None` leaves it as it is.
+        /// New end of the lease, in milliseconds of the worker's clock; `None` to keep the old end.
         until: Option<u64>,
         /// Token of the owner.
         token: u64,
@@ -34,7 +34,7 @@
         /// Time for which the worker may delay its answer until a run ends, in whole milliseconds.
         wait: Duration,
     },
-    /// Throttles a run to a share of its speed.
+    /// Throttles a run to a fraction of its full speed.
     Pace {
         /// The task.
         task: TaskKey,
@@ -47,7 +47,7 @@
     },
 }
 
-/// The start of a run.
+/// An order to start a run of a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start {
     /// The task.
@@ -91,7 +91,7 @@
     Old,
     /// The lease had expired when the order arrived.
     Late,
-    /// The worker has no room.
+    /// The worker has too few free resources.
     Room,
     /// The ticket is missing or no longer valid.
     Ticket,
--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -48,8 +48,8 @@
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between queries to the owners about their workers while a wave or a loan is under way.
 const ASK_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval between queries to the owners about waiting work while there are standby pools but
-/// nothing is under way.
+/// Interval between queries to the owners about waiting tasks while standby pools exist but no wave
+/// or loan is under way.
 const IDLE_ASK_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -87,7 +87,8 @@
     VmsListed(Time, Result<Vec<Vm>, Fault>),
     /// The standby pools.
     Pools(BTreeSet<PoolId>),
-    /// The owners' reports on workers and on how long work waits, and the time of the request.
+    /// The time at which reports were requested from the owners, their reports on workers, and how
+    /// long tasks have waited in each pool.
     OwnersReported(Time, Vec<Occupancy>, Vec<PoolWait>),
     /// The outcome of an order for a VM.
     Answered(VmCall, Result<VmReply, Fault>),
@@ -126,7 +127,7 @@
     progress: BTreeMap<WaveNo, WaveProgress>,
     loans: Loans,
     ordered: Vec<(Rev, Wave)>,
-    /// Whether the store names workers to be emptied that a predecessor wrote.
+    /// Whether the store still names workers that a predecessor wanted emptied.
     stale_closing: bool,
     stage: Stage,
     /// Revision of the stored ledger; its content is in `stored`.
@@ -224,8 +225,8 @@
 
     /// Returns whether a wave, a loan, a standby pool or leftover state of a predecessor exists.
     ///
-    /// The leftover state counts because workers could otherwise stay closed for good: the holder
-    /// died, and the operators withdrew the wave before a successor took over.
+    /// Leftover state counts because workers could otherwise stay closed forever if the holder died
+    /// and the operators withdrew the wave before a successor took over.
     fn needed(&self) -> bool {
         !self.ordered.is_empty() || self.stale_closing || self.loans.any()
     }
@@ -411,7 +412,7 @@
             self.out.push(Order::ReadLedger);
         }
         if !self.active() {
-            // The next wave or loan must not start from outdated data.
+            // The next wave or loan must not start from an outdated list or outdated reports.
             (self.list, self.reports) = Default::default();
         }
         self.poll(now);
--- a/src/upkeep/course.rs
+++ b/src/upkeep/course.rs
@@ -66,7 +66,7 @@
     retry_at: Time,
     /// Time since which the VM has been missing from the list.
     missing_since: Option<Time>,
-    /// Number of answers that the VM is not part of the wave.
+    /// Number of platform answers saying that the VM is not part of the wave.
     denials: u32,
 }
 
@@ -74,12 +74,12 @@
 enum Phase {
     #[default]
     Due,
-    /// The VM has been emptied since this time. The flag says whether the holder no longer waits
-    /// for tasks that would end by themselves.
+    /// Time since which the VM is being emptied, and whether the holder has stopped waiting for
+    /// tasks that would end by themselves.
     Closing(Time, bool),
-    /// The VM is to go down: id of its worker, and whether an order is in flight.
+    /// The VM is to be taken down: id of its worker, and whether an order is in flight.
     Ordered(Option<WorkerId>, bool),
-    /// The VM has been down since this time; id of the worker that it had before.
+    /// Time since which the VM has been down, and id of the worker that it had before.
     Down(Time, Option<WorkerId>),
     Over,
 }
@@ -180,8 +180,8 @@
         u32::try_from(self.vms.iter().filter(down).count()).unwrap_or(u32::MAX)
     }
 
-    /// Decides which VMs to empty, to force and to order down now; `taken` are the VMs that any
-    /// wave or loan is working on.
+    /// Decides which VMs to start emptying, which to empty without waiting for tasks to end, and
+    /// which to order down; `taken` are the VMs that any wave or loan is working on.
     pub fn step(
         &mut self,
         list: &List,
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Decides on orders for clear VMs, as far as the limit of VMs that are down allows.
+    /// Decides on orders for clear VMs within the maximum number of VMs that may be down.
     fn decide_orders(&mut self, list: &List, reports: &Reports, now: Time) {
         let mut slots = self.wave.max_down.max(1).saturating_sub(self.down(list));
         for (m, progress) in &mut self.vms {
@@ -237,11 +237,11 @@
         }
     }
 
-    /// Returns a VM whose order is to be sent now; `stored` are the orders in the stored ledger.
+    /// Returns a VM whose order is to be sent now; `stored` are the order counts of the ledger.
     ///
     /// Every order, also a repeated one, has to be in the ledger before it is sent. A holder that
-    /// was paused and does not know of its successor can't write it, because the successor has
-    /// changed the ledger. If the platform checks no tokens, nothing else would stop that holder.
+    /// was paused and does not know of its successor can't write the order, because the successor
+    /// has changed the ledger. On a platform that checks no tokens, only this stops that holder.
     pub fn next_order(
         &mut self,
         stored: &BTreeMap<VmId, u32>,
@@ -280,7 +280,7 @@
                     (progress.phase, progress.unsettled) = (Phase::Over, false);
                 }
             }
-            // The VM is not up; the next incarnation of its worker has to be emptied first.
+            // The VM is not up. Once it is up again, its new worker has to be emptied first.
             Ok(VmReply::Busy) => {
                 if let Phase::Ordered(..) = progress.phase {
                     progress.phase = Phase::Closing(now, true);
--- a/src/upkeep/loans.rs
+++ b/src/upkeep/loans.rs
@@ -30,7 +30,7 @@
     standby: BTreeSet<PoolId>,
     tides: BTreeMap<PoolId, PoolDemand>,
     all: BTreeMap<VmId, Loan>,
-    /// Moves that the platform has declined: the VM and the pool to which it can't go.
+    /// Moves that the platform has declined: the VM and the pool to which it can't move.
     barred: BTreeSet<(VmId, PoolId)>,
 }
 
@@ -52,13 +52,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// The VM is on its way to the other pool.
+    /// The VM is moving to the pool that it is lent to.
     Going,
-    /// The VM has arrived; time since which it has been empty, if it is.
+    /// The VM has arrived; time since which no task has run on it, or `None` if one may be running.
     Arrived(Option<Time>),
-    /// The VM is to return; no task has been started on it since this time.
+    /// The VM is to return; the time says since when no task may be started on it.
     Closing(Time),
-    /// The VM is on its way back.
+    /// The VM is moving back to its home pool.
     Returning,
 }
 
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Returns an order to be sent now; `stored` are the loans in the stored ledger.
+    /// Returns an order to send now, if any; `stored` are the loans in the stored ledger.
     pub fn next_order(
         &mut self,
         stored: &BTreeMap<VmId, LoanEntry>,
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Processes the VM's row of the list; returns whether the loan goes on.
+    /// Processes the VM's row of the list and returns whether the loan continues.
     fn seen(&mut self, vm: &Vm) -> bool {
         self.worker = vm.worker.clone();
         let up = vm.state == VmState::Up;
--- a/src/work.rs
+++ b/src/work.rs
@@ -126,7 +126,7 @@
     pub saves: bool,
     /// Whether the tasks form a gang, which makes progress only while all of them run.
     pub gang: bool,
-    /// Whether the tasks are slower if they are spread over several racks.
+    /// Whether the tasks run slower when spread over several racks.
     pub tight: bool,
     /// A label that the worker must have.
     pub needs: Option<Box<str>>,
