--- a/src/upkeep/loans.rs
+++ b/src/upkeep/loans.rs
@@ -144,8 +144,8 @@
         for pool in waits.keys() {
             self.tides.entry((*pool).clone()).or_default();
         }
-        for (pool, tide) in &mut self.tides {
-            tide.record_wait(waits.get(pool).copied().unwrap_or_default(), now);
+        for (pool, demand) in &mut self.tides {
+            demand.record_wait(waits.get(pool).copied().unwrap_or_default(), now);
         }
     }
 
@@ -153,11 +153,11 @@
     /// the VMs of maintenance waves.
     pub fn step(&mut self, list: &List, reports: &Reports, taken: &BTreeSet<VmId>, now: Time) {
         for (vm, loan) in &mut self.all {
-            let tide = self.tides.entry(loan.to.clone()).or_default();
-            loan.step(vm, tide, reports, taken, now);
+            let demand = self.tides.entry(loan.to.clone()).or_default();
+            loan.step(vm, demand, reports, taken, now);
         }
         let (standby, barred) = (&self.standby, &self.barred);
-        for (pool, tide) in self.tides.iter_mut().filter(|(p, _)| !standby.contains(p)) {
+        for (pool, demand) in self.tides.iter_mut().filter(|(p, _)| !standby.contains(p)) {
             let able = |vm: &&Vm| {
                 let idle = !matches!(vm.state, VmState::Moving | VmState::Upkeep);
                 let free = !taken.contains(&vm.id) && !self.all.contains_key(&vm.id);
@@ -165,7 +165,7 @@
                 idle && free && standby.contains(&vm.pool) && !barred.contains(&pair)
             };
             let Some(vm) = list.all.values().find(able) else { continue };
-            if tide.should_lend(now) {
+            if demand.should_lend(now) {
                 log::info!(target: "upkeep", did = "lent", vm:% = vm.id, home:% = vm.pool, to:% = pool; "VM is lent.");
                 let mut loan = Loan::new(vm.pool.clone(), pool.clone(), Phase::Going);
                 loan.tries.0 = 1;
@@ -252,7 +252,7 @@
     fn step(
         &mut self,
         vm: &VmId,
-        tide: &PoolDemand,
+        demand: &PoolDemand,
         reports: &Reports,
         taken: &BTreeSet<VmId>,
         now: Time,
@@ -264,7 +264,7 @@
                 *empty = idle.then(|| empty.unwrap_or(now));
                 if let Some(since) = *empty
                     && !taken.contains(vm)
-                    && tide.should_return(since, now)
+                    && demand.should_return(since, now)
                 {
                     self.phase = Phase::Closing(now);
                 }
