--- a/src/ports/worker.rs
+++ b/src/ports/worker.rs
@@ -25,29 +25,29 @@
     /// Renews the lease of all runs at the worker, and asks which runs are present and which have
     /// ended.
     Hold {
-        /// New end of the lease, in milliseconds of the worker's clock; `None` leaves it as it is.
+        /// New end of the lease, in milliseconds of the worker's clock; `None` to keep the old end.
         until: Option<u64>,
         /// Token of the owner.
         token: u64,
-        /// Number of the last end that the owner has stored.
+        /// Number of the last ended run that the owner has stored.
         seen: u64,
-        /// Time for which the answer may wait for an end, in whole milliseconds.
+        /// Time for which the worker may delay its answer until a run ends, in whole milliseconds.
         wait: Duration,
     },
-    /// Throttles a run to a share of its speed.
+    /// Throttles a run to a fraction of its full speed.
     Pace {
         /// The task.
         task: TaskKey,
         /// Number of the run.
         run: u32,
-        /// The share, in percent.
+        /// Speed of the throttled run, in percent of its full speed.
         percent: u8,
         /// Token of the owner.
         token: u64,
     },
 }
 
-/// The start of a run.
+/// An order to start a run of a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start {
     /// The task.
@@ -91,7 +91,7 @@
     Old,
     /// The lease had expired when the order arrived.
     Late,
-    /// The worker has no room.
+    /// The worker has too few free resources.
     Room,
     /// The ticket is missing or no longer valid.
     Ticket,
@@ -110,7 +110,7 @@
     pub ended: Vec<End>,
 }
 
-/// Most ended runs in one answer.
+/// Maximum number of ended runs in one answer of a worker.
 pub const MAX_ENDS: usize = 500;
 
 /// A run that is present at a worker.
@@ -124,15 +124,15 @@
     pub saved: Box<str>,
     /// Progress of the run, in percent.
     pub percent: u8,
-    /// For a task that serves requests, its tail latency in milliseconds; for other tasks, the
-    /// processors in use.
+    /// Tail latency in milliseconds for a task that serves requests; processors in use for other
+    /// tasks.
     pub load: u64,
 }
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct End {
-    /// Number of this end among those of the worker's incarnation, from 1.
+    /// Sequence number of this ended run at the worker's incarnation, from 1.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
@@ -147,7 +147,7 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, derive_more::Display, PartialEq, Eq)]
 pub enum EndReason {
-    /// The work is done.
+    /// The task has completed.
     #[display("done")]
     Done,
     /// The task or the worker failed.
--- a/src/upkeep/course.rs
+++ b/src/upkeep/course.rs
@@ -17,16 +17,16 @@
 
 /// Pause before an order is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Number of answers that a VM is not part of the wave after which the holder believes them: the
-/// platform may not have seen the operators' latest order yet.
+/// Number of answers that a VM is not part of the wave after which the holder drops the VM. Earlier
+/// answers are ignored, since the platform may not have seen the operators' latest order yet.
 const MAX_DENIALS: u32 = 3;
-/// Greatest age of an owner's report that still counts.
+/// Maximum age of an owner's report; older reports are ignored.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 
-/// The last list of VMs.
+/// The list of VMs as last read from the platform.
 #[derive(Debug, Default)]
 pub(super) struct List {
-    /// Time of the request.
+    /// Time at which the list was requested.
     pub sent: Time,
     /// The VMs by id.
     pub all: BTreeMap<VmId, Vm>,
@@ -54,19 +54,19 @@
 #[derive(Debug, Default)]
 struct VmProgress {
     phase: Phase,
-    /// Number of orders decided, and number of these that were sent.
+    /// Number of orders decided for the VM, and number of orders sent.
     tries: (u32, u32),
     /// Whether an unanswered order may still be carried out.
     unsettled: bool,
-    /// Whether the maintenance has begun.
+    /// Whether the maintenance of the VM has begun.
     begun: bool,
-    /// The worker's incarnation in the last list.
+    /// Id of the VM's worker in the last list.
     worker: Option<WorkerId>,
     /// No order is sent before this time.
     retry_at: Time,
-    /// Time since which the list lacks the VM.
+    /// Time since which the VM has been missing from the list.
     missing_since: Option<Time>,
-    /// Number of answers that the VM is not part of the wave.
+    /// Number of platform answers saying that the VM is not part of the wave.
     denials: u32,
 }
 
@@ -74,12 +74,12 @@
 enum Phase {
     #[default]
     Due,
-    /// The VM is being emptied since this time; whether tasks that end by themselves are no longer
-    /// waited for.
+    /// Time since which the VM is being emptied, and whether the holder has stopped waiting for
+    /// tasks that would end by themselves.
     Closing(Time, bool),
-    /// The VM is to go down: the worker's incarnation, and whether an order is in flight.
+    /// The VM is to be taken down: id of its worker, and whether an order is in flight.
     Ordered(Option<WorkerId>, bool),
-    /// The VM is down since this time; the incarnation that its worker had before.
+    /// Time since which the VM has been down, and id of the worker that it had before.
     Down(Time, Option<WorkerId>),
     Over,
 }
@@ -99,8 +99,8 @@
                     (progress.phase, progress.begun) = (Phase::Over, true);
                 } else if let Some(tries) = entry.out.get(m) {
                     progress.tries = (*tries, *tries);
-                    // Whether the order was carried out is not known; the answer to a repeated
-                    // order shows it.
+                    // It is not known whether the order was carried out; the answer to a repeated
+                    // order shows that.
                     (progress.phase, progress.unsettled) = (Phase::Closing(now, false), true);
                 }
             }
@@ -111,7 +111,7 @@
         WaveProgress { wave, rev, since, over, deadline, vms }
     }
 
-    /// The entry of this wave for the ledger.
+    /// Returns the ledger entry of this wave.
     pub fn entry(&self) -> WaveEntry {
         let out =
             |p: &VmProgress| !p.begun && (p.unsettled || matches!(p.phase, Phase::Ordered(..)));
@@ -126,13 +126,13 @@
         }
     }
 
-    /// The VMs that this wave is emptying or has taken down.
+    /// Returns the VMs that this wave is emptying or has taken down.
     pub fn taken(&self) -> impl Iterator<Item = &VmId> {
         let taken = |p: &VmProgress| !matches!(p.phase, Phase::Due | Phase::Over);
         self.vms.iter().filter(move |(_, p)| taken(p)).map(|(m, _)| m)
     }
 
-    /// The workers of the wave's VMs, and their turns.
+    /// Returns the workers of the wave's VMs and how far each is in its maintenance.
     pub fn turns(&self) -> impl Iterator<Item = (WorkerId, UpkeepTurn)> {
         self.vms.values().flat_map(|p| {
             let now = p.worker.clone();
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Number of VMs that are down for this wave or may go down at any moment.
+    /// Returns the number of VMs that are down for this wave or may go down at any moment.
     fn down(&self, list: &List) -> u32 {
         let upkeep = |m: &VmId| list.all.get(m).is_some_and(|m| m.state == VmState::Upkeep);
         let down = |(m, p): &(&VmId, &VmProgress)| {
@@ -180,8 +180,8 @@
         u32::try_from(self.vms.iter().filter(down).count()).unwrap_or(u32::MAX)
     }
 
-    /// Decides which VMs to empty, to force and to order down now; `taken` are the VMs that any
-    /// wave or loan is working on.
+    /// Decides which VMs to start emptying, which to empty without waiting for tasks to end, and
+    /// which to order down; `taken` are the VMs that any wave or loan is working on.
     pub fn step(
         &mut self,
         list: &List,
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Decides on orders for clear VMs, as far as the limit of VMs that are down allows.
+    /// Decides on orders for clear VMs within the maximum number of VMs that may be down.
     fn decide_orders(&mut self, list: &List, reports: &Reports, now: Time) {
         let mut slots = self.wave.max_down.max(1).saturating_sub(self.down(list));
         for (m, progress) in &mut self.vms {
@@ -237,11 +237,11 @@
         }
     }
 
-    /// Returns a VM whose order is to be sent now; `stored` are the orders in the stored ledger.
+    /// Returns a VM whose order is to be sent now; `stored` are the order counts of the ledger.
     ///
     /// Every order, also a repeated one, has to be in the ledger before it is sent. A holder that
-    /// was paused and does not know of its successor can't write it, because the successor has
-    /// changed the ledger. If the platform checks no tokens, nothing else would stop that holder.
+    /// was paused and does not know of its successor can't write the order, because the successor
+    /// has changed the ledger. On a platform that checks no tokens, only this stops that holder.
     pub fn next_order(
         &mut self,
         stored: &BTreeMap<VmId, u32>,
@@ -280,7 +280,7 @@
                     (progress.phase, progress.unsettled) = (Phase::Over, false);
                 }
             }
-            // The VM is not up; the next incarnation of its worker has to be emptied first.
+            // The VM is not up. Once it is up again, its new worker has to be emptied first.
             Ok(VmReply::Busy) => {
                 if let Phase::Ordered(..) = progress.phase {
                     progress.phase = Phase::Closing(now, true);
@@ -355,8 +355,8 @@
     }
 }
 
-/// Whether a recent report of the owner says that nothing runs at a worker and nothing will start
-/// there. A VM without a worker is clear.
+/// Returns whether a recent report of the owner says that no task runs at a worker and none will
+/// start there. A VM without a worker is clear.
 pub(super) fn clear(worker: Option<&WorkerId>, reports: &Reports, now: Time) -> bool {
     let Some(worker) = worker else { return true };
     reports
