--- a/src/core/requests.rs
+++ b/src/core/requests.rs
@@ -70,7 +70,7 @@
         for line in self.requests.services.values_mut() {
             if let Some((item, at)) = line.running.remove(&request) {
                 times = (item.run_time, now - at);
-                line.queue.done(&item, if ran { now - at } else { Duration::ZERO });
+                line.queue.record_end(&item, if ran { now - at } else { Duration::ZERO });
             }
         }
         self.racks.finish(request, worker, &outcome, times, now);
@@ -110,7 +110,7 @@
         let mut late = vec![];
         for line in self.requests.services.values_mut() {
             for item in line.queue.expire(now) {
-                late.push((item.id, line.gate.expired(&line.queue, &item, now)));
+                late.push((item.id, line.gate.expiry_error(&line.queue, &item, now)));
             }
         }
         for (id, error) in late {
@@ -213,7 +213,7 @@
                 false => Duration::MAX,
             };
             let spread = self.requests.spreads.get_mut(&name);
-            let to = spread.and_then(|s| s.pick(wait, service.run, now));
+            let to = spread.and_then(|s| s.pick_peer(wait, service.run, now));
             if to.is_some_and(|to| self.forward(id, to, now)) {
                 return;
             }
@@ -323,7 +323,7 @@
         };
         let (kind, late) = (error.kind(), p.deadline <= now);
         let caller = p.ask.caller.clone();
-        match self.requests.budget.retry(&caller, error, p.tries, now) {
+        match self.requests.budget.spend_retry(&caller, error, p.tries, now) {
             Ok(()) if !late => {
                 self.metrics.count_retry(kind);
                 self.route(id, now);
--- a/src/decide/admit.rs
+++ b/src/decide/admit.rs
@@ -23,7 +23,7 @@
 use {
     crate::{
         Error, Kind, Time,
-        decide::fair::{Ahead, Item, Queue},
+        decide::fair::{Item, Queue, WorkAhead},
         ids::CallerId,
     },
     rustc_hash::FxHashMap,
@@ -107,9 +107,9 @@
         if queue.slots() == 0 {
             return Err(Kind::NoEndpoint.into());
         }
-        let ahead = queue.ahead(&item, now);
+        let ahead = queue.work_ahead(&item, now);
         let wait = self.drain_time(ahead.work, ahead.slots, now);
-        let share = if self.overloaded(now) { MAX_OVERLOAD_WAIT_SHARE } else { MAX_WAIT_SHARE };
+        let share = if self.is_overloaded(now) { MAX_OVERLOAD_WAIT_SHARE } else { MAX_WAIT_SHARE };
         let spare = item.latest_start() - now;
         if !wait.is_zero() && wait > spare.mul_f64(share) {
             let detail = format!("would wait {} ms", wait.as_millis());
@@ -128,8 +128,8 @@
     }
 
     /// Returns how long a request would wait if it were admitted now.
-    pub fn wait(&self, queue: &Queue, item: &Item, now: Time) -> Duration {
-        let ahead = queue.ahead(item, now);
+    pub fn expected_wait(&self, queue: &Queue, item: &Item, now: Time) -> Duration {
+        let ahead = queue.work_ahead(item, now);
         self.drain_time(ahead.work, ahead.slots, now)
     }
 
@@ -147,13 +147,13 @@
     }
 
     /// Returns the error for a request that expired in the queue, with the retry delay.
-    pub fn expired(&mut self, queue: &Queue, item: &Item, now: Time) -> Error {
-        let ahead = queue.ahead(item, now);
+    pub fn expiry_error(&mut self, queue: &Queue, item: &Item, now: Time) -> Error {
+        let ahead = queue.work_ahead(item, now);
         Error::from(Kind::Expired).with_retry_after(self.retry_delay(item, ahead, now))
     }
 
     /// Returns whether the queue has not been empty for `OVERLOAD_AFTER`.
-    pub fn overloaded(&self, now: Time) -> bool {
+    pub fn is_overloaded(&self, now: Time) -> bool {
         self.nonempty_since.is_some_and(|t| now.since(t) >= OVERLOAD_AFTER)
     }
 
@@ -169,7 +169,7 @@
         Duration::from_secs_f64((work.as_secs_f64() / rate).min(1e9))
     }
 
-    fn retry_delay(&mut self, item: &Item, ahead: Ahead, now: Time) -> Duration {
+    fn retry_delay(&mut self, item: &Item, ahead: WorkAhead, now: Time) -> Duration {
         if now.since(self.last_sweep) >= SWEEP_INTERVAL {
             self.last_sweep = now;
             self.retry_times.retain(|_, at| *at > now);
--- a/src/decide/ahead.rs
+++ b/src/decide/ahead.rs
@@ -78,7 +78,7 @@
 impl<W: Hash + Eq> Backlog<W> {
     /// Counts the next step that waits for a worker, and returns whether it is among the first
     /// `MAX_STEPS_PER_WORKER`.
-    pub fn add(&mut self, worker: W) -> bool {
+    pub fn add_step(&mut self, worker: W) -> bool {
         let steps = self.steps.entry(worker).or_default();
         *steps += 1;
         *steps <= MAX_STEPS_PER_WORKER
@@ -87,12 +87,12 @@
 
 /// Returns the latest time at which resources may be expected to become free for an advice call of
 /// duration `call_time` to be made now.
-pub fn horizon(call_time: Duration, now: Time) -> Time {
+pub fn call_ahead_horizon(call_time: Duration, now: Time) -> Time {
     now + call_time + CALL_OVERHEAD + MAX_END_ERROR
 }
 
 /// Returns whether a ticket that is valid until `until` expires before a new one could arrive.
-pub fn expires_early(until: Time, call_time: Duration, now: Time) -> bool {
+pub fn ticket_expires_early(until: Time, call_time: Duration, now: Time) -> bool {
     until <= now + call_time + CALL_OVERHEAD
 }
 
--- a/src/decide/call_queue.rs
+++ b/src/decide/call_queue.rs
@@ -49,7 +49,7 @@
     /// Adds a call that takes `call_time` and is given up after `limit`, and returns its number.
     /// Returns `None` if the call must not be made because its answer would come too late.
     ///
-    /// The call counts as sent now, until [`CallQueue::done`], or to its expected end after
+    /// The call counts as sent now, until [`CallQueue::record_end`], or to its expected end after
     /// [`CallQueue::abandon`].
     pub fn admit(&mut self, call_time: Duration, limit: Duration, now: Time) -> Option<u64> {
         if self.backlog(now) + call_time + ROUND_TRIP > limit {
@@ -79,7 +79,7 @@
     }
 
     /// Records that a call was answered or was never made.
-    pub fn done(&mut self, number: u64, now: Time) {
+    pub fn record_end(&mut self, number: u64, now: Time) {
         let Some(at) = self.calls.iter().position(|c| c.number == number) else { return };
         // The service answers in order, so abandoned calls before this one have ended.
         let ended = self.calls.iter().take(at).take_while(|c| c.abandoned).count();
--- a/src/decide/cancel.rs
+++ b/src/decide/cancel.rs
@@ -45,9 +45,9 @@
     sent: VecDeque<(Time, TaskId)>,
 }
 
-/// Error of [`Cancels::relist`]: the given number of cancelled tasks of the job still run.
+/// Error of [`Cancels::clear_marks`]: the given number of cancelled tasks of the job still run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Busy(pub usize);
+pub struct StillRunning(pub usize);
 
 /// Cancelled tasks whose stops [`Cancels::tick`] has not sent yet.
 #[derive(Debug)]
@@ -100,13 +100,13 @@
     }
 
     /// Returns whether the task or its job is cancelled.
-    pub fn cancelled(&self, task: &TaskId) -> bool {
+    pub fn is_cancelled(&self, task: &TaskId) -> bool {
         let job = self.jobs.get(&task.job);
         job.is_some_and(|j| j.all_cancelled || j.cancelled_tasks.contains(&task.index))
     }
 
     /// Records that the task no longer runs, by its own end or by a confirmed stop.
-    pub fn ended(&mut self, task: &TaskId) {
+    pub fn record_end(&mut self, task: &TaskId) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         job.running.remove(&task.index);
         if job.is_idle() {
@@ -116,11 +116,11 @@
 
     /// Clears the marks of a job that the text lists again. Errs while cancelled tasks of it still
     /// run.
-    pub fn relist(&mut self, job: &JobId) -> Result<(), Busy> {
+    pub fn clear_marks(&mut self, job: &JobId) -> Result<(), StillRunning> {
         let Some(entry) = self.jobs.get(job) else { return Ok(()) };
         let cancelled = entry.all_cancelled || !entry.cancelled_tasks.is_empty();
         if cancelled && !entry.running.is_empty() {
-            return Err(Busy(entry.running.len()));
+            return Err(StillRunning(entry.running.len()));
         }
         if cancelled {
             self.jobs.remove(job);
@@ -144,7 +144,7 @@
 
     /// Returns the number of unsent and unconfirmed stops. A job whose stops have not all been sent
     /// counts as one.
-    pub fn pending(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.unsent.len() + self.sent.len()
     }
 
@@ -177,6 +177,6 @@
     /// repeated stop must not end its new run.
     fn needs_stop(&self, task: &TaskId) -> bool {
         let runs = self.jobs.get(&task.job).is_some_and(|j| j.running.contains(&task.index));
-        runs && self.cancelled(task)
+        runs && self.is_cancelled(task)
     }
 }
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -54,7 +54,7 @@
 struct Endpoint {
     worker: WorkerId,
     slots: u32,
-    /// Number of slots that may be used, up to `slots`.
+    /// Number of slots that may be used, up to `slot_counts`.
     slot_limit: u32,
     /// Number of answers since `slot_limit` was last set.
     answers: u32,
@@ -106,7 +106,7 @@
     }
 
     /// Resets an endpoint to one usable slot and the median speed.
-    pub fn restart(&mut self, worker: &WorkerId, now: Time) {
+    pub fn reset(&mut self, worker: &WorkerId, now: Time) {
         let median = self.median;
         if let Some(e) = self.get(worker) {
             (e.slot_limit, e.answers, e.ratio, e.observed_at) = (1, 0, median, now);
@@ -123,7 +123,7 @@
     }
 
     /// Counts a request at an endpoint that was not chosen by [`Scores::pick`].
-    pub fn count(&mut self, worker: &WorkerId) {
+    pub fn record_request(&mut self, worker: &WorkerId) {
         if let Some(e) = self.get(worker) {
             e.busy += 1;
         }
@@ -138,7 +138,13 @@
 
     /// Records a complete answer after `ran` for a request with the expected run time `run`.
     /// Returns how many times as slow as the median the endpoint is now.
-    pub fn answered(&mut self, worker: &WorkerId, run: Duration, ran: Duration, now: Time) -> f64 {
+    pub fn record_answer(
+        &mut self,
+        worker: &WorkerId,
+        run: Duration,
+        ran: Duration,
+        now: Time,
+    ) -> f64 {
         self.release(worker);
         self.update_median();
         let median = self.median;
@@ -152,8 +158,8 @@
     }
 
     /// Returns the number of slots that are in use or may be used, and how many of these are free.
-    pub fn slots(&self, ejector: &Ejector, now: Time) -> (u32, u32) {
-        let usable = self.endpoints.iter().filter(|e| ejector.allows(&e.worker, 0, now));
+    pub fn slot_counts(&self, ejector: &Ejector, now: Time) -> (u32, u32) {
+        let usable = self.endpoints.iter().filter(|e| ejector.allows_request(&e.worker, 0, now));
         let open = self.endpoints.iter().filter(|e| e.has_open_slot(ejector, now));
         (usable.map(Endpoint::usable_slots).sum(), open.map(|e| e.usable_slots() - e.busy).sum())
     }
@@ -216,7 +222,7 @@
     }
 
     fn has_open_slot(&self, ejector: &Ejector, now: Time) -> bool {
-        self.busy < self.usable_slots() && ejector.allows(&self.worker, self.busy, now)
+        self.busy < self.usable_slots() && ejector.allows_request(&self.worker, self.busy, now)
     }
 
     fn ratio(&self, median: f64, now: Time) -> f64 {
--- a/src/decide/crash.rs
+++ b/src/decide/crash.rs
@@ -41,7 +41,7 @@
 /// have reached a worker that was already down. If there is no new run at all, the only run is
 /// blamed, unless its task is long-running. All runs that started together are blamed, because more
 /// than one may be a crashing task.
-pub fn blamed(all: &[CrashedRun]) -> Vec<usize> {
+pub fn blamed_runs(all: &[CrashedRun]) -> Vec<usize> {
     let new = || all.iter().filter(|r| !r.settled);
     let last = new().filter(|r| r.reported).map(|r| r.started_at).max();
     if let Some(at) = last.or(new().map(|r| r.started_at).min()) {
--- a/src/decide/eject.rs
+++ b/src/decide/eject.rs
@@ -72,18 +72,18 @@
 
     /// Returns whether an endpoint with `busy` requests in flight may get another one. After an
     /// ejection it may have one request in flight, as a trial.
-    pub fn allows(&self, worker: &WorkerId, busy: u32, now: Time) -> bool {
+    pub fn allows_request(&self, worker: &WorkerId, busy: u32, now: Time) -> bool {
         let until = self.health.get(worker).and_then(|h| h.ejected_until);
         until.is_none_or(|until| now >= until && busy == 0)
     }
 
     /// Returns the number of ejected endpoints, including those on trial.
-    pub fn ejected(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         self.health.values().filter(|h| h.ejected_until.is_some()).count()
     }
 
     /// Records a failure or timeout of an endpoint. Returns whether this ejects the endpoint.
-    pub fn failed(&mut self, worker: &WorkerId, now: Time) -> bool {
+    pub fn record_failure(&mut self, worker: &WorkerId, now: Time) -> bool {
         let health = self.health.entry(worker.clone()).or_default();
         health.failure_count = health.failure_count.saturating_add(1);
         match health.ejected_until {
@@ -98,11 +98,11 @@
 
     /// Records a complete answer of an endpoint that is `slowness` times as slow as its peers'
     /// median. Returns whether this ends its ejection; the endpoint must then start slowly.
-    pub fn answered(&mut self, worker: &WorkerId, slowness: f64, now: Time) -> bool {
+    pub fn record_answer(&mut self, worker: &WorkerId, slowness: f64, now: Time) -> bool {
         if slowness > EJECT_RATIO {
             match self.health.get(worker).and_then(|h| h.ejected_until) {
                 None => _ = self.eject(worker, now),
-                Some(until) if now >= until => _ = self.failed(worker, now),
+                Some(until) if now >= until => _ = self.record_failure(worker, now),
                 Some(_) => {}
             }
             return false;
@@ -121,7 +121,7 @@
     }
 
     fn eject(&mut self, worker: &WorkerId, now: Time) -> bool {
-        if (self.ejected() + 1) * EJECT_DIVISOR > self.size {
+        if (self.ejected_count() + 1) * EJECT_DIVISOR > self.size {
             return false;
         }
         let health = self.health.entry(worker.clone()).or_default();
--- a/src/decide/estimate.rs
+++ b/src/decide/estimate.rs
@@ -78,7 +78,7 @@
 
 impl Estimates {
     /// Records a task that ended successfully, with its run time and its peak use.
-    pub fn ended(&mut self, job: &JobId, run: Duration, used: Size) {
+    pub fn record_end(&mut self, job: &JobId, run: Duration, used: Size) {
         let h = self.jobs.entry(job.clone()).or_default();
         let run = i64::try_from(run.as_micros()).unwrap_or(i64::MAX / 16);
         if h.run_count == 0 {
@@ -95,14 +95,14 @@
 
     /// Returns the size that a task of the job reserves: in each dimension the greater of the
     /// declared and the observed value.
-    pub fn reserve(&self, job: &JobId, declared: Size) -> Size {
+    pub fn reservation_size(&self, job: &JobId, declared: Size) -> Size {
         let Some(h) = self.jobs.get(job) else { return declared };
         let memory = Memory(h.peak_memory.0 + h.peak_memory.0.div_ceil(HEADROOM_DIVISOR));
         declared.max(&Size { cores: h.cores, memory, accels: declared.accels })
     }
 
     /// Returns the expected run time of a task of the job.
-    pub fn run_time(&self, job: &JobId, declared: Duration) -> Duration {
+    pub fn expected_run_time(&self, job: &JobId, declared: Duration) -> Duration {
         let Some(h) = self.jobs.get(job).filter(|h| h.run_count >= MIN_RUNS) else {
             return declared;
         };
@@ -113,7 +113,7 @@
 
     /// Decides what to do with a running task that uses `used` of its `reserved` size, on a worker
     /// with `room` free.
-    pub fn check(&mut self, job: &JobId, used: Size, reserved: Size, room: Size) -> Action {
+    pub fn check_use(&mut self, job: &JobId, used: Size, reserved: Size, room: Size) -> Action {
         match used.memory > reserved.memory {
             true => self.grow(job, used, reserved, room),
             false => Action::Keep,
--- a/src/decide/evidence.rs
+++ b/src/decide/evidence.rs
@@ -95,7 +95,13 @@
 }
 
 impl Evidence {
-    pub(super) fn add(&mut self, now: Time, job: &JobId, worker: &WorkerId, failed: bool) {
+    pub(super) fn record_attempt(
+        &mut self,
+        now: Time,
+        job: &JobId,
+        worker: &WorkerId,
+        failed: bool,
+    ) {
         if now.since(self.started_at) >= GENERATION_AGE || self.young.cells >= MAX_CELLS {
             self.old = mem::take(&mut self.young);
             self.started_at = now;
@@ -129,7 +135,7 @@
     }
 
     /// Returns the evidence, in nats, that the worker fails more than its peers on the same jobs.
-    pub(super) fn against(&self, worker: &WorkerId) -> f64 {
+    pub(super) fn evidence_against(&self, worker: &WorkerId) -> f64 {
         let (mut ended, mut failed, mut expected) = (0.0, 0.0, 0.0);
         for (counts, job) in self.jobs_of(worker) {
             let peers = self.peers(job, worker);
--- a/src/decide/fair.rs
+++ b/src/decide/fair.rs
@@ -7,7 +7,7 @@
 //!
 //! *Order:* start-time fair queueing on two levels: teams by weight, and callers within a team
 //! equally. A request costs its expected run time, so a caller's long requests delay that caller.
-//! [`Queue::done`] charges the difference to the actual run time, so a caller gains nothing from a
+//! [`Queue::record_end`] charges the difference to the actual run time, so a caller gains nothing from a
 //! wrong estimate. If all requests run longer than expected, the workers are slow, and no caller is
 //! charged for that.
 //!
@@ -22,7 +22,7 @@
 use {
     crate::{
         Error, Kind, Time,
-        decide::flow::{LANES, Lane, TAG_UNITS, Team, cost, served},
+        decide::flow::{ALL_LANES, Lane, TAG_UNITS, TeamFlow, served_work, tag_cost},
         ids::{CallerId, RequestId, TeamId},
     },
     rustc_hash::FxHashMap,
@@ -82,7 +82,7 @@
 
 /// The work that is served before a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ahead {
+pub struct WorkAhead {
     /// Total expected run time of the requests that are served before the new one.
     pub work: Duration,
     /// Number of slots that serve this work.
@@ -93,7 +93,7 @@
 pub struct Queue {
     slots: u32,
     long_run: Duration,
-    teams: BTreeMap<TeamId, Team>,
+    teams: BTreeMap<TeamId, TeamFlow>,
     weights: FxHashMap<TeamId, u64>,
     items: FxHashMap<RequestId, (u64, Item)>,
     by_latest_start: BTreeSet<(Time, RequestId)>,
@@ -192,14 +192,14 @@
         }
         let team = self.teams.entry(item.team.clone()).or_default();
         if team.len == 0 {
-            team.tag = team.tag.max(self.virtual_time);
+            team.start_tag = team.start_tag.max(self.virtual_time);
         }
         team.len += 1;
-        team.work[lane as usize] += cost(item.run_time);
+        team.work[lane as usize] += tag_cost(item.run_time);
         let virtual_time = team.virtual_time;
-        team.edit(&item.caller, |c| {
+        team.edit_caller(&item.caller, |c| {
             if c.len() == 0 {
-                c.tag = c.tag.max(virtual_time);
+                c.start_tag = c.start_tag.max(virtual_time);
             }
             c.lanes[lane as usize].insert(seq, (item.id, item.run_time));
         });
@@ -215,20 +215,20 @@
         let heads = self.teams.iter().flat_map(|(id, team)| {
             lanes.iter().filter_map(move |&l| {
                 let (tag, seq, _) = team.order[l as usize].first()?;
-                Some(((team.tag, *tag, *seq), id, l))
+                Some(((team.start_tag, *tag, *seq), id, l))
             })
         });
         let (_, id, lane) = heads.min_by_key(|head| head.0)?;
         let team = &self.teams[id];
         let (tag, _, caller) = team.order[lane as usize].first()?;
         let (request, _) = *team.callers[caller].lanes[lane as usize].values().next()?;
-        let (start, tag) = (team.tag, *tag);
+        let (start, tag) = (team.start_tag, *tag);
         let item = self.remove(request)?;
         self.virtual_time = self.virtual_time.max(start);
         if let Some(team) = self.teams.get_mut(&item.team) {
             team.virtual_time = team.virtual_time.max(tag);
         }
-        self.charge(&item, |tag, price, _| tag + price, cost(item.run_time));
+        self.charge(&item, |tag, price, _| tag + price, tag_cost(item.run_time));
         if lane == Lane::Long {
             self.running_long += 1;
         }
@@ -251,7 +251,7 @@
 
     /// Records that a popped request has ended after `ran`, and charges its caller for run time
     /// beyond what the mean overrun explains. `ran` is zero if the request did not run.
-    pub fn done(&mut self, item: &Item, ran: Duration) {
+    pub fn record_end(&mut self, item: &Item, ran: Duration) {
         if self.lane(item) == Lane::Long {
             self.running_long = self.running_long.saturating_sub(1);
         }
@@ -261,25 +261,25 @@
         }
         let ran = ran.div_f64(self.mean_overrun);
         if ran > item.run_time {
-            self.charge(item, |tag, price, _| tag + price, cost(ran - item.run_time));
+            self.charge(item, |tag, price, _| tag + price, tag_cost(ran - item.run_time));
         } else {
             // The tag stays at or above the virtual time, because the charge may have been cleared
             // since, by `sweep` or while no request was waiting.
             let refund = |tag: u64, price, floor| tag.saturating_sub(price).max(tag.min(floor));
-            self.charge(item, refund, cost(item.run_time - ran));
+            self.charge(item, refund, tag_cost(item.run_time - ran));
         }
     }
 
     /// Returns the work that would be served before `item` if it were pushed now.
-    pub fn ahead(&self, item: &Item, now: Time) -> Ahead {
+    pub fn work_ahead(&self, item: &Item, now: Time) -> WorkAhead {
         let own = [self.lane(item)];
         let (lanes, slots) = match (self.open_lanes(now).len(), own[0]) {
-            (2, _) => (&LANES[..], self.slots),
+            (2, _) => (&ALL_LANES[..], self.slots),
             (_, Lane::Short) => (&own[..], self.slots.saturating_sub(self.running_long)),
             (_, Lane::Long) => (&own[..], self.slots_for_long(now)),
         };
         let work = Duration::from_micros(self.work_before(item, lanes) / TAG_UNITS);
-        Ahead { work, slots: slots.max(1) }
+        WorkAhead { work, slots: slots.max(1) }
     }
 
     /// Returns the number of slots that the waiting requests could use now if all were free.
@@ -293,11 +293,11 @@
     fn work_before(&self, item: &Item, lanes: &[Lane]) -> u64 {
         let team = self.teams.get(&item.team);
         let own = team.map_or(0, |t| t.work_before(&item.caller, lanes));
-        let tag = team.map_or(0, |t| t.tag).max(self.virtual_time);
+        let tag = team.map_or(0, |t| t.start_tag).max(self.virtual_time);
         let start = tag + own / self.weight(&item.team);
-        let others = self.teams.iter().filter(|(id, t)| **id != item.team && t.tag <= start);
+        let others = self.teams.iter().filter(|(id, t)| **id != item.team && t.start_tag <= start);
         let others = others.map(|(id, t)| {
-            served(t.work(lanes), t.len, (start - t.tag).saturating_mul(self.weight(id)))
+            served_work(t.work(lanes), t.len, (start - t.start_tag).saturating_mul(self.weight(id)))
         });
         own + others.sum::<u64>()
     }
@@ -318,17 +318,19 @@
 
     /// Returns the lanes whose requests may start now.
     fn open_lanes(&self, now: Time) -> &'static [Lane] {
-        if self.running_long < self.slots_for_long(now) { &LANES } else { &LANES[..1] }
+        if self.running_long < self.slots_for_long(now) { &ALL_LANES } else { &ALL_LANES[..1] }
     }
 
-    /// Sets the tags of the item's team and caller to `adjust(tag, price, virtual_time)`.
+    /// Sets the tags of the item's team and caller to `adjust(start_tag, price, virtual_time)`.
     fn charge(&mut self, item: &Item, adjust: fn(u64, u64, u64) -> u64, price: u64) {
         let weight = self.weight(&item.team);
         let Some(team) = self.teams.get_mut(&item.team) else { return };
-        team.tag = adjust(team.tag, price / weight, self.virtual_time);
+        team.start_tag = adjust(team.start_tag, price / weight, self.virtual_time);
         let virtual_time = team.virtual_time;
         if team.callers.contains_key(&item.caller) {
-            team.edit(&item.caller, |c| c.tag = adjust(c.tag, price, virtual_time));
+            team.edit_caller(&item.caller, |c| {
+                c.start_tag = adjust(c.start_tag, price, virtual_time)
+            });
         }
     }
 
@@ -349,8 +351,8 @@
         let lane = self.lane(&item);
         let team = self.teams.get_mut(&item.team)?;
         team.len -= 1;
-        team.work[lane as usize] -= cost(item.run_time);
-        team.edit(&item.caller, |c| _ = c.lanes[lane as usize].remove(&seq));
+        team.work[lane as usize] -= tag_cost(item.run_time);
+        team.edit_caller(&item.caller, |c| _ = c.lanes[lane as usize].remove(&seq));
         Some(item)
     }
 
@@ -368,8 +370,8 @@
         let virtual_time = self.virtual_time;
         for team in self.teams.values_mut() {
             let served = team.virtual_time;
-            team.callers.retain(|_, c| c.len() > 0 || c.tag > served);
+            team.callers.retain(|_, c| c.len() > 0 || c.start_tag > served);
         }
-        self.teams.retain(|_, t| t.len > 0 || t.tag > virtual_time);
+        self.teams.retain(|_, t| t.len > 0 || t.start_tag > virtual_time);
     }
 }
--- a/src/decide/flow.rs
+++ b/src/decide/flow.rs
@@ -21,52 +21,52 @@
     Long,
 }
 
-pub(super) const LANES: [Lane; 2] = [Lane::Short, Lane::Long];
+pub(super) const ALL_LANES: [Lane; 2] = [Lane::Short, Lane::Long];
 
 #[derive(Default)]
-pub(super) struct Caller {
-    pub(super) tag: u64,
+pub(super) struct CallerFlow {
+    pub(super) start_tag: u64,
     /// Waiting requests of each lane, in the order of arrival.
     pub(super) lanes: [BTreeMap<u64, (RequestId, Duration)>; 2],
 }
 
-impl Caller {
+impl CallerFlow {
     pub(super) fn len(&self) -> usize {
         self.lanes.iter().map(BTreeMap::len).sum()
     }
 
     pub(super) fn work(&self, lanes: &[Lane]) -> u64 {
         let waiting = lanes.iter().flat_map(|&l| self.lanes[l as usize].values());
-        waiting.map(|&(_, run)| cost(run)).sum()
+        waiting.map(|&(_, run)| tag_cost(run)).sum()
     }
 }
 
 #[derive(Default)]
-pub(super) struct Team {
-    pub(super) tag: u64,
+pub(super) struct TeamFlow {
+    pub(super) start_tag: u64,
     /// Start tag of the caller that was served last.
     pub(super) virtual_time: u64,
     pub(super) len: usize,
     pub(super) work: [u64; 2],
-    pub(super) callers: FxHashMap<CallerId, Caller>,
+    pub(super) callers: FxHashMap<CallerId, CallerFlow>,
     /// Callers with waiting requests, by tag and then by the arrival of their first request, per
     /// lane.
     pub(super) order: [BTreeSet<(u64, u64, CallerId)>; 2],
 }
 
-impl Team {
+impl TeamFlow {
     /// Changes a caller and updates `order` accordingly.
-    pub(super) fn edit(&mut self, id: &CallerId, change: impl FnOnce(&mut Caller)) {
+    pub(super) fn edit_caller(&mut self, id: &CallerId, change: impl FnOnce(&mut CallerFlow)) {
         let caller = self.callers.entry(id.clone()).or_default();
         for (lane, order) in caller.lanes.iter().zip(&mut self.order) {
             if let Some(&seq) = lane.keys().next() {
-                order.remove(&(caller.tag, seq, id.clone()));
+                order.remove(&(caller.start_tag, seq, id.clone()));
             }
         }
         change(caller);
         for (lane, order) in caller.lanes.iter().zip(&mut self.order) {
             if let Some(&seq) = lane.keys().next() {
-                order.insert((caller.tag, seq, id.clone()));
+                order.insert((caller.start_tag, seq, id.clone()));
             }
         }
     }
@@ -76,12 +76,12 @@
     pub(super) fn work_before(&self, id: &CallerId, lanes: &[Lane]) -> u64 {
         let caller = self.callers.get(id);
         let mine = caller.map_or(0, |c| c.work(lanes));
-        let start = caller.map_or(0, |c| c.tag).max(self.virtual_time) + mine;
+        let start = caller.map_or(0, |c| c.start_tag).max(self.virtual_time) + mine;
         let past = (start + 1, 0, CallerId::from(""));
         let waiting = lanes.iter().flat_map(|&l| self.order[l as usize].range(..&past));
         let others: BTreeSet<_> = waiting.map(|(_, _, c)| c).filter(|&c| c != id).collect();
         let others = others.into_iter().map(|c| &self.callers[c]);
-        mine + others.map(|c| served(c.work(lanes), c.len(), start - c.tag)).sum::<u64>()
+        mine + others.map(|c| served_work(c.work(lanes), c.len(), start - c.start_tag)).sum::<u64>()
     }
 
     pub(super) fn work(&self, lanes: &[Lane]) -> u64 {
@@ -91,13 +91,13 @@
 
 /// Returns how much of a flow's `work`, in `len` requests, is served until its start tag has
 /// advanced by `lead`. The request that reaches the limit counts as a whole.
-pub(super) fn served(work: u64, len: usize, lead: u64) -> u64 {
+pub(super) fn served_work(work: u64, len: usize, lead: u64) -> u64 {
     work.min(lead.saturating_add(work / (len.max(1) as u64)))
 }
 
 /// Converts a run time to tag units; at least one microsecond, so that every request costs
 /// something.
-pub(super) fn cost(run: Duration) -> u64 {
+pub(super) fn tag_cost(run: Duration) -> u64 {
     let us = u64::try_from(run.as_micros()).unwrap_or(u64::MAX);
     us.clamp(1, u64::MAX >> 20) * TAG_UNITS
 }
--- a/src/decide/forward.rs
+++ b/src/decide/forward.rs
@@ -127,7 +127,7 @@
 
     /// Chooses a peer for a request that would wait `wait` here and runs for `run`, and counts the
     /// request there. Returns `None` if no peer is expected to serve it sooner.
-    pub fn pick(&mut self, wait: Duration, run: Duration, now: Time) -> Option<Incarnation> {
+    pub fn pick_peer(&mut self, wait: Duration, run: Duration, now: Time) -> Option<Incarnation> {
         let senders = self.sender_count();
         let (mut near, mut far) = (Vec::new(), Vec::new());
         for (&id, peer) in &mut self.peers {
--- a/src/decide/gang.rs
+++ b/src/decide/gang.rs
@@ -75,7 +75,7 @@
     }
 
     /// Begins a round on these racks, after the releases of the previous round were answered.
-    pub fn begin(&mut self, mut racks: Vec<RackId>, now: Time) -> Action {
+    pub fn begin_round(&mut self, mut racks: Vec<RackId>, now: Time) -> Action {
         racks.sort_unstable();
         racks.dedup();
         (self.racks, self.reserved_count, self.expires_at, self.awaiting_answer) =
@@ -87,7 +87,7 @@
     ///
     /// Answers of an earlier round are ignored: that room has been released since, and counting it
     /// would start the gang without it.
-    pub fn granted(&mut self, rack: &RackId, round: u32, now: Time) -> Action {
+    pub fn record_grant(&mut self, rack: &RackId, round: u32, now: Time) -> Action {
         if !self.awaits(rack, round) {
             return Action::Nothing;
         }
@@ -99,7 +99,7 @@
     ///
     /// The rack is released as well, because its owner may have reserved the room if its answer was
     /// lost.
-    pub fn refused(
+    pub fn record_refusal(
         &mut self,
         rack: &RackId,
         round: u32,
--- a/src/decide/gather.rs
+++ b/src/decide/gather.rs
@@ -25,20 +25,20 @@
 };
 
 /// Divisor of a pool's size that gives the maximum part kept for gangs that can still be in time.
-pub const KEPT_ONE_IN: u64 = 3;
+pub const KEPT_DIVISOR: u64 = 3;
 /// Divisor of a busy pool's size that gives the maximum part kept for late gangs.
-pub const KEPT_LATE_ONE_IN: u64 = 10;
+pub const KEPT_LATE_DIVISOR: u64 = 10;
 /// Minimum ratio of the tasks that the known workers could hold if empty to the tasks of the gang.
 /// Below it advice is requested about more workers.
-pub const MIN_CHOICE: u64 = 2;
+pub const MIN_CAPACITY_RATIO: u64 = 2;
 /// Maximum time until a gang's room is complete for which room is always kept for it. This is the
 /// time of a stop and an advice call.
-pub const NEAR_WITHIN: Duration = Duration::from_millis(2000);
+pub const MAX_NEAR_WAIT: Duration = Duration::from_millis(2000);
 /// Maximum number of gangs for which room is kept although it is complete only after
-/// [`NEAR_WITHIN`]. Later gangs start on any workers that have room meanwhile.
+/// [`MAX_NEAR_WAIT`]. Later gangs start on any workers that have room meanwhile.
 pub const MAX_FAR_GANGS: usize = 4;
 /// Maximum time for which workers are kept for a gang that does not start.
-pub const MAX_KEEP: Duration = Duration::from_secs(4);
+pub const MAX_KEEP_TIME: Duration = Duration::from_secs(4);
 /// Number of tasks for which advice is requested, in percent of the gang's tasks without a worker.
 const ASKED_PERCENT: u64 = 150;
 /// Assumed share of workers that may run a step, in percent, before any answer, and the number of
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement<W> {
     /// The chosen workers, each with its number of members.
-    pub per_worker: Vec<(W, u32)>,
+    pub member_counts: Vec<(W, u32)>,
     /// When there is room for all members.
     pub available_at: Time,
 }
@@ -96,7 +96,7 @@
             left -= slots;
         }
         if left == 0 {
-            return Some(Placement { per_worker: each.into_iter().collect(), available_at: at });
+            return Some(Placement { member_counts: each.into_iter().collect(), available_at: at });
         }
     }
     None
@@ -139,7 +139,7 @@
 
 /// Returns how many workers each of several parallel calls names. With so many, a call takes half
 /// as long again as its base time.
-pub fn chunk(base: Duration, each: Duration) -> usize {
+pub fn call_size(base: Duration, each: Duration) -> usize {
     let half = base.as_micros() / (2 * each.as_micros()).max(1);
     u64::try_from(half).unwrap_or(u64::MAX).clamp(CALL_SIZE_RANGE.0, CALL_SIZE_RANGE.1) as usize
 }
--- a/src/decide/health.rs
+++ b/src/decide/health.rs
@@ -79,7 +79,7 @@
     Sound,
     /// The worker gets tasks only if no sound worker has room.
     Suspect,
-    /// The worker gets only the probes that [`WorkerHealth::probe`] or [`WorkerHealth::allows`]
+    /// The worker gets only the probes that [`WorkerHealth::try_probe`] or [`WorkerHealth::allows_start`]
     /// allows.
     Quarantined {
         /// Time from which a probe may be sent. The quarantine lasts until a probe succeeds.
@@ -178,8 +178,8 @@
 
     /// Returns whether a task may be sent to the worker now. In quarantine, the task is recorded as
     /// sent, and no other is allowed until the probe has a result or 10 s have passed.
-    pub fn probe(&mut self, now: Time) -> bool {
-        let allowed = self.allows(false, now);
+    pub fn try_probe(&mut self, now: Time) -> bool {
+        let allowed = self.allows_start(false, now);
         if allowed {
             self.record_start(now);
         }
@@ -187,7 +187,7 @@
     }
 
     /// Returns whether a task may be sent now; `long_running` says whether it is long-running.
-    pub fn allows(&self, long_running: bool, now: Time) -> bool {
+    pub fn allows_start(&self, long_running: bool, now: Time) -> bool {
         self.failure_quarantine.allows(long_running, now)
             && self.slow_quarantine.allows(long_running, now)
     }
--- a/src/decide/lanes.rs
+++ b/src/decide/lanes.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Peers {
     /// Members that no other caller uses.
-    pub own: Vec<Incarnation>,
+    pub unshared: Vec<Incarnation>,
     /// Members that other callers use too. They get only long calls.
     pub shared: Vec<Incarnation>,
 }
@@ -112,15 +112,15 @@
             let known = old.iter().position(|l| l.member == *m);
             known.map_or_else(|| Lane::new(*m), |i| old.swap_remove(i))
         };
-        self.own_count = peers.own.len();
-        self.lanes = peers.own.iter().chain(&peers.shared).map(&mut keep).collect();
+        self.own_count = peers.unshared.len();
+        self.lanes = peers.unshared.iter().chain(&peers.shared).map(&mut keep).collect();
     }
 
     /// Chooses the member for a call that takes `cost` and whose answer is needed by `due`. Returns
     /// the member and the expected time of the answer, or `None` if the call should wait until
     /// another call ends.
     ///
-    /// The call counts as sent now, until [`Lanes::done`].
+    /// The call counts as sent now, until [`Lanes::record_end`].
     pub fn pick(&mut self, cost: Duration, due: Time, now: Time) -> Option<(Incarnation, Time)> {
         let long = cost > LONG_CALL;
         let (lane, end) = self.best(cost, now)?;
@@ -147,7 +147,7 @@
 
     /// Records that the call sent to a member at `sent` was answered or, if not `answered`, given
     /// up.
-    pub fn done(&mut self, via: Incarnation, sent: Time, answered: bool, now: Time) {
+    pub fn record_end(&mut self, via: Incarnation, sent: Time, answered: bool, now: Time) {
         let Some(lane) = self.lanes.iter_mut().find(|l| l.member == via) else { return };
         let Some(at) = lane.calls.iter().position(|c| c.sent == sent) else { return };
         let call = lane.calls.remove(at);
@@ -172,7 +172,7 @@
 
     /// Records that a member rejected the call sent to it at `sent`, because it has too many
     /// calls of other callers.
-    pub fn rejected(&mut self, via: Incarnation, sent: Time, now: Time) {
+    pub fn record_rejection(&mut self, via: Incarnation, sent: Time, now: Time) {
         let Some(lane) = self.lanes.iter_mut().find(|l| l.member == via) else { return };
         let Some(at) = lane.calls.iter().position(|c| c.sent == sent) else { return };
         lane.calls.remove(at);
@@ -203,7 +203,7 @@
     }
 
     /// Returns whether a long call would find a free member even after one more long call.
-    pub fn has_spare(&self, now: Time) -> bool {
+    pub fn has_spare_lane(&self, now: Time) -> bool {
         let usable = self.lanes.iter().filter(|l| !l.is_suspended(now));
         let reserved = MIN_SHORT_LANES.max(usable.clone().count() / SHORT_LANE_DIVISOR);
         usable.filter(|l| l.calls.is_empty()).count() > reserved + 1
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -6,7 +6,7 @@
 //! its hour.
 //!
 //! *Between teams:* the next team is the one with the least weighted dominant share. Teams within
-//! their own quota come before those that borrow ([`Quotas::rank`]).
+//! their own quota come before those that borrow ([`Quotas::team_rank`]).
 //!
 //! *Within a team:* the next job is the one with the earliest latest start: its deadline minus the
 //! time that its remaining tasks need, by declared or estimated run times. The slack of all waiting
@@ -15,7 +15,7 @@
 //!
 //! *No starvation:* a job's latest start is at most `ROOM_WAIT` after its arrival, and precedes the
 //! arrival by at most half of the job's work. A deadline that can no longer be met, by the estimate
-//! and [`Job::width`], is ignored. So a job of the same team can only be passed by work that
+//! and [`WaitingJob::width`], is ignored. So a job of the same team can only be passed by work that
 //! arrived within that time. Between teams, one start in `AGED_START_INTERVAL` goes to the team
 //! that has had no start for longest among those whose first job's latest start has passed,
 //! regardless of the team's share.
@@ -23,11 +23,11 @@
 //! A start takes O(log n) in the number of teams and of the team's jobs; the tasks of a job are
 //! alike and are kept inside its entry.
 
-pub use super::waiting::Job;
+pub use super::waiting::WaitingJob;
 use {
     super::{
-        quota::{Grant, QuotaRequest, Quotas, Rank},
-        waiting::{Entry, Key},
+        quota::{QuotaGrant, QuotaRequest, Quotas, TeamRank},
+        waiting::{JobKey, WaitingEntry},
     },
     crate::{
         Time,
@@ -56,18 +56,18 @@
 #[derive(Clone, Debug)]
 pub struct Pick {
     /// Quota request for the task, with its team and size.
-    pub ask: QuotaRequest,
+    pub quota_request: QuotaRequest,
     /// Whether the quota is the team's own or borrowed.
-    pub grant: Grant,
+    pub grant: QuotaGrant,
 }
 
 /// All waiting jobs, by team.
 #[derive(Debug, Default)]
-pub struct Order {
-    jobs: FxHashMap<JobId, Entry>,
+pub struct WaitingTasks {
+    jobs: FxHashMap<JobId, WaitingEntry>,
     teams: BTreeMap<TeamId, TeamQueue>,
     /// Teams with jobs to try, by share.
-    by_rank: BTreeSet<(Rank, TeamId)>,
+    by_rank: BTreeSet<(TeamRank, TeamId)>,
     /// The same teams, by the latest start of their first job or their last start, whichever is
     /// later: a team that is served by its share doesn't need the starts by age.
     by_age: BTreeSet<(Time, TeamId)>,
@@ -78,22 +78,22 @@
 
 #[derive(Debug, Default)]
 struct TeamQueue {
-    jobs: BTreeSet<Key>,
+    jobs: BTreeSet<JobKey>,
     /// Keys of the team in `by_rank` and `by_age`, while it has jobs to try.
-    index_keys: Option<(Rank, Time)>,
+    index_keys: Option<(TeamRank, Time)>,
     blocked: bool,
     /// When a task of the team last started.
     last_start: Time,
 }
 
-impl Order {
+impl WaitingTasks {
     /// Adds a job with all its tasks waiting, and counts them in its team's quota. Replaces a job
     /// of the same id.
-    pub fn push(&mut self, now: Time, job: Job, quotas: &mut Quotas) {
+    pub fn push(&mut self, now: Time, job: WaitingJob, quotas: &mut Quotas) {
         self.remove(&job.id, quotas);
         quotas.add_waiting(&job.team, job.size, job.tasks as usize);
         let id = job.id.clone();
-        self.jobs.insert(id.clone(), Entry::new(now, job));
+        self.jobs.insert(id.clone(), WaitingEntry::new(now, job));
         self.update_job(now, &id, quotas);
     }
 
@@ -109,7 +109,7 @@
 
     /// Removes a task that a previous owner has started, or whose end that owner has recorded, from
     /// the waiting tasks.
-    pub fn adopt(&mut self, now: Time, task: &TaskId, ended: bool, quotas: &mut Quotas) {
+    pub fn record_adopted(&mut self, now: Time, task: &TaskId, ended: bool, quotas: &mut Quotas) {
         let Some(e) = self.jobs.get_mut(&task.job) else { return };
         if !e.waiting.remove(&task.index) {
             return;
@@ -117,7 +117,7 @@
         let job = &e.job;
         if ended {
             quotas.remove_waiting(&job.team, job.size, 1);
-            return self.ended(now, task, quotas);
+            return self.record_end(now, task, quotas);
         }
         let (team, task) = (job.team.clone(), task.clone());
         quotas.adopt(&QuotaRequest {
@@ -130,7 +130,7 @@
     }
 
     /// Returns the quota requests of a job's waiting tasks, for a gang, whose tasks start together.
-    pub fn asks(&self, job: &JobId) -> Vec<QuotaRequest> {
+    pub fn quota_requests(&self, job: &JobId) -> Vec<QuotaRequest> {
         let Some(e) = self.jobs.get(job) else { return Vec::new() };
         e.waiting.iter().map(|index| e.request_for(*index)).collect()
     }
@@ -147,11 +147,11 @@
 
     /// Records the end of a task, after [`Quotas::record_end`]. Its job has less work left, so the
     /// job's latest start becomes later.
-    pub fn ended(&mut self, now: Time, task: &TaskId, quotas: &mut Quotas) {
+    pub fn record_end(&mut self, now: Time, task: &TaskId, quotas: &mut Quotas) {
         let Some(e) = self.jobs.get_mut(&task.job) else { return };
-        e.left = e.left.saturating_sub(1);
+        e.unfinished = e.unfinished.saturating_sub(1);
         self.update_job(now, &task.job, quotas);
-        if self.jobs.get(&task.job).is_some_and(|e| e.left == 0) {
+        if self.jobs.get(&task.job).is_some_and(|e| e.unfinished == 0) {
             self.remove(&task.job, quotas);
         }
     }
@@ -163,13 +163,13 @@
         self.update_job(now, job, quotas);
     }
 
-    /// Returns the next task. The caller then calls [`Order::take`] or [`Order::park`].
+    /// Returns the next task. The caller then calls [`WaitingTasks::take`] or [`WaitingTasks::park`].
     pub fn next(&mut self, now: Time, quotas: &Quotas) -> Option<Pick> {
         loop {
             let team = self.next_team(now)?;
             if let Some(pick) = self.try_team(&team, quotas) {
-                if self.key_changed(now, &pick.ask.task.job) {
-                    self.update_job(now, &pick.ask.task.job, quotas);
+                if self.key_changed(now, &pick.quota_request.task.job) {
+                    self.update_job(now, &pick.quota_request.task.job, quotas);
                     continue;
                 }
                 return Some(pick);
@@ -183,25 +183,25 @@
     }
 
     /// Starts a picked task and charges it to its team's quota.
-    pub fn take(&mut self, now: Time, pick: &Pick, quotas: &mut Quotas) -> Grant {
-        let grant = quotas.start(&pick.ask);
-        let Some(e) = self.jobs.get_mut(&pick.ask.task.job) else { return grant };
-        if grant != Grant::Wait {
-            e.waiting.remove(&pick.ask.task.index);
+    pub fn take(&mut self, now: Time, pick: &Pick, quotas: &mut Quotas) -> QuotaGrant {
+        let grant = quotas.start(&pick.quota_request);
+        let Some(e) = self.jobs.get_mut(&pick.quota_request.task.job) else { return grant };
+        if grant != QuotaGrant::Wait {
+            e.waiting.remove(&pick.quota_request.task.index);
             self.start_counter = (self.start_counter + 1) % AGED_START_INTERVAL;
-            if let Some(queue) = self.teams.get_mut(&pick.ask.team) {
+            if let Some(queue) = self.teams.get_mut(&pick.quota_request.team) {
                 queue.last_start = now;
             }
-            self.update_job(now, &pick.ask.task.job, quotas);
+            self.update_job(now, &pick.quota_request.task.job, quotas);
         }
         grant
     }
 
-    /// Sets a job aside until [`Order::wake`], because no worker has room for its task.
+    /// Sets a job aside until [`WaitingTasks::requeue_parked`], because no worker has room for its task.
     pub fn park(&mut self, now: Time, job: &JobId, quotas: &Quotas) {
         let Some(e) = self.jobs.get_mut(job) else { return };
-        if !e.parked {
-            e.parked = true;
+        if !e.is_parked {
+            e.is_parked = true;
             self.parked.push_back(job.clone());
         }
         self.update_job(now, job, quotas);
@@ -209,7 +209,7 @@
 
     /// Queues the teams again that had no quota left, and the jobs for which no worker had room.
     /// Called once per tick.
-    pub fn wake(&mut self, now: Time, quotas: &Quotas) {
+    pub fn requeue_parked(&mut self, now: Time, quotas: &Quotas) {
         for team in std::mem::take(&mut self.blocked) {
             if let Some(queue) = self.teams.get_mut(&team) {
                 queue.blocked = false;
@@ -219,14 +219,14 @@
         for _ in 0..MAX_WOKEN_JOBS {
             let Some(job) = self.parked.pop_front() else { break };
             let Some(e) = self.jobs.get_mut(&job) else { continue };
-            e.parked = false;
+            e.is_parked = false;
             self.update_job(now, &job, quotas);
         }
     }
 
-    /// Recomputes the rank of all teams, after [`Quotas::set`]. O(n log n) in the number of teams,
+    /// Recomputes the rank of all teams, after [`Quotas::set_quota`]. O(n log n) in the number of teams,
     /// once per configuration.
-    pub fn relist(&mut self, quotas: &Quotas) {
+    pub fn recompute_ranks(&mut self, quotas: &Quotas) {
         let teams: Vec<_> = self.teams.keys().cloned().collect();
         teams.iter().for_each(|team| self.update_team(team, quotas));
     }
@@ -257,11 +257,13 @@
         let queue = self.teams.get(team)?;
         let mut refused = false;
         for key in queue.jobs.iter().take(MAX_TRIED_JOBS) {
-            let Some(ask) = self.jobs.get(&key.job).and_then(Entry::request) else { continue };
+            let Some(ask) = self.jobs.get(&key.job).and_then(WaitingEntry::request) else {
+                continue;
+            };
             match quotas.grant(&ask) {
-                Grant::Own if refused => {}
-                Grant::Wait => refused = true,
-                grant => return Some(Pick { ask, grant }),
+                QuotaGrant::Own if refused => {}
+                QuotaGrant::Wait => refused = true,
+                grant => return Some(Pick { quota_request: ask, grant }),
             }
         }
         None
@@ -273,7 +275,7 @@
         let queue = self.teams.entry(e.job.team.clone()).or_default();
         queue.jobs.remove(&e.key);
         e.key = e.key(now);
-        if !e.parked && !e.waiting.is_empty() {
+        if !e.is_parked && !e.waiting.is_empty() {
             queue.jobs.insert(e.key.clone());
         }
         let team = e.job.team.clone();
@@ -287,7 +289,7 @@
             self.by_age.remove(&(since, team.clone()));
         }
         let Some(key) = queue.jobs.first().filter(|_| !queue.blocked) else { return };
-        let rank = quotas.rank(team);
+        let rank = quotas.team_rank(team);
         let since = queue.last_start.max(key.latest_start());
         self.by_rank.insert((rank, team.clone()));
         self.by_age.insert((since, team.clone()));
--- a/src/decide/pace.rs
+++ b/src/decide/pace.rs
@@ -24,7 +24,7 @@
 const MAX_RISE_RATIO: f64 = 0.6;
 /// Ratio of tail latency to target that is assumed for a serving task without a measurement. It
 /// leaves the speed unchanged.
-pub const UNKNOWN_RATIO: f64 = 0.7;
+pub const UNMEASURED_TAIL_RATIO: f64 = 0.7;
 /// Time for which the tail latency must be low before the speed rises. Also the time until
 /// measurements show the effect of a halving.
 const FEEDBACK_DELAY: Duration = Duration::from_secs(1);
@@ -76,7 +76,7 @@
 
     /// Updates the speed by a new measurement, and returns the speed of each filler in percent.
     /// `worst` is the highest ratio of tail latency to target among the serving tasks of the
-    /// worker. It is `None` if no serving task runs there, and [`UNKNOWN_RATIO`] if there is no
+    /// worker. It is `None` if no serving task runs there, and [`UNMEASURED_TAIL_RATIO`] if there is no
     /// measurement yet.
     pub fn update(&mut self, worst: Option<f64>, now: Time) -> u8 {
         let passed = now.since(self.last_update).min(MAX_RISE_INTERVAL);
--- a/src/decide/quota.rs
+++ b/src/decide/quota.rs
@@ -42,7 +42,7 @@
 
 /// How a task's room can be reclaimed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reclaim {
+pub enum ReclaimMethod {
     /// The task is checkpointed and stopped.
     Checkpoint,
     /// The task's end is awaited, which is expected within [`BRIEF_TASK`].
@@ -61,12 +61,12 @@
     /// Resources that the task reserves.
     pub size: Size,
     /// How the task's room can be reclaimed.
-    pub reclaim: Reclaim,
+    pub reclaim: ReclaimMethod,
 }
 
 /// Kind of room that a task may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grant {
+pub enum QuotaGrant {
     /// Room within its team's own quota.
     Own,
     /// Idle room within other teams' quotas.
@@ -93,7 +93,7 @@
 
 /// Rank of a team among all teams; the team with the lowest rank is served next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Rank {
+pub struct TeamRank {
     /// Whether the team has borrowed room.
     pub borrows: bool,
     /// The team's dominant share divided by its weight, in units of 2^-40.
@@ -132,7 +132,7 @@
 struct HeldTask {
     team: TeamId,
     size: Size,
-    reclaim: Reclaim,
+    reclaim: ReclaimMethod,
     sequence: u64,
     state: HeldState,
 }
@@ -160,7 +160,7 @@
     ///
     /// Running tasks keep their grants. If the quota is reduced, usage falls to it only as tasks
     /// end.
-    pub fn set(&mut self, team: &TeamId, quota: Size, weight: u32) {
+    pub fn set_quota(&mut self, team: &TeamId, quota: Size, weight: u32) {
         self.update_account(team, |a| {
             a.quota = quota;
             a.weight = u64::from(weight.max(1));
@@ -173,7 +173,7 @@
     /// # Errors
     ///
     /// Returns why the job can never run.
-    pub fn check(&self, team: &TeamId, need: Size) -> Result<(), Refusal> {
+    pub fn check_quota(&self, team: &TeamId, need: Size) -> Result<(), Refusal> {
         let Some(a) = self.teams.get(team) else { return Err(Refusal::Unknown) };
         if need.fits(&a.quota) {
             return Ok(());
@@ -195,26 +195,26 @@
     }
 
     /// Returns the kind of room that the task could take now.
-    pub fn grant(&self, request: &QuotaRequest) -> Grant {
-        let Some(a) = self.teams.get(&request.team) else { return Grant::Wait };
+    pub fn grant(&self, request: &QuotaRequest) -> QuotaGrant {
+        let Some(a) = self.teams.get(&request.team) else { return QuotaGrant::Wait };
         if a.fits_own(&request.size) {
-            return Grant::Own;
+            return QuotaGrant::Own;
         }
         let spare = self.lendable.saturating_sub(&self.borrowed);
-        if request.reclaim != Reclaim::Never && request.size.fits(&spare) {
-            Grant::Borrowed
+        if request.reclaim != ReclaimMethod::Never && request.size.fits(&spare) {
+            QuotaGrant::Borrowed
         } else {
-            Grant::Wait
+            QuotaGrant::Wait
         }
     }
 
     /// Starts a task that waited, if it is granted room.
-    pub fn start(&mut self, request: &QuotaRequest) -> Grant {
+    pub fn start(&mut self, request: &QuotaRequest) -> QuotaGrant {
         let grant = self.grant(request);
         let state = match grant {
-            Grant::Own => HeldState::Own,
-            Grant::Borrowed => HeldState::Borrowed,
-            Grant::Wait => return grant,
+            QuotaGrant::Own => HeldState::Own,
+            QuotaGrant::Borrowed => HeldState::Borrowed,
+            QuotaGrant::Wait => return grant,
         };
         self.insert_task(request, state);
         grant
@@ -256,9 +256,9 @@
     }
 
     /// Returns the team's rank among all teams.
-    pub fn rank(&self, team: &TeamId) -> Rank {
-        let Some(a) = self.teams.get(team) else { return Rank::default() };
-        Rank {
+    pub fn team_rank(&self, team: &TeamId) -> TeamRank {
+        let Some(a) = self.teams.get(team) else { return TeamRank::default() };
+        TeamRank {
             borrows: a.borrowed != Size::default(),
             share: self.weighted_share(a, a.own + a.borrowed),
         }
@@ -266,12 +266,12 @@
 
     /// Returns the resources that the team's tasks hold of its own quota, and those they have
     /// borrowed.
-    pub fn held(&self, team: &TeamId) -> (Size, Size) {
+    pub fn held_resources(&self, team: &TeamId) -> (Size, Size) {
         self.teams.get(team).map(|a| (a.own, a.borrowed)).unwrap_or_default()
     }
 
     /// Returns the total resources of the team's waiting tasks.
-    pub fn waiting(&self, team: &TeamId) -> Size {
+    pub fn waiting_resources(&self, team: &TeamId) -> Size {
         self.teams.get(team).map(|a| a.waiting).unwrap_or_default()
     }
 
@@ -317,7 +317,7 @@
         self.borrowed += size;
         self.update_account(&held.team, |a| {
             a.borrowed += size;
-            if held.reclaim == Reclaim::Checkpoint {
+            if held.reclaim == ReclaimMethod::Checkpoint {
                 a.loans.insert(held.sequence, task.clone());
             }
         });
--- a/src/decide/rank.rs
+++ b/src/decide/rank.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the due time, in milliseconds since the Unix epoch.
-    pub fn due(&self) -> u64 {
+    pub fn due_ms(&self) -> u64 {
         self.due_ms
     }
 }
@@ -56,7 +56,7 @@
     /// Length of the critical path of the job, including rounds and failed runs.
     pub critical_path: Duration,
     /// Remaining run time on the critical path up to the end of this step.
-    pub remaining: Duration,
+    pub remaining_time: Duration,
     /// Whether the step runs until it is cancelled.
     pub long_running: bool,
 }
@@ -69,16 +69,16 @@
 }
 
 /// Returns the objective of a job: how long it may take from its arrival.
-pub fn objective(queue: &Queue, critical_path: Duration) -> Duration {
+pub fn job_objective(queue: &Queue, critical_path: Duration) -> Duration {
     critical_path.mul_f64(queue.stretch.max(0.0)) + queue.slack
 }
 
 /// Returns the rank of a step at `now`, in milliseconds since the Unix epoch.
 pub fn rank(queue: &Queue, timing: JobTiming, now: u64) -> Rank {
     let ms = |d: Duration| u64::try_from(d.as_millis()).unwrap_or(u64::MAX);
-    let objective = ms(objective(queue, timing.critical_path));
+    let objective = ms(job_objective(queue, timing.critical_path));
     let due = timing.arrived_ms.saturating_add(objective);
-    let end = now.saturating_add(ms(timing.remaining));
+    let end = now.saturating_add(ms(timing.remaining_time));
     let class = if timing.long_running || end <= due {
         0
     } else if end <= timing.arrived_ms.saturating_add(objective.saturating_mul(VALUE_FACTOR)) {
--- a/src/decide/reads.rs
+++ b/src/decide/reads.rs
@@ -30,7 +30,7 @@
 impl ReadBudget {
     /// Returns whether one more query may be answered from the store, which serves `rate` reads per
     /// second to `members` members.
-    pub fn admit(&mut self, rate: f64, members: usize, now: Time) -> bool {
+    pub fn admit_query(&mut self, rate: f64, members: usize, now: Time) -> bool {
         let member_rate = rate * STATE_QUERY_SHARE / members.max(1) as f64;
         // At least one query is allowed, however small this member's share is.
         let max = (member_rate * BURST_PERIOD.as_secs_f64()).max(MAX_READS_PER_QUERY);
@@ -45,7 +45,7 @@
     }
 
     /// Returns the unused reads of a query to the budget; `reads` is the number that it used.
-    pub fn refund(&mut self, reads: u32) {
+    pub fn refund_reads(&mut self, reads: u32) {
         self.available_reads += (MAX_READS_PER_QUERY - f64::from(reads)).max(0.0);
     }
 }
--- a/src/decide/relay.rs
+++ b/src/decide/relay.rs
@@ -82,7 +82,7 @@
             self.next_probe = now + PROBE_INTERVAL;
             return StorePath::Probe;
         }
-        if self.is_paused(now) { StorePath::Direct } else { StorePath::Relayed }
+        if self.is_relaying_paused(now) { StorePath::Direct } else { StorePath::Relayed }
     }
 
     /// Returns whether the direct path to the store is lost.
@@ -91,12 +91,12 @@
     }
 
     /// Returns whether the relaying of calls is paused.
-    pub fn is_paused(&self, now: Time) -> bool {
+    pub fn is_relaying_paused(&self, now: Time) -> bool {
         now < self.paused_until
     }
 
     /// Records whether the store served a direct call.
-    pub fn record_direct(&mut self, served: bool, now: Time) {
+    pub fn record_direct_call(&mut self, served: bool, now: Time) {
         if served {
             (self.direct_failures, self.last_served_at, self.yielding) = (0, now, false);
             return;
@@ -113,7 +113,8 @@
     /// go through another member's connection, and each end and start of a task waits for it. If
     /// the other members are not served either, giving up shards would not help.
     pub fn yields_ownership(&mut self, now: Time) -> bool {
-        let relays = self.relayed_at.is_some_and(|at| at >= self.lost_at) && !self.is_paused(now);
+        let relays =
+            self.relayed_at.is_some_and(|at| at >= self.lost_at) && !self.is_relaying_paused(now);
         self.yielding |= self.is_direct_lost() && relays && now - self.lost_at >= YIELD_DELAY;
         self.yielding
     }
@@ -126,7 +127,7 @@
     /// short for any answer, and a call behind a large answer is late while others are served.
     pub fn record_timeout(&mut self, sent: Time, now: Time) {
         if now - sent >= MIN_CALL_TIME && self.last_served_at < sent {
-            self.record_direct(false, now);
+            self.record_direct_call(false, now);
         }
     }
 
@@ -153,7 +154,7 @@
     /// Returns the members to try for a call, in order: the one that relayed last, then those that
     /// follow this member in the ring of all members, so that several members that are cut off use
     /// different relays. Members that recently failed to relay a call come last.
-    pub fn candidates(
+    pub fn relay_candidates(
         &self,
         able_members: &[Incarnation],
         me: Incarnation,
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -37,7 +37,7 @@
 const MAX_TRIES: u32 = 3;
 
 /// Budget of the retries that one member may make.
-pub struct Budget {
+pub struct RetryAllowance {
     /// Number of retries that first tries have earned.
     earned_retries: f64,
     /// Number of retries reserved for callers that had none recently.
@@ -48,10 +48,10 @@
     last_retry: FxHashMap<CallerId, Time>,
 }
 
-impl Budget {
+impl RetryAllowance {
     /// Creates a budget with no earned retries.
     pub fn new(now: Time) -> Self {
-        Budget {
+        RetryAllowance {
             earned_retries: 0.0,
             reserved_retries: MAX_RESERVED_RETRIES,
             refilled_at: now,
@@ -74,7 +74,7 @@
     ///
     /// Returns `error` if another try is useless or might run the request twice, and `RetryBudget`
     /// if the budget is exhausted.
-    pub fn retry(
+    pub fn spend_retry(
         &mut self,
         caller: &CallerId,
         error: Error,
--- a/src/decide/suspect.rs
+++ b/src/decide/suspect.rs
@@ -30,7 +30,7 @@
 //! Each member judges by the attempts of its own jobs. The number of stored pairs of job and worker
 //! is bounded.
 
-pub use super::trust::{Outcome, Trust};
+pub use super::trust::{AttemptOutcome, Trust};
 use {
     super::{evidence::Evidence, trust::TrustState},
     crate::{
@@ -96,7 +96,7 @@
 
 /// Decision about a task after one of its attempts ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum TaskVerdict {
     /// The task is completed.
     Completed,
     /// The task may start again at this time, not on the workers that [`FaultTracker::failed_on`]
@@ -213,13 +213,13 @@
     }
 
     /// Returns which tasks the worker may start now: none if the worker is unknown.
-    pub fn trust(&self, now: Time, worker: &WorkerId) -> Trust {
+    pub fn worker_trust(&self, now: Time, worker: &WorkerId) -> Trust {
         let Some(w) = self.workers.get(worker) else { return Trust::Blocked(Time::NEVER) };
         w.trust_state.trust(now)
     }
 
     /// Returns which tasks of the job may be started now: none if the job is given up (see
-    /// [`FaultTracker::fault`]).
+    /// [`FaultTracker::job_fault`]).
     pub fn job_trust(&self, now: Time, job: &JobId) -> Trust {
         match self.jobs.get(job) {
             Some(Job { fault: Some(_), .. }) => Trust::Blocked(Time::NEVER),
@@ -244,10 +244,10 @@
         now: Time,
         task: &TaskId,
         worker: &WorkerId,
-        outcome: Outcome,
-    ) -> Verdict {
-        if outcome != Outcome::Stopped {
-            self.evidence.add(now, &task.job, worker, outcome == Outcome::Failed);
+        outcome: AttemptOutcome,
+    ) -> TaskVerdict {
+        if outcome != AttemptOutcome::Stopped {
+            self.evidence.record_attempt(now, &task.job, worker, outcome == AttemptOutcome::Failed);
         }
         if let Some(w) = self.workers.get_mut(worker) {
             w.trust_state.record_outcome(now, outcome);
@@ -255,16 +255,16 @@
         self.record_probe_end(now, task, worker, outcome);
         self.record_outcome(task, worker, outcome);
         match outcome {
-            Outcome::Stopped => Verdict::Retry(now),
-            Outcome::Done => {
+            AttemptOutcome::Stopped => TaskVerdict::Retry(now),
+            AttemptOutcome::Done => {
                 let job = self.jobs.entry(task.job.clone()).or_default();
                 job.succeeded = true;
                 job.failed_workers = Vec::new();
                 job.trial = None;
                 job.tasks.remove(&task.index);
-                Verdict::Completed
+                TaskVerdict::Completed
             }
-            Outcome::Failed => {
+            AttemptOutcome::Failed => {
                 self.judge_worker(now, worker);
                 self.judge_task(now, task, worker)
             }
@@ -273,7 +273,7 @@
 
     /// Returns why the job is given up, or `None` if it is not. No task of a job that is given up
     /// may be started.
-    pub fn fault(&self, job: &JobId) -> Option<Fault> {
+    pub fn job_fault(&self, job: &JobId) -> Option<Fault> {
         self.jobs.get(job)?.fault
     }
 
@@ -284,7 +284,7 @@
     }
 
     /// Returns the quarantined workers, sorted by name.
-    pub fn quarantined(&self) -> Vec<&WorkerId> {
+    pub fn quarantined_workers(&self) -> Vec<&WorkerId> {
         let held = self.workers.iter().filter(|(_, w)| w.trust_state.is_quarantined());
         let mut names: Vec<_> = held.map(|(id, _)| id).collect();
         names.sort();
@@ -293,26 +293,32 @@
 
     /// Returns the number of failures that were not counted against their worker, because too many
     /// workers of its pool are quarantined.
-    pub fn spared(&self) -> u64 {
+    pub fn spared_failures(&self) -> u64 {
         self.spared_failures
     }
 
-    fn record_outcome(&mut self, task: &TaskId, worker: &WorkerId, outcome: Outcome) {
+    fn record_outcome(&mut self, task: &TaskId, worker: &WorkerId, outcome: AttemptOutcome) {
         let sound = self.jobs.get(&task.job).is_some_and(|j| j.succeeded);
         // The failure of a job that has never succeeded says nothing about the worker. Otherwise
         // two bad jobs that are retried at the same time would each make the other's workers look
         // bad, so that both would be retried for long.
-        if outcome == Outcome::Stopped || (outcome == Outcome::Failed && !sound) {
+        if outcome == AttemptOutcome::Stopped || (outcome == AttemptOutcome::Failed && !sound) {
             return;
         }
         let Some(w) = self.workers.get_mut(worker) else { return };
         if w.last_outcomes[0].as_ref().is_some_and(|(job, _)| *job != task.job) {
             w.last_outcomes.swap(0, 1);
         }
-        w.last_outcomes[0] = Some((task.job.clone(), outcome == Outcome::Done));
+        w.last_outcomes[0] = Some((task.job.clone(), outcome == AttemptOutcome::Done));
     }
 
-    fn record_probe_end(&mut self, now: Time, task: &TaskId, worker: &WorkerId, outcome: Outcome) {
+    fn record_probe_end(
+        &mut self,
+        now: Time,
+        task: &TaskId,
+        worker: &WorkerId,
+        outcome: AttemptOutcome,
+    ) {
         let Some(w) = self.workers.get_mut(worker) else { return };
         // A failed probe with a job that also fails elsewhere is not conclusive.
         let conclusive = self.evidence.peers(&task.job, worker).rate <= MAX_PEER_FAILURE_RATE;
@@ -335,14 +341,14 @@
             self.spared_failures += 1;
             return;
         }
-        if self.evidence.against(worker) < MIN_EVIDENCE {
+        if self.evidence.evidence_against(worker) < MIN_EVIDENCE {
             return;
         }
         p.quarantined += 1;
         w.trust_state.begin_quarantine(now);
     }
 
-    fn judge_task(&mut self, now: Time, task: &TaskId, worker: &WorkerId) -> Verdict {
+    fn judge_task(&mut self, now: Time, task: &TaskId, worker: &WorkerId) -> TaskVerdict {
         let max = MAX_ATTEMPTS as usize;
         let job = self.jobs.entry(task.job.clone()).or_default();
         if !job.succeeded && job.failed_workers.len() < max && !job.failed_workers.contains(worker)
@@ -362,9 +368,9 @@
             if let (Fault::Job(_), Some(job)) = (fault, self.jobs.get_mut(&task.job)) {
                 job.fault = Some(fault);
             }
-            return Verdict::GiveUp(fault);
+            return TaskVerdict::GiveUp(fault);
         }
-        Verdict::Retry(now + self.backoff(failures))
+        TaskVerdict::Retry(now + self.backoff(failures))
     }
 
     fn find_fault(&mut self, now: Time, task: &TaskId) -> Option<Fault> {
--- a/src/decide/trust.rs
+++ b/src/decide/trust.rs
@@ -33,7 +33,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// The attempt succeeded; for a service, it has been ready for a minute.
     Done,
     /// The attempt failed by itself.
@@ -105,14 +105,14 @@
 
     /// Updates the number of failures in a row. A failure also delays the next start, since several
     /// tasks may be running when the streak begins.
-    pub(super) fn record_outcome(&mut self, now: Time, outcome: Outcome) {
+    pub(super) fn record_outcome(&mut self, now: Time, outcome: AttemptOutcome) {
         match outcome {
-            Outcome::Done => self.failure_streak = 0,
-            Outcome::Failed => {
+            AttemptOutcome::Done => self.failure_streak = 0,
+            AttemptOutcome::Failed => {
                 self.failure_streak += 1;
                 self.next_start = self.next_start.max(now + self.start_interval());
             }
-            Outcome::Stopped => {}
+            AttemptOutcome::Stopped => {}
         }
     }
 
@@ -122,7 +122,7 @@
         &mut self,
         now: Time,
         task: &TaskId,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         conclusive: bool,
     ) -> bool {
         let Some(q) = &mut self.quarantine else { return false };
@@ -131,13 +131,13 @@
         }
         q.probe = None;
         match outcome {
-            Outcome::Done => q.passed_probes += 1,
-            Outcome::Failed if conclusive => {
+            AttemptOutcome::Done => q.passed_probes += 1,
+            AttemptOutcome::Failed if conclusive => {
                 q.passed_probes = 0;
                 q.length = (q.length * 2).min(MAX_QUARANTINE);
                 q.until = now + q.length;
             }
-            Outcome::Failed | Outcome::Stopped => {}
+            AttemptOutcome::Failed | AttemptOutcome::Stopped => {}
         }
         let passed = q.passed_probes == REQUIRED_PROBE_SUCCESSES;
         if passed {
--- a/src/decide/turns.rs
+++ b/src/decide/turns.rs
@@ -65,7 +65,7 @@
         self.waiting.insert(pool.clone(), (now, has_room));
     }
 
-    /// Records that a call was sent. It is in progress until [`AdviceTurns::record_done`].
+    /// Records that a call was sent. It is in progress until [`AdviceTurns::record_call_end`].
     pub fn record_call(&mut self, pool: &PoolId, member: Incarnation, cost: Duration, now: Time) {
         self.waiting.remove(pool);
         self.calls.push(CallInProgress { member, sent_at: now, pool: pool.clone(), cost });
@@ -73,7 +73,7 @@
 
     /// Records that the call that [`AdviceTurns::record_call`] recorded was answered, or that no
     /// answer is expected any more.
-    pub fn record_done(&mut self, member: Incarnation, sent_at: Time) {
+    pub fn record_call_end(&mut self, member: Incarnation, sent_at: Time) {
         if let Some(at) = self.calls.iter().position(|c| c.member == member && c.sent_at == sent_at)
         {
             self.calls.swap_remove(at);
--- a/src/decide/upkeep.rs
+++ b/src/decide/upkeep.rs
@@ -30,18 +30,18 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct VmStatus {
     /// Stage of the VM's maintenance.
-    pub stage: Stage,
+    pub stage: UpkeepStage,
     /// Whether the VM's worker is present and not leaving.
     pub available: bool,
     /// Number of tasks on the VM that end by themselves.
-    pub brief: u32,
+    pub brief_tasks: u32,
     /// Number of long-running tasks on the VM.
-    pub long_running: u32,
+    pub long_tasks: u32,
 }
 
 /// Stage of the maintenance of a VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Stage {
+pub enum UpkeepStage {
     /// The VM is waiting for its turn.
     #[default]
     Due,
@@ -57,16 +57,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaveLimits {
     /// Time that remains until the wave must be complete.
-    pub left: Duration,
+    pub remaining_time: Duration,
     /// Maximum number of VMs that are down at once.
-    pub cap: u32,
+    pub max_down: u32,
     /// Time for which a VM is down for its maintenance.
-    pub down: Duration,
+    pub down_time: Duration,
 }
 
 /// Next actions of a maintenance wave, as indexes into the list of its VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Plan {
+pub struct WavePlan {
     /// VMs whose drain starts now.
     pub drain: Vec<usize>,
     /// VMs on which the tasks that would end by themselves are stopped.
@@ -74,34 +74,35 @@
 }
 
 /// Returns the next actions for the VMs of a wave.
-pub fn plan(vms: &[VmStatus], limits: WaveLimits) -> Plan {
-    let cap = limits.cap.max(1) as usize;
-    let count = |is: fn(&Stage) -> bool| vms.iter().filter(|m| is(&m.stage)).count();
-    let closing = count(|s| matches!(s, Stage::Draining(_)));
-    let open = count(|s| matches!(s, Stage::Due)) + closing;
+pub fn plan_wave(vms: &[VmStatus], limits: WaveLimits) -> WavePlan {
+    let cap = limits.max_down.max(1) as usize;
+    let count = |is: fn(&UpkeepStage) -> bool| vms.iter().filter(|m| is(&m.stage)).count();
+    let closing = count(|s| matches!(s, UpkeepStage::Draining(_)));
+    let open = count(|s| matches!(s, UpkeepStage::Due)) + closing;
     if open == 0 {
-        return Plan::default();
+        return WavePlan::default();
     }
     let rounds = u32::try_from(open.div_ceil(cap)).unwrap_or(u32::MAX);
-    let round_time = limits.left.mul_f64(PLANNED_FRACTION) / rounds;
-    let down = limits.down + LIST_DELAY;
+    let round_time = limits.remaining_time.mul_f64(PLANNED_FRACTION) / rounds;
+    let down = limits.down_time + LIST_DELAY;
     let short = round_time < (down + DRAIN_TIME) * 2;
     let max_active = if short { cap * 2 } else { cap };
     let max_wait = (round_time * if short { 2 } else { 1 }).saturating_sub(down + DRAIN_TIME);
     // A VM that can't be drained, since its steps may not miss more tasks, must not block the
     // others.
-    let draining =
-        |m: &&VmStatus| matches!(m.stage, Stage::Draining(d) if d < max_wait + DRAIN_TIME * 2);
+    let draining = |m: &&VmStatus| matches!(m.stage, UpkeepStage::Draining(d) if d < max_wait + DRAIN_TIME * 2);
     let draining = vms.iter().filter(draining).count();
-    let free_slots = max_active.saturating_sub(draining + count(|s| matches!(s, Stage::Down)));
+    let free_slots =
+        max_active.saturating_sub(draining + count(|s| matches!(s, UpkeepStage::Down)));
     let mut due: Vec<usize> =
-        (0..vms.len()).filter(|i| vms[*i].stage == Stage::Due && vms[*i].available).collect();
+        (0..vms.len()).filter(|i| vms[*i].stage == UpkeepStage::Due && vms[*i].available).collect();
     // Nearly empty VMs cost the least, and their room is available again when others need it.
-    due.sort_by_key(|i| (vms[*i].long_running, vms[*i].brief, *i));
+    due.sort_by_key(|i| (vms[*i].long_tasks, vms[*i].brief_tasks, *i));
     due.truncate(free_slots);
-    let overdue = |m: &VmStatus| matches!(m.stage, Stage::Draining(since) if since >= max_wait);
+    let overdue =
+        |m: &VmStatus| matches!(m.stage, UpkeepStage::Draining(since) if since >= max_wait);
     let force = (0..vms.len()).filter(|i| overdue(&vms[*i])).collect();
-    Plan { drain: due, force_stop: force }
+    WavePlan { drain: due, force_stop: force }
 }
 
 /// Returns how many tasks of a long-running step may be stopped now if `away` of them are not
@@ -109,6 +110,6 @@
 ///
 /// Without this, a step may become unavailable to its users. A stopped task counts as away until
 /// another run of it has started, so the next one waits for that, however late the wave is.
-pub fn stoppable_tasks(may_miss: Option<u32>, away: u32) -> u32 {
+pub fn stoppable_count(may_miss: Option<u32>, away: u32) -> u32 {
     may_miss.unwrap_or(DEFAULT_MAY_MISS).saturating_sub(away)
 }
--- a/src/decide/urgent.rs
+++ b/src/decide/urgent.rs
@@ -43,7 +43,7 @@
 
 /// Kind of a running task, which decides whether it may be preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum TaskKind {
     /// A replica of a service, which must not be stopped.
     Service,
     /// A member of a gang, which must not be stopped alone.
@@ -58,15 +58,15 @@
 
 /// A task that runs on a worker.
 #[derive(Clone, Debug)]
-pub struct Running {
+pub struct RunningTask {
     /// The task.
     pub task: TaskId,
     /// Resources that the task reserves.
     pub size: Size,
     /// Kind of the task, which decides whether it may be preempted.
-    pub kind: Kind,
+    pub kind: TaskKind,
     /// Whether the task runs in borrowed room.
-    pub borrowed: bool,
+    pub is_borrowed: bool,
     /// Time at which the task started or was last checkpointed.
     pub last_checkpoint: Time,
     /// Expected time that a checkpoint of the task takes.
@@ -75,31 +75,31 @@
 
 /// A worker that could take the urgent task.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct CandidateWorker {
     /// The worker.
     pub worker: WorkerId,
     /// Free resources of the worker.
     pub free: Size,
     /// Tasks that run on the worker.
-    pub running: Vec<Running>,
+    pub running: Vec<RunningTask>,
 }
 
 /// The worker on which an urgent task starts, and the tasks that are checkpointed and stopped on it
 /// first.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Plan {
+pub struct PreemptionPlan {
     /// The worker.
     pub worker: WorkerId,
     /// The tasks to stop; empty if the worker has room.
     pub victims: Vec<TaskId>,
     /// Cost of stopping the victims.
-    pub cost: Cost,
+    pub cost: PreemptionCost,
 }
 
 /// Cost of a preemption. Stopping one task within its team's own quota costs more than stopping any
 /// number of tasks in borrowed room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Cost {
+pub struct PreemptionCost {
     /// Number of victims within their own team's quota.
     pub own_quota: usize,
     /// Lost work, in core-seconds.
@@ -108,7 +108,7 @@
 
 /// Each team's allowance of urgent work.
 #[derive(Debug, Default)]
-pub struct Allowances {
+pub struct UrgentAllowances {
     teams: FxHashMap<TeamId, Allowance>,
 }
 
@@ -120,9 +120,9 @@
     full_at: Time,
 }
 
-impl Allowances {
+impl UrgentAllowances {
     /// Returns whether the team may start urgent work of this size now, and counts it if so.
-    pub fn admit(&mut self, now: Time, team: &TeamId, size: Size, quota: Size) -> bool {
+    pub fn admit_start(&mut self, now: Time, team: &TeamId, size: Size, quota: Size) -> bool {
         let new = Allowance { held: Size::default(), full_at: Time::ZERO };
         let a = self.teams.entry(team.clone()).or_insert(new);
         let full_at = a.full_at.max(now) + MIN_START_INTERVAL;
@@ -149,14 +149,18 @@
 ///
 /// The time grows with the number of tasks that run on `places`; the caller passes some dozens of
 /// workers, not all.
-pub fn plan(now: Time, need: Size, places: &[Place]) -> Option<Plan> {
+pub fn plan_preemption(
+    now: Time,
+    need: Size,
+    places: &[CandidateWorker],
+) -> Option<PreemptionPlan> {
     let plans = places.iter().filter_map(|p| plan_at(now, need, p));
     plans.min_by(|a, b| (a.cost, &a.worker).cmp(&(b.cost, &b.worker)))
 }
 
-fn plan_at(now: Time, need: Size, place: &Place) -> Option<Plan> {
+fn plan_at(now: Time, need: Size, place: &CandidateWorker) -> Option<PreemptionPlan> {
     let mut candidates: Vec<_> = place.running.iter().filter(|r| is_preemptible(r)).collect();
-    candidates.sort_by_key(|r| (!r.borrowed, lost_work(now, r), r.task.clone()));
+    candidates.sort_by_key(|r| (!r.is_borrowed, lost_work(now, r), r.task.clone()));
     let mut free = place.free;
     let mut victims = Vec::new();
     for r in candidates {
@@ -175,17 +179,17 @@
     if victims.len() > MAX_VICTIMS {
         return None;
     }
-    let cost = Cost {
-        own_quota: victims.iter().filter(|r| !r.borrowed).count(),
+    let cost = PreemptionCost {
+        own_quota: victims.iter().filter(|r| !r.is_borrowed).count(),
         lost_work: victims.iter().map(|r| lost_work(now, r)).sum(),
     };
     let victims = victims.iter().map(|r| r.task.clone()).collect();
-    Some(Plan { worker: place.worker.clone(), victims, cost })
+    Some(PreemptionPlan { worker: place.worker.clone(), victims, cost })
 }
 
 /// Removes victims that are no longer needed after a larger one was added, starting with the most
 /// expensive, which come last.
-fn drop_unneeded_victims(need: Size, mut free: Size, victims: &mut Vec<&Running>) {
+fn drop_unneeded_victims(need: Size, mut free: Size, victims: &mut Vec<&RunningTask>) {
     for i in (0..victims.len()).rev() {
         let Some(remaining) = free.checked_sub(&victims[i].size) else { continue };
         if need.fits(&remaining) {
@@ -203,11 +207,11 @@
         || (short.accels > Accels(0) && size.accels > Accels(0))
 }
 
-fn is_preemptible(r: &Running) -> bool {
-    r.kind == Kind::Checkpoint && r.checkpoint_time <= MAX_CHECKPOINT_TIME
+fn is_preemptible(r: &RunningTask) -> bool {
+    r.kind == TaskKind::Checkpoint && r.checkpoint_time <= MAX_CHECKPOINT_TIME
 }
 
-fn lost_work(now: Time, r: &Running) -> u64 {
+fn lost_work(now: Time, r: &RunningTask) -> u64 {
     now.since(r.last_checkpoint).as_secs().saturating_mul(r.size.cores.0) / 1000
         + RESTART_COST_CORE_SECONDS
 }
--- a/src/decide/waiting.rs
+++ b/src/decide/waiting.rs
@@ -6,7 +6,7 @@
 //! the other (rows `Slack` and `Own` of docs/MEASUREMENTS.md, "Order of tasks").
 
 use {
-    super::quota::{QuotaRequest, Reclaim},
+    super::quota::{QuotaRequest, ReclaimMethod},
     crate::{
         Time,
         ids::{JobId, TaskId, TaskIndex, TeamId},
@@ -28,7 +28,7 @@
 
 /// A job that has waiting tasks.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct WaitingJob {
     /// The name of the job.
     pub id: JobId,
     /// The team whose quota is charged.
@@ -46,51 +46,51 @@
     /// Resources that a task reserves.
     pub size: Size,
     /// How a task's room can be reclaimed.
-    pub reclaim: Reclaim,
+    pub reclaim: ReclaimMethod,
 }
 
 #[derive(Debug)]
-pub(super) struct Entry {
-    pub(super) job: Job,
+pub(super) struct WaitingEntry {
+    pub(super) job: WaitingJob,
     arrival: Time,
     /// Sort key under which the job was last queued.
-    pub(super) key: Key,
+    pub(super) key: JobKey,
     /// Number of tasks of the job that have not ended.
-    pub(super) left: u32,
+    pub(super) unfinished: u32,
     /// Tasks of the job that wait for a start.
     pub(super) waiting: BTreeSet<TaskIndex>,
     /// Whether the job found no room and is kept out of its team's queue until a tick queues it
     /// again.
-    pub(super) parked: bool,
+    pub(super) is_parked: bool,
 }
 
 /// Sort key of a job within its team; the job with the lowest key goes first.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Key {
+pub(super) struct JobKey {
     start_bucket: u64,
     priority: Reverse<u8>,
     arrival: Time,
     pub(super) job: JobId,
 }
 
-impl Key {
+impl JobKey {
     pub(super) fn latest_start(&self) -> Time {
         Time(self.start_bucket.saturating_mul(START_BUCKET_MICROS))
     }
 }
 
-impl Entry {
-    pub(super) fn new(now: Time, job: Job) -> Self {
-        let (arrival, left) = (now, job.tasks);
+impl WaitingEntry {
+    pub(super) fn new(now: Time, job: WaitingJob) -> Self {
+        let (arrival, unfinished) = (now, job.tasks);
         let waiting = (0..job.tasks).map(TaskIndex).collect();
         let priority = Reverse(job.priority);
-        let key = Key { start_bucket: 0, priority, arrival, job: job.id.clone() };
-        Entry { job, arrival, key, left, waiting, parked: false }
+        let key = JobKey { start_bucket: 0, priority, arrival, job: job.id.clone() };
+        WaitingEntry { job, arrival, key, unfinished, waiting, is_parked: false }
     }
 
-    pub(super) fn key(&self, now: Time) -> Key {
+    pub(super) fn key(&self, now: Time) -> JobKey {
         let job = &self.job;
-        let rounds = self.left.div_ceil(job.width.max(1));
+        let rounds = self.unfinished.div_ceil(job.width.max(1));
         let remaining = job.run_time.saturating_mul(rounds);
         let by_age = self.arrival + MAX_JOB_DELAY / (1 + u32::from(job.priority));
         let late = now + remaining > job.deadline;
@@ -100,7 +100,7 @@
             job.deadline - (remaining + remaining / TIME_MARGIN_DIVISOR)
         };
         let latest = by_deadline.min(by_age);
-        Key {
+        JobKey {
             start_bucket: latest.0 / START_BUCKET_MICROS,
             priority: Reverse(job.priority),
             arrival: self.arrival,
--- a/src/gangs.rs
+++ b/src/gangs.rs
@@ -91,7 +91,7 @@
         let Some(parts) = divide(items, pool, racks) else { return Step::Release(vec![], tasks) };
         gang.parts = parts;
         gang.reserved.clear();
-        let order = gang.claim.begin(gang.parts.keys().cloned().collect(), now);
+        let order = gang.claim.begin_round(gang.parts.keys().cloned().collect(), now);
         gang.step(order)
     }
 
@@ -111,10 +111,10 @@
         }
         let order = if rows.len() == ask.items.len() {
             gang.reserved.extend(rows);
-            gang.claim.granted(rack, gang.round, now)
+            gang.claim.record_grant(rack, gang.round, now)
         } else {
             gang.reserved.extend(rows);
-            gang.claim.refused(rack, gang.round, now, &mut self.rng)
+            gang.claim.record_refusal(rack, gang.round, now, &mut self.rng)
         };
         gang.step(order)
     }
--- a/src/job_api.rs
+++ b/src/job_api.rs
@@ -57,9 +57,9 @@
     services: ServiceClients,
     peers: PeerClients,
     /// Sends inputs to the shards that this member owns.
-    input: Sender<ShardInput>,
+    shard_inputs: Sender<ShardInput>,
     /// Cached length of each queue, and the time at which it was counted.
-    lengths: Mutex<FxHashMap<Box<str>, (Time, u64)>>,
+    queue_lengths: Mutex<FxHashMap<Box<str>, (Time, u64)>>,
     state_queries: Arc<StateQueries>,
     /// Limits the reads of the store for states of jobs.
     read_budget: Mutex<ReadBudget>,
@@ -73,13 +73,13 @@
 }
 
 impl JobApi {
-    /// Creates the API with clients of its own; `input` leads to the shards that this member owns.
-    pub fn new(common: Arc<SharedState>, input: Sender<ShardInput>) -> Self {
+    /// Creates the API with clients of its own; `shard_inputs` leads to the shards that this member owns.
+    pub fn new(common: Arc<SharedState>, shard_inputs: Sender<ShardInput>) -> Self {
         let peers = PeerClients::new(common.clone());
         let services = relaying_clients(&common, &peers);
         let state_queries = Arc::new(StateQueries::new(common.clone(), peers.clone()));
-        let (lengths, read_budget) = Default::default();
-        JobApi { common, services, peers, input, lengths, state_queries, read_budget }
+        let (queue_lengths, read_budget) = Default::default();
+        JobApi { common, services, peers, shard_inputs, queue_lengths, state_queries, read_budget }
     }
 
     /// Serves one request.
@@ -89,7 +89,7 @@
         body: Result<Bytes, Error>,
     ) -> Response<Full<Bytes>> {
         let begin = self.common.now();
-        let mut response = match self.route(&head, body, begin).await {
+        let mut response = match self.route_request(&head, body, begin).await {
             Ok(body) => {
                 self.common.metrics.count_answered();
                 let mut ok = answer(200, body);
@@ -111,7 +111,7 @@
         response
     }
 
-    async fn route(
+    async fn route_request(
         &self,
         head: &Parts,
         body: Result<Bytes, Error>,
@@ -150,7 +150,7 @@
     fn parse_request(&self, head: &Parts, begin: Time) -> CallerRequest {
         let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
         let host = text(HOST.as_str()).or(head.uri.host()).unwrap_or("");
-        let limit = text(self.common.forms.deadline_header).and_then(|ms| ms.trim().parse().ok());
+        let limit = text(self.common.codec.deadline_header).and_then(|ms| ms.trim().parse().ok());
         let limit = limit.map_or(DEFAULT_TIMEOUT, Duration::from_millis);
         CallerRequest { host: host.into(), path: head.uri.path().into(), deadline: begin + limit }
     }
@@ -211,18 +211,18 @@
     ) -> Result<bool, Error> {
         let unanswered = |_| Error::new(Kind::Platform, "the store doesn't answer");
         let limit = self.call_limit(request)?;
-        if self.services.get(&shard.job(job), limit).await.map_err(unanswered)?.is_some() {
+        if self.services.get(&shard.job_key(job), limit).await.map_err(unanswered)?.is_some() {
             return Ok(true);
         }
         let limit = self.call_limit(request)?;
-        Ok(self.services.get(&shard.progress(job), limit).await.map_err(unanswered)?.is_some())
+        Ok(self.services.get(&shard.progress_key(job), limit).await.map_err(unanswered)?.is_some())
     }
 }
 
 impl CallerRequest {
     /// Returns the queue of the request: by its host as given, then by the host without the port.
     fn queue<'a>(&self, config: &'a Config) -> Result<&'a Queue, Error> {
-        let find = |host: &str| config.queues.find(host, &self.path);
+        let find = |host: &str| config.queues.find_queue(host, &self.path);
         let bare = self.host.rsplit_once(':').map_or(&*self.host, |(host, _)| host);
         let found = find(&self.host).or_else(|| find(bare));
         found.ok_or_else(|| Error::new(Kind::UnknownService, "no such queue"))
--- a/src/job_api/queries.rs
+++ b/src/job_api/queries.rs
@@ -9,7 +9,7 @@
         member_rpc::{local_queue_length, local_states},
         ports::Item,
         shard::record::{self, Progress, ShardNo},
-        work::{JobNo, State},
+        work::{JobNo, JobState},
     },
     bytes::Bytes,
     std::{collections::BTreeMap, net::SocketAddr, sync::MutexGuard, time::Duration},
@@ -47,7 +47,7 @@
                 state
             }
         };
-        Ok((self.common.forms.encode_state)(state))
+        Ok((self.common.codec.encode_state)(state))
     }
 
     /// Returns the state that the shard's owner reports; `None` if it doesn't.
@@ -55,10 +55,10 @@
     /// A member that is in touch with the store knows the owner by its own table and says so in the
     /// call. Otherwise an owner whose lease renewal is late would report nothing, and all members
     /// would read the store for each caller.
-    async fn ask_owner(&self, shard: ShardNo, job: JobNo) -> Option<State> {
+    async fn ask_owner(&self, shard: ShardNo, job: JobNo) -> Option<JobState> {
         let (owner, addr) = self.common.view.borrow().owner(shard)?;
         if owner == self.common.me {
-            let answer = local_states(&self.input, [(shard, job)].into(), false);
+            let answer = local_states(&self.shard_inputs, [(shard, job)].into(), false);
             return timeout(OWNER_TIMEOUT, answer).await.ok()??.pop()?;
         }
         self.state_queries.query((owner, addr), shard, job).await
@@ -69,7 +69,7 @@
     fn admit_read(&self) -> bool {
         let rate = self.common.site.borrow().read_rate;
         let members = self.common.view.borrow().members.len();
-        self.read_budget().admit(rate, members, self.common.now())
+        self.read_budget().admit_query(rate, members, self.common.now())
     }
 
     fn read_budget(&self) -> MutexGuard<'_, ReadBudget> {
@@ -86,15 +86,15 @@
         request: &CallerRequest,
         shard: ShardNo,
         job: JobNo,
-    ) -> Result<State, Error> {
-        let progress = shard.progress(job);
+    ) -> Result<JobState, Error> {
+        let progress = shard.progress_key(job);
         if let Some(item) = self.read_item(request, &progress).await? {
-            self.read_budget().refund(1);
+            self.read_budget().refund_reads(1);
             return parse_state(&item);
         }
-        if self.read_item(request, &shard.job(job)).await?.is_some() {
-            self.read_budget().refund(2);
-            return Ok(State::Queued);
+        if self.read_item(request, &shard.job_key(job)).await?.is_some() {
+            self.read_budget().refund_reads(2);
+            return Ok(JobState::Queued);
         }
         match self.read_item(request, &progress).await? {
             Some(item) => parse_state(&item),
@@ -111,19 +111,19 @@
     /// the answer.
     pub(super) async fn queue_length(&self, queue: &str) -> Result<Bytes, Error> {
         let now = self.common.now();
-        let cached = self.lengths.lock().expect("no holder panics").get(queue).copied();
+        let cached = self.queue_lengths.lock().expect("no holder panics").get(queue).copied();
         let count = match cached.filter(|(at, _)| now - *at < LENGTH_TTL) {
             Some((_, count)) => count,
             None => {
                 let count = self.count_waiting(queue).await?;
-                let mut lengths = self.lengths.lock().expect("no holder panics");
+                let mut lengths = self.queue_lengths.lock().expect("no holder panics");
                 // Bounds the cache: queues that are no longer requested are dropped.
                 lengths.retain(|_, (at, _)| now - *at < LENGTH_TTL);
                 lengths.insert(queue.into(), (now, count));
                 count
             }
         };
-        Ok((self.common.forms.encode_waiting)(count))
+        Ok((self.common.codec.encode_waiting)(count))
     }
 
     /// Asks the owners of all shards for the number of jobs that have not begun.
@@ -132,7 +132,7 @@
         let mut by_owner: BTreeMap<(Incarnation, SocketAddr), Vec<ShardNo>> = BTreeMap::new();
         {
             let view = self.common.view.borrow();
-            for shard in (0..view.shards()).map(ShardNo) {
+            for shard in (0..view.shard_count()).map(ShardNo) {
                 by_owner.entry(view.owner(shard).ok_or_else(no_answer)?).or_default().push(shard);
             }
         }
@@ -142,7 +142,7 @@
         let mut calls = JoinSet::new();
         for ((owner, addr), shards) in by_owner {
             let (queue, local) = (Box::<str>::from(queue), owner == self.common.me);
-            let (input, peers) = (self.input.clone(), self.peers.clone());
+            let (input, peers) = (self.shard_inputs.clone(), self.peers.clone());
             calls.spawn(async move {
                 if local {
                     let answer = local_queue_length(&input, queue, shards.into());
@@ -160,7 +160,7 @@
 }
 
 /// Returns the state in a job's progress item.
-fn parse_state(item: &Item) -> Result<State, Error> {
+fn parse_state(item: &Item) -> Result<JobState, Error> {
     let progress = item.value.as_ref().and_then(|v| record::decode::<Progress>(v));
     let unreadable = || Error::new(Kind::Platform, "the job's progress can't be read");
     progress.map(|p| p.state).ok_or_else(unreadable)
--- a/src/job_api/state_queries.rs
+++ b/src/job_api/state_queries.rs
@@ -7,7 +7,7 @@
         member_rpc::PeerClients,
         shard::record::ShardNo,
         shared_state::SharedState,
-        work::{JobNo, State},
+        work::{JobNo, JobState},
     },
     rustc_hash::FxHashMap,
     std::{
@@ -37,7 +37,7 @@
 struct Query {
     shard: ShardNo,
     job: JobNo,
-    reply: oneshot::Sender<Option<State>>,
+    reply: oneshot::Sender<Option<JobState>>,
 }
 
 impl StateQueries {
@@ -52,7 +52,7 @@
         (owner, addr): (Incarnation, SocketAddr),
         shard: ShardNo,
         job: JobNo,
-    ) -> Option<State> {
+    ) -> Option<JobState> {
         let (reply, receiver) = oneshot::channel();
         if self.enqueue(owner, Query { shard, job, reply }) {
             tokio::spawn(self.clone().run(owner, addr));
@@ -62,7 +62,7 @@
 
     /// Adds a query to the next call to an owner; returns whether no call to it is in flight.
     fn enqueue(&self, owner: Incarnation, query: Query) -> bool {
-        let mut queued = self.queued();
+        let mut queued = self.queries();
         let idle = !queued.contains_key(&owner);
         queued.entry(owner).or_default().push(query);
         idle
@@ -87,7 +87,7 @@
     /// Returns the queries of the next call; `None`, and the owner's entry is removed, if there are
     /// none.
     fn next_batch(&self, owner: Incarnation) -> Option<Vec<Query>> {
-        let mut queued = self.queued();
+        let mut queued = self.queries();
         let all = queued.get_mut(&owner)?;
         if all.is_empty() {
             queued.remove(&owner);
@@ -97,7 +97,7 @@
         Some(mem::replace(all, rest))
     }
 
-    fn queued(&self) -> MutexGuard<'_, FxHashMap<Incarnation, Vec<Query>>> {
+    fn queries(&self) -> MutexGuard<'_, FxHashMap<Incarnation, Vec<Query>>> {
         self.queued.lock().expect("no holder panics")
     }
 }
--- a/src/job_api/submit.rs
+++ b/src/job_api/submit.rs
@@ -29,27 +29,27 @@
 
 /// Counts the failed attempts of one write.
 #[derive(Default)]
-struct Tries {
+struct WriteAttempts {
     /// Number of attempts that were refused or whose outcome is unknown.
-    failed: u32,
+    failed_count: u32,
     /// Whether a failed attempt may have taken effect or may do so later.
-    uncertain: bool,
+    maybe_applied: bool,
     /// Number of attempts that failed because the configuration had changed.
-    overtaken: u32,
+    config_conflicts: u32,
 }
 
-impl Tries {
+impl WriteAttempts {
     /// Returns the error for the caller if no attempt succeeded.
     ///
     /// A caller that gets status 503 relies on its job never running. So once the outcome of one attempt
     /// is unknown, the answer says so, whatever the other attempts returned.
     fn final_error(&self, error: Error) -> Error {
-        if self.uncertain { Kind::OutcomeUnknown.into() } else { error }
+        if self.maybe_applied { Kind::OutcomeUnknown.into() } else { error }
     }
 }
 
 /// Why the write of a job was in conflict.
-enum Conflict {
+enum ConflictCause {
     /// The job is already stored.
     Job,
     /// Another configuration is in force.
@@ -70,7 +70,7 @@
         if body.len() > config.queues.max_body {
             return Err(Kind::TooLarge.into());
         }
-        let job = (self.common.forms.decode_job)(body)?;
+        let job = (self.common.codec.decode_job)(body)?;
         job.check()?;
         // A write by a member that is cut off from the store would most likely end with an unknown
         // outcome. After a refusal the caller may submit the job to another member, after an answer
@@ -81,11 +81,11 @@
         }
         let shard = self.shard(no, &self.queue(request, config)?.pool)?;
         let (begin, steps) = (self.common.now(), job.steps.len());
-        let mut tries = Tries::default();
+        let mut tries = WriteAttempts::default();
         match self.write_job(request, shard, no, job, &mut tries).await {
             Ok(()) => {
                 let took_ms = (self.common.now() - begin).as_millis() as u64;
-                log::info!(target: "entry", did = "taken", job:% = no, shard:% = shard, steps, config = config.rev, tries = tries.failed, moves = tries.overtaken, unclear = tries.uncertain, took_ms; "Job is taken in.");
+                log::info!(target: "entry", did = "taken", job:% = no, shard:% = shard, steps, config = config.rev, tries = tries.failed_count, moves = tries.config_conflicts, unclear = tries.maybe_applied, took_ms; "Job is taken in.");
                 Ok(Bytes::new())
             }
             Err(e) => Err(tries.final_error(e)),
@@ -99,40 +99,44 @@
         shard: ShardNo,
         no: JobNo,
         job: Job,
-        tries: &mut Tries,
+        tries: &mut WriteAttempts,
     ) -> Result<(), Error> {
-        let mut record = JobRecord { queue: "".into(), came: unix_ms(), job, terms: None };
+        let mut record =
+            JobRecord { queue: "".into(), submitted_ms: unix_ms(), job, queue_settings: None };
         loop {
             // Read again for each attempt: the write must match the configuration in force.
             let config = self.newest_config(request).await?;
             let queue = self.queue(request, &config)?;
-            (record.queue, record.terms) = (queue.name.clone(), Some(Box::new(queue.clone())));
-            let txn = self.submission(shard, no, config.rev, &record);
+            (record.queue, record.queue_settings) =
+                (queue.name.clone(), Some(Box::new(queue.clone())));
+            let txn = self.submission_txn(shard, no, config.rev, &record);
             let (limit, sent) = (self.call_limit(request)?, self.common.now());
             match self.services.call_store(&StoreCall::Txn(txn), limit).await {
                 Ok(StoreReply::Done(_)) => {
-                    self.common.confirm(sent);
+                    self.common.record_confirmed(sent);
                     self.notify_owner(shard, no, Some(record));
                     return Ok(());
                 }
                 Ok(StoreReply::Conflict(items)) => {
-                    match self.classify(shard, no, config.rev, &items) {
-                        Conflict::Job => return Ok(()),
-                        Conflict::Config if tries.overtaken < MAX_CONFIG_RETRIES => {
-                            tries.overtaken += 1
+                    match self.classify_conflict(shard, no, config.rev, &items) {
+                        ConflictCause::Job => return Ok(()),
+                        ConflictCause::Config if tries.config_conflicts < MAX_CONFIG_RETRIES => {
+                            tries.config_conflicts += 1
+                        }
+                        ConflictCause::Config | ConflictCause::Other => {
+                            return Err(Kind::Platform.into());
                         }
-                        Conflict::Config | Conflict::Other => return Err(Kind::Platform.into()),
                     }
                     self.common.metrics.count_retry(Kind::Conflict);
                 }
-                Err(Fault::TooLarge) if tries.overtaken < MAX_CONFIG_RETRIES => {
+                Err(Fault::TooLarge) if tries.config_conflicts < MAX_CONFIG_RETRIES => {
                     // The reply to a conflict carries the configuration, which made it too large, even
                     // if only the job was in conflict.
                     if self.is_stored(request, shard, no).await? {
                         return Ok(());
                     }
                     self.common.note_newer_config(config.rev);
-                    tries.overtaken += 1;
+                    tries.config_conflicts += 1;
                     self.common.metrics.count_retry(Kind::Conflict);
                 }
                 Err(Fault::TooLarge) => return Err(Kind::Platform.into()),
@@ -140,7 +144,7 @@
                     self.wait_retry(&fault, tries).await?;
                 }
                 _ => {
-                    tries.uncertain = true;
+                    tries.maybe_applied = true;
                     if self.is_stored(request, shard, no).await? {
                         return Ok(());
                     }
@@ -169,43 +173,49 @@
 
     /// Returns the write that stores a job, on the conditions that its number is unused and that
     /// the configuration is unchanged.
-    fn submission(&self, shard: ShardNo, no: JobNo, rev: u64, record: &JobRecord) -> Txn {
-        let (key, value) = (shard.job(no), record::encode(record));
+    fn submission_txn(&self, shard: ShardNo, no: JobNo, rev: u64, record: &JobRecord) -> Txn {
+        let (key, value) = (shard.job_key(no), record::encode(record));
         Txn {
-            expect: vec![
+            expected_revs: vec![
                 (key.clone(), 0),
-                (shard.progress(no), 0),
-                (self.common.forms.config_key.into(), rev),
+                (shard.progress_key(no), 0),
+                (self.common.codec.config_key.into(), rev),
             ],
             puts: vec![Put { key, value, lease: 0 }],
-            remove: vec![],
+            removed_keys: vec![],
         }
     }
 
     /// Finds the cause of a conflict by the items that the store returned with it.
-    fn classify(&self, shard: ShardNo, no: JobNo, rev: u64, items: &[Item]) -> Conflict {
-        let (job, progress) = (shard.job(no), shard.progress(no));
+    fn classify_conflict(
+        &self,
+        shard: ShardNo,
+        no: JobNo,
+        rev: u64,
+        items: &[Item],
+    ) -> ConflictCause {
+        let (job, progress) = (shard.job_key(no), shard.progress_key(no));
         if items.iter().any(|i| i.rev != 0 && (i.key == job || i.key == progress)) {
-            return Conflict::Job;
+            return ConflictCause::Job;
         }
-        match items.iter().find(|i| &*i.key == self.common.forms.config_key) {
+        match items.iter().find(|i| &*i.key == self.common.codec.config_key) {
             Some(config) if config.rev != rev => {
                 self.common.apply_config(config);
-                Conflict::Config
+                ConflictCause::Config
             }
-            _ => Conflict::Other,
+            _ => ConflictCause::Other,
         }
     }
 
     /// Waits before the next attempt; returns an error if no attempt is left.
-    async fn wait_retry(&self, fault: &Fault, tries: &mut Tries) -> Result<(), Error> {
+    async fn wait_retry(&self, fault: &Fault, tries: &mut WriteAttempts) -> Result<(), Error> {
         let kind = match fault {
             Fault::Refused => Kind::Platform,
             Fault::Unsent => Kind::KvDown,
             Fault::Unknown | Fault::TooLarge | Fault::Bad(_) => Kind::OutcomeUnknown,
         };
-        tries.failed += 1;
-        if tries.failed >= MAX_ATTEMPTS {
+        tries.failed_count += 1;
+        if tries.failed_count >= MAX_ATTEMPTS {
             let error = Error::new(Kind::Platform, "the store refuses or doesn't answer");
             return Err(error.with_retry_after(STORE_RETRY_AFTER));
         }
@@ -224,18 +234,18 @@
         let shard = self.shard(no, pool)?;
         let unanswered = |_| Error::new(Kind::Platform, "the store refuses or doesn't answer");
         let limit = self.call_limit(request)?;
-        if self.services.get(&shard.job(no), limit).await.map_err(unanswered)?.is_none() {
+        if self.services.get(&shard.job_key(no), limit).await.map_err(unanswered)?.is_none() {
             let there = self.is_stored(request, shard, no).await?;
             log::info!(target: "entry", did = "cancel", job:% = no, shard:% = shard, there, written = false; "Cancel has no effect; the store has no record of the job.");
             return if there { Ok(Bytes::new()) } else { Err(Kind::NoJob.into()) };
         }
-        let put = Put { key: shard.cancel(no), value: Bytes::from_static(b"{}"), lease: 0 };
+        let put = Put { key: shard.cancel_key(no), value: Bytes::from_static(b"{}"), lease: 0 };
         let call = StoreCall::Txn(Txn { puts: vec![put], ..Txn::default() });
-        let mut tries = Tries::default();
+        let mut tries = WriteAttempts::default();
         match self.repeat_write(request, &call, &mut tries).await {
             Ok(()) => {
                 self.notify_owner(shard, no, None);
-                log::info!(target: "entry", did = "cancel", job:% = no, shard:% = shard, tries = tries.failed; "Job is cancelled.");
+                log::info!(target: "entry", did = "cancel", job:% = no, shard:% = shard, tries = tries.failed_count; "Job is cancelled.");
                 Ok(Bytes::new())
             }
             Err(e) => Err(tries.final_error(e)),
@@ -249,7 +259,7 @@
     fn notify_owner(&self, shard: ShardNo, no: JobNo, record: Option<JobRecord>) {
         let Some((owner, addr)) = self.common.view.borrow().owner(shard) else { return };
         if owner == self.common.me {
-            return notify_local_shard(&self.input, shard, no, record);
+            return notify_local_shard(&self.shard_inputs, shard, no, record);
         }
         let peers = self.peers.clone();
         tokio::spawn(
@@ -262,7 +272,7 @@
         &self,
         request: &CallerRequest,
         call: &StoreCall,
-        tries: &mut Tries,
+        tries: &mut WriteAttempts,
     ) -> Result<(), Error> {
         loop {
             let limit = self.call_limit(request)?;
@@ -271,7 +281,7 @@
                 Err(fault @ (Fault::Refused | Fault::Unsent)) => fault,
                 _ => Fault::Unknown,
             };
-            tries.uncertain |= fault == Fault::Unknown;
+            tries.maybe_applied |= fault == Fault::Unknown;
             self.wait_retry(&fault, tries).await?;
         }
     }
--- a/src/kv_session.rs
+++ b/src/kv_session.rs
@@ -54,7 +54,7 @@
             clock: self.clock,
             metrics: self.metrics.clone(),
         };
-        tokio::spawn(connection.clone().lease(records, lease_tx));
+        tokio::spawn(connection.clone().keep_lease(records, lease_tx));
         tokio::spawn(connection.clone().watch());
         tokio::spawn(poll_vms(self.vms, self.inbox.clone()));
         while let Ok(order) = self.orders.recv().await {
@@ -66,7 +66,7 @@
                 Order::Get(purpose, key) => {
                     tokio::spawn(async move {
                         let entry = connection.kv.get(&key).await;
-                        connection.count("get", entry.is_ok());
+                        connection.count_call("get", entry.is_ok());
                         let _ = connection.inbox.send(Event::RecordRead(purpose, entry)).await;
                     });
                 }
@@ -76,7 +76,7 @@
                         .count_sent("session", put.value.as_ref().map_or(0, |v| v.len()));
                     tokio::spawn(async move {
                         let reply = connection.kv.put(&key, &put).await;
-                        connection.count("put", reply.is_ok());
+                        connection.count_call("put", reply.is_ok());
                         let _ = connection.inbox.send(Event::RecordWritten(purpose, reply)).await;
                     });
                 }
@@ -100,14 +100,18 @@
 
 impl Connection {
     /// Renews the lease and keeps the record under it up to date.
-    async fn lease(self, mut records: watch::Receiver<MemberRecord>, lease_tx: watch::Sender<u64>) {
+    async fn keep_lease(
+        self,
+        mut records: watch::Receiver<MemberRecord>,
+        lease_tx: watch::Sender<u64>,
+    ) {
         let mut lease = 0;
         let mut revision = Revision(0);
         let mut pause = BACKOFF_RANGE.0;
         loop {
             let sent = self.clock.now();
             let renewed = self.kv.lease(lease, LEASE).await;
-            self.count("lease", renewed.is_ok());
+            self.count_call("lease", renewed.is_ok());
             match renewed {
                 Ok(l) => {
                     if l.id != lease {
@@ -158,7 +162,7 @@
         let value = serde_json::to_string(&record).ok().map(Into::into);
         let put = KvPut { expect: *revision, value, lease: Some(lease) };
         let reply = self.kv.put(&key, &put).await;
-        self.count("put", reply.is_ok());
+        self.count_call("put", reply.is_ok());
         match reply {
             Ok(r) if r.done => {
                 *revision = r.revision;
@@ -187,7 +191,7 @@
         let mut pause = BACKOFF_RANGE.0;
         loop {
             let list = self.kv.watch(SHARED, after).await;
-            self.count("watch", list.is_ok());
+            self.count_call("watch", list.is_ok());
             match list {
                 Ok(list) => {
                     after = list.at;
@@ -208,7 +212,7 @@
         (pause * 2).min(BACKOFF_RANGE.1)
     }
 
-    fn count(&self, call: &str, ok: bool) {
+    fn count_call(&self, call: &str, ok: bool) {
         let label = if ok { call.into() } else { format!("{call}_failed") };
         self.metrics.kv_calls.with_label_values(&[&label]).inc();
     }
--- a/src/layout.rs
+++ b/src/layout.rs
@@ -43,24 +43,24 @@
 #[derive(Debug)]
 pub struct ListMonitor {
     started_at: Time,
-    max_count: usize,
+    max_workers: usize,
     last_growth: Time,
 }
 
 impl ListMonitor {
     /// Creates a monitor that starts at `now`.
     pub fn new(now: Time) -> Self {
-        ListMonitor { started_at: now, max_count: 0, last_growth: now }
+        ListMonitor { started_at: now, max_workers: 0, last_growth: now }
     }
 
     /// Records that the list was read with `count` workers. Returns whether the list counts as
     /// complete.
-    pub fn observe(&mut self, count: usize, now: Time) -> bool {
-        if count > self.max_count {
-            self.max_count = count;
+    pub fn record_count(&mut self, count: usize, now: Time) -> bool {
+        if count > self.max_workers {
+            self.max_workers = count;
             self.last_growth = now;
         }
-        let stable = self.max_count > 0 && now - self.last_growth >= STABLE_PERIOD;
+        let stable = self.max_workers > 0 && now - self.last_growth >= STABLE_PERIOD;
         stable || now - self.started_at >= MAX_LIST_WAIT
     }
 }
@@ -70,7 +70,7 @@
 /// A small deployment has one shard. Otherwise each pool has shards of its own, so that jobs of one
 /// pool don't delay those of another. A pool is divided only if it is too large for one owner, as a
 /// gang may need most of the workers that can run it.
-pub fn layout(workers: &[ListedWorker], secret: Box<str>) -> Layout {
+pub fn create_layout(workers: &[ListedWorker], secret: Box<str>) -> Layout {
     let mut by_pool: BTreeMap<&PoolId, Vec<&ListedWorker>> = BTreeMap::new();
     for worker in workers {
         by_pool.entry(&worker.pool).or_default().push(worker);
@@ -81,9 +81,9 @@
         let span = if small { ShardRange(0, 1) } else { ShardRange(first, shard_count(all.len())) };
         first += if small { 0 } else { span.1 };
         pools.insert(pool.clone(), span);
-        homes.extend(assign(&all, span));
+        homes.extend(assign_workers(&all, span));
     }
-    Layout { shards: first.max(1), secret, homes: homes.into_iter().collect(), pools }
+    Layout { shards: first.max(1), secret, worker_shards: homes.into_iter().collect(), pools }
 }
 
 /// Returns the number of shards for a pool with this number of workers.
@@ -97,7 +97,7 @@
 /// too. Workers of a rack stay together as far as that allows. Consecutive racks are in different
 /// zones, so that no shard loses all its workers with a zone. An address keeps its shard, so that a
 /// later worker at the address belongs to the same shard.
-fn assign(workers: &[&ListedWorker], span: ShardRange) -> Vec<(SocketAddr, ShardNo)> {
+fn assign_workers(workers: &[&ListedWorker], span: ShardRange) -> Vec<(SocketAddr, ShardNo)> {
     let mut zones: BTreeMap<&Zone, BTreeMap<&str, BTreeSet<SocketAddr>>> = BTreeMap::new();
     for w in workers {
         zones.entry(&w.zone).or_default().entry(w.rack()).or_default().insert(w.addr);
@@ -118,8 +118,8 @@
     /// former worker the new one would get no tasks.
     pub fn worker_shard(&self, worker: &ListedWorker) -> ShardNo {
         let span = self.span(&worker.pool);
-        let known = self.homes.binary_search_by_key(&worker.addr, |(addr, _)| *addr).ok();
-        let home = known.map(|at| self.homes[at].1).filter(|home| span.contains(*home));
+        let known = self.worker_shards.binary_search_by_key(&worker.addr, |(addr, _)| *addr).ok();
+        let home = known.map(|at| self.worker_shards[at].1).filter(|home| span.contains(*home));
         home.unwrap_or_else(|| span.shard_for(xxh3_64(worker.rack().as_bytes())))
     }
 
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -38,22 +38,22 @@
 
 /// Limits the lines of one log statement per second.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct LineBudget {
     limit: u32,
     since: Time,
     lines: u32,
     left_out: u64,
 }
 
-impl Budget {
+impl LineBudget {
     /// Creates a budget of `limit` lines per second.
     pub fn new(limit: u32) -> Self {
-        Budget { limit, since: Time::ZERO, lines: 0, left_out: 0 }
+        LineBudget { limit, since: Time::ZERO, lines: 0, left_out: 0 }
     }
 
     /// Returns the number of lines left out before this line, or `None` if this line is to be left
     /// out too.
-    pub fn take(&mut self, now: Time) -> Option<u64> {
+    pub fn take_line(&mut self, now: Time) -> Option<u64> {
         if self.lines == 0 || now - self.since >= Duration::from_secs(1) {
             (self.since, self.lines) = (now, 0);
         }
@@ -73,25 +73,25 @@
 
 /// A bounded buffer of lines to be written; lines that do not fit are dropped and counted.
 #[derive(Clone)]
-pub struct Ring {
-    shared: Arc<(Mutex<Buffer>, Condvar)>,
+pub struct LineBuffer {
+    shared: Arc<(Mutex<BufferState>, Condvar)>,
     limit: usize,
 }
 
 #[derive(Default)]
-struct Buffer {
+struct BufferState {
     lines: Vec<u8>,
     dropped: u64,
     writing: bool,
 }
 
-impl Ring {
+impl LineBuffer {
     /// Creates an empty buffer of `limit` bytes.
     pub fn new(limit: usize) -> Self {
-        Ring { shared: Arc::default(), limit }
+        LineBuffer { shared: Arc::default(), limit }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Buffer> {
+    fn lock(&self) -> MutexGuard<'_, BufferState> {
         self.shared.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -160,7 +160,7 @@
     }
 }
 
-impl Write for Ring {
+impl Write for LineBuffer {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         self.put(line);
         Ok(line.len())
@@ -174,7 +174,7 @@
 /// The budgets of all log statements, by file and line.
 struct Budgets {
     started_at: Instant,
-    budgets: Mutex<FxHashMap<(&'static str, u32), Budget>>,
+    budgets: Mutex<FxHashMap<(&'static str, u32), LineBudget>>,
 }
 
 impl Budgets {
@@ -182,16 +182,16 @@
         let place = (record.file_static().unwrap_or(""), record.line().unwrap_or(0));
         let now = Time::ZERO + self.started_at.elapsed();
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
-        budgets.entry(place).or_insert_with(|| Budget::new(LINES_PER_SECOND)).take(now)
+        budgets.entry(place).or_insert_with(|| LineBudget::new(LINES_PER_SECOND)).take_line(now)
     }
 }
 
-static OUT: OnceLock<Ring> = OnceLock::new();
+static OUT: OnceLock<LineBuffer> = OnceLock::new();
 
 /// Starts logging to the standard output; `default_filter` is the filter that applies if the environment
 /// sets none.
 pub fn init(default_filter: &str) {
-    let ring = OUT.get_or_init(|| Ring::new(RING_BYTES)).clone();
+    let ring = OUT.get_or_init(|| LineBuffer::new(RING_BYTES)).clone();
     let budgets = Budgets { started_at: Instant::now(), budgets: Mutex::default() };
     let to = ring.clone();
     let writer = thread::Builder::new().name("log".into()).spawn(move || to.write(io::stdout()));
--- a/src/member_rpc.rs
+++ b/src/member_rpc.rs
@@ -23,7 +23,7 @@
         shard_runner::ShardInput,
         shared_state::SharedState,
         time::millis,
-        work::{JobNo, State, StepKey},
+        work::{JobNo, JobState, StepKey},
     },
     async_channel::Sender,
     jsonrpsee::{
@@ -133,7 +133,7 @@
         let peers = peers.clone();
         Box::pin(async move { peers.relay(wire, repeats, limit).await })
     });
-    common.outside().with_relay(common.ways.clone(), relayer)
+    common.direct_clients().with_relay(common.store_routes.clone(), relayer)
 }
 
 /// Serves other members until the process ends.
@@ -164,7 +164,7 @@
     input: Sender<ShardInput>,
 ) -> Result<RpcModule<()>, jsonrpsee::core::RegisterMethodError> {
     let mut module = RpcModule::new(());
-    let (services, common_clone) = (common.outside(), common.clone());
+    let (services, common_clone) = (common.direct_clients(), common.clone());
     module.register_async_method("advise", move |params, _, _| {
         let (services, common) = (services.clone(), common_clone.clone());
         async move {
@@ -178,7 +178,7 @@
             Ok::<_, ErrorObjectOwned>(AdviseReply::from(answer))
         }
     })?;
-    let (services, routes) = (common.outside(), common.ways.clone());
+    let (services, routes) = (common.direct_clients(), common.store_routes.clone());
     module.register_async_method("relay", move |params, _, _| {
         let (services, routes) = (services.clone(), routes.clone());
         async move {
@@ -192,7 +192,7 @@
             // If this member has lost its connection to the store too, a watch must not wait here.
             Ok(tokio::select! {
                 answer = relayed => RelayReply::from(answer),
-                () = routes.wait_lost(), if repeats => RelayReply::Unknown,
+                () = routes.wait_direct_lost(), if repeats => RelayReply::Unknown,
             })
         }
     })?;
@@ -244,7 +244,7 @@
     ErrorObjectOwned::owned(BAD_PARAMS, e.to_string(), None::<()>)
 }
 
-/// An advice call in flight; it counts in [`SharedState::desk`] until it is dropped.
+/// An advice call in flight; it counts in [`SharedState::advice_queue`] until it is dropped.
 struct AdviceInFlight<'a> {
     common: &'a SharedState,
     number: u64,
@@ -254,9 +254,9 @@
 
 impl Drop for AdviceInFlight<'_> {
     fn drop(&mut self) {
-        let mut desk = self.common.desk.lock().expect("no holder panics");
+        let mut desk = self.common.advice_queue.lock().expect("no holder panics");
         match self.finished {
-            true => desk.done(self.number, self.common.now()),
+            true => desk.record_end(self.number, self.common.now()),
             false => desk.abandon(self.number),
         }
     }
@@ -274,7 +274,7 @@
     limit: Duration,
 ) -> Result<Advice, Fault> {
     let admitted = {
-        let mut desk = common.desk.lock().expect("no holder panics");
+        let mut desk = common.advice_queue.lock().expect("no holder panics");
         desk.admit(expected, limit, common.now())
     };
     let Some(number) = admitted else {
@@ -294,7 +294,7 @@
     input: &Sender<ShardInput>,
     jobs: Box<[(ShardNo, JobNo)]>,
     sure: bool,
-) -> Option<Vec<Option<State>>> {
+) -> Option<Vec<Option<JobState>>> {
     let (reply, receiver) = oneshot::channel();
     input.try_send(ShardInput::JobStates(jobs, sure, reply)).ok()?;
     receiver.await.ok()
@@ -385,7 +385,7 @@
         repeats: bool,
         limit: Duration,
     ) -> Option<relay::WireReply> {
-        let (deadline, routes) = (Instant::now() + limit, &self.common.ways);
+        let (deadline, routes) = (Instant::now() + limit, &self.common.store_routes);
         let view = self.common.view.borrow().clone();
         let mut answer = None;
         for member in routes.candidates(&view.relay_candidates(self.common.me), self.common.me) {
@@ -428,7 +428,7 @@
         jobs: &[(ShardNo, JobNo)],
         sure: bool,
         limit: Duration,
-    ) -> Option<Vec<Option<State>>> {
+    ) -> Option<Vec<Option<JobState>>> {
         let jobs = jobs.iter().map(|(shard, job)| (*shard, job.to_string().into())).collect();
         let request = StatesRequest { jobs, sure };
         self.call(addr, "states", &request, limit).await.flatten()
--- a/src/member_table.rs
+++ b/src/member_table.rs
@@ -59,9 +59,9 @@
     /// Shards that this member owns, with their tokens.
     owned: BTreeMap<ShardNo, u64>,
     /// Shards whose takeover is being written.
-    pending: BTreeSet<ShardNo>,
+    pending_takeovers: BTreeSet<ShardNo>,
     /// Earliest time at which a takeover of a shard may be tried again.
-    not_before: BTreeMap<ShardNo, Time>,
+    retry_at: BTreeMap<ShardNo, Time>,
     stopping: bool,
     /// Whether this member reaches the store only through other members.
     relayed: bool,
@@ -76,7 +76,7 @@
     /// The last owner, if the row names one.
     owner: Option<Incarnation>,
     /// Whether the process of that owner is known to have ended.
-    ended: bool,
+    process_ended: bool,
     since: Time,
 }
 
@@ -92,16 +92,16 @@
     pub token: u64,
     /// The former owner if its lease must have ended: the write requires that its member row is
     /// gone.
-    pub former: Option<Incarnation>,
+    pub former_owner: Option<Incarnation>,
     /// Whether the former owner can't consider its ownership confirmed any more, because its lease
     /// has ended or it has released the shard. False if the takeover comes early because the former
     /// owner's process is known to have ended.
-    pub lapsed: bool,
+    pub former_lapsed: bool,
 }
 
 /// The outcome of a takeover.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum TakeoverOutcome {
     /// The takeover was written, with this revision and token.
     Done(Rev, u64),
     /// Nothing was written because a row had changed; holds the present items.
@@ -112,14 +112,14 @@
     Unclear(Option<Item>),
 }
 
-impl Outcome {
+impl TakeoverOutcome {
     /// Returns the name of the outcome for the log.
     pub fn name(&self) -> &'static str {
         match self {
-            Outcome::Done(..) => "done",
-            Outcome::Conflict(_) => "lost to another",
-            Outcome::NotWritten => "not done",
-            Outcome::Unclear(_) => "unclear",
+            TakeoverOutcome::Done(..) => "done",
+            TakeoverOutcome::Conflict(_) => "lost to another",
+            TakeoverOutcome::NotWritten => "not done",
+            TakeoverOutcome::Unclear(_) => "unclear",
         }
     }
 }
@@ -154,20 +154,20 @@
     /// other shard uses the first half of that part.
     pub fn advice_members(&self, shard: ShardNo) -> Peers {
         let available = self.available_members();
-        let shards = usize::from(self.shards().max(1));
+        let shards = usize::from(self.shard_count().max(1));
         let no = usize::from(shard.0) % shards;
         let mut peers = Peers::default();
         for part in (no..shards).chain(0..no) {
             let part =
                 &available[available.len() * part / shards..available.len() * (part + 1) / shards];
             let half = if shards > 1 { part.len().div_ceil(2) } else { part.len() };
-            if peers.own.is_empty() {
-                peers.own.extend(&part[..half]);
+            if peers.unshared.is_empty() {
+                peers.unshared.extend(&part[..half]);
             }
             peers.shared.extend(&part[half..]);
         }
-        if peers.own.is_empty() {
-            peers.own = available;
+        if peers.unshared.is_empty() {
+            peers.unshared = available;
         }
         peers
     }
@@ -178,7 +178,7 @@
     }
 
     /// Returns the number of shards; 0 if the layout is not known yet.
-    pub fn shards(&self) -> u16 {
+    pub fn shard_count(&self) -> u16 {
         self.layout.as_ref().map_or(0, |l| l.shards)
     }
 
@@ -220,8 +220,8 @@
             owners: BTreeMap::new(),
             unowned: BTreeMap::new(),
             owned: BTreeMap::new(),
-            pending: BTreeSet::new(),
-            not_before: BTreeMap::new(),
+            pending_takeovers: BTreeSet::new(),
+            retry_at: BTreeMap::new(),
             stopping: false,
             relayed: false,
             last_answer: None,
@@ -231,11 +231,11 @@
 
     /// Applies a read of the whole table that began at this revision. Returns the shards that this
     /// member no longer owns.
-    pub fn load(&mut self, items: Vec<Item>, rev: Rev, now: Time) -> Vec<ShardNo> {
+    pub fn load_snapshot(&mut self, items: Vec<Item>, rev: Rev, now: Time) -> Vec<ShardNo> {
         let present: BTreeSet<Box<str>> = items.iter().map(|i| i.key.clone()).collect();
         // Rows that changed after the read began are newer than the read and stay.
         self.members.retain(|id, (r, _)| *r > rev || present.contains(&*member_key(*id)));
-        self.owners.retain(|s, (r, _)| *r > rev || present.contains(&s.owner()));
+        self.owners.retain(|s, (r, _)| *r > rev || present.contains(&s.owner_key()));
         self.loaded = true;
         self.apply_changes(items, rev, now)
     }
@@ -245,11 +245,11 @@
         items.into_iter().for_each(|i| self.apply(i));
         self.rev = self.rev.max(rev);
         self.update_unowned(now);
-        self.remove_lost()
+        self.remove_lost_shards()
     }
 
     /// Records that the store answered a call at `now`.
-    pub fn note_answer(&mut self, now: Time) {
+    pub fn record_answer(&mut self, now: Time) {
         if self.last_answer.is_none_or(|a| now - a > MAX_STORE_SILENCE) {
             self.answering_since = now;
         }
@@ -257,7 +257,7 @@
     }
 
     /// Stops taking over shards, as this member is shutting down.
-    pub fn stop(&mut self) {
+    pub fn stop_takeovers(&mut self) {
         self.stopping = true;
     }
 
@@ -270,13 +270,19 @@
     /// Returns the takeovers that have to be written now.
     pub fn due_takeovers(&mut self, now: Time) -> Vec<Takeover> {
         let mut takeovers = vec![];
-        while let Some(shard) = self.next_due(now) {
-            self.pending.insert(shard);
+        while let Some(shard) = self.next_due_shard(now) {
+            self.pending_takeovers.insert(shard);
             let (owner_rev, token) = self.owners.get(&shard).map_or((0, 0), |(r, o)| (*r, o.token));
-            let ended = self.unowned.get(&shard).is_some_and(|u| u.ended);
+            let ended = self.unowned.get(&shard).is_some_and(|u| u.process_ended);
             let last = self.owners.get(&shard).and_then(|(_, o)| o.owner);
             let former = last.filter(|o| *o != self.me && !ended);
-            takeovers.push(Takeover { shard, owner_rev, token: token + 1, former, lapsed: !ended });
+            takeovers.push(Takeover {
+                shard,
+                owner_rev,
+                token: token + 1,
+                former_owner: former,
+                former_lapsed: !ended,
+            });
         }
         takeovers
     }
@@ -285,34 +291,34 @@
     pub fn finish_takeover(
         &mut self,
         takeover: &Takeover,
-        outcome: Outcome,
+        outcome: TakeoverOutcome,
         now: Time,
     ) -> Vec<ShardNo> {
         let shard = takeover.shard;
-        self.pending.remove(&shard);
-        self.not_before.insert(shard, now + RETRY_DELAY);
+        self.pending_takeovers.remove(&shard);
+        self.retry_at.insert(shard, now + RETRY_DELAY);
         match outcome {
-            Outcome::Done(rev, token) => {
-                let row = OwnerRow { owner: Some(self.me), token, control: self.control() };
+            TakeoverOutcome::Done(rev, token) => {
+                let row = OwnerRow { owner: Some(self.me), token, control: self.control_addr() };
                 self.owned.insert(shard, token);
                 if self.owners.get(&shard).is_none_or(|(r, _)| *r < rev) {
                     self.owners.insert(shard, (rev, row));
                 }
             }
-            Outcome::Conflict(items) => items.into_iter().for_each(|i| self.apply(i)),
+            TakeoverOutcome::Conflict(items) => items.into_iter().for_each(|i| self.apply(i)),
             // If the row names this member, the next step takes the shard over again with a higher
             // token, because it is unknown whether the unanswered write changed the commit row.
-            Outcome::Unclear(Some(item)) => self.apply(item),
-            Outcome::NotWritten | Outcome::Unclear(None) => {}
+            TakeoverOutcome::Unclear(Some(item)) => self.apply(item),
+            TakeoverOutcome::NotWritten | TakeoverOutcome::Unclear(None) => {}
         }
         self.update_unowned(now);
-        self.remove_lost()
+        self.remove_lost_shards()
     }
 
     /// Records that this member no longer owns a shard.
     pub fn remove_owned(&mut self, shard: ShardNo, now: Time) {
         self.owned.remove(&shard);
-        self.not_before.insert(shard, now + RETRY_DELAY);
+        self.retry_at.insert(shard, now + RETRY_DELAY);
         self.update_unowned(now);
     }
 
@@ -329,8 +335,8 @@
     }
 
     /// Returns whether the outcome of a takeover is outstanding.
-    pub fn has_pending(&self) -> bool {
-        !self.pending.is_empty()
+    pub fn has_pending_takeover(&self) -> bool {
+        !self.pending_takeovers.is_empty()
     }
 
     /// Returns whether at least one shard has no live owner.
@@ -402,7 +408,7 @@
             if held {
                 self.unowned.remove(&shard);
             } else {
-                self.unowned.insert(shard, Unowned { owner, ended, since });
+                self.unowned.insert(shard, Unowned { owner, process_ended: ended, since });
             }
         }
     }
@@ -426,11 +432,11 @@
 
     /// Returns the address at which this member accepts calls of other members, according to its
     /// row.
-    pub fn control(&self) -> Option<SocketAddr> {
+    pub fn control_addr(&self) -> Option<SocketAddr> {
         self.members.get(&self.me).map(|(_, m)| m.control)
     }
 
-    fn remove_lost(&mut self) -> Vec<ShardNo> {
+    fn remove_lost_shards(&mut self) -> Vec<ShardNo> {
         let mine = |shard: &ShardNo, token: u64| {
             let row = self.owners.get(shard).map(|(_, o)| o);
             row.is_some_and(|o| o.owner == Some(self.me) && o.token == token)
@@ -444,27 +450,27 @@
     }
 
     /// Returns the next shard that this member has to take over now.
-    fn next_due(&self, now: Time) -> Option<ShardNo> {
+    fn next_due_shard(&self, now: Time) -> Option<ShardNo> {
         let in_touch = self.last_answer.is_some_and(|a| now - a <= MAX_STORE_SILENCE);
         let eligible = self.members.get(&self.me).is_some_and(|(_, m)| !m.draining);
         if !self.loaded || !in_touch || !eligible || self.stopping {
             return None;
         }
-        let mut unowned = self.unowned.iter().filter(|(s, _)| !self.pending.contains(s));
+        let mut unowned = self.unowned.iter().filter(|(s, _)| !self.pending_takeovers.contains(s));
         unowned.find(|(s, u)| self.takeover_at(**s, u) <= now).map(|(s, _)| *s)
     }
 
     /// Returns the time at which this member may take over a shard that has no live owner.
     fn takeover_at(&self, shard: ShardNo, unowned: &Unowned) -> Time {
-        let not_before = self.not_before.get(&shard).copied().unwrap_or(Time::ZERO);
+        let not_before = self.retry_at.get(&shard).copied().unwrap_or(Time::ZERO);
         if unowned.owner == Some(self.me) {
             return not_before;
         }
         let since = unowned.since.max(self.answering_since);
-        let skips_grace = unowned.owner.is_none() || unowned.ended;
+        let skips_grace = unowned.owner.is_none() || unowned.process_ended;
         let grace = if skips_grace { Duration::ZERO } else { TAKEOVER_GRACE };
         let relay_delay = if self.relayed { RELAYED_DELAY } else { Duration::ZERO };
-        let Some(rank) = self.rank(shard) else { return Time::NEVER };
+        let Some(rank) = self.takeover_rank(shard) else { return Time::NEVER };
         (since + grace + relay_delay + RANK_DELAY * rank).max(not_before)
     }
 
@@ -473,12 +479,12 @@
     ///
     /// Members that reach the store only through others rank behind all that the store serves
     /// directly. Guards against an owner that can't read its shard.
-    fn rank(&self, shard: ShardNo) -> Option<u32> {
+    fn takeover_rank(&self, shard: ShardNo) -> Option<u32> {
         let mut counts: BTreeMap<Incarnation, usize> = BTreeMap::new();
         for owner in self.owners.values().filter_map(|(_, o)| o.owner) {
             *counts.entry(owner).or_default() += 1;
         }
-        *counts.entry(self.me).or_default() += self.pending.len();
+        *counts.entry(self.me).or_default() += self.pending_takeovers.len();
         let mut ring = RendezvousNodes::new(Rendezvous);
         for (id, _) in self.live_members().filter(|(_, m)| !m.draining) {
             ring.insert(IdNode::new(*id));
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -45,7 +45,7 @@
 
 /// Fields of the member row that change while the member runs.
 #[derive(Clone, Copy, PartialEq)]
-struct Status {
+struct RowStatus {
     draining: bool,
     relayed: bool,
 }
@@ -74,11 +74,11 @@
     /// Registers under a lease and renews it until the store has ended it.
     async fn hold_lease(&self, lease: u64) {
         let mut pause = Backoff::default();
-        let mut registered: Option<(Rev, Status)> = None;
+        let mut registered: Option<(Rev, RowStatus)> = None;
         loop {
             let due = Instant::now() + RENEW_INTERVAL;
             let draining = self.common.is_stopping();
-            let status = Status { draining, relayed: self.common.ways.yields_shards() };
+            let status = RowStatus { draining, relayed: self.common.store_routes.yields_shards() };
             let stale = registered.is_some_and(|(r, s)| {
                 s != status || self.common.view.borrow().must_register(self.common.me, r)
             });
@@ -109,7 +109,7 @@
                             .send(ShardInput::Broadcast(Event::Confirmed(sent)))
                             .await;
                     }
-                    self.wait(due, draining).await;
+                    self.wait_for_renewal(due, draining).await;
                 }
                 Ok(StoreReply::NoLease) => return,
                 _ => pause.wait().await,
@@ -119,14 +119,14 @@
 
     /// Waits until the next renewal is due. Returns early if this member is stopping, so that its
     /// row is marked as draining at once.
-    async fn wait(&self, due: Instant, draining: bool) {
+    async fn wait_for_renewal(&self, due: Instant, draining: bool) {
         tokio::select! {
             () = sleep_until(due) => {}
             () = self.common.wait_for_stop(), if !draining => {}
         }
     }
 
-    async fn register(&self, lease: u64, status: Status) -> Result<StoreReply, Fault> {
+    async fn register(&self, lease: u64, status: RowStatus) -> Result<StoreReply, Fault> {
         let site = self.common.site.borrow().clone();
         let row = MemberRow {
             control: site.control_addr,
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -241,13 +241,13 @@
 
     /// Adds the counts and times that a shard has collected since its last tally.
     pub fn add_tally(&self, tally: &Stats) {
-        for (reason, n) in &tally.starts {
+        for (reason, n) in &tally.step_starts {
             self.step_starts.with_label_values(&[reason]).inc_by(*n);
         }
-        for (how, n) in &tally.ends {
+        for (how, n) in &tally.run_ends {
             self.run_ends.with_label_values(&[how]).inc_by(*n);
         }
-        self.ends_noted.inc_by(tally.acknowledged);
+        self.ends_noted.inc_by(tally.acknowledged_ends);
         let times = |to: &str, all: &[Duration]| {
             let histogram = self.job_seconds.with_label_values(&[to]);
             all.iter().for_each(|t| histogram.observe(t.as_secs_f64()));
--- a/src/owned_shards.rs
+++ b/src/owned_shards.rs
@@ -70,7 +70,7 @@
     /// Starts to own a shard. `commit_revision` is the revision at which the takeover wrote the
     /// commit row. `lapsed` says whether the former owner's lease had ended or it had released the
     /// shard.
-    pub fn begin(&self, shard: ShardNo, token: u64, commit: Rev, lapsed: bool) {
+    pub fn begin_owning(&self, shard: ShardNo, token: u64, commit: Rev, lapsed: bool) {
         let this = self.clone();
         let task = tokio::spawn(async move { this.run_shard(shard, token, commit, lapsed).await });
         let owned = OwnedShard { token, task: task.abort_handle() };
@@ -81,7 +81,7 @@
     }
 
     /// Stops owning a shard.
-    pub async fn end(&self, shard: ShardNo) {
+    pub async fn end_owning(&self, shard: ShardNo) {
         let previous = self.owned.lock().expect("no holder panics").remove(&shard);
         if let Some(previous) = previous {
             previous.task.abort();
@@ -93,7 +93,7 @@
     async fn run_shard(self, shard: ShardNo, token: u64, commit: Rev, lapsed: bool) {
         let mut pause = Backoff::default();
         let (mut load, rev) = loop {
-            match self.load(shard, commit).await {
+            match self.load_shard(shard, commit).await {
                 Ok(loaded) => break loaded,
                 Err(fault) => {
                     let name = fault_label(&fault);
@@ -107,7 +107,7 @@
         let _ = self.shard_inputs.send(ShardInput::Own(shard, token, Box::new(load))).await;
         self.loaded.notify_one();
         if shard != WAVE_SHARD {
-            return self.follow(shard, token, rev).await;
+            return self.follow_inbox(shard, token, rev).await;
         }
         let driver = WaveDriver {
             common: self.common.clone(),
@@ -116,12 +116,12 @@
             shard_inputs: self.shard_inputs.clone(),
         };
         // Both futures are dropped when this member no longer owns the shard.
-        tokio::join!(self.follow(shard, token, rev), driver.drive(token));
+        tokio::join!(self.follow_inbox(shard, token, rev), driver.drive(token));
     }
 
     /// Sends the items of a shard's inbox to the shard as they are written.
-    async fn follow(&self, shard: ShardNo, token: u64, rev: Rev) {
-        let inbox = shard.inbox();
+    async fn follow_inbox(&self, shard: ShardNo, token: u64, rev: Rev) {
+        let inbox = shard.inbox_prefix();
         let mut follow =
             PrefixWatch::from_revision(self.services.clone(), &inbox, INBOX_WATCH_WAIT, rev);
         loop {
@@ -138,8 +138,9 @@
     ///
     /// The three reads run concurrently, as the shard makes no progress for as long as they take
     /// with a slow store. This is safe because only the owner writes the progress and the roster.
-    async fn load(&self, shard: ShardNo, commit: Rev) -> Result<(Snapshot, Rev), Fault> {
-        let (inbox, begun, roster) = (shard.inbox(), shard.all_progress(), shard.roster());
+    async fn load_shard(&self, shard: ShardNo, commit: Rev) -> Result<(Snapshot, Rev), Fault> {
+        let (inbox, begun, roster) =
+            (shard.inbox_prefix(), shard.progress_prefix(), shard.roster_key());
         let (arrived, begun, roster) = tokio::try_join!(
             self.services.read_prefix(&inbox, false),
             self.services.read_prefix(&begun, false),
@@ -178,7 +179,7 @@
                 continue;
             }
             if let Ok((items, _)) =
-                self.services.read_prefix(self.common.forms.worker_prefix, false).await
+                self.services.read_prefix(self.common.codec.worker_prefix, false).await
             {
                 known = self.parse_changed(items, known);
                 self.send_listed(&owned, &known).await;
@@ -198,8 +199,8 @@
         for item in items {
             let same = known.remove(&item.key).filter(|(rev, _)| *rev == item.rev);
             let read = || {
-                let id = item.key.strip_prefix(self.common.forms.worker_prefix)?;
-                let listed = (self.common.forms.decode_listed)(id, item.value.as_ref()?);
+                let id = item.key.strip_prefix(self.common.codec.worker_prefix)?;
+                let listed = (self.common.codec.decode_listed)(id, item.value.as_ref()?);
                 if listed.is_err() {
                     self.common.metrics.count_call("worker_entry", "bad");
                 }
@@ -236,13 +237,13 @@
             let ShardOutput::Order(shard, token, order) = out else { continue };
             let this = self.clone();
             tokio::spawn(async move {
-                let Some(event) = this.execute(shard, token, order).await else { return };
+                let Some(event) = this.execute_order(shard, token, order).await else { return };
                 let _ = this.shard_inputs.send(ShardInput::Event(shard, token, event)).await;
             });
         }
     }
 
-    async fn execute(&self, shard: ShardNo, token: u64, order: Order) -> Option<Event> {
+    async fn execute_order(&self, shard: ShardNo, token: u64, order: Order) -> Option<Event> {
         let sent = self.common.now();
         match order {
             Order::Worker { worker, addr, call, limit } => {
@@ -265,7 +266,7 @@
                 let reply = self.services.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await;
                 Some(Event::Stored(number, reply))
             }
-            Order::ReadCommit => match self.reread(shard).await {
+            Order::ReadCommit => match self.reread_commit_row(shard).await {
                 Ok((_, row)) if row.token != token => {
                     let _ = self.notices.send(ShardOutput::Deposed(shard)).await;
                     None
@@ -287,9 +288,9 @@
         self.peers.advise(addr.ok_or(Fault::Unsent)?, call, takes, limit).await
     }
 
-    async fn reread(&self, shard: ShardNo) -> Result<(Rev, CommitRow), Fault> {
+    async fn reread_commit_row(&self, shard: ShardNo) -> Result<(Rev, CommitRow), Fault> {
         let bad = || Fault::Bad("not a commit row".into());
-        let item = self.services.get(&shard.commit(), CALL_TIMEOUT).await?.ok_or_else(bad)?;
+        let item = self.services.get(&shard.commit_key(), CALL_TIMEOUT).await?.ok_or_else(bad)?;
         let row: CommitRow =
             record::decode(item.value.as_ref().ok_or_else(bad)?).ok_or_else(bad)?;
         Ok((item.rev, row))
--- a/src/ports.rs
+++ b/src/ports.rs
@@ -16,7 +16,7 @@
     crate::{
         error::Error,
         ids::{WaveNo, WorkerId},
-        work::{Job, ListedWorker, QueueConfig, State},
+        work::{Job, JobState, ListedWorker, QueueConfig},
     },
     bytes::Bytes,
 };
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy)]
 pub struct Codec {
     /// Decodes the settings file.
-    pub decode_settings: fn(&str) -> Result<Site, Error>,
+    pub decode_settings: fn(&str) -> Result<SiteSettings, Error>,
     /// Path at which the load balancer asks whether the member is ready.
     pub ready_path: &'static str,
     /// Name of the header in which a caller says how long it waits, in milliseconds.
@@ -102,7 +102,7 @@
     /// Decodes a caller's job.
     pub decode_job: fn(&[u8]) -> Result<Job, Error>,
     /// Encodes the state of a job.
-    pub encode_state: fn(State) -> Bytes,
+    pub encode_state: fn(JobState) -> Bytes,
     /// Encodes the number of a queue's jobs that have not started.
     pub encode_waiting: fn(u64) -> Bytes,
 }
--- a/src/ports/site.rs
+++ b/src/ports/site.rs
@@ -7,7 +7,7 @@
 
 /// The settings that a process reads at its start and on a reload.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Site {
+pub struct SiteSettings {
     /// Name of this VM.
     pub node: Box<str>,
     /// Availability zone of this VM.
--- a/src/ports/store.rs
+++ b/src/ports/store.rs
@@ -58,11 +58,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Txn {
     /// The expected revisions of items; 0 if the item must not exist.
-    pub expect: Vec<(Box<str>, Rev)>,
+    pub expected_revs: Vec<(Box<str>, Rev)>,
     /// The items to write.
     pub puts: Vec<Put>,
     /// The keys of the items to remove.
-    pub remove: Vec<Box<str>>,
+    pub removed_keys: Vec<Box<str>>,
 }
 
 /// Maximum number of rows of a [`Txn`]: expectations, writes and removals together.
--- a/src/ports/worker.rs
+++ b/src/ports/worker.rs
@@ -55,13 +55,13 @@
     /// Number of the run.
     pub run: u32,
     /// The payload that the job passes to each of its tasks.
-    pub text: Box<str>,
+    pub payload: Box<str>,
     /// End of the lease, in milliseconds of the worker's clock.
-    pub until: u64,
+    pub lease_end_ms: u64,
     /// Token of the owner.
     pub token: u64,
     /// The checkpoint to continue from; empty to start from the beginning.
-    pub saved: Box<str>,
+    pub checkpoint: Box<str>,
     /// The ticket that came with the placement advice.
     pub ticket: Option<Box<str>>,
 }
@@ -73,7 +73,7 @@
     Done(u64),
     /// Nothing was done; the worker's clock in milliseconds, or 0 if the answer lacks it, and the
     /// reason.
-    Refused(u64, Refusal),
+    Refused(u64, WorkerRefusal),
     /// The runs that are present and those that have ended.
     Held(Held),
     /// Another incarnation answered: the addressed one has ended.
@@ -84,7 +84,7 @@
 
 /// The reason why a worker did nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum WorkerRefusal {
     /// The worker has seen a higher token.
     Fence,
     /// This run or a later one of the task was stopped or has ended there.
@@ -103,11 +103,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Held {
     /// Clock of the worker, in milliseconds.
-    pub clock: u64,
+    pub clock_ms: u64,
     /// The runs that are present.
-    pub running: Vec<Row>,
+    pub running: Vec<PresentRun>,
     /// The ended runs that the owner has not yet confirmed as stored.
-    pub ended: Vec<End>,
+    pub ended: Vec<EndedRun>,
 }
 
 /// Maximum number of ended runs in one answer of a worker.
@@ -115,13 +115,13 @@
 
 /// A run that is present at a worker.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct PresentRun {
     /// The task.
     pub task: TaskKey,
     /// Number of the run.
     pub run: u32,
     /// The last checkpoint; empty if there is none.
-    pub saved: Box<str>,
+    pub checkpoint: Box<str>,
     /// Progress of the run, in percent.
     pub percent: u8,
     /// Tail latency in milliseconds for a task that serves requests; processors in use for other
@@ -131,7 +131,7 @@
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct End {
+pub struct EndedRun {
     /// Sequence number of this ended run at the worker's incarnation, from 1.
     pub number: u64,
     /// The task.
@@ -139,9 +139,9 @@
     /// Number of the run.
     pub run: u32,
     /// How the run ended.
-    pub how: EndReason,
+    pub reason: EndReason,
     /// The last checkpoint; empty if there is none.
-    pub saved: Box<str>,
+    pub checkpoint: Box<str>,
 }
 
 /// How a run ended.
--- a/src/prefix_watch.rs
+++ b/src/prefix_watch.rs
@@ -66,9 +66,9 @@
 pub(crate) struct PrefixWatch {
     services: ServiceClients,
     prefix: Box<str>,
-    wait: Duration,
+    max_wait: Duration,
     /// The revision after which changes are requested; `None` if the whole prefix is read next.
-    after: Option<Rev>,
+    after_rev: Option<Rev>,
     /// Interval at which the whole prefix is read again; `None` if it is read after each fault
     /// instead.
     reread_interval: Option<Duration>,
@@ -80,7 +80,7 @@
     last_read: Instant,
     /// Whether each change is followed by a watch call that doesn't wait, to learn whether more
     /// changes follow.
-    confirms: bool,
+    rechecks_changes: bool,
     /// Whether the next watch call doesn't wait.
     skip_wait: bool,
     /// The time up to which all changes have been seen.
@@ -90,22 +90,22 @@
 
 impl PrefixWatch {
     /// Creates a watch that reads the whole prefix first, and again after each fault.
-    pub fn from_snapshot(services: ServiceClients, prefix: &str, wait: Duration) -> Self {
+    pub fn from_snapshot(services: ServiceClients, prefix: &str, max_wait: Duration) -> Self {
         let backoff = Backoff::default();
         let (prefix, last_read) = (prefix.into(), Instant::now());
-        let (after, reread_interval, change_pause, pause_next) =
+        let (after_rev, reread_interval, change_pause, pause_next) =
             (None, None, Duration::ZERO, false);
-        let (confirms, skip_wait, complete_at) = (true, false, None);
+        let (rechecks_changes, skip_wait, complete_at) = (true, false, None);
         PrefixWatch {
             services,
             prefix,
-            wait,
-            after,
+            max_wait,
+            after_rev,
             reread_interval,
             change_pause,
             pause_next,
             last_read,
-            confirms,
+            rechecks_changes,
             skip_wait,
             complete_at,
             backoff,
@@ -123,13 +123,13 @@
         wait: Duration,
         after: Rev,
     ) -> Self {
-        let (after, reread_interval, change_pause) =
+        let (after_rev, reread_interval, change_pause) =
             (Some(after), Some(REREAD_INTERVAL), CHANGE_PAUSE);
         PrefixWatch {
-            after,
+            after_rev,
             reread_interval,
             change_pause,
-            confirms: false,
+            rechecks_changes: false,
             ..PrefixWatch::from_snapshot(services, prefix, wait)
         }
     }
@@ -139,10 +139,10 @@
     ///
     /// If each fault of a watch caused a read of the whole table, by all members at once, these reads
     /// would make further watches fail and the store could not recover.
-    pub fn shared(services: ServiceClients, prefix: &str, wait: Duration) -> Self {
+    pub fn from_shared_prefix(services: ServiceClients, prefix: &str, wait: Duration) -> Self {
         PrefixWatch {
             reread_interval: Some(SHARED_REREAD_INTERVAL),
-            confirms: false,
+            rechecks_changes: false,
             ..PrefixWatch::from_snapshot(services, prefix, wait)
         }
     }
@@ -177,12 +177,12 @@
 
     /// Makes the next [`Self::poll`] read the whole prefix again.
     pub fn restart(&mut self) {
-        self.after = None;
+        self.after_rev = None;
     }
 
     /// Makes one read of the prefix or one watch call; `None` if it fails or brings no change.
     pub async fn poll(&mut self) -> Option<WatchUpdate> {
-        let Some(after) = self.after else { return self.first_read().await };
+        let Some(after) = self.after_rev else { return self.first_read().await };
         if mem::take(&mut self.pause_next) {
             sleep(self.change_pause).await;
         }
@@ -193,11 +193,11 @@
             }
         }
         let sent = Instant::now();
-        let wait = if mem::take(&mut self.skip_wait) { Duration::ZERO } else { self.wait };
+        let wait = if mem::take(&mut self.skip_wait) { Duration::ZERO } else { self.max_wait };
         let call = StoreCall::Watch { prefix: self.prefix.clone(), after, wait };
         match self.services.call_store(&call, wait + WATCH_MARGIN).await {
             Ok(StoreReply::Events(items, rev)) => {
-                self.after = Some(rev.max(after));
+                self.after_rev = Some(rev.max(after));
                 // An empty reply at the end of the wait shows that nothing has changed meanwhile.
                 let waited = wait.mul_f64(FULL_WAIT_FRACTION);
                 let full = items.is_empty() && sent.elapsed() >= waited;
@@ -205,7 +205,7 @@
                 if !items.is_empty() {
                     self.backoff.reset();
                     self.pause_next = !self.change_pause.is_zero();
-                    self.skip_wait = self.confirms;
+                    self.skip_wait = self.rechecks_changes;
                     return Some(WatchUpdate::Changes(items, rev));
                 }
                 if sent.elapsed() < wait / 4 {
@@ -213,10 +213,10 @@
                     self.backoff.wait().await;
                 }
             }
-            Ok(StoreReply::Forgotten) => self.after = None,
+            Ok(StoreReply::Forgotten) => self.after_rev = None,
             _ => {
                 self.backoff.wait().await;
-                self.after = self.after.filter(|_| self.reread_interval.is_some());
+                self.after_rev = self.after_rev.filter(|_| self.reread_interval.is_some());
             }
         }
         None
@@ -228,7 +228,7 @@
             self.backoff.wait().await;
             return None;
         };
-        self.after = Some(rev);
+        self.after_rev = Some(rev);
         self.backoff.reset();
         Some(WatchUpdate::Snapshot(items, rev))
     }
--- a/src/racks/place.rs
+++ b/src/racks/place.rs
@@ -5,7 +5,7 @@
     crate::{
         Time,
         attempts::{CLOCK_DRIFT, MAX_TRANSIT},
-        decide::urgent::{self, Running},
+        decide::urgent::{self, RunningTask},
         ids::{Epoch, PoolId, RackId, TaskId, WorkerId},
         ledger::Held,
         messages::{
@@ -68,14 +68,14 @@
                 preempting = true;
                 continue;
             }
-            let places: Vec<urgent::Place> = self
+            let places: Vec<urgent::CandidateWorker> = self
                 .links
                 .keys()
                 .filter(|w| !item.avoid.contains(w) && !self.preempting.contains_key(*w))
                 .filter(|w| self.on_requested_rack(ask, w))
                 .filter_map(|w| self.preemption_place(w, &ask.pool, now))
                 .collect();
-            let Some(plan) = urgent::plan(now, item.size, &places) else { continue };
+            let Some(plan) = urgent::plan_preemption(now, item.size, &places) else { continue };
             preempting = true;
             self.preempting.insert(plan.worker.clone(), (item.task.clone(), now + RESERVATION_TTL));
             self.stop_victims(&plan.worker, &plan.victims, now);
@@ -220,7 +220,7 @@
         worker: &WorkerId,
         pool: &PoolId,
         now: Time,
-    ) -> Option<urgent::Place> {
+    ) -> Option<urgent::CandidateWorker> {
         let account = self.ledger.worker(worker).filter(|a| a.pool == *pool && !a.cordoned())?;
         let tasks = account.held().filter_map(|held| {
             let Held::Task(task, attempt) = held else { return None };
@@ -228,21 +228,21 @@
             let young = facts.is_some_and(|f| now - f.since < MAX_TRANSIT + CLOCK_DRIFT);
             let kind = match facts.and_then(|f| f.hold) {
                 // Its stop would have to wait until its start can no longer arrive.
-                Some(_) if young => urgent::Kind::Plain,
-                Some((Hold::Checkpoint, _)) => urgent::Kind::Checkpoint,
-                Some((Hold::Brief, _)) => urgent::Kind::Plain,
-                Some((Hold::Never, _)) | None => urgent::Kind::Service,
+                Some(_) if young => urgent::TaskKind::Plain,
+                Some((Hold::Checkpoint, _)) => urgent::TaskKind::Checkpoint,
+                Some((Hold::Brief, _)) => urgent::TaskKind::Plain,
+                Some((Hold::Never, _)) | None => urgent::TaskKind::Service,
             };
-            Some(Running {
+            Some(RunningTask {
                 task: task.clone(),
                 size: self.ledger.load(held)?.size,
                 kind,
-                borrowed: facts.and_then(|f| f.hold).is_some_and(|(_, borrowed)| borrowed),
+                is_borrowed: facts.and_then(|f| f.hold).is_some_and(|(_, borrowed)| borrowed),
                 last_checkpoint: facts.map_or(Time::ZERO, |f| f.since),
                 checkpoint_time: CHECKPOINT_DURATION,
             })
         });
-        Some(urgent::Place {
+        Some(urgent::CandidateWorker {
             worker: worker.clone(),
             free: account.room(),
             running: tasks.collect(),
--- a/src/racks/report.rs
+++ b/src/racks/report.rs
@@ -108,7 +108,7 @@
             let held = Held::Task(t.task.clone(), t.attempt);
             let Some(reserved) = self.ledger.load(&held).map(|l| l.size) else { continue };
             let room = self.ledger.worker(worker).map_or(Size::default(), |a| a.room());
-            match self.estimates.check(&t.task.job, t.used, reserved, room) {
+            match self.estimates.check_use(&t.task.job, t.used, reserved, room) {
                 Action::Keep => {}
                 Action::Raise(size) => {
                     let _ = self.ledger.reserve(&t.task, t.attempt, worker, size, Time::NEVER);
--- a/src/racks/serve.rs
+++ b/src/racks/serve.rs
@@ -45,7 +45,7 @@
             choice.scores.release(&worker);
         }
         let worker = self.ledger.idlest(pool)?;
-        choice.scores.count(worker);
+        choice.scores.record_request(worker);
         Some(worker.clone())
     }
 
@@ -87,16 +87,16 @@
         let Some(choice) = self.endpoints.get_mut(pool) else { return };
         match outcome {
             Outcome::Answered(a) if a.status < 500 => {
-                let slowness = choice.scores.answered(worker, run, ran, now);
-                if choice.ejector.answered(worker, slowness, now) {
-                    choice.scores.restart(worker, now);
+                let slowness = choice.scores.record_answer(worker, run, ran, now);
+                if choice.ejector.record_answer(worker, slowness, now) {
+                    choice.scores.reset(worker, now);
                 }
             }
             Outcome::Refused(_) => choice.scores.release(worker),
             _ => {
                 choice.scores.release(worker);
-                if choice.ejector.failed(worker, now) {
-                    choice.scores.restart(worker, now);
+                if choice.ejector.record_failure(worker, now) {
+                    choice.scores.reset(worker, now);
                     log::warn!(target: "racks", "Endpoint {worker} is ejected for a while.");
                 }
             }
@@ -107,7 +107,7 @@
     pub fn slots(&self, pool: &PoolId, now: Time) -> (u32, u32) {
         let (slots, free) = self.ledger.slots(pool);
         let choice = self.endpoints.get(pool);
-        let (usable, open) = choice.map_or((0, 0), |c| c.scores.slots(&c.ejector, now));
+        let (usable, open) = choice.map_or((0, 0), |c| c.scores.slot_counts(&c.ejector, now));
         (slots.min(usable), free.min(open))
     }
 }
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -133,7 +133,7 @@
     /// Returns whether a call that was not served may be relayed now.
     pub fn may_relay(&self) -> bool {
         let now = self.now();
-        !self.state().is_paused(now)
+        !self.state().is_relaying_paused(now)
     }
 
     /// Records the result of a direct call that was sent at `sent`: served if `fault` is `None`.
@@ -145,7 +145,7 @@
             let mut state = self.state();
             match fault {
                 Some(Fault::Unknown) => state.record_timeout(sent, now),
-                fault => state.record_direct(fault.is_none(), now),
+                fault => state.record_direct_call(fault.is_none(), now),
             }
             state.is_direct_lost()
         };
@@ -165,7 +165,7 @@
     ///
     /// Lets a watch on an unresponsive connection end early. Otherwise it would wait for its full
     /// time, although other calls have shown that the store doesn't answer.
-    pub async fn wait_lost(&self) {
+    pub async fn wait_direct_lost(&self) {
         let mut lost = self.lost.subscribe();
         // The sender can't be dropped while `self` is borrowed.
         let _ = lost.wait_for(|l| *l).await;
@@ -185,7 +185,7 @@
     /// Returns which of the members in `able` to ask to relay a call, in order of preference.
     pub fn candidates(&self, able: &[Incarnation], me: Incarnation) -> Vec<Incarnation> {
         let now = self.now();
-        self.state().candidates(able, me, now)
+        self.state().relay_candidates(able, me, now)
     }
 
     /// Records a call that member `by` was asked to relay, and whether the store served it.
--- a/src/requests.rs
+++ b/src/requests.rs
@@ -16,7 +16,7 @@
             admit::Gate,
             fair::{Item, Queue},
             forward::PeerSelector,
-            retry::Budget,
+            retry::RetryAllowance,
         },
         event::{ClientRequest, Ticket},
         ids::{CallerId, Incarnation, RequestId, ServiceId},
@@ -44,7 +44,7 @@
     pub(crate) services: BTreeMap<ServiceId, ServiceRequests>,
     pub(crate) keys: Keys,
     pub(crate) spreads: BTreeMap<ServiceId, PeerSelector>,
-    pub(crate) budget: Budget,
+    pub(crate) budget: RetryAllowance,
     pub(crate) retries: BTreeSet<(Time, RequestId)>,
     /// When an endpoint of each service was last known, here or at a peer.
     pub(crate) last_served: BTreeMap<ServiceId, Time>,
@@ -96,7 +96,7 @@
             services: BTreeMap::new(),
             keys: Keys::default(),
             spreads: BTreeMap::new(),
-            budget: Budget::new(Time::ZERO),
+            budget: RetryAllowance::new(Time::ZERO),
             retries: BTreeSet::new(),
             last_served: BTreeMap::new(),
         }
@@ -139,7 +139,7 @@
             deadline: now + service.deadline,
             run_time: service.run,
         };
-        line.gate.wait(&line.queue, &typical, now)
+        line.gate.expected_wait(&line.queue, &typical, now)
     }
 
     /// The number of requests that have no answer yet.
--- a/src/service_clients.rs
+++ b/src/service_clients.rs
@@ -13,8 +13,8 @@
         ids::WorkerId,
         metrics::Metrics,
         ports::{
-            Advice, AdviceCall, Codec, Fault, Item, Rev, Site, StoreCall, StoreReply, Vm, VmCall,
-            VmReply, VmState, WireRequest, WorkerCall, WorkerReply,
+            Advice, AdviceCall, Codec, Fault, Item, Rev, SiteSettings, StoreCall, StoreReply, Vm,
+            VmCall, VmReply, VmState, WireRequest, WorkerCall, WorkerReply,
         },
         relay::{RelayedCall, Relayer, StoreRoutes, WireReply},
         service_health::{Latency, LatencyChange, Reachability, ReachabilityChange},
@@ -56,8 +56,8 @@
 #[derive(Clone)]
 pub struct ServiceClients {
     client: Client,
-    forms: &'static Codec,
-    site: watch::Receiver<Arc<Site>>,
+    codec: &'static Codec,
+    site: watch::Receiver<Arc<SiteSettings>>,
     metrics: Arc<Metrics>,
     on_answer: Arc<dyn Fn() + Send + Sync>,
     health: Arc<Health>,
@@ -77,15 +77,15 @@
     ///
     /// `on_answer` is called at each answer of the store.
     pub fn new(
-        forms: &'static Codec,
-        site: watch::Receiver<Arc<Site>>,
+        codec: &'static Codec,
+        site: watch::Receiver<Arc<SiteSettings>>,
         metrics: Arc<Metrics>,
         on_answer: Arc<dyn Fn() + Send + Sync>,
     ) -> Self {
         let (store, advice, latency) = Default::default();
         let health = Health { start: Instant::now(), store, advice, latency };
         let (client, health) = (Client::new(MAX_IDLE_CONNECTIONS), Arc::new(health));
-        ServiceClients { client, forms, site, metrics, on_answer, health, routes: None }
+        ServiceClients { client, codec, site, metrics, on_answer, health, routes: None }
     }
 
     /// Sets up relaying: other members make the calls of the store while the store doesn't serve
@@ -105,14 +105,14 @@
     /// [`Fault::Unknown`]: it may have taken effect, or may do so later.
     pub async fn call_store(&self, call: &StoreCall, limit: Duration) -> Result<StoreReply, Fault> {
         let (begin, name, wire) =
-            (Instant::now(), store_call_name(call), (self.forms.encode_store)(call));
+            (Instant::now(), store_call_name(call), (self.codec.encode_store)(call));
         let answer = match &self.routes {
-            None => self.direct(call, &wire, limit).await,
-            Some((routes, relayer)) => self.routed(call, wire, limit, routes, relayer).await,
+            None => self.call_direct(call, &wire, limit).await,
+            Some((routes, relayer)) => self.call_routed(call, wire, limit, routes, relayer).await,
         };
         let bytes = answer.as_ref().map_or(0, |(_, body)| body.len());
         let reply =
-            answer.and_then(|(status, body)| (self.forms.decode_store)(call, status, &body));
+            answer.and_then(|(status, body)| (self.codec.decode_store)(call, status, &body));
         self.metrics.count_received(name, store_result_name(&reply), bytes);
         let answered = !matches!(reply, Err(Fault::Unsent | Fault::Unknown));
         if answered {
@@ -133,7 +133,7 @@
     }
 
     /// Makes a call of the store directly or through another member, as [`StoreRoutes`] chooses.
-    async fn routed(
+    async fn call_routed(
         &self,
         call: &StoreCall,
         wire: WireRequest,
@@ -145,18 +145,20 @@
         let repeats = call.is_repeatable();
         let direct = match routes.choose(repeats) {
             StorePath::Relayed => None,
-            StorePath::Probe => Some(self.direct(call, &wire, PROBE_TIMEOUT.min(limit / 2)).await),
+            StorePath::Probe => {
+                Some(self.call_direct(call, &wire, PROBE_TIMEOUT.min(limit / 2)).await)
+            }
             StorePath::Direct if matches!(call, StoreCall::Watch { .. }) => Some(tokio::select! {
-                answer = self.direct(call, &wire, limit) => answer,
-                () = routes.wait_lost() => Err(Fault::Unknown),
+                answer = self.call_direct(call, &wire, limit) => answer,
+                () = routes.wait_direct_lost() => Err(Fault::Unknown),
             }),
             // Half of the time is reserved for relaying the call.
-            StorePath::Direct if repeats => Some(self.direct(call, &wire, limit / 2).await),
-            StorePath::Direct => Some(self.direct(call, &wire, limit).await),
+            StorePath::Direct if repeats => Some(self.call_direct(call, &wire, limit / 2).await),
+            StorePath::Direct => Some(self.call_direct(call, &wire, limit).await),
         };
         let fault = direct.map(|answer| {
             let reply =
-                answer.clone().and_then(|(s, body)| (self.forms.decode_store)(call, s, &body));
+                answer.clone().and_then(|(s, body)| (self.codec.decode_store)(call, s, &body));
             let fault = reply.err().filter(|f| !matches!(f, Fault::Bad(_) | Fault::TooLarge));
             routes.record_direct(sent, fault.as_ref());
             (answer, fault)
@@ -179,7 +181,7 @@
         match fault {
             Some((answer, _)) => answer,
             // No other member could be asked to relay the call.
-            None => self.direct(call, &wire, left).await,
+            None => self.call_direct(call, &wire, left).await,
         }
     }
 
@@ -188,7 +190,12 @@
     /// Ranges and watches get extra time as long as parts of the reply keep arriving: with a fixed
     /// limit, a reply that is too large for a slow link would be abandoned and requested again from
     /// its beginning, would never complete, and would take the link's whole bandwidth.
-    async fn direct(&self, call: &StoreCall, wire: &WireRequest, limit: Duration) -> WireReply {
+    async fn call_direct(
+        &self,
+        call: &StoreCall,
+        wire: &WireRequest,
+        limit: Duration,
+    ) -> WireReply {
         let addr = self.site.borrow().store_addr;
         let limits = match call {
             StoreCall::Range { .. } | StoreCall::Watch { .. } => CallLimits {
@@ -295,9 +302,9 @@
         limit: Duration,
     ) -> Result<WorkerReply, Fault> {
         let begin = Instant::now();
-        let answer = self.send(addr, (self.forms.encode_worker)(worker, call), limit).await;
+        let answer = self.send(addr, (self.codec.encode_worker)(worker, call), limit).await;
         let reply =
-            answer.and_then(|(status, body)| (self.forms.decode_worker)(call, status, &body));
+            answer.and_then(|(status, body)| (self.codec.decode_worker)(call, status, &body));
         let result = match &reply {
             Ok(WorkerReply::Done(_) | WorkerReply::Held(_)) => "done",
             Ok(WorkerReply::Refused(..)) => "refused",
@@ -329,8 +336,8 @@
     pub async fn call_advice(&self, call: &AdviceCall, limit: Duration) -> Result<Advice, Fault> {
         let addr = self.site.borrow().advice_addr.ok_or(Fault::Unsent)?;
         let begin = Instant::now();
-        let answer = self.send(addr, (self.forms.encode_advice)(call), limit).await;
-        let reply = answer.and_then(|(status, body)| (self.forms.decode_advice)(status, &body));
+        let answer = self.send(addr, (self.codec.encode_advice)(call), limit).await;
+        let reply = answer.and_then(|(status, body)| (self.codec.decode_advice)(status, &body));
         let answered = !matches!(reply, Err(Fault::Unsent | Fault::Unknown));
         self.health.record_call(&self.health.advice, "advice", answered);
         if answered {
@@ -362,8 +369,8 @@
         let addr = self.site.borrow().vms_addr.ok_or(Fault::Unsent)?;
         let (mut all, mut token) = (vec![], Box::<str>::from(""));
         loop {
-            let answer = self.send(addr, (self.forms.encode_vms)(&token), limit).await;
-            let page = answer.and_then(|(status, body)| (self.forms.decode_vms)(status, &body));
+            let answer = self.send(addr, (self.codec.encode_vms)(&token), limit).await;
+            let page = answer.and_then(|(status, body)| (self.codec.decode_vms)(status, &body));
             self.metrics.count_call("vms", page.as_ref().map_or_else(fault_label, |_| "done"));
             let page = page?;
             all.extend(page.vms);
@@ -381,8 +388,8 @@
     /// As [`ServiceClients::list_vms`].
     pub async fn call_vm(&self, call: &VmCall, limit: Duration) -> Result<VmReply, Fault> {
         let addr = self.site.borrow().vms_addr.ok_or(Fault::Unsent)?;
-        let answer = self.send(addr, (self.forms.encode_vm)(call), limit).await;
-        let reply = answer.and_then(|(status, body)| (self.forms.decode_vm)(status, &body));
+        let answer = self.send(addr, (self.codec.encode_vm)(call), limit).await;
+        let reply = answer.and_then(|(status, body)| (self.codec.decode_vm)(status, &body));
         let result = match &reply {
             Ok(VmReply::Begun) => "done",
             Ok(_) => "refused",
--- a/src/service_health.rs
+++ b/src/service_health.rs
@@ -10,13 +10,13 @@
 };
 
 /// Minimum number of consecutive calls without an answer after which a service counts as lost.
-pub const LOST_AFTER: u32 = 3;
+pub const MIN_LOST_FAILURES: u32 = 3;
 
 /// Tracks whether a service answers.
 #[derive(Clone, Debug, Default)]
 pub struct Reachability {
     /// Number of consecutive calls without an answer.
-    failures: u32,
+    failed_calls: u32,
     /// Time of the first of these failed calls.
     since: Time,
     lost: bool,
@@ -38,11 +38,11 @@
             let previous = std::mem::take(self);
             return previous.lost.then(|| ReachabilityChange::Restored(now - previous.since));
         }
-        if self.failures == 0 {
+        if self.failed_calls == 0 {
             self.since = now;
         }
-        self.failures += 1;
-        if self.lost || self.failures < LOST_AFTER {
+        self.failed_calls += 1;
+        if self.lost || self.failed_calls < MIN_LOST_FAILURES {
             return None;
         }
         self.lost = true;
@@ -51,7 +51,7 @@
 }
 
 /// Number of recent answers whose median is compared with [`SLOW_THRESHOLDS`].
-pub const SAMPLES: usize = 9;
+pub const SAMPLE_COUNT: usize = 9;
 /// Medians: a service counts as slow from the first, and as quick again below the second.
 ///
 /// The store usually answers in 4 ms, and in 10 to 20 ms during a burst of this member's own calls.
@@ -80,16 +80,16 @@
 impl Latency {
     /// Records the duration of a call; returns a change if there is one.
     pub fn record(&mut self, duration: Duration) -> Option<LatencyChange> {
-        if self.samples.len() == SAMPLES {
+        if self.samples.len() == SAMPLE_COUNT {
             self.samples.pop_front();
         }
         self.samples.push_back(duration);
-        if self.samples.len() < SAMPLES {
+        if self.samples.len() < SAMPLE_COUNT {
             return None;
         }
         let mut sorted: Vec<Duration> = self.samples.iter().copied().collect();
         sorted.sort_unstable();
-        let median = sorted[SAMPLES / 2];
+        let median = sorted[SAMPLE_COUNT / 2];
         let slow =
             if self.slow { median >= SLOW_THRESHOLDS.1 } else { median >= SLOW_THRESHOLDS.0 };
         if std::mem::replace(&mut self.slow, slow) == slow {
--- a/src/shard/advice.rs
+++ b/src/shard/advice.rs
@@ -9,9 +9,9 @@
 use {
     crate::{
         decide::{
-            gather::chunk,
+            gather::call_size,
             lanes::{CALL_SLACK, LONG_CALL},
-            rank::objective,
+            rank::job_objective,
         },
         ids::Incarnation,
         ports::{Advice, AdviceCall, Fault},
@@ -69,7 +69,7 @@
         {
             return;
         }
-        let chunk = chunk(cost.base, cost.each);
+        let chunk = call_size(cost.base, cost.each);
         let duration = cost.base + cost.each * u32::try_from(chunk).unwrap_or(u32::MAX);
         // Only gangs can make room by preemption here; other steps use only room that is free or
         // will become free.
@@ -85,7 +85,7 @@
             u32::try_from(most).unwrap_or(u32::MAX)
         };
         let known: u32 = self.permitted_workers(turn).into_iter().map(slots).sum();
-        let asked = &part.tickets.asked;
+        let asked = &part.tickets.asked_workers;
         let new = turn.usable.iter().copied().filter(|n| !asked.contains(n));
         let mut new: Vec<(u32, WorkerNo)> = new.map(|n| (slots(n), n)).collect();
         // Varies by job which of several equally suitable workers is named first, so that steps
@@ -95,7 +95,7 @@
         let missing = u32::try_from(turn.waiting.len()).unwrap_or(u32::MAX).saturating_sub(known);
         let share = self.advice_shares.get(&turn.queue).copied().unwrap_or_default();
         let slots_each = new.iter().map(|n| n.0).take_while(|s| *s > 0);
-        // Naming up to `chunk` workers adds little cost, and advice on workers without room is
+        // Naming up to `call_size` workers adds little cost, and advice on workers without room is
         // useful later.
         let count = share.workers_to_ask(slots_each, missing.max(1)).max(chunk);
         let workers = new.into_iter().take(count).map(|n| n.1).collect();
@@ -120,8 +120,8 @@
     ) -> bool {
         let Some(part) = self.step_state(key) else { return true };
         let new: Vec<WorkerNo> =
-            workers.into_iter().filter(|n| !part.tickets.pending.contains(n)).collect();
-        let calls = new.len().div_ceil(chunk(cost.base, cost.each)).max(1);
+            workers.into_iter().filter(|n| !part.tickets.pending_workers.contains(n)).collect();
+        let calls = new.len().div_ceil(call_size(cost.base, cost.each)).max(1);
         new.chunks(new.len().div_ceil(calls).max(1))
             .all(|some| self.order_call(key, some.to_vec(), cost, now))
     }
@@ -133,7 +133,7 @@
         // positions.
         let first = usize::try_from(key.job.0).unwrap_or(0) % usable.len().max(1);
         let (before, after) = usable.split_at(first);
-        let asked = &part.tickets.asked;
+        let asked = &part.tickets.asked_workers;
         let new = after.iter().chain(before).filter(|n| !asked.contains(n));
         new.take(most).copied().collect()
     }
@@ -153,7 +153,7 @@
             // Guards against a step that waits forever although a worker that may run it has
             // joined: the workers known so far may be full or at the step's limit of tasks per
             // worker.
-            let known = |n: &WorkerNo| part.tickets.asked.contains(n);
+            let known = |n: &WorkerNo| part.tickets.asked_workers.contains(n);
             if usable.iter().all(known) {
                 return;
             }
@@ -189,8 +189,8 @@
         let roomy = self.has_room_by(key, &workers, now + duration, now);
         let Some(job) = self.jobs.get_mut(&key.job) else { return true };
         let Some(queue) = self.queue_configs.get(&job.queue) else { return true };
-        let due = job.submitted_ms.max(job.due(key.time))
-            + super::workers::millis(objective(queue, job.objective_time(key.time)));
+        let due = job.submitted_ms.max(job.due_ms(key.time))
+            + super::workers::millis(job_objective(queue, job.objective_time(key.time)));
         // A long-running task that is not running does not give precedence to other pools.
         let takes_turns = duration > LONG_CALL && !job.step(key).is_some_and(|s| s.lasts);
         let Some(part) = job.step_states.get_mut(&(key.time, key.step)) else { return true };
@@ -199,24 +199,24 @@
         }
         let left = Duration::from_millis(due.saturating_sub(unix));
         let may_call = !takes_turns
-            || self.lanes.has_spare(now)
-            || self.turns.may_call(&queue.pool, roomy, now);
+            || self.lanes.has_spare_lane(now)
+            || self.advice_turns.may_call(&queue.pool, roomy, now);
         let by = now + left;
         let Some((via, end)) = may_call.then(|| self.lanes.pick(duration, by, now)).flatten()
         else {
             if takes_turns {
-                self.turns.record_wait(&queue.pool, roomy, now);
+                self.advice_turns.record_wait(&queue.pool, roomy, now);
             }
             return false;
         };
         if duration > LONG_CALL {
-            self.turns.record_call(&queue.pool, via, duration, now);
+            self.advice_turns.record_call(&queue.pool, via, duration, now);
         }
-        part.tickets.pending.extend(&workers);
+        part.tickets.pending_workers.extend(&workers);
         part.tickets.call_times.push(now);
         let asked = self.advice_stats.entry(job.queue.clone()).or_default();
-        asked.calls += 1;
-        asked.named += workers.len() as u64;
+        asked.call_count += 1;
+        asked.named_workers += workers.len() as u64;
         asked.expected_time += duration;
         asked.without_room += u64::from(!roomy);
         let workers = workers.iter().map(|n| self.workers[n.0].id.clone()).collect();
@@ -244,25 +244,25 @@
         now: Time,
     ) {
         match reply {
-            Err(Fault::Refused) => self.lanes.rejected(via, sent, now),
-            _ => self.lanes.done(via, sent, reply.is_ok(), now),
+            Err(Fault::Refused) => self.lanes.record_rejection(via, sent, now),
+            _ => self.lanes.record_end(via, sent, reply.is_ok(), now),
         }
-        self.turns.record_done(via, sent);
+        self.advice_turns.record_call_end(via, sent);
         self.round_due = true;
         let key = call.step;
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let valid = self.queue_configs.get(&job.queue).and_then(|q| q.advice).map(|a| a.valid);
         let Some(part) = job.step_states.get_mut(&(key.time, key.step)) else { return };
-        let ids = &self.ids;
+        let ids = &self.worker_numbers;
         let named: Vec<WorkerNo> =
             call.workers.iter().filter_map(|id| ids.get(id)).copied().collect();
-        part.tickets.pending.retain(|n| !call.workers.contains(&self.workers[n.0].id));
+        part.tickets.pending_workers.retain(|n| !call.workers.contains(&self.workers[n.0].id));
         if let Some(at) = part.tickets.call_times.iter().position(|c| *c == sent) {
             part.tickets.call_times.swap_remove(at);
         }
         match reply {
             Ok(advice) => {
-                let new = named.iter().filter(|n| !part.tickets.asked.contains(n)).count();
+                let new = named.iter().filter(|n| !part.tickets.asked_workers.contains(n)).count();
                 if new == named.len() {
                     let share = self.advice_shares.entry(job.queue.clone()).or_default();
                     share.record(new, advice.accepted.len());
@@ -274,7 +274,7 @@
                 let good = advice.accepted.into_iter();
                 let good = good.filter_map(|(id, t)| Some((*ids.get(&id)?, (t, until))));
                 part.tickets.eligible.extend(good);
-                part.tickets.asked.extend(named);
+                part.tickets.asked_workers.extend(named);
             }
             Err(fault) => {
                 log::info!(target: "shard", did = "unadvised", job:% = key.job, step:% = key, via:% = via, fault = crate::service_clients::fault_label(&fault), after_ms = super::workers::millis(now - sent); "Call for advice failed.");
@@ -298,8 +298,8 @@
             let Some(cost) = queue.advice else { continue };
             for ((time, step), part) in &job.step_states {
                 let key = StepKey { job: *no, time: *time, step: *step };
-                let fresh = part.tickets.asked.is_empty() && !part.tickets.is_pending();
-                if fresh && part.waiting > 0 && !job.is_unblocked(*time, *step) {
+                let fresh = part.tickets.asked_workers.is_empty() && !part.tickets.is_pending();
+                if fresh && part.waiting_count > 0 && !job.is_unblocked(*time, *step) {
                     let lead = cost.base + cost.each * 40 + Duration::from_millis(50);
                     if self.predecessors_end_within(&key, lead, now) {
                         soon.push(key);
@@ -331,7 +331,8 @@
                     let task = crate::work::TaskKey { step, index: i as u32 };
                     self.workers[no.0].runs.get(&task).is_some_and(|r| {
                         let elapsed = now - r.started_at;
-                        let left = r.estimate.mul_f64(1.0 - f64::from(r.percent.1) / 100.0);
+                        let left =
+                            r.estimate.mul_f64(1.0 - f64::from(r.progress_percent.1) / 100.0);
                         left.saturating_sub(elapsed.min(left)) <= lead
                     })
                 }
--- a/src/shard/authority.rs
+++ b/src/shard/authority.rs
@@ -39,7 +39,7 @@
         if self.is_confirmed(now) {
             return Some(now);
         }
-        let listed = self.workers.iter().filter(|w| w.listed.is_some() && !w.gone);
+        let listed = self.workers.iter().filter(|w| w.list_entry.is_some() && !w.gone);
         let mut reply_times: Vec<Option<Time>> = listed.map(|w| w.last_answer).collect();
         reply_times.sort_unstable();
         // More than half of the workers have replied at or after the time at this index.
@@ -55,7 +55,7 @@
     /// expired, and the lease lasts longer than `RENEWAL_VALID` from a renewal that the store has
     /// confirmed. Replies of workers are not sufficient: a successor may have completed a job
     /// between two of them.
-    pub fn may_tell(&self, now: Time) -> bool {
+    pub fn may_report(&self, now: Time) -> bool {
         self.is_confirmed(now)
     }
 
@@ -73,22 +73,22 @@
     /// before the shard is settled. It starts jobs that arrived later at once, so a former owner
     /// that also hears of such a job must not start it. The former owner therefore waits for a
     /// renewal which shows that it still owned the shard when it heard of the job.
-    pub(super) fn is_sole(&self, no: &JobNo) -> bool {
+    pub(super) fn is_sole_starter(&self, no: &JobNo) -> bool {
         let Some(job) = self.jobs.get(no) else { return false };
         if job.inherited {
-            self.unsettled.is_empty()
+            self.unsettled_workers.is_empty()
         } else {
             job.known_since <= self.confirmed_at + RENEWAL_VALID
         }
     }
 
     /// Records that the store has confirmed the lease renewal sent at `sent`.
-    pub(super) fn on_confirmed(&mut self, sent: Time, now: Time) {
+    pub(super) fn on_renewal_confirmed(&mut self, sent: Time, now: Time) {
         self.round_due |= !self.is_confirmed(now);
         self.confirmed_at = self.confirmed_at.max(sent);
     }
 
-    /// Removes workers from `unsettled` once it is known what former owners started there; the
+    /// Removes workers from `unsettled_workers` once it is known what former owners started there; the
     /// shard is settled when none is left.
     ///
     /// Guards against a second run of a task that still runs at an unreachable worker: no job from
@@ -96,7 +96,7 @@
     /// all leases of former owners have expired. Once more than half of the workers have replied to
     /// this owner, no former owner can grant a lease that counts from a later time.
     pub(super) fn settle(&mut self, now: Time) {
-        if self.unsettled.is_empty() {
+        if self.unsettled_workers.is_empty() {
             return;
         }
         let fenced = |w: &Worker| w.fenced || w.gone;
@@ -113,8 +113,8 @@
         let since = self.majority_at.map(|t| t.max(former_until));
         let lapsed = since.is_some_and(|t| t + lease <= now);
         let workers = &self.workers;
-        self.unsettled.retain(|n| !lapsed && !fenced(&workers[n.0]));
-        if self.unsettled.is_empty() {
+        self.unsettled_workers.retain(|n| !lapsed && !fenced(&workers[n.0]));
+        if self.unsettled_workers.is_empty() {
             self.reported.settled_at = Some(now);
             log::info!(target: "shard", did = "settled", shard:% = self.setup.shard, token = self.setup.token, after_ms = millis(now - self.owned_since), by_lapse = lapsed; "Shard is settled.");
             if !lapsed {
--- a/src/shard/cause.rs
+++ b/src/shard/cause.rs
@@ -197,18 +197,18 @@
     /// The long-running step.
     pub key: StepKey,
     /// How many tasks of the step wait.
-    pub waiting: usize,
+    pub waiting_count: usize,
     /// How many tasks of the step are assigned to a worker but were not seen running there.
-    pub unseen: usize,
+    pub unseen_count: usize,
     /// The index of the task that has been away the longest.
-    pub oldest: u32,
+    pub oldest_index: u32,
     /// How long that task has been away: since it last ran or could first run, as far as this owner
     /// knows.
-    pub away: Duration,
+    pub absence_time: Duration,
     /// The class of the step's rank.
     pub class: usize,
     /// How many steps precede the step in the ready queue.
-    pub behind: usize,
+    pub preceding_count: usize,
     /// The reason why the step waits.
     pub cause: Cause,
     /// The data from which the reason is derived.
--- a/src/shard/closing.rs
+++ b/src/shard/closing.rs
@@ -2,14 +2,14 @@
 
 use {
     crate::{
-        decide::{health::Verdict, upkeep::stoppable_tasks},
+        decide::{health::Verdict, upkeep::stoppable_count},
         ids::{PoolId, WorkerId},
         shard::{
             dispatch::choose_workers,
             jobs::{Placement, Task},
             record::{Closing, UpkeepTurn},
             state_machine::Shard,
-            workers::{AT_WORK_PERCENT, Phase, Worker, WorkerNo, millis},
+            workers::{FULL_PROGRESS_PERCENT, RunPhase, Worker, WorkerNo, millis},
         },
         time::Time,
         units::Size,
@@ -31,10 +31,10 @@
     pub leaving: bool,
     /// The number of tasks on the worker that are not long-running.
     #[serde(rename = "brief")]
-    pub brief: u32,
+    pub finite_count: u32,
     /// The number of long-running tasks on the worker.
     #[serde(rename = "lasting")]
-    pub lasting: u32,
+    pub long_running_count: u32,
 }
 
 /// How long the work of a pool has been waiting.
@@ -44,13 +44,13 @@
     pub pool: PoolId,
     /// The waiting time of the oldest work that could start, in milliseconds.
     #[serde(rename = "waits")]
-    pub waits: u64,
+    pub wait_ms: u64,
 }
 
 impl Occupancy {
     /// Returns whether nothing runs on the worker and nothing will start there.
     pub fn is_vacant(&self) -> bool {
-        self.closed && self.known && self.brief + self.lasting == 0
+        self.closed && self.known && self.finite_count + self.long_running_count == 0
     }
 }
 
@@ -67,21 +67,22 @@
     /// Guards against an older list that arrives after the shard began with a newer one: it would
     /// reopen a worker that was just reported as empty, and a task started there would end with its
     /// VM.
-    pub(super) fn close_workers(&mut self, closing: &Arc<Closing>) {
-        if closing.place < self.closing.place {
+    pub(super) fn set_closing(&mut self, closing: &Arc<Closing>) {
+        if closing.version < self.closing.version {
             return;
         }
         self.closing = closing.clone();
         for worker in &mut self.workers {
-            worker.turn = closing.turn(&worker.id);
+            worker.upkeep_turn = closing.turn(&worker.id);
         }
         self.round_due = true;
     }
 
     /// Returns what is running on each of the given workers that belongs to this shard.
     pub fn occupancy(&self, workers: &[WorkerId]) -> Vec<Occupancy> {
-        let known = workers.iter().filter_map(|id| self.ids.get(id));
-        let listed = known.map(|n| &self.workers[n.0]).filter(|w| !w.gone && w.listed.is_some());
+        let known = workers.iter().filter_map(|id| self.worker_numbers.get(id));
+        let listed =
+            known.map(|n| &self.workers[n.0]).filter(|w| !w.gone && w.list_entry.is_some());
         listed.map(|w| self.occupancy_of(w)).collect()
     }
 
@@ -103,7 +104,7 @@
                 *waits = (*waits).max(millis(now - since));
             }
         }
-        let need = |(pool, waits): (&PoolId, u64)| PoolWait { pool: pool.clone(), waits };
+        let need = |(pool, waits): (&PoolId, u64)| PoolWait { pool: pool.clone(), wait_ms: waits };
         needs.into_iter().map(need).collect()
     }
 
@@ -115,8 +116,8 @@
             closed: w.is_draining(),
             known: w.fenced,
             leaving: w.leaves_at.is_some(),
-            brief: count(false),
-            lasting: count(true),
+            finite_count: count(false),
+            long_running_count: count(true),
         }
     }
 
@@ -127,15 +128,15 @@
 
     /// Stops tasks at workers that are being emptied: long-running tasks as far as their steps
     /// allow, and all others once the turn is forced.
-    pub(super) fn empty_closing(&mut self, now: Time) {
+    pub(super) fn stop_on_closing_workers(&mut self, now: Time) {
         let mut allocated = vec![];
         for no in (0..self.workers.len()).map(WorkerNo) {
             let w = &self.workers[no.0];
             if w.gone || !w.is_draining() {
                 continue;
             }
-            let forced = w.turn == UpkeepTurn::Forced;
-            let running = w.runs.iter().filter(|(_, r)| r.phase == Phase::Running);
+            let forced = w.upkeep_turn == UpkeepTurn::Forced;
+            let running = w.runs.iter().filter(|(_, r)| r.phase == RunPhase::Running);
             let tasks: Vec<TaskKey> = running.map(|(t, _)| *t).collect();
             for task in tasks {
                 let may_stop = match self.is_long_running(&task) {
@@ -144,7 +145,7 @@
                 };
                 // An earlier iteration may already have stopped this task as a member of its gang.
                 let current_run = self.workers[no.0].runs.get(&task);
-                if may_stop && current_run.is_some_and(|r| r.phase == Phase::Running) {
+                if may_stop && current_run.is_some_and(|r| r.phase == RunPhase::Running) {
                     self.log_stop(no, &task, "upkeep");
                     self.stop_run(no, &task, now);
                 }
@@ -166,7 +167,7 @@
         let key = &task.step;
         let Some(job) = self.jobs.get(&key.job) else { return true };
         let Some(step) = job.step(key) else { return true };
-        if stoppable_tasks(step.may_miss, self.absent_count(key, now)) == 0 {
+        if stoppable_count(step.may_miss, self.absent_count(key, now)) == 0 {
             return false;
         }
         if forced {
@@ -196,7 +197,7 @@
         let all = self.pools.get(&queue.pool).into_iter().flatten();
         let open = all.filter(|n| {
             let w = &self.workers[n.0];
-            w.usable(now) && (queue.advice.is_none() || good(n))
+            w.is_usable(now) && (queue.advice.is_none() || good(n))
         });
         let mut rooms: Vec<_> = open.filter_map(|n| self.room(*n, key, step, now)).collect();
         for room in &mut rooms {
@@ -219,13 +220,13 @@
     }
 
     /// Returns the number of tasks of a step that are waiting or being stopped.
-    pub(super) fn unplaced(&self, key: &StepKey) -> u32 {
+    pub(super) fn unplaced_count(&self, key: &StepKey) -> u32 {
         let placed = |(index, t): (u32, &Task)| match t.placement {
             Placement::Waiting => false,
             Placement::Done => true,
             Placement::Assigned(no) => {
                 let run = self.workers[no.0].runs.get(&TaskKey { step: *key, index });
-                run.is_some_and(|r| r.phase != Phase::Stopping)
+                run.is_some_and(|r| r.phase != RunPhase::Stopping)
             }
         };
         let tasks = self.step_state(key).map_or(&[][..], |p| &p.tasks);
@@ -241,8 +242,9 @@
             let Placement::Assigned(no) = at else { return false };
             let w = &self.workers[no.0];
             let run = w.runs.get(&TaskKey { step: *key, index });
-            let fully_running =
-                run.is_some_and(|r| r.phase == Phase::Running && r.percent.1 >= AT_WORK_PERCENT);
+            let fully_running = run.is_some_and(|r| {
+                r.phase == RunPhase::Running && r.progress_percent.1 >= FULL_PROGRESS_PERCENT
+            });
             fully_running
                 && w.unanswered_calls == 0
                 && !w.gone
