--- a/src/shard/commit.rs
+++ b/src/shard/commit.rs
@@ -27,7 +27,7 @@
 
 /// The action that follows from a reply of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum WriteOutcome {
     /// Nothing to do.
     Nothing,
     /// The write has taken effect.
@@ -55,7 +55,7 @@
 
 /// The state of the group commit.
 #[derive(Clone, Debug)]
-pub struct Commit {
+pub struct GroupCommit {
     revision: u64,
     number: u64,
     stage: WriteStage,
@@ -66,11 +66,11 @@
     backoff: Duration,
 }
 
-impl Commit {
+impl GroupCommit {
     /// Creates the commit state of an owner that has written the commit row at `revision`.
     pub fn new(revision: u64) -> Self {
         let (next_attempt, next_lazy) = (Time::ZERO, Time::ZERO);
-        Commit {
+        GroupCommit {
             revision,
             number: 0,
             stage: WriteStage::Idle,
@@ -88,7 +88,7 @@
     }
 
     /// Returns whether a write is in progress or its outcome is unknown.
-    pub fn busy(&self) -> bool {
+    pub fn is_busy(&self) -> bool {
         self.stage != WriteStage::Idle
     }
 
@@ -107,24 +107,24 @@
         number: u64,
         reply: &Result<StoreReply, Fault>,
         now: Time,
-    ) -> Outcome {
+    ) -> WriteOutcome {
         if number != self.number || self.stage != WriteStage::Writing {
-            return Outcome::Nothing;
+            return WriteOutcome::Nothing;
         }
         match reply {
             Ok(StoreReply::Done(revision)) => {
                 self.record_done(*revision);
-                Outcome::Done
+                WriteOutcome::Done
             }
             // The conflict may come from an earlier write of this owner that took effect after it
             // was considered failed, so the commit row is read first.
             Ok(StoreReply::Conflict(_)) | Err(Fault::Unknown) => {
                 self.stage = WriteStage::Reading;
-                Outcome::Reread
+                WriteOutcome::Reread
             }
             _ => {
                 self.back_off(now);
-                Outcome::Retry
+                WriteOutcome::Retry
             }
         }
     }
@@ -135,25 +135,25 @@
         row: Result<(u64, CommitRow), Fault>,
         token: u64,
         now: Time,
-    ) -> Outcome {
+    ) -> WriteOutcome {
         if self.stage != WriteStage::Reading {
-            return Outcome::Nothing;
+            return WriteOutcome::Nothing;
         }
         match row {
-            Ok((_, row)) if row.token != token => Outcome::Deposed,
+            Ok((_, row)) if row.token != token => WriteOutcome::Deposed,
             Ok((revision, row)) if row.number == self.number => {
                 self.record_done(revision);
-                Outcome::Done
+                WriteOutcome::Done
             }
             Ok((revision, ..)) => {
                 self.revision = revision;
                 self.back_off(now);
-                Outcome::Retry
+                WriteOutcome::Retry
             }
             Err(_) => {
                 self.back_off(now);
                 self.stage = WriteStage::Unclear;
-                Outcome::Nothing
+                WriteOutcome::Nothing
             }
         }
     }
@@ -183,5 +183,5 @@
 
 /// Returns the number of rows in a transaction.
 pub fn row_count(txn: &Txn) -> usize {
-    txn.expect.len() + txn.puts.len() + txn.remove.len()
+    txn.expected_revs.len() + txn.puts.len() + txn.removed_keys.len()
 }
--- a/src/shard/crash.rs
+++ b/src/shard/crash.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     decide::{
-        crash::{CrashedRun, MAX_CRASHES, SETTLE_TIME, blamed},
+        crash::{CrashedRun, MAX_CRASHES, SETTLE_TIME, blamed_runs},
         fit::Room,
     },
     shard::{
@@ -14,7 +14,7 @@
         workers::WorkerNo,
     },
     time::Time,
-    work::{State, StepKey, TaskKey},
+    work::{JobState, StepKey, TaskKey},
 };
 
 impl Shard {
@@ -37,7 +37,7 @@
                 lasting: self.is_long_running(task),
             })
             .collect();
-        blamed(&all).into_iter().map(|i| (*runs[i].0, runs[i].1.run)).collect()
+        blamed_runs(&all).into_iter().map(|i| (*runs[i].0, runs[i].1.run)).collect()
     }
 
     /// Counts a worker crash against a task, and fails the task's job if it has crashed too many
@@ -53,7 +53,7 @@
         log::info!(target: "shard", did = "crashed", job:% = job, task:% = task, run, crashes; "Worker has crashed under a task.");
         self.mark_changed(job);
         if crashes >= MAX_CRASHES {
-            self.end_job(job, State::Failed, now);
+            self.end_job(job, JobState::Failed, now);
         }
     }
 
--- a/src/shard/diagnosis.rs
+++ b/src/shard/diagnosis.rs
@@ -5,7 +5,7 @@
 
 use {
     crate::{
-        decide::{fit::Room, gather::chunk, health::Verdict, lanes::LONG_CALL},
+        decide::{fit::Room, gather::call_size, health::Verdict, lanes::LONG_CALL},
         shard::{
             advice::{MAX_NAMED_WORKERS, MAX_RENEWED_WORKERS},
             cause::{AbsentStep, Cause, Exclusion, Sight},
@@ -13,7 +13,7 @@
             jobs::{Placement, StepState},
             round::{Round, Turn},
             state_machine::Shard,
-            workers::{Phase, WorkerNo},
+            workers::{RunPhase, WorkerNo},
         },
         time::Time,
         work::{StepKey, TaskKey},
@@ -40,8 +40,8 @@
                 all.extend(self.find_away_tasks(key, step_state, now));
             }
         }
-        all.sort_unstable_by_key(|a| (Reverse(a.away), a.key));
-        let waiting = all.iter().filter(|a| a.waiting > 0).take(MAX_DIAGNOSED_STEPS);
+        all.sort_unstable_by_key(|a| (Reverse(a.absence_time), a.key));
+        let waiting = all.iter().filter(|a| a.waiting_count > 0).take(MAX_DIAGNOSED_STEPS);
         let keys: FxHashSet<StepKey> = waiting.map(|a| a.key).collect();
         let mut sights = match keys.is_empty() {
             true => BTreeMap::new(),
@@ -50,7 +50,7 @@
         for away in &mut all {
             away.class = self.ranks.get(&away.key).map_or(0, |r| r.class());
             if let Some((behind, sight)) = sights.remove(&away.key) {
-                (away.behind, away.cause, away.sight) = (behind, sight.cause(), sight);
+                (away.preceding_count, away.cause, away.sight) = (behind, sight.cause(), sight);
             }
         }
         all
@@ -89,18 +89,18 @@
         };
         let sight = Sight {
             listed: now - self.reported.listed_at,
-            unsettled: self.unsettled.len(),
+            unsettled: self.unsettled_workers.len(),
             ..Sight::default()
         };
         let (tasks, held) = (waiting.len(), held.len());
         Some(AbsentStep {
             key,
-            waiting: tasks,
-            unseen: held,
-            oldest: first,
-            away: now - since,
+            waiting_count: tasks,
+            unseen_count: held,
+            oldest_index: first,
+            absence_time: now - since,
             class: 0,
-            behind: 0,
+            preceding_count: 0,
             cause,
             sight,
         })
@@ -112,8 +112,8 @@
         let worker = &self.workers[no.0];
         let run = worker.runs.get(task)?;
         match run.phase {
-            Phase::Starting | Phase::Unsure => Some((since, Cause::Start)),
-            Phase::Stopping if !run.was_seen => Some((since, Cause::Stop)),
+            RunPhase::Starting | RunPhase::Unsure => Some((since, Cause::Start)),
+            RunPhase::Stopping if !run.was_seen => Some((since, Cause::Stop)),
             _ if worker.unanswered_calls > 0 => worker.last_answer.map(|h| (h, Cause::Silent)),
             _ => None,
         }
@@ -127,14 +127,14 @@
         now: Time,
     ) -> BTreeMap<StepKey, (usize, Sight)> {
         let mut round = self.read_round(now);
-        let starving = self.starving(&round, now);
+        let starving = self.starving_steps(&round, now);
         let mut order = self.round_steps(&starving);
         let look = order.len();
         let seen: FxHashSet<StepKey> = order.iter().copied().collect();
         order.extend(
             self.ready.iter().skip(MAX_ROUND_STEPS).map(|r| r.1).filter(|k| !seen.contains(k)),
         );
-        round.starving = starving;
+        round.starving_steps = starving;
         order.iter().take(look).for_each(|key| self.add_demand(key, 1, &mut round));
         let mut sights = BTreeMap::new();
         for (behind, key) in order.iter().enumerate() {
@@ -157,7 +157,7 @@
 
     /// Withholds from later steps whatever a step would take or withhold in the next round.
     fn rehearse_step(&self, key: &StepKey, round: &mut Round, now: Time) {
-        if !self.is_sole(&key.job) {
+        if !self.is_sole_starter(&key.job) {
             return;
         }
         let Some(turn) = self.turn(key, round, now) else { return };
@@ -187,7 +187,7 @@
             lanes: (self.lanes.idle_count(), self.lanes.len()),
             round: self.next_round > now,
             listed: now - self.reported.listed_at,
-            unsettled: self.unsettled.len(),
+            unsettled: self.unsettled_workers.len(),
             ..Sight::default()
         };
         let (Some(turn), Some(step_state)) = (self.turn(key, round, now), self.step_state(key))
@@ -201,7 +201,7 @@
         }
         sight.gate = self.blocking_cause(&turn, now);
         let tickets = &step_state.tickets;
-        sight.asked = tickets.asked.len();
+        sight.asked = tickets.asked_workers.len();
         sight.calls = tickets.call_times.len();
         sight.oldest = tickets.call_times.iter().min().map(|t| now - *t);
         sight.heard = tickets.answered_at.map(|t| now - t);
@@ -214,12 +214,12 @@
 
     /// Returns the cause that delays a step regardless of the workers, if any.
     fn blocking_cause(&self, turn: &Turn, now: Time) -> Option<Cause> {
-        let stray = |i: &u32| self.strays.contains(&TaskKey { step: *turn.key, index: *i });
+        let stray = |i: &u32| self.stray_tasks.contains(&TaskKey { step: *turn.key, index: *i });
         let strays = turn.waiting.iter().filter(|i| stray(i)).count();
         let old = self.jobs.get(&turn.key.job).is_some_and(|j| j.inherited);
         match () {
             () if !self.may_act(now) => Some(Cause::Lease),
-            () if !self.is_sole(&turn.key.job) => {
+            () if !self.is_sole_starter(&turn.key.job) => {
                 Some(if old { Cause::Unsettled } else { Cause::Lease })
             }
             () if strays > 0 && (turn.step.gang || strays == turn.waiting.len()) => {
@@ -243,7 +243,7 @@
                 continue;
             }
             sight.usable += 1;
-            if turn.advice.is_some() && !step_state.tickets.asked.contains(no) {
+            if turn.advice.is_some() && !step_state.tickets.asked_workers.contains(no) {
                 sight.unasked += 1;
                 let room = self.room(*no, key, step, now);
                 let left = room.map(|r| r.free.saturating_sub(&round.all_withheld(*no)));
@@ -330,7 +330,7 @@
         let w = &self.workers[no.0];
         let held = matches!(w.health.verdict(now), Verdict::Quarantined { .. });
         match () {
-            () if w.gone || w.listed.is_none() => Some(Exclusion::Unlisted),
+            () if w.gone || w.list_entry.is_none() => Some(Exclusion::Unlisted),
             () if !w.fenced => Some(Exclusion::Unfenced),
             () if !w.rostered => Some(Exclusion::Unrostered),
             () if w.leaves_at.is_some() => Some(Exclusion::Leaving),
@@ -339,7 +339,7 @@
             () if w.unsized_runs > 0 => Some(Exclusion::Blind),
             () if w.paused_until > now => Some(Exclusion::Unwell),
             () if !usable.contains(&no) => Some(Exclusion::Quarantined),
-            () if held && !w.health.allows(lasts, now) => Some(Exclusion::Unproven),
+            () if held && !w.health.allows_start(lasts, now) => Some(Exclusion::Unproven),
             () => None,
         }
     }
@@ -347,19 +347,19 @@
     /// Returns whether a member is free to make the advice call that a step would need.
     fn member_is_free(&self, sight: &Sight, turn: &Turn, now: Time) -> bool {
         let Some(cost) = turn.advice else { return true };
-        let chunk = chunk(cost.base, cost.each);
+        let chunk = call_size(cost.base, cost.each);
         let named = match () {
             () if sight.good == 0 || turn.step.gang => sight.unasked.min(chunk),
             () if sight.old > 0 => (sight.old + sight.unasked).min(MAX_RENEWED_WORKERS),
             () => sight.unasked.min(MAX_NAMED_WORKERS),
         };
         let takes = cost.base + cost.each * u32::try_from(named).unwrap_or(u32::MAX);
-        let shares = takes > LONG_CALL && !turn.step.lasts && !self.lanes.has_spare(now);
+        let shares = takes > LONG_CALL && !turn.step.lasts && !self.lanes.has_spare_lane(now);
         let roomy = turn.step.gang || sight.old > 0 || sight.roomy > 0;
-        if shares && !self.turns.may_call(&turn.pool, roomy, now) {
+        if shares && !self.advice_turns.may_call(&turn.pool, roomy, now) {
             return false;
         }
-        let due = self.ranks.get(turn.key).map_or(0, |r| r.due());
+        let due = self.ranks.get(turn.key).map_or(0, |r| r.due_ms());
         let left = Duration::from_millis(due.saturating_sub(self.unix_ms(now)));
         self.lanes.clone().pick(takes, now + left, now).is_some()
     }
--- a/src/shard/dispatch.rs
+++ b/src/shard/dispatch.rs
@@ -8,11 +8,11 @@
             health::{Verdict, max_quarantined},
         },
         shard::{
-            health::MIN_PEERS,
+            health::MIN_DURATION_SAMPLES,
             jobs::{Placement, StepState},
             round::{Requester, Round, Turn},
             state_machine::Shard,
-            workers::{Phase, Worker, WorkerNo},
+            workers::{RunPhase, Worker, WorkerNo},
         },
         time::Time,
         units::Size,
@@ -75,9 +75,9 @@
         self.next_round = now + ROUND_PAUSE.0.saturating_mul(waiting).min(ROUND_PAUSE.1);
         self.forget_ended_strays();
         let mut round = self.new_round(now);
-        let starving = self.starving(&round, now);
+        let starving = self.starving_steps(&round, now);
         let keys = self.round_steps(&starving);
-        round.starving = starving;
+        round.starving_steps = starving;
         for key in &keys {
             self.add_demand(key, 1, &mut round);
         }
@@ -136,16 +136,16 @@
         round
     }
 
-    /// Forgets the extra runs of tasks (`strays`) that have ended.
+    /// Forgets the extra runs of tasks (`stray_tasks`) that have ended.
     ///
     /// While an extra run, begun by a former owner, is still stopping, a task whose current run is
     /// lost must not start again, or it would run twice.
     fn forget_ended_strays(&mut self) {
         let workers = &self.workers;
         let stopping = |t: &TaskKey, w: &Worker| {
-            !w.gone && w.runs.get(t).is_some_and(|r| r.phase == Phase::Stopping)
+            !w.gone && w.runs.get(t).is_some_and(|r| r.phase == RunPhase::Stopping)
         };
-        self.strays.retain(|t| workers.iter().any(|w| stopping(t, w)));
+        self.stray_tasks.retain(|t| workers.iter().any(|w| stopping(t, w)));
     }
 
     /// Returns whether the pool of these workers is underused in every resource.
@@ -154,7 +154,7 @@
             all.iter().fold(Size::default(), |sum, n| sum + size(&self.workers[n.0]))
         };
         let used = sum(|w| w.used);
-        let total = sum(|w| w.listed.as_ref().map_or(Size::default(), |l| l.capacity));
+        let total = sum(|w| w.list_entry.as_ref().map_or(Size::default(), |l| l.capacity));
         used.times(100).fits(&total.times(UNDERUSED_PERCENT))
     }
 
@@ -172,11 +172,13 @@
     ) -> Vec<WorkerNo> {
         let usable = all.iter().copied().filter(|n| {
             let w = &self.workers[n.0];
-            w.usable(now) || (with_draining && w.usable_draining(now))
+            w.is_usable(now) || (with_draining && w.is_usable_draining(now))
         });
         let mut held = max_quarantined(all.len());
         let not_held = |n: &WorkerNo| match self.workers[n.0].health.verdict(now) {
-            Verdict::Quarantined { .. } if lasts && self.workers[n.0].health.allows(lasts, now) => {
+            Verdict::Quarantined { .. }
+                if lasts && self.workers[n.0].health.allows_start(lasts, now) =>
+            {
                 true
             }
             Verdict::Quarantined { until } if until > now && held > 0 => {
@@ -197,7 +199,9 @@
     fn start_limit(&self, no: WorkerNo, step: &Step, now: Time) -> u32 {
         let health = &self.workers[no.0].health;
         match health.verdict(now) {
-            Verdict::Quarantined { .. } if !step.gang => u32::from(health.allows(step.lasts, now)),
+            Verdict::Quarantined { .. } if !step.gang => {
+                u32::from(health.allows_start(step.lasts, now))
+            }
             _ => u32::MAX,
         }
     }
@@ -210,7 +214,7 @@
         if count == 0 {
             return;
         }
-        let each = sign * 100 * i64::from(step_state.waiting.min(8)) / count;
+        let each = sign * 100 * i64::from(step_state.waiting_count.min(8)) / count;
         for no in step_state.tickets.eligible.keys() {
             let known = &mut round.demand[no.0];
             *known = (i64::from(*known) + each).max(0) as u32;
@@ -258,7 +262,7 @@
 
     /// Starts those tasks of a step for which a worker has room.
     fn place_step(&mut self, key: &StepKey, round: &mut Round, now: Time) {
-        if !self.is_sole(&key.job) {
+        if !self.is_sole_starter(&key.job) {
             return;
         }
         let Some(mut turn) = self.turn(key, round, now) else { return };
@@ -270,7 +274,7 @@
         // The step's own demand must not count against a worker.
         self.add_demand(key, -1, round);
         let all = turn.waiting.len();
-        turn.waiting.retain(|i| !self.strays.contains(&TaskKey { step: *key, index: *i }));
+        turn.waiting.retain(|i| !self.stray_tasks.contains(&TaskKey { step: *key, index: *i }));
         if turn.waiting.is_empty() || (turn.step.gang && turn.waiting.len() < all) {
             return;
         }
@@ -321,7 +325,7 @@
                 wanted.dedup();
                 self.renew_tickets(key, &wanted, usable, cost, now);
             }
-            if chosen.is_empty() && round.starving.contains(key) {
+            if chosen.is_empty() && round.starving_steps.contains(key) {
                 let preferred = self.preferred_workers(turn, &good, now);
                 withhold(step, &preferred, round);
             }
@@ -375,12 +379,13 @@
     ) -> Requester<'a> {
         let step_state = self.step_state(turn.key);
         let estimate = Duration::from_millis(turn.step.estimate);
-        let takes = step_state.and_then(|p| p.expected_duration(MIN_PEERS)).unwrap_or(estimate);
+        let takes =
+            step_state.and_then(|p| p.expected_duration(MIN_DURATION_SAMPLES)).unwrap_or(estimate);
         let ends_at = match turn.step.lasts {
             true => Time::NEVER,
             false => now + takes + takes / OVERRUN_DIVISOR,
         };
-        let overdue = turn.step.lasts && round.starving.contains(turn.key);
+        let overdue = turn.step.lasts && round.starving_steps.contains(turn.key);
         Requester { key: turn.key, priority: turn.priority, ends_at, may_outrank, overdue }
     }
 
@@ -409,7 +414,7 @@
     /// on the worker.
     pub(super) fn room(&self, no: WorkerNo, key: &StepKey, step: &Step, now: Time) -> Option<Room> {
         let w = &self.workers[no.0];
-        let listed = w.listed.as_ref()?;
+        let listed = w.list_entry.as_ref()?;
         if now < w.isolated_until {
             return None;
         }
@@ -422,12 +427,12 @@
             free: w.free(),
             total: listed.capacity,
             near: step.near.as_ref().is_some_and(|r| listed.has_label(r.as_str())),
-            serving: step.fills && w.serves(),
+            serving: step.fills && w.has_serving_tasks(),
             fillers: w.fillers,
             same_step: same,
             max_new: self.start_limit(no, step, now),
             suspect: w.health.verdict(now) != Verdict::Sound
-                || (step.lasts && (w.upkeep_due() || w.is_draining())),
+                || (step.lasts && (w.is_upkeep_due() || w.is_draining())),
             demand: 0,
         })
     }
--- a/src/shard/explain.rs
+++ b/src/shard/explain.rs
@@ -19,7 +19,7 @@
             let part =
                 self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
             let Some(part) = part else { continue };
-            tasks += part.waiting;
+            tasks += part.waiting_count;
             let advised = self.jobs.get(&key.job).is_some_and(|j| {
                 self.queue_configs.get(&j.queue).is_some_and(|q| q.advice.is_some())
             });
@@ -41,15 +41,15 @@
             let sum = |f: fn(&super::workers::Worker) -> u64| {
                 all.iter().map(|n| f(&self.workers[n.0])).sum::<u64>()
             };
-            let usable = all.iter().filter(|n| self.workers[n.0].usable(now)).count();
+            let usable = all.iter().filter(|n| self.workers[n.0].is_usable(now)).count();
             let _ = write!(
                 text,
                 "; {pool}: {usable} of {} workers, cores {} of {}, accelerators {} of {}",
                 all.len(),
                 sum(|w| w.used.cores.0) / 1000,
-                sum(|w| w.listed.as_ref().map_or(0, |l| l.capacity.cores.0)) / 1000,
+                sum(|w| w.list_entry.as_ref().map_or(0, |l| l.capacity.cores.0)) / 1000,
                 sum(|w| w.used.accels.0),
-                sum(|w| w.listed.as_ref().map_or(0, |l| l.capacity.accels.0)),
+                sum(|w| w.list_entry.as_ref().map_or(0, |l| l.capacity.accels.0)),
             );
         }
         for (queue, stats) in &self.advice_stats {
@@ -57,10 +57,10 @@
             let _ = write!(
                 text,
                 "; advice {queue}: {} calls, {} named, {total:.1} s, {} without room, {} tasks started, {} steps without",
-                stats.calls,
-                stats.named,
+                stats.call_count,
+                stats.named_workers,
                 stats.without_room,
-                stats.starts,
+                stats.started_tasks,
                 without.get(&**queue).copied().unwrap_or_default(),
             );
         }
@@ -77,11 +77,11 @@
     pub fn explain(&self, no: JobNo, now: Time) -> Box<str> {
         let Some(job) = self.jobs.get(&no) else { return "unknown here, or over".into() };
         let mut text = format!("job {no} of queue {} is {}", job.queue, job.state);
-        if job.inherited && !self.unsettled.is_empty() {
+        if job.inherited && !self.unsettled_workers.is_empty() {
             let _ = write!(
                 text,
                 "; {} workers of former owners have not replied",
-                self.unsettled.len()
+                self.unsettled_workers.len()
             );
         }
         if !self.queue_configs.contains_key(&job.queue) {
@@ -100,11 +100,11 @@
             let _ = write!(
                 text,
                 "\n  step {key}: {} left, {} wait, free {}, in order {}; advice: {} asked, {} good, {} valid, asking {}",
-                part.unfinished,
-                part.waiting,
+                part.unfinished_count,
+                part.waiting_count,
                 job.is_unblocked(*time, *step),
                 self.ranks.contains_key(&key),
-                t.asked.len(),
+                t.asked_workers.len(),
                 t.eligible.len(),
                 t.eligible.values().filter(|(_, until)| *until > now).count(),
                 t.is_pending(),
--- a/src/shard/gangs.rs
+++ b/src/shard/gangs.rs
@@ -8,7 +8,8 @@
 use {
     crate::{
         decide::gather::{
-            self, KEPT_LATE_ONE_IN, KEPT_ONE_IN, MAX_KEEP, MIN_CHOICE, Offer, soonest_placement,
+            self, KEPT_DIVISOR, KEPT_LATE_DIVISOR, MAX_KEEP_TIME, MIN_CAPACITY_RATIO, Offer,
+            soonest_placement,
         },
         shard::{
             dispatch::choose_workers,
@@ -16,7 +17,7 @@
             reservation::GangReservation,
             round::{Round, Turn},
             state_machine::Shard,
-            workers::{Phase, Run, WorkerNo, millis},
+            workers::{Run, RunPhase, WorkerNo, millis},
         },
         time::Time,
         units::Size,
@@ -47,14 +48,14 @@
             self.reservations.remove(key);
             return self.start_tasks(key, step, &chosen, now);
         }
-        let overdue = |r: &GangReservation| r.since + MAX_KEEP <= now;
+        let overdue = |r: &GangReservation| r.since + MAX_KEEP_TIME <= now;
         if self.reservations.get(key).is_some_and(overdue) {
             log::info!(target: "shard", did = "released", job:% = key.job, step:% = key, cause = "too long"; "Reservation is released.");
             self.reservations.remove(key);
         }
         // Workers on which advice has arrived since the reservation may have room sooner.
-        let may_search = self.step_state(key).is_some_and(|p| p.next_search <= now);
-        let distant = |r: &GangReservation| may_search && r.ready_at > now + gather::NEAR_WITHIN;
+        let may_search = self.step_state(key).is_some_and(|p| p.next_gang_search <= now);
+        let distant = |r: &GangReservation| may_search && r.ready_at > now + gather::MAX_NEAR_WAIT;
         if round.underused.contains(&turn.pool) && self.reservations.get(key).is_some_and(distant) {
             self.reservations.remove(key);
         }
@@ -70,26 +71,27 @@
     /// Reserves the workers on which the gang has room soonest; returns whether room was reserved.
     fn reserve_room(&mut self, turn: &Turn, round: &mut Round, now: Time) -> bool {
         let Turn { key, ref step, .. } = *turn;
-        if self.step_state(key).is_none_or(|p| p.next_search > now) || !round.try_deep_search(false)
+        if self.step_state(key).is_none_or(|p| p.next_gang_search > now)
+            || !round.try_deep_search(false)
         {
             return false;
         }
         let part = self.jobs.get_mut(&key.job).and_then(|j| j.step_state_mut(key.time, key.step));
         if let Some(part) = part {
-            part.next_search = now + GANG_SEARCH_INTERVAL;
+            part.next_gang_search = now + GANG_SEARCH_INTERVAL;
         }
         let offers = self.room_offers(turn, round, now);
         let Some(places) = soonest_placement(offers, step.count) else {
             // If the permitted workers are merely busy, requesting advice on more workers would
             // take advice calls from other steps.
-            let too_few = self.eventual_slots(turn) < u64::from(step.count) * MIN_CHOICE;
+            let too_few = self.eventual_slots(turn) < u64::from(step.count) * MIN_CAPACITY_RATIO;
             if too_few || round.underused.contains(&turn.pool) {
                 self.ask_for_missing(turn, round, now);
             }
             return false;
         };
         let size = step.reserved();
-        let far = now + gather::NEAR_WITHIN;
+        let far = now + gather::MAX_NEAR_WAIT;
         // In a pool with spare room, other workers may have room at once.
         if places.available_at > far && round.underused.contains(&turn.pool) {
             self.ask_for_missing(turn, round, now);
@@ -97,20 +99,20 @@
         let far_count = self.reservations.values().filter(|r| r.ready_at > far).count();
         if places.available_at > far
             && far_count >= gather::MAX_FAR_GANGS
-            && !round.starving.contains(key)
+            && !round.starving_steps.contains(key)
         {
             return false;
         }
         if !self.may_reserve(turn, round, size.times(step.count.into())) {
             return false;
         }
-        let (workers, in_ms) = (places.per_worker.len(), millis(places.available_at - now));
+        let (workers, in_ms) = (places.member_counts.len(), millis(places.available_at - now));
         log::debug!(target: "shard", did = "reserved", job:% = key.job, step:% = key, workers, in_ms; "Room is reserved for a gang.");
         let priority = turn.priority;
         self.reservations.insert(
             *key,
             GangReservation {
-                members: places.per_worker,
+                members: places.member_counts,
                 size,
                 priority,
                 since: now,
@@ -128,9 +130,10 @@
     fn may_reserve(&self, turn: &Turn, round: &Round, more: Size) -> bool {
         let quiet = round.underused.contains(&turn.pool);
         let late = self.ranks.get(turn.key).is_none_or(|r| r.class() > 0);
-        let first = quiet || round.starving.contains(turn.key) || self.reservations.is_empty();
-        let part = if late { KEPT_LATE_ONE_IN } else { KEPT_ONE_IN };
-        let room = turn.usable.iter().filter_map(|n| self.workers[n.0].listed.as_ref());
+        let first =
+            quiet || round.starving_steps.contains(turn.key) || self.reservations.is_empty();
+        let part = if late { KEPT_LATE_DIVISOR } else { KEPT_DIVISOR };
+        let room = turn.usable.iter().filter_map(|n| self.workers[n.0].list_entry.as_ref());
         let total = room.fold(Size::default(), |sum, l| sum + l.capacity);
         let kept = self.reservations.values().fold(Size::default(), |sum, r| {
             let members = r.members.iter().map(|e| u64::from(e.1)).sum();
@@ -148,7 +151,7 @@
         let asker = self.requester(turn, round, false, now);
         let mut offers = vec![];
         for no in self.permitted_workers(turn) {
-            let Some(listed) = &self.workers[no.0].listed else { continue };
+            let Some(listed) = &self.workers[no.0].list_entry else { continue };
             if step.needs.as_ref().is_some_and(|label| !listed.has_label(label)) {
                 continue;
             }
@@ -193,13 +196,13 @@
         let stopped = now + self.setup.bounds.stop_time;
         let leaves = |(task, run): (&TaskKey, &Run)| {
             let by_itself = match run.phase {
-                Phase::Stopping => {
+                RunPhase::Stopping => {
                     Some((run.sent_at + self.setup.bounds.stop_time).max(now + MIN_REMAINING_TIME))
                 }
                 _ if self.is_long_running(task) => None,
                 _ => Some(super::prefetch::expected_end(run, now).max(now + MIN_REMAINING_TIME)),
             };
-            let may = run.phase == Phase::Running
+            let may = run.phase == RunPhase::Running
                 && stops.is_some_and(|p| run.preempt_priority.is_some_and(|y| y > p));
             let at = match by_itself {
                 Some(at) if may => Some(at.min(stopped)),
@@ -218,8 +221,8 @@
     pub(super) fn free_by(&self, no: WorkerNo, stops: Option<u8>, by: Time, now: Time) -> Size {
         let worker = &self.workers[no.0];
         let leaves = |task: &TaskKey, run: &Run| match run.phase {
-            Phase::Stopping => true,
-            Phase::Running
+            RunPhase::Stopping => true,
+            RunPhase::Running
                 if stops.is_some_and(|p| run.preempt_priority.is_some_and(|y| y > p)) =>
             {
                 true
@@ -302,7 +305,8 @@
         }
         let Some(cost) = advice else { return };
         let duration = cost.base
-            + cost.each * u32::try_from(gather::chunk(cost.base, cost.each)).unwrap_or(u32::MAX);
+            + cost.each
+                * u32::try_from(gather::call_size(cost.base, cost.each)).unwrap_or(u32::MAX);
         if at > now + duration + ADVICE_CALL_OVERHEAD {
             return;
         }
@@ -326,14 +330,14 @@
         let soon = now + self.setup.bounds.stop_time;
         let (mut free, mut victims) = (worker.free(), vec![]);
         for (task, run) in &worker.runs {
-            let ends = run.phase == Phase::Stopping
+            let ends = run.phase == RunPhase::Stopping
                 || (!self.is_long_running(task) && super::prefetch::expected_end(run, now) <= soon);
             if ends {
                 free += run.size;
-            } else if run.phase == Phase::Running
+            } else if run.phase == RunPhase::Running
                 && run.preempt_priority.is_some_and(|y| y > priority)
             {
-                victims.push((run.percent.1, *task, run.size));
+                victims.push((run.progress_percent.1, *task, run.size));
             }
         }
         // Runs with the least progress are stopped first, since the others end soon anyway.
@@ -354,6 +358,6 @@
         let Some(job) = self.jobs.get(&key.job) else { return false };
         let left = job.chain_lengths.get(usize::from(key.step)).copied().unwrap_or_default();
         let begin = self.unix_ms(now + self.setup.bounds.stop_time);
-        self.ranks.get(key).is_some_and(|r| r.class() == 0 && begin + millis(left) <= r.due())
+        self.ranks.get(key).is_some_and(|r| r.class() == 0 && begin + millis(left) <= r.due_ms())
     }
 }
--- a/src/shard/jobs.rs
+++ b/src/shard/jobs.rs
@@ -7,7 +7,7 @@
             workers::WorkerNo,
         },
         time::Time,
-        work::{Job, JobNo, State, Step, StepKey, TaskKey},
+        work::{Job, JobNo, JobState, Step, StepKey, TaskKey},
     },
     rustc_hash::{FxHashMap, FxHashSet},
     std::{collections::BTreeMap, time::Duration},
@@ -36,7 +36,7 @@
     /// The worker and the run number of the task's speculative copy, if there is one.
     pub copy: Option<(WorkerNo, u32)>,
     /// The highest run number of any speculative copy of the task.
-    pub last_copy: u32,
+    pub last_copy_run: u32,
     /// The numbers of the runs that have failed.
     pub failed_runs: Vec<u32>,
     /// The numbers of the runs that are blamed for a worker's crash.
@@ -53,7 +53,7 @@
 impl Task {
     /// Returns the highest run number that the task has had.
     pub fn last_run(&self) -> u32 {
-        self.run.max(self.last_copy)
+        self.run.max(self.last_copy_run)
     }
 
     /// Returns whether this run, at this worker, is the task's current run or the run of its
@@ -71,9 +71,9 @@
     /// validity. Whether a worker may run the step does not change.
     pub eligible: FxHashMap<WorkerNo, (Box<str>, Time)>,
     /// The workers that advice calls have named so far.
-    pub asked: FxHashSet<WorkerNo>,
+    pub asked_workers: FxHashSet<WorkerNo>,
     /// The workers named in advice calls that are still unanswered.
-    pub pending: FxHashSet<WorkerNo>,
+    pub pending_workers: FxHashSet<WorkerNo>,
     /// Earliest time for the next advice call.
     pub next_call: Time,
     /// The times at which the unanswered advice calls were made; for the log only.
@@ -85,7 +85,7 @@
 impl Tickets {
     /// Returns whether an advice call is unanswered.
     pub fn is_pending(&self) -> bool {
-        !self.pending.is_empty()
+        !self.pending_workers.is_empty()
     }
 }
 
@@ -95,13 +95,13 @@
     /// The tasks of the step.
     pub tasks: Vec<Task>,
     /// The number of tasks that are not done.
-    pub unfinished: u32,
+    pub unfinished_count: u32,
     /// The number of tasks that are waiting.
-    pub waiting: u32,
+    pub waiting_count: u32,
     /// What advice has said about the step.
     pub tickets: Tickets,
     /// Earliest time for the next search for workers; used for gangs only.
-    pub next_search: Time,
+    pub next_gang_search: Time,
     /// The time from which the step could have started.
     pub ready_since: Option<Time>,
     /// The time at which advice first named a worker for the step; for the log only.
@@ -109,20 +109,21 @@
     /// Whether the step's first start has been logged; for the log only.
     pub start_logged: bool,
     /// The durations of the runs that did all of a task's work, in ascending order.
-    pub durations: Vec<Duration>,
+    pub run_durations: Vec<Duration>,
 }
 
 impl StepState {
     /// Adds the duration of a run that did all of a task's work.
     pub fn add_duration(&mut self, time: Duration) {
-        let at = self.durations.partition_point(|t| *t < time);
-        self.durations.insert(at, time);
+        let at = self.run_durations.partition_point(|t| *t < time);
+        self.run_durations.insert(at, time);
     }
 
     /// Returns the expected duration of a run of this step: the median of the recorded durations,
     /// or `None` if there are fewer than `min_count`.
     pub fn expected_duration(&self, min_count: usize) -> Option<Duration> {
-        (self.durations.len() >= min_count).then(|| self.durations[self.durations.len() / 2])
+        (self.run_durations.len() >= min_count)
+            .then(|| self.run_durations[self.run_durations.len() / 2])
     }
 }
 
@@ -136,7 +137,7 @@
     /// The specification of the job.
     pub job: Job,
     /// The state of the job.
-    pub state: State,
+    pub state: JobState,
     /// Whether a former owner may have started some tasks of the job.
     pub inherited: bool,
     /// The time at which this owner learnt of the job.
@@ -166,11 +167,11 @@
     ) -> Self {
         let mut active = ActiveJob {
             queue: record.queue,
-            submitted_ms: record.came,
+            submitted_ms: record.submitted_ms,
             chain_lengths: longest_chains(&record.job.steps),
             waves: [].into(),
             job: record.job,
-            state: State::Queued,
+            state: JobState::Queued,
             inherited: from_former_owner,
             known_since: learnt_at,
             step_states: BTreeMap::new(),
@@ -186,10 +187,10 @@
             (task.run, task.failed_runs, task.checkpoint) = (run, fails.clone(), saved.clone());
             if done && task.placement != Placement::Done {
                 task.placement = Placement::Done;
-                step_state.unfinished -= 1;
-                step_state.waiting -= 1;
+                step_state.unfinished_count -= 1;
+                step_state.waiting_count -= 1;
             }
-            active.state = State::Running;
+            active.state = JobState::Running;
             active.start_counted = true;
         }
         for row in progress.map_or(&[][..], |p| &p.crashes) {
@@ -207,8 +208,8 @@
         let count = self.job.steps.get(usize::from(step))?.count;
         Some(self.step_states.entry((time, step)).or_insert_with(|| StepState {
             tasks: vec![Task::default(); count as usize],
-            unfinished: count,
-            waiting: count,
+            unfinished_count: count,
+            waiting_count: count,
             ..StepState::default()
         }))
     }
@@ -258,13 +259,13 @@
         };
         let Some(task) = step_state.tasks.get_mut(key.index as usize) else { return };
         match task.placement {
-            Placement::Waiting => step_state.waiting -= 1,
-            Placement::Done => step_state.unfinished += 1,
+            Placement::Waiting => step_state.waiting_count -= 1,
+            Placement::Done => step_state.unfinished_count += 1,
             Placement::Assigned(_) => {}
         }
         match at {
-            Placement::Waiting => step_state.waiting += 1,
-            Placement::Done => step_state.unfinished -= 1,
+            Placement::Waiting => step_state.waiting_count += 1,
+            Placement::Done => step_state.unfinished_count -= 1,
             Placement::Assigned(_) => {}
         }
         task.placement = at;
@@ -294,23 +295,26 @@
     }
 
     /// Returns the time at which an occurrence is due, in milliseconds of the Unix clock.
-    pub fn due(&self, time: u32) -> u64 {
+    pub fn due_ms(&self, time: u32) -> u64 {
         self.job.times.map_or(0, |t| t.first.saturating_add(t.every.saturating_mul(time.into())))
     }
 
     /// Returns whether all steps that a step depends on are done.
     pub fn is_unblocked(&self, time: u32, step: u16) -> bool {
         let Some(s) = self.job.steps.get(usize::from(step)) else { return false };
-        s.after.iter().all(|a| self.step_states.get(&(time, *a)).is_some_and(|p| p.unfinished == 0))
+        s.after
+            .iter()
+            .all(|a| self.step_states.get(&(time, *a)).is_some_and(|p| p.unfinished_count == 0))
     }
 
     /// Returns whether all tasks of all occurrences are done.
     pub fn is_done(&self) -> bool {
         let wanted = self.occurrences() as usize * self.job.steps.len();
-        self.step_states.len() == wanted && self.step_states.values().all(|p| p.unfinished == 0)
+        self.step_states.len() == wanted
+            && self.step_states.values().all(|p| p.unfinished_count == 0)
     }
 
-    /// Returns the record of the job's progress for the store. `over` is the time at which the job
+    /// Returns the record of the job's progress for the store. `ended_ms` is the time at which the job
     /// ended, in milliseconds of the Unix clock, or 0.
     pub fn progress(&self, over: u64) -> Progress {
         let (mut tasks, mut crashes) = (vec![], vec![]);
@@ -335,7 +339,7 @@
                 }
             }
         }
-        Progress { state: self.state, over, queue: self.queue.clone(), tasks, crashes }
+        Progress { state: self.state, ended_ms: over, queue: self.queue.clone(), tasks, crashes }
     }
 
     /// Returns the number of failed runs of all tasks together.
--- a/src/shard/lifecycle.rs
+++ b/src/shard/lifecycle.rs
@@ -7,7 +7,7 @@
         state_machine::Shard,
     },
     time::Time,
-    work::{JobNo, State, StepKey},
+    work::{JobNo, JobState, StepKey},
 };
 
 impl Shard {
@@ -21,20 +21,20 @@
         old: bool,
         now: Time,
     ) {
-        if let Some(terms) = &record.terms
-            && self.queue_snapshots.get(&record.queue).is_none_or(|t| t.0 <= record.came)
+        if let Some(terms) = &record.queue_settings
+            && self.queue_snapshots.get(&record.queue).is_none_or(|t| t.0 <= record.submitted_ms)
         {
-            self.queue_snapshots.insert(record.queue.clone(), (record.came, terms.clone()));
+            self.queue_snapshots.insert(record.queue.clone(), (record.submitted_ms, terms.clone()));
         }
         self.restore_queues();
         let active = ActiveJob::new(record, progress, old, now);
         if active.job.times.is_some() {
-            self.scheduled.insert(no);
+            self.scheduled_jobs.insert(no);
         }
         self.jobs.insert(no, active);
         self.log_known(no, now);
         if self.early_cancels.remove(&no) {
-            return self.end_job(no, State::Cancelled, now);
+            return self.end_job(no, JobState::Cancelled, now);
         }
         self.create_due_steps(no, now);
         self.finish_if_done(no, now);
@@ -47,7 +47,7 @@
         let steps = u16::try_from(job.job.steps.len()).unwrap_or(u16::MAX);
         let mut complete = true;
         for time in 0..job.occurrences() {
-            if job.due(time) > unix {
+            if job.due_ms(time) > unix {
                 complete = false;
                 break;
             }
@@ -56,7 +56,7 @@
             }
         }
         if complete {
-            self.scheduled.remove(&no);
+            self.scheduled_jobs.remove(&no);
         }
         self.update_ready(no, now);
     }
@@ -68,9 +68,9 @@
     /// was cancelled.
     pub(super) fn cancel(&mut self, no: JobNo, now: Time) {
         match self.jobs.get(&no) {
-            Some(job) if !job.state.is_final() => self.end_job(no, State::Cancelled, now),
+            Some(job) if !job.state.is_final() => self.end_job(no, JobState::Cancelled, now),
             Some(_) => {}
-            None if self.finished.contains_key(&no) => {}
+            None if self.finished_jobs.contains_key(&no) => {}
             None => {
                 let unix = self.unix_ms(now);
                 if self.early_cancels.insert(no) {
@@ -81,7 +81,7 @@
     }
 
     /// Ends a job: none of its tasks starts any more, and its runs are stopped.
-    pub(super) fn end_job(&mut self, no: JobNo, state: State, now: Time) {
+    pub(super) fn end_job(&mut self, no: JobNo, state: JobState, now: Time) {
         let Some(job) = self.jobs.get_mut(&no) else { return };
         job.state = state;
         let runs = job.assigned_runs(no);
@@ -93,14 +93,14 @@
         for (task, at, _) in runs {
             self.stop_run(at, &task, now);
         }
-        self.scheduled.remove(&no);
+        self.scheduled_jobs.remove(&no);
         self.mark_changed(no);
     }
 
     /// Ends a job whose tasks are all done.
     pub(super) fn finish_if_done(&mut self, no: JobNo, now: Time) {
         if self.jobs.get(&no).is_some_and(|j| !j.state.is_final() && j.is_done()) {
-            self.end_job(no, State::Done, now);
+            self.end_job(no, JobState::Done, now);
         }
     }
 }
--- a/src/shard/listing.rs
+++ b/src/shard/listing.rs
@@ -8,7 +8,7 @@
             workers::{Worker, WorkerNo, millis},
         },
         time::Time,
-        work::{JobNo, ListedWorker, QueueConfig, State},
+        work::{JobNo, JobState, ListedWorker, QueueConfig},
     },
     rustc_hash::FxHashSet,
     std::{net::SocketAddr, sync::Arc, time::Duration},
@@ -73,7 +73,7 @@
             .filter(|((_, step), _)| !lasts(*step))
             .any(|(_, part)| part.tasks.iter().any(|t| t.failed_runs.len() >= most));
         if exhausted {
-            self.end_job(no, State::Failed, now);
+            self.end_job(no, JobState::Failed, now);
         }
     }
 
@@ -88,14 +88,14 @@
                 worker.leaves_at = Some(now + left.saturating_sub(MAX_LIST_AGE));
                 log::info!(target: "shard", worker:% = listed.id, left_ms = millis(left), runs = worker.runs.len(); "Worker is leaving.");
             }
-            worker.listed = Some(listed);
+            worker.list_entry = Some(listed);
         }
         self.pools.clear();
         for no in 0..self.workers.len() {
             let no = WorkerNo(no);
             let worker = &mut self.workers[no.0];
             if !seen.contains(&no) {
-                worker.listed = None;
+                worker.list_entry = None;
             } else if let Some(pool) = worker.pool().cloned() {
                 self.pools.entry(pool).or_default().push(no);
             }
@@ -121,14 +121,14 @@
     pub(super) fn worker_no(&mut self, id: &WorkerId, addr: SocketAddr, now: Time) -> WorkerNo {
         // A worker that was considered gone and reappears gets a new number and starts without any
         // known state.
-        if let Some(no) = self.ids.get(id).filter(|n| !self.workers[n.0].gone) {
+        if let Some(no) = self.worker_numbers.get(id).filter(|n| !self.workers[n.0].gone) {
             return *no;
         }
         let no = WorkerNo(self.workers.len());
         let mut worker = Worker::new(id.clone(), addr, now);
-        worker.turn = self.closing.turn(id);
+        worker.upkeep_turn = self.closing.turn(id);
         self.workers.push(worker);
-        self.ids.insert(id.clone(), no);
+        self.worker_numbers.insert(id.clone(), no);
         no
     }
 }
--- a/src/shard/logging.rs
+++ b/src/shard/logging.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         decide::health::Verdict,
-        ports::{End, EndReason},
+        ports::{EndReason, EndedRun},
         shard::{
             cause::{AbsentStep, Exclusions},
             state_machine::Shard,
@@ -11,7 +11,7 @@
             workers::{WorkerNo, millis},
         },
         time::Time,
-        work::{JobNo, State, StepKey, TaskKey},
+        work::{JobNo, JobState, StepKey, TaskKey},
     },
     std::{collections::BTreeMap, mem, time::Duration},
 };
@@ -36,15 +36,15 @@
     pub fn gauges(&self, now: Time) -> Gauges {
         let mut levels = Gauges {
             list_age: now - self.reported.listed_at,
-            away: self.reported.away.clone(),
+            longest_absence: self.reported.away.clone(),
             ..Gauges::default()
         };
         for key in self.ranks.keys() {
             let Some(job) = self.jobs.get(&key.job) else { continue };
             let Some(queue) = self.queue_configs.get(&job.queue) else { continue };
             let step_state = job.step_states.get(&(key.time, key.step));
-            let waiting = step_state.map_or(0, |p| p.waiting as usize);
-            *levels.waiting.entry(queue.priority).or_default() += waiting;
+            let waiting = step_state.map_or(0, |p| p.waiting_count as usize);
+            *levels.waiting_tasks.entry(queue.priority).or_default() += waiting;
         }
         levels
     }
@@ -66,7 +66,7 @@
         self.reported.away = BTreeMap::new();
         for a in &away {
             let longest = self.reported.away.entry(a.cause).or_default();
-            *longest = a.away.max(*longest);
+            *longest = a.absence_time.max(*longest);
         }
         if !log::log_enabled!(target: "shard", log::Level::Info) {
             return;
@@ -98,7 +98,7 @@
             let Some(step) = self.jobs.get(&key.job).and_then(|j| j.step(&key)) else { continue };
             let (cause, class) = (sight.cause(), self.ranks[&key].class());
             let tickets = &step_state.tickets;
-            let (tasks, waits_ms) = (step_state.waiting, millis(now - since));
+            let (tasks, waits_ms) = (step_state.waiting_count, millis(now - since));
             let reserve = self.reservations.get(&key);
             let (kept_ms, at_ms) =
                 reserve.map_or((0, 0), |r| (millis(now - r.since), millis(r.ready_at - now)));
@@ -106,8 +106,11 @@
                 let valid = |no| self.valid_until(&key, no).is_some_and(|u| u > now);
                 r.members.iter().filter(|e| !valid(e.0)).count()
             });
-            let (asked, good, out) =
-                (tickets.asked.len(), tickets.eligible.len(), tickets.pending.len());
+            let (asked, good, out) = (
+                tickets.asked_workers.len(),
+                tickets.eligible.len(),
+                tickets.pending_workers.len(),
+            );
             log::info!(target: "shard", did = "waits", job:% = key.job, step:% = key, cause:% = cause, class, waits_ms, tasks, gang = step.gang, each:% = step.reserved(), asked, good, out, kept_ms, at_ms, old; "Step waits.");
         }
     }
@@ -125,7 +128,7 @@
         };
         let (out, bars, oldest_ms, heard_ms) =
             (list(&s.out), list(&s.bars), age(s.oldest), age(s.heard));
-        log::info!(target: "shard", did = "away", job:% = a.key.job, step:% = a.key, tasks = a.waiting, held = a.unseen, first = a.oldest, away_ms = millis(a.away), class = a.class, behind = a.behind, cause:% = a.cause, usable = s.usable, pool = s.all, out = &*out, asked = s.asked, good = s.good, valid = s.valid, old = s.old, gangs = s.gangs, before = s.before, bound = s.bound, full = s.full, unfit = s.unfit, barred = s.barred, bars = &*bars, unasked = s.unasked, roomy = s.roomy, calls = s.calls, oldest_ms = &*oldest_ms, heard_ms = &*heard_ms, idle = s.lanes.0, members = s.lanes.1, member = s.member, listed_ms = millis(s.listed), unsettled = s.unsettled; "Lasting task is away.");
+        log::info!(target: "shard", did = "away", job:% = a.key.job, step:% = a.key, tasks = a.waiting_count, held = a.unseen_count, first = a.oldest_index, away_ms = millis(a.absence_time), class = a.class, behind = a.preceding_count, cause:% = a.cause, usable = s.usable, pool = s.all, out = &*out, asked = s.asked, good = s.good, valid = s.valid, old = s.old, gangs = s.gangs, before = s.before, bound = s.bound, full = s.full, unfit = s.unfit, barred = s.barred, bars = &*bars, unasked = s.unasked, roomy = s.roomy, calls = s.calls, oldest_ms = &*oldest_ms, heard_ms = &*heard_ms, idle = s.lanes.0, members = s.lanes.1, member = s.member, listed_ms = millis(s.listed), unsettled = s.unsettled; "Lasting task is away.");
     }
 
     /// Logs a job whose record was read for the first time.
@@ -161,7 +164,7 @@
         let settled = self.reported.settled_at;
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let (came, old, begun) =
-            (job.submitted_ms.max(job.due(key.time)), job.inherited, job.start_counted);
+            (job.submitted_ms.max(job.due_ms(key.time)), job.inherited, job.start_counted);
         let Some(step_state) = job.step_states.get_mut(&(key.time, key.step)) else { return };
         let Some((_, first, run)) = starts.first() else { return };
         let step = job.job.steps.get(usize::from(key.step));
@@ -185,7 +188,7 @@
             (&self.workers[first.0].id, millis(now - self.reported.listed_at));
         let (after_ms, delay_ms, tasks) = (unix.saturating_sub(came), millis(delay), starts.len());
         log::info!(target: "shard", did = "start", job:% = key.job, step:% = key, run, tasks, worker:% = worker, queue = &*queue, each:% = each, gang, delay_ms, reason, advice_ms, after_ms, listed_ms; "Step starts.");
-        *self.stats.starts.entry(reason).or_default() += 1;
+        *self.stats.step_starts.entry(reason).or_default() += 1;
         if !begun {
             job.start_counted = true;
             self.stats.first_starts.push(Duration::from_millis(after_ms));
@@ -193,8 +196,8 @@
     }
 
     /// Logs and counts the end of a run.
-    pub(super) fn log_end(&mut self, no: WorkerNo, end: &End, now: Time) {
-        let how = match end.how {
+    pub(super) fn log_end(&mut self, no: WorkerNo, end: &EndedRun, now: Time) {
+        let how = match end.reason {
             EndReason::Done => "done",
             EndReason::Failed => "failed",
             EndReason::Stopped => "stopped",
@@ -202,12 +205,13 @@
             EndReason::Broken => "broken",
             EndReason::Alone => "alone",
         };
-        *self.stats.ends.entry(how).or_default() += 1;
-        let level = if end.how == EndReason::Done { log::Level::Debug } else { log::Level::Info };
+        *self.stats.run_ends.entry(how).or_default() += 1;
+        let level =
+            if end.reason == EndReason::Done { log::Level::Debug } else { log::Level::Info };
         let worker = &self.workers[no.0];
         let began = worker.runs.get(&end.task).filter(|r| r.run == end.run);
         let took_ms = began.map_or(0, |r| millis(now - r.started_at));
-        let asked = began.is_some_and(|r| r.phase == super::workers::Phase::Stopping);
+        let asked = began.is_some_and(|r| r.phase == super::workers::RunPhase::Stopping);
         log::log!(target: "shard", level, did = "end", job:% = end.task.step.job, task:% = end.task, run = end.run, how, worker:% = worker.id, took_ms, asked, number = end.number; "Run has ended.");
     }
 
@@ -216,7 +220,7 @@
         let worker = &self.workers[no.0];
         let Some(old) = worker.runs.get(task).filter(|r| r.run == run) else { return };
         let heard_ms = worker.last_answer.map_or(0, |h| millis(now - h));
-        let (ran_ms, percent) = (millis(now - old.started_at), old.percent.1);
+        let (ran_ms, percent) = (millis(now - old.started_at), old.progress_percent.1);
         log::info!(target: "shard", did = "lost", job:% = task.step.job, task:% = task, run, worker:% = worker.id, phase:? = old.phase, ran_ms, percent, heard_ms, silent = worker.unanswered_calls; "Run is gone without an end.");
     }
 
@@ -228,12 +232,12 @@
     }
 
     /// Logs that a job is over, and counts it if it is done.
-    pub(super) fn log_over(&mut self, no: JobNo, state: State, stopped: usize, now: Time) {
+    pub(super) fn log_over(&mut self, no: JobNo, state: JobState, stopped: usize, now: Time) {
         let Some(job) = self.jobs.get(&no) else { return };
         let after_ms = self.unix_ms(now).saturating_sub(job.submitted_ms);
         let failed = job.failures();
         log::info!(target: "shard", did = "over", job:% = no, state:% = state, queue = &*job.queue, after_ms, failed, stopped; "Job is over.");
-        if state == State::Done {
+        if state == JobState::Done {
             self.stats.completions.push(Duration::from_millis(after_ms));
         }
     }
@@ -243,17 +247,17 @@
         for w in self.workers.iter_mut().filter(|w| !w.gone) {
             let verdict = w.health.verdict(now);
             let held = matches!(verdict, Verdict::Quarantined { .. });
-            if mem::replace(&mut w.reported.quarantined, held) != held {
+            if mem::replace(&mut w.logged.quarantined, held) != held {
                 let said = if held { "quarantined" } else { "sound" };
                 log::info!(target: "shard", worker:% = w.id, verdict:? = verdict, now:% = now, runs = w.runs.len(); "Worker is {said}.");
             }
             // A worker that was logged as silent stays so until its first answer.
             let silent = w.unanswered_calls >= MIN_SILENT_CALLS
-                || (w.reported.silent && w.unanswered_calls > 0);
-            if mem::replace(&mut w.reported.silent, silent) != silent {
+                || (w.logged.silent && w.unanswered_calls > 0);
+            if mem::replace(&mut w.logged.silent, silent) != silent {
                 let heard_ms = w.last_answer.map_or(0, |h| millis(now - h));
                 let said = if silent { "is silent" } else { "answers again" };
-                log::info!(target: "shard", worker:% = w.id, silent = w.unanswered_calls, heard_ms, runs = w.runs.len(), listed = w.listed.is_some(); "Worker {said}.");
+                log::info!(target: "shard", worker:% = w.id, silent = w.unanswered_calls, heard_ms, runs = w.runs.len(), listed = w.list_entry.is_some(); "Worker {said}.");
             }
         }
     }
--- a/src/shard/orders.rs
+++ b/src/shard/orders.rs
@@ -2,11 +2,11 @@
 
 use {
     crate::{
-        ports::{Fault, Refusal, Start, WorkerCall, WorkerReply},
+        ports::{Fault, Start, WorkerCall, WorkerRefusal, WorkerReply},
         shard::{
             event::Order,
             state_machine::Shard,
-            workers::{Phase, Run, WorkerNo},
+            workers::{Run, RunPhase, WorkerNo},
         },
         time::Time,
         work::TaskKey,
@@ -37,7 +37,7 @@
             return;
         };
         run.was_seen |= matches!(reply, Ok(WorkerReply::Done(_)));
-        if run.phase == Phase::Stopping {
+        if run.phase == RunPhase::Stopping {
             return;
         }
         let first = run.start_count == 1;
@@ -45,27 +45,27 @@
             run.start_count < MAX_START_ATTEMPTS && from.is_some() && worker.leaves_at.is_none();
         match reply {
             Ok(WorkerReply::Done(_)) => {
-                run.phase = Phase::Running;
-                run.listed_from = Some(now);
+                run.phase = RunPhase::Running;
+                run.absence_from = Some(now);
                 self.mark_running(&start.task);
             }
             // The worker has had this run and it has ended; the answer to the next hold reports
             // how.
-            Ok(WorkerReply::Refused(_, Refusal::Old)) => {
-                run.phase = Phase::Stopping;
-                run.listed_from = Some(now);
+            Ok(WorkerReply::Refused(_, WorkerRefusal::Old)) => {
+                run.phase = RunPhase::Stopping;
+                run.absence_from = Some(now);
                 run.sent_at = now;
                 worker.next_hold = now;
             }
             Err(Fault::Unknown | Fault::Bad(_)) if more => {
                 run.start_count += 1;
-                run.phase = Phase::Unsure;
+                run.phase = RunPhase::Unsure;
                 run.sent_at = now;
                 // An unresponsive worker gets no new lease; `send_holds` has the reason.
                 let from = from.filter(|_| worker.unanswered_calls == 0);
                 let new = from.and_then(|f| worker.extend_lease(&self.setup.bounds, f, now));
-                let until = new.unwrap_or(start.until);
-                let again = Start { until, ..start.clone() };
+                let until = new.unwrap_or(start.lease_end_ms);
+                let again = Start { lease_end_ms: until, ..start.clone() };
                 self.orders.push(Order::Worker {
                     worker: worker.id.clone(),
                     addr: worker.addr,
@@ -100,7 +100,7 @@
         let worker = &mut self.workers[no.0];
         log::info!(target: "shard", did = "refused_start", job:% = start.task.step.job, task:% = start.task, run = start.run, worker:% = worker.id, reply:? = reply; "Start is refused.");
         match reply {
-            Ok(WorkerReply::Refused(_, Refusal::Ticket)) => {
+            Ok(WorkerReply::Refused(_, WorkerRefusal::Ticket)) => {
                 let key = start.task.step;
                 if let Some(step_state) = self
                     .jobs
@@ -111,7 +111,7 @@
                     ticket.1 = Time::ZERO;
                 }
             }
-            Ok(WorkerReply::Refused(_, Refusal::Bad)) => {
+            Ok(WorkerReply::Refused(_, WorkerRefusal::Bad)) => {
                 self.count_failure(&start.task, start.run, now);
             }
             _ => {
@@ -133,7 +133,7 @@
         if let Some(r) = worker.runs.get_mut(task).filter(|r| r.run == run)
             && matches!(reply, Ok(WorkerReply::Done(_) | WorkerReply::Refused(..)))
         {
-            r.listed_from = Some(now);
+            r.absence_from = Some(now);
             worker.next_hold = worker.next_hold.min(now + Duration::from_millis(20));
         }
     }
@@ -142,8 +142,8 @@
     pub(super) fn stop_run(&mut self, no: WorkerNo, task: &TaskKey, now: Time) {
         let worker = &mut self.workers[no.0];
         let Some(run) = worker.runs.get_mut(task) else { return };
-        run.phase = Phase::Stopping;
-        run.listed_from = None;
+        run.phase = RunPhase::Stopping;
+        run.absence_from = None;
         run.sent_at = now;
         let call = WorkerCall::Stop { task: *task, run: run.run, token: self.setup.token };
         self.orders.push(Order::Worker {
@@ -157,8 +157,9 @@
     /// Repeats the stops that were not answered, or that were answered but had no effect.
     pub(super) fn repeat_stops(&mut self, now: Time) {
         let due = |r: &Run| {
-            let again = if r.listed_from.is_none() { ORDER_TIMEOUT * 2 } else { ORDER_TIMEOUT * 4 };
-            r.phase == Phase::Stopping && r.sent_at + again <= now
+            let again =
+                if r.absence_from.is_none() { ORDER_TIMEOUT * 2 } else { ORDER_TIMEOUT * 4 };
+            r.phase == RunPhase::Stopping && r.sent_at + again <= now
         };
         let mut all = vec![];
         for (n, w) in self.workers.iter().enumerate().filter(|(_, w)| !w.gone) {
@@ -177,7 +178,7 @@
             if w.gone || w.hold_sent.is_some() || w.next_hold > now {
                 continue;
             }
-            let wanted = w.listed.is_some() || !w.runs.is_empty() || !w.fenced;
+            let wanted = w.list_entry.is_some() || !w.runs.is_empty() || !w.fenced;
             if !wanted {
                 continue;
             }
@@ -196,8 +197,12 @@
                 () => Duration::from_millis(900),
             };
             w.hold_sent = Some(now);
-            let call =
-                WorkerCall::Hold { until, token: self.setup.token, seen: w.stored_end, wait };
+            let call = WorkerCall::Hold {
+                until,
+                token: self.setup.token,
+                seen: w.stored_end_number,
+                wait,
+            };
             self.orders.push(Order::Worker {
                 worker: w.id.clone(),
                 addr: w.addr,
--- a/src/shard/preempt.rs
+++ b/src/shard/preempt.rs
@@ -10,7 +10,7 @@
         shard::{
             round::Turn,
             state_machine::Shard,
-            workers::{Phase, WorkerNo},
+            workers::{RunPhase, WorkerNo},
         },
         time::Time,
         units::Size,
@@ -122,9 +122,9 @@
         let mut victims = vec![];
         for (task, run) in &worker.runs {
             match (run.phase, run.preempt_priority) {
-                (Phase::Stopping, _) => free += run.size,
-                (Phase::Running, Some(p)) if p > priority => {
-                    victims.push((run.percent.1, *task, run.size));
+                (RunPhase::Stopping, _) => free += run.size,
+                (RunPhase::Running, Some(p)) if p > priority => {
+                    victims.push((run.progress_percent.1, *task, run.size));
                 }
                 _ => {}
             }
--- a/src/shard/prefetch.rs
+++ b/src/shard/prefetch.rs
@@ -8,7 +8,7 @@
     shard::{
         round::{Round, Turn},
         state_machine::Shard,
-        workers::{Phase, Run, WorkerNo},
+        workers::{Run, RunPhase, WorkerNo},
     },
     time::Time,
     units::Size,
@@ -31,19 +31,19 @@
     ) -> Vec<WorkerNo> {
         let size = turn.step.reserved();
         let duration = cost.base + cost.each * ASSUMED_WORKERS;
-        let by = ahead::horizon(duration, now);
+        let by = ahead::call_ahead_horizon(duration, now);
         let mut freeing = vec![];
         let apart = turn.step.apart;
         let full = |r: &&Room| !size.fits(&r.free) && (apart == 0 || r.same_step < apart);
         for room in good.iter().filter(full) {
             let no = WorkerNo(room.index);
-            if self.will_have_room(no, &size, by, now) && round.upcoming.add(no) {
+            if self.will_have_room(no, &size, by, now) && round.upcoming_steps.add_step(no) {
                 freeing.push(no);
             }
         }
         let ends = |no: &WorkerNo| {
             self.valid_until(turn.key, *no)
-                .is_none_or(|until| ahead::expires_early(until, duration, now))
+                .is_none_or(|until| ahead::ticket_expires_early(until, duration, now))
         };
         if !freeing.iter().any(ends)
             || !ahead::may_call_ahead(self.lanes.idle_count(), self.lanes.len())
@@ -68,10 +68,10 @@
 
 /// Returns the time at which a run is expected to end.
 pub(super) fn expected_end(run: &Run, now: Time) -> Time {
-    if run.phase == Phase::Stopping {
+    if run.phase == RunPhase::Stopping {
         return now;
     }
-    let (first, last) = run.percent;
+    let (first, last) = run.progress_percent;
     ahead::expected_end(Progress {
         started_at: run.started_at,
         initial_percent: first,
--- a/src/shard/ready_queue.rs
+++ b/src/shard/ready_queue.rs
@@ -16,7 +16,7 @@
             preempt::MIN_ROOM_WAIT,
             round::{Round, Turn},
             state_machine::Shard,
-            workers::{Phase, Run, WorkerNo},
+            workers::{Run, RunPhase, WorkerNo},
         },
         time::Time,
         units::Size,
@@ -51,15 +51,19 @@
         for ((time, step), step_state) in &job.step_states {
             let key = StepKey { job: no, time: *time, step: *step };
             let Some(s) = job.step(&key) else { continue };
-            let whole = !s.gang || step_state.waiting == s.count;
-            let open = step_state.waiting > 0
+            let whole = !s.gang || step_state.waiting_count == s.count;
+            let open = step_state.waiting_count > 0
                 && whole
                 && !job.state.is_final()
                 && job.is_unblocked(*time, *step);
             let facts = JobTiming {
-                arrived_ms: job.submitted_ms.max(job.due(*time)),
+                arrived_ms: job.submitted_ms.max(job.due_ms(*time)),
                 critical_path: job.objective_time(*time),
-                remaining: job.chain_lengths.get(usize::from(*step)).copied().unwrap_or_default(),
+                remaining_time: job
+                    .chain_lengths
+                    .get(usize::from(*step))
+                    .copied()
+                    .unwrap_or_default(),
                 long_running: s.lasts,
             };
             ranks.push((key, open.then(|| rank(queue, facts, unix))));
@@ -77,7 +81,7 @@
         let Some(job) = self.jobs.get_mut(&no).filter(|j| j.waves.is_empty()) else { return };
         let Some(queue) = self.queue_configs.get(&job.queue) else { return };
         let Some(pool) = self.pools.get(&queue.pool) else { return };
-        let listed = pool.iter().filter_map(|n| self.workers[n.0].listed.as_ref());
+        let listed = pool.iter().filter_map(|n| self.workers[n.0].list_entry.as_ref());
         let sizes: Vec<Size> = listed.map(|l| l.capacity).collect();
         let room = |s: &Step| {
             sizes.iter().fold(0, |sum: u64, size| sum.saturating_add(s.reserved().count(size)))
@@ -114,7 +118,7 @@
     pub(super) fn unready_if_placed(&mut self, key: &StepKey) {
         let step_state =
             self.jobs.get(&key.job).and_then(|j| j.step_states.get(&(key.time, key.step)));
-        if step_state.is_none_or(|p| p.waiting == 0) {
+        if step_state.is_none_or(|p| p.waiting_count == 0) {
             self.unready(key);
         }
     }
@@ -139,7 +143,7 @@
     /// start, because smaller tasks that are still of value to their queue take these workers again
     /// and again. In a busy pool the exception makes such tasks late, so the step waits longer
     /// there.
-    pub(super) fn starving(&self, round: &Round, now: Time) -> Vec<StepKey> {
+    pub(super) fn starving_steps(&self, round: &Round, now: Time) -> Vec<StepKey> {
         let (mut all, mut absent) = (vec![], vec![]);
         for (rank, key) in self.ready.iter().rev() {
             let Some(job) = self.jobs.get(&key.job) else { continue };
@@ -182,7 +186,7 @@
         else {
             return false;
         };
-        let asked = &step_state.tickets.asked;
+        let asked = &step_state.tickets.asked_workers;
         let wanted = if turn.step.gang { u64::from(turn.step.count) } else { 1 };
         let more = turn.advice.is_some() && turn.usable.iter().any(|n| !asked.contains(n));
         more || self.eventual_slots(&turn) >= wanted
@@ -193,7 +197,7 @@
     pub(super) fn eventual_slots(&self, turn: &Turn) -> u64 {
         let step = &turn.step;
         let slots = |no: WorkerNo| {
-            let Some(listed) = &self.workers[no.0].listed else { return 0 };
+            let Some(listed) = &self.workers[no.0].list_entry else { return 0 };
             if step.needs.as_ref().is_some_and(|label| !listed.has_label(label)) {
                 return 0;
             }
@@ -250,8 +254,8 @@
     pub(super) fn eventual_free(&self, no: WorkerNo) -> Size {
         let worker = &self.workers[no.0];
         let stays =
-            |(t, r): &(&TaskKey, &Run)| r.phase != Phase::Stopping && self.is_long_running(t);
+            |(t, r): &(&TaskKey, &Run)| r.phase != RunPhase::Stopping && self.is_long_running(t);
         let stay = worker.runs.iter().filter(stays).map(|(_, r)| r.size).sum();
-        worker.listed.as_ref().map_or(Size::default(), |l| l.capacity.saturating_sub(&stay))
+        worker.list_entry.as_ref().map_or(Size::default(), |l| l.capacity.saturating_sub(&stay))
     }
 }
--- a/src/shard/record.rs
+++ b/src/shard/record.rs
@@ -16,7 +16,7 @@
 use {
     crate::{
         ids::{Incarnation, PoolId, WorkerId, Zone},
-        work::{Job, JobNo, Queue, State},
+        work::{Job, JobNo, JobState, Queue},
     },
     bytes::Bytes,
     serde::{Deserialize, Serialize, de::DeserializeOwned},
@@ -53,42 +53,42 @@
 
 impl ShardNo {
     /// Returns the prefix of the keys of submitted jobs and of the requests to cancel them.
-    pub fn inbox(self) -> Box<str> {
+    pub fn inbox_prefix(self) -> Box<str> {
         format!("dwr/in/{self}/").into()
     }
 
     /// Returns the key of a job.
-    pub fn job(self, job: JobNo) -> Box<str> {
+    pub fn job_key(self, job: JobNo) -> Box<str> {
         format!("dwr/in/{self}/j/{job}").into()
     }
 
     /// Returns the key of the request to cancel a job.
-    pub fn cancel(self, job: JobNo) -> Box<str> {
+    pub fn cancel_key(self, job: JobNo) -> Box<str> {
         format!("dwr/in/{self}/c/{job}").into()
     }
 
     /// Returns the prefix of the keys of progress records.
-    pub fn all_progress(self) -> Box<str> {
+    pub fn progress_prefix(self) -> Box<str> {
         format!("dwr/p/{self}/").into()
     }
 
     /// Returns the key of a job's progress.
-    pub fn progress(self, job: JobNo) -> Box<str> {
+    pub fn progress_key(self, job: JobNo) -> Box<str> {
         format!("dwr/p/{self}/{job}").into()
     }
 
     /// Returns the key of the shard's [`Roster`].
-    pub fn roster(self) -> Box<str> {
+    pub fn roster_key(self) -> Box<str> {
         format!("dwr/r/{self}").into()
     }
 
     /// Returns the key of the shard's [`CommitRow`].
-    pub fn commit(self) -> Box<str> {
+    pub fn commit_key(self) -> Box<str> {
         format!("dwr/c/{self}").into()
     }
 
     /// Returns the key of the shard's [`OwnerRow`].
-    pub fn owner(self) -> Box<str> {
+    pub fn owner_key(self) -> Box<str> {
         format!("{OWNERS_PREFIX}{self}").into()
     }
 }
@@ -125,7 +125,7 @@
     pub secret: Box<str>,
     /// The shards of the workers that were listed when the layout was made, sorted by address.
     #[serde(default, rename = "homes")]
-    pub homes: Vec<(SocketAddr, ShardNo)>,
+    pub worker_shards: Vec<(SocketAddr, ShardNo)>,
     /// The shards of each pool that had workers when the layout was made.
     #[serde(default)]
     pub pools: BTreeMap<PoolId, ShardRange>,
@@ -178,22 +178,22 @@
     /// The time of submission, in milliseconds of the Unix clock of the member that received the
     /// job.
     #[serde(rename = "came")]
-    pub came: u64,
+    pub submitted_ms: u64,
     /// The specification of the job.
     pub job: Job,
     /// The settings of the job's queue at submission; `None` in records of older versions.
     #[serde(default, rename = "terms", skip_serializing_if = "Option::is_none")]
-    pub terms: Option<Box<Queue>>,
+    pub queue_settings: Option<Box<Queue>>,
 }
 
 /// The stored progress of a job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Progress {
     /// The state of the job.
-    pub state: State,
+    pub state: JobState,
     /// The time at which the job ended, in milliseconds of the Unix clock; 0 until then.
     #[serde(default, rename = "over")]
-    pub over: u64,
+    pub ended_ms: u64,
     /// The name of the job's queue.
     pub queue: Box<str>,
     /// The tasks that have a run or are done.
@@ -281,7 +281,7 @@
     /// The version of the record: the token of its writer, and the number of that writer's earlier
     /// writes. The pair only increases.
     #[serde(rename = "place")]
-    pub place: (u64, u64),
+    pub version: (u64, u64),
     /// The turn of each worker.
     pub turns: BTreeMap<WorkerId, UpkeepTurn>,
 }
--- a/src/shard/replies.rs
+++ b/src/shard/replies.rs
@@ -3,15 +3,15 @@
 use {
     crate::{
         ids::WorkerId,
-        ports::{Fault, Held, MAX_ENDS, Refusal, WorkerCall, WorkerReply},
+        ports::{Fault, Held, MAX_ENDS, WorkerCall, WorkerRefusal, WorkerReply},
         shard::{
             jobs::Placement,
             orders::UNWELL_PAUSE,
             state_machine::Shard,
-            workers::{Phase, Run, Worker, WorkerNo},
+            workers::{Run, RunPhase, Worker, WorkerNo},
         },
         time::Time,
-        work::{State, TaskKey},
+        work::{JobState, TaskKey},
     },
     std::time::Duration,
 };
@@ -32,19 +32,19 @@
         reply: Result<WorkerReply, Fault>,
         now: Time,
     ) {
-        let Some(no) = self.ids.get(id).copied() else { return };
+        let Some(no) = self.worker_numbers.get(id).copied() else { return };
         let worker = &mut self.workers[no.0];
         if worker.gone {
             return;
         }
         match &reply {
             Ok(WorkerReply::Other) => return self.end_worker(no, now),
-            Ok(WorkerReply::Refused(_, Refusal::Fence)) => return self.depose(),
+            Ok(WorkerReply::Refused(_, WorkerRefusal::Fence)) => return self.depose(),
             Ok(WorkerReply::Done(clock) | WorkerReply::Refused(clock, _)) => {
                 worker.record_answer(*clock, sent, now);
             }
             Ok(WorkerReply::Held(held)) => {
-                worker.record_answer(held.clock, sent, now);
+                worker.record_answer(held.clock_ms, sent, now);
                 worker.unanswered_calls = 0;
             }
             Ok(WorkerReply::Unwell) => worker.paused_until = now + UNWELL_PAUSE,
@@ -89,13 +89,13 @@
         worker.next_hold = now;
         let complete = held.ended.len() < MAX_ENDS;
         if !worker.fenced {
-            worker.inherit_lease(held.clock, &self.setup.bounds);
+            worker.inherit_lease(held.clock_ms, &self.setup.bounds);
         }
         let first = !worker.fenced && complete;
         worker.fenced |= complete;
         for end in &held.ended {
-            if end.number > self.workers[no.0].last_end {
-                self.workers[no.0].last_end = end.number;
+            if end.number > self.workers[no.0].last_end_number {
+                self.workers[no.0].last_end_number = end.number;
                 self.on_run_end(no, end, now);
             }
         }
@@ -117,7 +117,7 @@
             let worker = &mut self.workers[no.0];
             match worker.runs.get_mut(&row.task) {
                 Some(run) if run.run == row.run => {
-                    let starting = matches!(run.phase, Phase::Starting | Phase::Unsure);
+                    let starting = matches!(run.phase, RunPhase::Starting | RunPhase::Unsure);
                     Worker::update_run(run, row, now);
                     if starting {
                         self.mark_running(&row.task);
@@ -130,7 +130,7 @@
     }
 
     /// Adopts a run that a former owner has started, or stops it if it is not wanted.
-    fn adopt_run(&mut self, no: WorkerNo, row: &crate::ports::Row, now: Time) {
+    fn adopt_run(&mut self, no: WorkerNo, row: &crate::ports::PresentRun, now: Time) {
         let job = self.jobs.get_mut(&row.task.step.job);
         let wanted = job.filter(|j| !j.state.is_final()).and_then(|j| {
             let step = j.step(&row.task.step)?.clone();
@@ -146,22 +146,22 @@
             run: row.run,
             size: step.reserved(),
             size_unknown: blind,
-            phase: if keep { Phase::Running } else { Phase::Stopping },
+            phase: if keep { RunPhase::Running } else { RunPhase::Stopping },
             sent_at: now,
-            listed_from: Some(now),
+            absence_from: Some(now),
             was_seen: true,
             settled: true,
             crash_suspect: false,
             started_at: now,
             start_count: 1,
-            percent: (row.percent, row.percent),
+            progress_percent: (row.percent, row.percent),
             reported_at: now,
-            checkpoint: row.saved.clone(),
-            tail_ms: row.load,
+            checkpoint: row.checkpoint.clone(),
+            tail_latency_ms: row.load,
             // The former owner may have changed the pace of the run, so it is unknown.
             pace: None,
-            target_ms: step.target,
-            fills: step.fills,
+            latency_target_ms: step.target,
+            is_filler: step.fills,
             preempt_priority: yields,
             estimate: Duration::from_millis(step.estimate),
             earlier_report: (now, row.percent),
@@ -169,7 +169,7 @@
         self.workers[no.0].add_run(row.task, run);
         if !keep {
             if !blind {
-                self.strays.insert(row.task);
+                self.stray_tasks.insert(row.task);
             }
             self.log_stop(no, &row.task, "unwanted");
             return self.stop_run(no, &row.task, now);
@@ -192,7 +192,7 @@
         let gone: Vec<_> = self.workers[no.0]
             .runs
             .iter()
-            .filter(|(t, r)| r.listed_from.is_some_and(|k| k < sent) && !there(t, r.run))
+            .filter(|(t, r)| r.absence_from.is_some_and(|k| k < sent) && !there(t, r.run))
             .map(|(t, r)| (*t, r.run))
             .collect();
         for (task, run) in gone {
@@ -203,9 +203,9 @@
     /// Marks the job of a task as running if it is still queued.
     pub(super) fn mark_running(&mut self, task: &TaskKey) {
         if let Some(job) = self.jobs.get_mut(&task.step.job)
-            && job.state == State::Queued
+            && job.state == JobState::Queued
         {
-            job.state = State::Running;
+            job.state = JobState::Running;
         }
     }
 }
--- a/src/shard/round.rs
+++ b/src/shard/round.rs
@@ -31,7 +31,7 @@
     /// The pools that are underused.
     pub(super) underused: FxHashSet<PoolId>,
     /// The steps that come first because they have waited too long.
-    pub(super) starving: Vec<StepKey>,
+    pub(super) starving_steps: Vec<StepKey>,
     /// The resources of each worker that are withheld for steps earlier in the order.
     withheld: Vec<Size>,
     /// The resources of each worker that are reserved for gangs until they start.
@@ -40,7 +40,7 @@
     /// waiting tasks among the workers that may run it.
     pub(super) demand: Vec<u32>,
     /// The steps that will soon have room at a worker.
-    pub(super) upcoming: Backlog<WorkerNo>,
+    pub(super) upcoming_steps: Backlog<WorkerNo>,
     /// The number of steps that have searched beyond the free resources, and how many of those are
     /// long-running.
     deep_searches: (usize, usize),
--- a/src/shard/run_end.rs
+++ b/src/shard/run_end.rs
@@ -1,31 +1,31 @@
 //! Processes the ends of runs and their consequences for tasks.
 
 use crate::{
-    ports::{End, EndReason},
+    ports::{EndReason, EndedRun},
     shard::{
         jobs::Placement,
         state_machine::Shard,
-        workers::{Phase, WorkerNo},
+        workers::{RunPhase, WorkerNo},
     },
     time::Time,
-    work::{State, TaskKey},
+    work::{JobState, TaskKey},
 };
 
 impl Shard {
     /// Processes the end of a run that its worker reported.
-    pub(super) fn on_run_end(&mut self, no: WorkerNo, end: &End, now: Time) {
+    pub(super) fn on_run_end(&mut self, no: WorkerNo, end: &EndedRun, now: Time) {
         self.log_end(no, end, now);
         let run = self.workers[no.0].remove_run(&end.task, end.run);
         self.round_due = true;
-        let saved = match (&run, &*end.saved) {
+        let saved = match (&run, &*end.checkpoint) {
             (Some(r), "") => r.checkpoint.clone(),
-            _ => end.saved.clone(),
+            _ => end.checkpoint.clone(),
         };
         let current = self.has_run(&end.task, no, end.run);
         if let Some(run) = &run {
             self.record_outcome(no, end, run, now);
         }
-        self.apply_end(&end.task, end.run, end.how, saved, current, now);
+        self.apply_end(&end.task, end.run, end.reason, saved, current, now);
         if current {
             self.record_ended_at(&end.task, now);
         }
@@ -85,7 +85,7 @@
         // If the task has a speculative copy, the number of this run must not replace the number of
         // the run that is still in progress.
         let running = step.copies && matches!(t.placement, Placement::Assigned(_));
-        let highest = if running { &mut t.last_copy } else { &mut t.run };
+        let highest = if running { &mut t.last_copy_run } else { &mut t.run };
         *highest = run.max(*highest);
         // The end of a run that its owner had given up counts as long as no other run has begun;
         // with copies, the first end counts.
@@ -150,7 +150,7 @@
         }
         t.failed_runs.push(run);
         if t.failed_runs.len() >= attempts as usize && !step.lasts && !job.state.is_final() {
-            self.end_job(no, State::Failed, now);
+            self.end_job(no, JobState::Failed, now);
         }
     }
 
@@ -168,7 +168,7 @@
             }
         }
         for (at, key) in members {
-            if self.workers[at.0].runs.get(&key).is_some_and(|r| r.phase != Phase::Stopping) {
+            if self.workers[at.0].runs.get(&key).is_some_and(|r| r.phase != RunPhase::Stopping) {
                 self.log_stop(at, &key, "gang member ended");
                 self.stop_run(at, &key, now);
             }
--- a/src/shard/speculation.rs
+++ b/src/shard/speculation.rs
@@ -11,7 +11,7 @@
         shard::{
             jobs::Placement,
             state_machine::Shard,
-            workers::{Phase, WorkerNo, millis},
+            workers::{RunPhase, WorkerNo, millis},
         },
         time::Time,
         work::{Step, StepKey, TaskKey},
@@ -66,7 +66,7 @@
             None => {
                 let copies = part.tasks.iter().filter(|t| t.copy.is_some()).count();
                 let few = copies < max_copies(step.count) as usize;
-                part.waiting == 0 && few && self.spare_worker(task, step, no, now).is_some()
+                part.waiting_count == 0 && few && self.spare_worker(task, step, no, now).is_some()
             }
         }
     }
@@ -75,7 +75,8 @@
         let Some(job) = self.jobs.get(&key.job) else { return };
         let Some(step) = job.step(key).cloned() else { return };
         let Some(part) = job.step_states.get(&(key.time, key.step)) else { return };
-        let Some(expected) = part.expected_duration(MIN_SIBLINGS).filter(|_| part.waiting == 0)
+        let Some(expected) =
+            part.expected_duration(MIN_SIBLINGS).filter(|_| part.waiting_count == 0)
         else {
             return;
         };
@@ -109,8 +110,8 @@
         expected: Duration,
         now: Time,
     ) -> Option<Duration> {
-        let run = self.workers[at.0].runs.get(task).filter(|r| r.phase == Phase::Running)?;
-        let (from, done) = run.percent;
+        let run = self.workers[at.0].runs.get(task).filter(|r| r.phase == RunPhase::Running)?;
+        let (from, done) = run.progress_percent;
         let saved = if run.checkpoint.is_empty() { 0 } else { done };
         copy_worthwhile(
             Candidate {
@@ -144,7 +145,7 @@
             let w = &self.workers[no.0];
             let valid = || tickets.eligible.get(*no).is_some_and(|t| t.1 > now);
             **no != original
-                && w.usable(now)
+                && w.is_usable(now)
                 && w.health.verdict(now) == Verdict::Sound
                 && !w.runs.contains_key(task)
                 && (queue.advice.is_none() || valid())
@@ -169,7 +170,7 @@
         if self.launch(task, to, run, step, saved, now)
             && let Some(t) = self.jobs.get_mut(&task.step.job).and_then(|j| j.task(&task))
         {
-            (t.copy, t.last_copy) = (Some((to, run)), run);
+            (t.copy, t.last_copy_run) = (Some((to, run)), run);
         }
     }
 
@@ -177,7 +178,7 @@
     pub(super) fn stop_all_runs(&mut self, task: &TaskKey, now: Time) {
         let running = |n: &usize| {
             let run = self.workers[*n].runs.get(task);
-            run.is_some_and(|r| r.phase != Phase::Stopping)
+            run.is_some_and(|r| r.phase != RunPhase::Stopping)
         };
         let all: Vec<usize> = (0..self.workers.len()).filter(running).collect();
         for no in all.into_iter().map(WorkerNo) {
--- a/src/shard/start.rs
+++ b/src/shard/start.rs
@@ -9,7 +9,7 @@
             jobs::{ActiveJob, Placement},
             orders::ORDER_TIMEOUT,
             state_machine::Shard,
-            workers::{FULL_PACE_PERCENT, Phase, Run, WorkerNo},
+            workers::{FULL_PACE_PERCENT, Run, RunPhase, WorkerNo},
         },
         time::Time,
         work::{Step, StepKey, TaskKey},
@@ -35,7 +35,7 @@
         }
         for (_, no) in chosen {
             let health = &mut self.workers[no.0].health;
-            if health.allows(step.lasts, now) {
+            if health.allows_start(step.lasts, now) {
                 health.record_start(now);
             }
         }
@@ -57,7 +57,7 @@
         if let Some(stats) =
             self.jobs.get(&key.job).and_then(|j| self.advice_stats.get_mut(&j.queue))
         {
-            stats.starts += all.len() as u64;
+            stats.started_tasks += all.len() as u64;
         }
         self.log_start(key, &all, now);
         for (task, no, run) in all {
@@ -109,21 +109,21 @@
                 run,
                 size: step.reserved(),
                 size_unknown: false,
-                phase: Phase::Starting,
+                phase: RunPhase::Starting,
                 sent_at: now,
-                listed_from: None,
+                absence_from: None,
                 was_seen: false,
                 settled: false,
                 crash_suspect: tried,
                 started_at: now,
                 start_count: 1,
-                percent: (0, 0),
+                progress_percent: (0, 0),
                 reported_at: now,
                 checkpoint: saved.clone(),
-                tail_ms: 0,
+                tail_latency_ms: 0,
                 pace: Some(FULL_PACE_PERCENT),
-                target_ms: step.target,
-                fills: step.fills,
+                latency_target_ms: step.target,
+                is_filler: step.fills,
                 preempt_priority: yields,
                 estimate: Duration::from_millis(step.estimate),
                 earlier_report: (now, 0),
@@ -132,7 +132,15 @@
         if tried {
             worker.isolated_until = now + ISOLATION_TIME;
         }
-        let start = Start { task, run, text, until, token: self.setup.token, saved, ticket };
+        let start = Start {
+            task,
+            run,
+            payload: text,
+            lease_end_ms: until,
+            token: self.setup.token,
+            checkpoint: saved,
+            ticket,
+        };
         self.orders.push(Order::Worker {
             worker: worker.id.clone(),
             addr: worker.addr,
--- a/src/shard/state_machine.rs
+++ b/src/shard/state_machine.rs
@@ -7,17 +7,17 @@
         ids::{Incarnation, PoolId, WorkerId},
         ports::Bounds,
         shard::{
-            commit::{Commit, Outcome},
+            commit::{GroupCommit, WriteOutcome},
             event::{Event, Order, Snapshot},
             in_flight::InFlight,
             jobs::{ActiveJob, StepState},
             record::{Closing, Progress, ShardNo},
             reservation::GangReservation,
-            stats::{AdviceStats, Reported, Stats},
+            stats::{AdviceStats, ReportedValues, Stats},
             workers::{Worker, WorkerNo, millis},
         },
         time::Time,
-        work::{JobNo, Queue, QueueConfig, State, StepKey, TaskKey},
+        work::{JobNo, JobState, Queue, QueueConfig, StepKey, TaskKey},
     },
     rustc_hash::{FxHashMap, FxHashSet},
     std::{
@@ -64,20 +64,20 @@
     pub(super) queue_snapshots: FxHashMap<Box<str>, (u64, Box<Queue>)>,
     pub(super) jobs: FxHashMap<JobNo, ActiveJob>,
     /// Jobs whose end is stored, with their final state.
-    pub(super) finished: FxHashMap<JobNo, State>,
+    pub(super) finished_jobs: FxHashMap<JobNo, JobState>,
     /// Finished jobs by the Unix time in milliseconds at which their progress may be removed.
     pub(super) purge_queue: VecDeque<(u64, JobNo)>,
     /// Jobs with occurrences that are not due yet.
-    pub(super) scheduled: BTreeSet<JobNo>,
+    pub(super) scheduled_jobs: BTreeSet<JobNo>,
     /// Cancelled jobs whose record has not arrived yet.
     pub(super) early_cancels: FxHashSet<JobNo>,
     pub(super) workers: Vec<Worker>,
-    pub(super) ids: FxHashMap<WorkerId, WorkerNo>,
+    pub(super) worker_numbers: FxHashMap<WorkerId, WorkerNo>,
     pub(super) pools: FxHashMap<PoolId, Vec<WorkerNo>>,
     /// Workers that a former owner may have used and that have not answered this owner yet.
-    pub(super) unsettled: FxHashSet<WorkerNo>,
+    pub(super) unsettled_workers: FxHashSet<WorkerNo>,
     /// Tasks of which a run other than the current one is still being stopped.
-    pub(super) strays: FxHashSet<TaskKey>,
+    pub(super) stray_tasks: FxHashSet<TaskKey>,
     /// The time at which this owner took over the shard.
     pub(super) owned_since: Time,
     /// The time by which most workers of the roster had answered this owner for the first time.
@@ -100,8 +100,8 @@
     /// The earliest time of the next scheduling round.
     pub(super) next_round: Time,
     pub(super) lanes: Lanes,
-    pub(super) turns: AdviceTurns,
-    pub(super) commit: Commit,
+    pub(super) advice_turns: AdviceTurns,
+    pub(super) commit: GroupCommit,
     /// The sequence number of the last change to a job.
     pub(super) last_change: u64,
     /// Jobs with changes that have not been written.
@@ -114,7 +114,7 @@
     pub(super) confirmed_at: Time,
     /// Orders that the next round returns.
     pub(super) orders: Vec<Order>,
-    pub(super) reported: Reported,
+    pub(super) reported: ReportedValues,
     pub(super) closing: Arc<Closing>,
     pub(super) stats: Stats,
     deposed: bool,
@@ -129,22 +129,22 @@
 impl Shard {
     /// Builds the shard's state from the records that its new owner has read.
     pub fn new(setup: Setup, load: Snapshot, now: Time) -> Self {
-        let commit = Commit::new(load.commit_revision);
+        let commit = GroupCommit::new(load.commit_revision);
         let mut shard = Shard {
             setup,
             queues: Arc::default(),
             queue_configs: FxHashMap::default(),
             queue_snapshots: FxHashMap::default(),
             jobs: FxHashMap::default(),
-            finished: FxHashMap::default(),
+            finished_jobs: FxHashMap::default(),
             purge_queue: VecDeque::new(),
-            scheduled: BTreeSet::new(),
+            scheduled_jobs: BTreeSet::new(),
             early_cancels: FxHashSet::default(),
             workers: vec![],
-            ids: FxHashMap::default(),
+            worker_numbers: FxHashMap::default(),
             pools: FxHashMap::default(),
-            unsettled: FxHashSet::default(),
-            strays: FxHashSet::default(),
+            unsettled_workers: FxHashSet::default(),
+            stray_tasks: FxHashSet::default(),
             owned_since: now,
             majority_at: None,
             former_lapsed: load.lapsed,
@@ -156,7 +156,7 @@
             advice_stats: BTreeMap::new(),
             next_round: now,
             lanes: Lanes::new(),
-            turns: AdviceTurns::new(),
+            advice_turns: AdviceTurns::new(),
             commit,
             last_change: 0,
             dirty_jobs: VecDeque::new(),
@@ -165,7 +165,7 @@
             // The store may not have confirmed the lease since the shard was taken over.
             confirmed_at: Time::ZERO,
             orders: vec![],
-            reported: Reported::new(now),
+            reported: ReportedValues::new(now),
             closing: Arc::default(),
             stats: Stats::default(),
             deposed: false,
@@ -182,18 +182,18 @@
         for (id, addr) in load.roster.workers {
             let no = self.worker_no(&id, addr, now);
             self.workers[no.0].rostered = true;
-            self.unsettled.insert(no);
+            self.unsettled_workers.insert(no);
         }
         let progress: FxHashMap<JobNo, Progress> = load.progress.into_iter().collect();
         for (no, p) in &progress {
             if p.state.is_final() {
-                self.finished.insert(*no, p.state);
-                self.purge_queue.push_back((p.over + self.retention_ms(), *no));
+                self.finished_jobs.insert(*no, p.state);
+                self.purge_queue.push_back((p.ended_ms + self.retention_ms(), *no));
             }
         }
         self.purge_queue.make_contiguous().sort_unstable();
         for (no, record) in load.jobs {
-            if !self.finished.contains_key(&no) {
+            if !self.finished_jobs.contains_key(&no) {
                 self.admit_job(no, record, progress.get(&no), true, now);
             }
         }
@@ -215,7 +215,7 @@
         }
         match event {
             Event::Job(no, record) => {
-                if !self.jobs.contains_key(&no) && !self.finished.contains_key(&no) {
+                if !self.jobs.contains_key(&no) && !self.finished_jobs.contains_key(&no) {
                     self.admit_job(no, *record, None, false, now);
                 }
             }
@@ -240,13 +240,13 @@
                 self.after_write(after, now);
             }
             Event::Machines { sent, reply } => self.on_machines(sent, reply, now),
-            Event::Confirmed(sent) => self.on_confirmed(sent, now),
+            Event::Confirmed(sent) => self.on_renewal_confirmed(sent, now),
             Event::Peers(mut peers) => {
                 // This member comes first: its own calls need no hop to another member.
-                peers.own.sort_by_key(|p| *p != self.setup.member);
+                peers.unshared.sort_by_key(|p| *p != self.setup.member);
                 self.lanes.set_members(&peers);
             }
-            Event::Closing(closing) => self.close_workers(&closing),
+            Event::Closing(closing) => self.set_closing(&closing),
             Event::Tick => self.tick(now),
         }
     }
@@ -269,13 +269,13 @@
     fn tick(&mut self, now: Time) {
         if self.next_check <= now {
             self.next_check = now + PERIODIC_CHECK_INTERVAL;
-            for no in self.scheduled.clone() {
+            for no in self.scheduled_jobs.clone() {
                 self.create_due_steps(no, now);
             }
             self.expire_leases(now);
             self.repeat_stops(now);
             self.vacate_leaving(now);
-            self.empty_closing(now);
+            self.stop_on_closing_workers(now);
             self.settle(now);
             self.query_machines(now);
             self.prefetch_advice(now);
@@ -297,36 +297,36 @@
         }
     }
 
-    fn after_write(&mut self, after: Outcome, now: Time) {
+    fn after_write(&mut self, after: WriteOutcome, now: Time) {
         match after {
-            Outcome::Nothing => {}
-            Outcome::Done => self.on_stored(now),
-            Outcome::Retry => {
+            WriteOutcome::Nothing => {}
+            WriteOutcome::Done => self.on_stored(now),
+            WriteOutcome::Retry => {
                 log::info!(target: "shard", shard:% = self.setup.shard; "Write was not done; it is made again.");
                 self.on_write_failed();
             }
-            Outcome::Reread => {
+            WriteOutcome::Reread => {
                 log::info!(target: "shard", shard:% = self.setup.shard; "Write has an unclear outcome; the commit row is read.");
                 self.orders.push(Order::ReadCommit);
             }
-            Outcome::Deposed => self.depose(),
+            WriteOutcome::Deposed => self.depose(),
         }
     }
 
     /// Returns the stored state of a job, or `None` if the job is unknown here or another owner may
     /// have a newer state.
-    pub fn state(&self, no: JobNo, now: Time) -> Option<State> {
-        self.owner_state(no).filter(|s| s.is_final() || self.may_tell(now))
+    pub fn state(&self, no: JobNo, now: Time) -> Option<JobState> {
+        self.owner_state(no).filter(|s| s.is_final() || self.may_report(now))
     }
 
     /// Returns the state of a job like [`Shard::state`], for a member whose own table shows that it
     /// owns the shard.
-    pub fn owner_state(&self, no: JobNo) -> Option<State> {
-        match (self.finished.get(&no), self.jobs.get(&no)) {
+    pub fn owner_state(&self, no: JobNo) -> Option<JobState> {
+        match (self.finished_jobs.get(&no), self.jobs.get(&no)) {
             // This state is stored, so it holds under any owner.
             (Some(over), _) => Some(*over),
             // The end is not stored yet: after a power failure the job would run again.
-            (None, Some(job)) if job.state.is_final() => Some(State::Running),
+            (None, Some(job)) if job.state.is_final() => Some(JobState::Running),
             (None, job) => job.map(|j| j.state),
         }
     }
@@ -334,14 +334,14 @@
     /// Returns the number of jobs of a queue that have not started.
     pub fn queued_jobs(&self, queue: &str) -> u64 {
         let begun = |j: &&ActiveJob| {
-            *j.queue == *queue && j.state == State::Queued && j.job.times.is_none()
+            *j.queue == *queue && j.state == JobState::Queued && j.job.times.is_none()
         };
         self.jobs.values().filter(begun).count() as u64
     }
 
     /// Returns whether every change is stored.
     pub fn is_flushed(&self) -> bool {
-        self.deposed || (self.dirty_jobs.is_empty() && !self.commit.busy())
+        self.deposed || (self.dirty_jobs.is_empty() && !self.commit.is_busy())
     }
 
     /// Returns the number of jobs whose current state may not be stored yet.
--- a/src/shard/stats.rs
+++ b/src/shard/stats.rs
@@ -9,36 +9,36 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Stats {
     /// The number of steps that have started for the first time, by the reason for their delay.
-    pub starts: BTreeMap<&'static str, u64>,
+    pub step_starts: BTreeMap<&'static str, u64>,
     /// The times from a job's arrival to its first start, one for each job.
     pub first_starts: Vec<Duration>,
     /// The times from a job's arrival to its completion, one for each job.
     pub completions: Vec<Duration>,
     /// The number of runs that have ended, by the way in which they ended.
-    pub ends: BTreeMap<&'static str, u64>,
+    pub run_ends: BTreeMap<&'static str, u64>,
     /// The number of stored ends of runs that were acknowledged to their workers.
-    pub acknowledged: u64,
+    pub acknowledged_ends: u64,
 }
 
 /// The advice calls of one queue.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AdviceStats {
     /// The number of calls.
-    pub calls: u64,
+    pub call_count: u64,
     /// The number of workers that the calls named.
-    pub named: u64,
+    pub named_workers: u64,
     /// The sum of the expected durations of the calls.
     pub expected_time: Duration,
     /// The number of calls made although none of the named workers was expected to have room for a
     /// task by the time of the answer.
     pub without_room: u64,
     /// The number of tasks that were started with tickets.
-    pub starts: u64,
+    pub started_tasks: u64,
 }
 
 /// The values that were last reported of a shard.
 #[derive(Clone, Debug)]
-pub(super) struct Reported {
+pub(super) struct ReportedValues {
     /// The time at which the last worker list was received.
     pub listed_at: Time,
     /// The number of workers in that list.
@@ -49,10 +49,10 @@
     pub away: BTreeMap<Cause, Duration>,
 }
 
-impl Reported {
+impl ReportedValues {
     /// Returns the values before any report.
     pub fn new(now: Time) -> Self {
-        Reported { listed_at: now, listed_count: 0, settled_at: None, away: BTreeMap::new() }
+        ReportedValues { listed_at: now, listed_count: 0, settled_at: None, away: BTreeMap::new() }
     }
 }
 
@@ -60,9 +60,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Gauges {
     /// The number of waiting tasks that could start, by the priority of their queue.
-    pub waiting: BTreeMap<u8, usize>,
+    pub waiting_tasks: BTreeMap<u8, usize>,
     /// The age of the worker list.
     pub list_age: Duration,
     /// The longest time for which a long-running task has been away, by cause.
-    pub away: BTreeMap<Cause, Duration>,
+    pub longest_absence: BTreeMap<Cause, Duration>,
 }
--- a/src/shard/worker_loss.rs
+++ b/src/shard/worker_loss.rs
@@ -8,7 +8,7 @@
             event::Order,
             orders::ORDER_TIMEOUT,
             state_machine::Shard,
-            workers::{Phase, Worker, WorkerNo},
+            workers::{RunPhase, Worker, WorkerNo},
         },
         time::Time,
         work::StepKey,
@@ -45,7 +45,7 @@
 
     /// Requests the list of machines while a worker on which something may run is silent.
     pub(super) fn query_machines(&mut self, now: Time) {
-        let (unsettled, workers) = (&self.unsettled, &self.workers);
+        let (unsettled, workers) = (&self.unsettled_workers, &self.workers);
         let unconfirmed = |n: usize, w: &Worker| {
             let counts = !w.runs.is_empty() || unsettled.contains(&WorkerNo(n));
             !w.gone && counts && w.unanswered_calls > 0
@@ -96,8 +96,8 @@
                 self.forget_runs(no, now);
             }
             let w = &mut self.workers[no.0];
-            let lost = w.listed.is_none() && w.unanswered_calls > 3;
-            if lost && !self.unsettled.contains(&no) {
+            let lost = w.list_entry.is_none() && w.unanswered_calls > 3;
+            if lost && !self.unsettled_workers.contains(&no) {
                 w.gone = true;
                 self.roster_dirty = true;
             }
@@ -118,10 +118,10 @@
         for (n, w) in self.workers.iter().enumerate().filter(|(_, w)| !w.gone) {
             let Some(end) = w.leaves_at else { continue };
             let last = end - (self.setup.bounds.stop_time + ORDER_TIMEOUT);
-            for (task, _) in w.runs.iter().filter(|(_, r)| r.phase == Phase::Running) {
+            for (task, _) in w.runs.iter().filter(|(_, r)| r.phase == RunPhase::Running) {
                 let step = &task.step;
                 let more = match has_room.get(step) {
-                    None => self.unplaced(step) + 1,
+                    None => self.unplaced_count(step) + 1,
                     Some(true) => 1,
                     Some(false) => 0,
                 };
--- a/src/shard/workers.rs
+++ b/src/shard/workers.rs
@@ -4,7 +4,7 @@
     crate::{
         decide::{crash::SETTLE_TIME, health::WorkerHealth, pace::Pace},
         ids::{PoolId, WorkerId},
-        ports::{Bounds, Row},
+        ports::{Bounds, PresentRun},
         shard::record::UpkeepTurn,
         time::Time,
         units::Size,
@@ -21,7 +21,7 @@
 pub const CLOCK_MARGIN: Duration = Duration::from_millis(250);
 /// Minimum reported progress, as a percentage, at which a long-running task counts as fully
 /// running.
-pub const AT_WORK_PERCENT: u8 = 100;
+pub const FULL_PROGRESS_PERCENT: u8 = 100;
 /// The pace at which a run begins, in percent.
 pub const FULL_PACE_PERCENT: u8 = 100;
 /// Leases are requested this much shorter than the worker's maximum, so that the worker never
@@ -38,7 +38,7 @@
 
 /// How far a run is known to have come at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum RunPhase {
     /// The start has been sent.
     Starting,
     /// The start was not answered: the worker may have the run, or may begin it later.
@@ -59,11 +59,11 @@
     /// Whether the resources that it uses are unknown.
     pub size_unknown: bool,
     /// What is known of the run.
-    pub phase: Phase,
+    pub phase: RunPhase,
     /// When the last order for this run was sent.
     pub sent_at: Time,
     /// If an answer given after this time does not list the run, the run is gone.
-    pub listed_from: Option<Time>,
+    pub absence_from: Option<Time>,
     /// Whether the worker has reported the run as running.
     pub was_seen: bool,
     /// Whether the worker has reported the run long enough after its start to rule out that the
@@ -76,19 +76,19 @@
     /// The number of times that the run's start was sent.
     pub start_count: u32,
     /// The progress of the run at its start and at the last report, as percentages.
-    pub percent: (u8, u8),
+    pub progress_percent: (u8, u8),
     /// The time at which the worker last reported the run.
     pub reported_at: Time,
     /// The run's last checkpoint.
     pub checkpoint: Box<str>,
     /// The tail latency of a serving task, in milliseconds.
-    pub tail_ms: u64,
+    pub tail_latency_ms: u64,
     /// The pace of the run in percent, if known.
     pub pace: Option<u8>,
     /// The latency target of a serving task, in milliseconds; 0 if it has none.
-    pub target_ms: u64,
+    pub latency_target_ms: u64,
     /// Whether the run is a filler, which uses only resources that other tasks leave free.
-    pub fills: bool,
+    pub is_filler: bool,
     /// The priority of the run's queue if the run loses little when preempted; work with a lower
     /// priority number may then preempt it.
     pub preempt_priority: Option<u8>,
@@ -107,7 +107,7 @@
     /// The address that takes its orders.
     pub addr: SocketAddr,
     /// The worker's entry in the worker list; `None` if the list does not contain it.
-    pub listed: Option<ListedWorker>,
+    pub list_entry: Option<ListedWorker>,
     /// Whether the worker has answered a call with this owner's token, so that it rejects former
     /// owners.
     pub fenced: bool,
@@ -120,7 +120,7 @@
     /// The time at which the worker shuts down, if it is leaving.
     pub leaves_at: Option<Time>,
     /// The worker's turn in a wave of upkeep.
-    pub turn: UpkeepTurn,
+    pub upkeep_turn: UpkeepTurn,
     /// The runs that the worker has or may have.
     pub runs: FxHashMap<TaskKey, Run>,
     /// The sum of the resources of its runs.
@@ -132,9 +132,9 @@
     /// The number of its runs whose resources are unknown.
     pub unsized_runs: usize,
     /// The number of the last end of a run that was received.
-    pub last_end: u64,
+    pub last_end_number: u64,
     /// The number of the last end of a run that is stored.
-    pub stored_end: u64,
+    pub stored_end_number: u64,
     /// Ends that were received and are not stored yet: number, job and sequence number of the
     /// change.
     pub unstored_ends: VecDeque<(u64, JobNo, u64)>,
@@ -168,12 +168,12 @@
     /// The pace for fillers on this worker.
     pub pace: Pace,
     /// The state of the worker that was last logged.
-    pub reported: Reported,
+    pub logged: LoggedState,
 }
 
 /// What was last logged about a worker, so that each change is logged once.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reported {
+pub struct LoggedState {
     /// Whether the worker is in quarantine.
     pub quarantined: bool,
     /// Whether the worker is unresponsive.
@@ -186,20 +186,20 @@
         Worker {
             id,
             addr,
-            listed: None,
+            list_entry: None,
             fenced: false,
             rostered: false,
             gone: false,
             first_seen: now,
             leaves_at: None,
-            turn: UpkeepTurn::Open,
+            upkeep_turn: UpkeepTurn::Open,
             runs: FxHashMap::default(),
             used: Size::default(),
             fillers: 0,
             serving: 0,
             unsized_runs: 0,
-            last_end: 0,
-            stored_end: 0,
+            last_end_number: 0,
+            stored_end_number: 0,
             unstored_ends: VecDeque::new(),
             hold_sent: None,
             next_hold: now,
@@ -214,7 +214,7 @@
             isolated_until: Time::ZERO,
             health: WorkerHealth::new(),
             pace: Pace::new(),
-            reported: Reported::default(),
+            logged: LoggedState::default(),
         }
     }
 
@@ -223,7 +223,7 @@
     /// A worker with runs of unknown size may not. A new owner finds runs of jobs that are over,
     /// which go on until they are stopped and use an unknown amount of resources; a start could
     /// exceed the worker's capacity.
-    pub fn usable(&self, now: Time) -> bool {
+    pub fn is_usable(&self, now: Time) -> bool {
         self.can_start(now) && !self.is_draining()
     }
 
@@ -233,8 +233,8 @@
     /// It may only if the worker has runs: a worker without runs may already have been reported
     /// empty, and its VM may go down at any moment. A worker with runs has never been reported
     /// empty.
-    pub fn usable_draining(&self, now: Time) -> bool {
-        self.can_start(now) && self.turn == UpkeepTurn::Closing && !self.runs.is_empty()
+    pub fn is_usable_draining(&self, now: Time) -> bool {
+        self.can_start(now) && self.upkeep_turn == UpkeepTurn::Closing && !self.runs.is_empty()
     }
 
     fn can_start(&self, now: Time) -> bool {
@@ -242,36 +242,37 @@
             && self.rostered
             && !self.gone
             && self.leaves_at.is_none()
-            && self.listed.is_some()
+            && self.list_entry.is_some()
             && self.unanswered_calls == 0
             && self.unsized_runs == 0
             && self.paused_until <= now
     }
 
     /// Returns whether the worker is due for upkeep but is not being drained yet.
-    pub fn upkeep_due(&self) -> bool {
-        self.turn == UpkeepTurn::Due
+    pub fn is_upkeep_due(&self) -> bool {
+        self.upkeep_turn == UpkeepTurn::Due
     }
 
     /// Returns whether the worker is being drained.
     pub fn is_draining(&self) -> bool {
-        matches!(self.turn, UpkeepTurn::Closing | UpkeepTurn::Forced)
+        matches!(self.upkeep_turn, UpkeepTurn::Closing | UpkeepTurn::Forced)
     }
 
     /// Returns whether the stored roster has to include the worker because something may run on it.
     pub fn needs_roster(&self) -> bool {
-        let live = self.listed.is_some() && self.leaves_at.is_none() && self.unanswered_calls < 3;
+        let live =
+            self.list_entry.is_some() && self.leaves_at.is_none() && self.unanswered_calls < 3;
         !self.gone && (live || !self.runs.is_empty() || !self.fenced)
     }
 
     /// Returns the pool of the worker, if it is listed.
     pub fn pool(&self) -> Option<&PoolId> {
-        self.listed.as_ref().map(|l| &l.pool)
+        self.list_entry.as_ref().map(|l| &l.pool)
     }
 
     /// Returns the worker's free resources.
     pub fn free(&self) -> Size {
-        self.listed.as_ref().map_or(Size::default(), |l| l.capacity.saturating_sub(&self.used))
+        self.list_entry.as_ref().map_or(Size::default(), |l| l.capacity.saturating_sub(&self.used))
     }
 
     /// Records an answer to a call. `clock` is the reading of the worker's clock in the answer, or
@@ -337,8 +338,8 @@
     pub fn add_run(&mut self, task: TaskKey, run: Run) {
         self.used += run.size;
         self.unsized_runs += usize::from(run.size_unknown);
-        self.fillers += u32::from(run.fills);
-        self.serving += u32::from(run.target_ms > 0);
+        self.fillers += u32::from(run.is_filler);
+        self.serving += u32::from(run.latency_target_ms > 0);
         if let Some(old) = self.runs.insert(task, run) {
             self.deduct_run(&old);
         }
@@ -357,28 +358,28 @@
     fn deduct_run(&mut self, run: &Run) {
         self.used = self.used.saturating_sub(&run.size);
         self.unsized_runs -= usize::from(run.size_unknown);
-        self.fillers -= u32::from(run.fills);
-        self.serving -= u32::from(run.target_ms > 0);
+        self.fillers -= u32::from(run.is_filler);
+        self.serving -= u32::from(run.latency_target_ms > 0);
     }
 
     /// Returns whether a serving task runs on the worker.
-    pub fn serves(&self) -> bool {
+    pub fn has_serving_tasks(&self) -> bool {
         self.serving > 0
     }
 
     /// Updates a run from the worker's report.
-    pub fn update_run(run: &mut Run, row: &Row, now: Time) {
-        if matches!(run.phase, Phase::Starting | Phase::Unsure) {
-            run.phase = Phase::Running;
+    pub fn update_run(run: &mut Run, row: &PresentRun, now: Time) {
+        if matches!(run.phase, RunPhase::Starting | RunPhase::Unsure) {
+            run.phase = RunPhase::Running;
         }
-        run.listed_from.get_or_insert(now);
+        run.absence_from.get_or_insert(now);
         run.was_seen = true;
         run.settled |= now - run.started_at >= SETTLE_TIME;
-        run.percent.1 = row.percent;
+        run.progress_percent.1 = row.percent;
         run.reported_at = now;
-        run.tail_ms = row.load;
-        if !row.saved.is_empty() {
-            run.checkpoint = row.saved.clone();
+        run.tail_latency_ms = row.load;
+        if !row.checkpoint.is_empty() {
+            run.checkpoint = row.checkpoint.clone();
         }
     }
 }
--- a/src/shard/writes.rs
+++ b/src/shard/writes.rs
@@ -49,8 +49,8 @@
         let shard = self.setup.shard;
         let row = CommitRow { token: self.setup.token, number };
         let mut txn = Txn::default();
-        txn.expect.push((shard.commit(), rev));
-        txn.puts.push(Put { key: shard.commit(), value: encode(&row), lease: 0 });
+        txn.expected_revs.push((shard.commit_key(), rev));
+        txn.puts.push(Put { key: shard.commit_key(), value: encode(&row), lease: 0 });
         let mut flight = InFlight::default();
         if mem::take(&mut self.roster_dirty) {
             flight.roster = Some(self.write_roster(&mut txn));
@@ -63,9 +63,9 @@
         {
             self.purge_queue.pop_front();
             flight.purged.push((at, no));
-            txn.remove.push(shard.progress(no));
+            txn.removed_keys.push(shard.progress_key(no));
             // A cancel may have been stored after the job ended.
-            txn.remove.push(shard.cancel(no));
+            txn.removed_keys.push(shard.cancel_key(no));
         }
         self.in_flight = flight;
         self.orders.push(Order::Store(number, txn));
@@ -78,7 +78,7 @@
             .collect();
         let place = |n: &WorkerNo| (self.workers[n.0].id.clone(), self.workers[n.0].addr);
         let roster = Roster { workers: all.iter().map(place).collect() };
-        txn.puts.push(Put { key: self.setup.shard.roster(), value: encode(&roster), lease: 0 });
+        txn.puts.push(Put { key: self.setup.shard.roster_key(), value: encode(&roster), lease: 0 });
         // Workers that the new roster omits must not be used while it is being written.
         for (n, w) in self.workers.iter_mut().enumerate() {
             w.rostered &= all.binary_search(&WorkerNo(n)).is_ok();
@@ -95,10 +95,10 @@
             let progress = job.progress(if over { unix } else { 0 });
             job.stored_seq = job.changed_seq;
             let value = encode(&progress);
-            txn.puts.push(Put { key: shard.progress(no), value, lease: 0 });
+            txn.puts.push(Put { key: shard.progress_key(no), value, lease: 0 });
             if over {
-                txn.remove.push(shard.job(no));
-                txn.remove.push(shard.cancel(no));
+                txn.removed_keys.push(shard.job_key(no));
+                txn.removed_keys.push(shard.cancel_key(no));
             }
             flight.jobs.push((no, job.changed_seq, over.then_some(progress)));
         }
@@ -110,11 +110,11 @@
         for (no, _, over) in flight.jobs {
             let Some(progress) = over else { continue };
             self.jobs.remove(&no);
-            self.finished.insert(no, progress.state);
-            self.purge_queue.push_back((progress.over + self.retention_ms(), no));
+            self.finished_jobs.insert(no, progress.state);
+            self.purge_queue.push_back((progress.ended_ms + self.retention_ms(), no));
         }
         for (_, no) in flight.purged {
-            self.finished.remove(&no);
+            self.finished_jobs.remove(&no);
             self.early_cancels.remove(&no);
         }
         for no in flight.roster.into_iter().flatten() {
@@ -147,19 +147,19 @@
     /// former owner without newer knowledge may start the task there again, once it has heard that
     /// the incarnation in which the task ended is over.
     pub(super) fn acknowledge_ends(&mut self, now: Time) {
-        if !self.unsettled.is_empty() {
+        if !self.unsettled_workers.is_empty() {
             return;
         }
         let busy: Vec<JobNo> = self.in_flight.jobs.iter().map(|f| f.0).collect();
         let (jobs, workers) = (&self.jobs, &mut self.workers);
-        let acknowledged = &mut self.stats.acknowledged;
+        let acknowledged = &mut self.stats.acknowledged_ends;
         for w in workers.iter_mut().filter(|w| !w.unstored_ends.is_empty()) {
             while let Some((number, no, place)) = w.unstored_ends.front().copied() {
                 let stored = jobs.get(&no).is_none_or(|j| j.stored_seq >= place);
                 if !stored || busy.contains(&no) {
                     break;
                 }
-                w.stored_end = number;
+                w.stored_end_number = number;
                 *acknowledged += 1;
                 w.unstored_ends.pop_front();
                 w.next_hold = now;
--- a/src/shard_runner.rs
+++ b/src/shard_runner.rs
@@ -16,7 +16,7 @@
         },
         shared_state::SharedState,
         time::Time,
-        work::{JobNo, State},
+        work::{JobNo, JobState},
     },
     async_channel::{Receiver, Sender, TrySendError},
     std::{collections::BTreeMap, sync::Arc, time::Duration},
@@ -57,7 +57,7 @@
     /// A request for the states of jobs. The flag says whether the asking member has a recent table
     /// that names this member as the owner. The reply is `None` for an unknown job and, if the flag
     /// is false, for a job whose shard may have another owner.
-    JobStates(Box<[(ShardNo, JobNo)]>, bool, oneshot::Sender<Vec<Option<State>>>),
+    JobStates(Box<[(ShardNo, JobNo)]>, bool, oneshot::Sender<Vec<Option<JobState>>>),
     /// A request for the tasks on these workers of these shards, and for how long tasks wait. The
     /// reply is `None` if this member may no longer own one of the shards.
     HeldTasks(
@@ -84,7 +84,7 @@
 struct OwnedShard {
     token: u64,
     /// Whether the shard has processed an event since its last round.
-    pending: bool,
+    has_new_events: bool,
     shard: Shard,
 }
 
@@ -93,13 +93,13 @@
     common: Arc<SharedState>,
     input: Receiver<ShardInput>,
     orders: Sender<ShardOutput>,
-    notes: Sender<ShardOutput>,
+    notices: Sender<ShardOutput>,
     shards: BTreeMap<ShardNo, OwnedShard>,
     /// Failure events of orders that were dropped because the queue was full; processed with the
     /// next tick.
-    deferred: Vec<(ShardNo, u64, Event)>,
+    deferred_events: Vec<(ShardNo, u64, Event)>,
     /// The time of the latest [`Event::Confirmed`].
-    confirmed: Option<Time>,
+    confirmed_at: Option<Time>,
     /// Time of the next update of the metrics.
     next_metrics: Time,
     /// Time until which the shards may finish their writes; `None` unless they are to be released.
@@ -109,23 +109,23 @@
 impl ShardRunner {
     /// Creates a runner without shards.
     ///
-    /// Orders of shards go to `orders`, news of released and lost shards to `notes`.
+    /// Orders of shards go to `orders`, news of released and lost shards to `notices`.
     pub fn new(
         common: Arc<SharedState>,
         input: Receiver<ShardInput>,
         orders: Sender<ShardOutput>,
-        notes: Sender<ShardOutput>,
+        notices: Sender<ShardOutput>,
     ) -> Self {
-        let (shards, deferred) = (BTreeMap::new(), vec![]);
+        let (shards, deferred_events) = (BTreeMap::new(), vec![]);
         let next_metrics = Time::ZERO;
         ShardRunner {
             common,
             input,
             orders,
-            notes,
+            notices,
             shards,
-            deferred,
-            confirmed: None,
+            deferred_events,
+            confirmed_at: None,
             next_metrics,
             release_by: None,
         }
@@ -149,7 +149,7 @@
             };
             let Some(input) = input else {
                 self.tick().await;
-                self.round().await;
+                self.run_rounds().await;
                 continue;
             };
             self.process(input).await;
@@ -157,7 +157,7 @@
                 let Ok(input) = self.input.try_recv() else { break };
                 self.process(input).await;
             }
-            self.round().await;
+            self.run_rounds().await;
             // The queue of inputs may be full again at once: the tasks that carry out the orders have to
             // run in between.
             yield_now().await;
@@ -166,11 +166,11 @@
 
     async fn process(&mut self, input: ShardInput) {
         match input {
-            ShardInput::Own(shard, token, load) => self.own(shard, token, *load).await,
-            ShardInput::Event(shard, token, event) => self.event(shard, token, event),
+            ShardInput::Own(shard, token, load) => self.start_shard(shard, token, *load).await,
+            ShardInput::Event(shard, token, event) => self.process_event(shard, token, event),
             ShardInput::PeerEvent(shard, event) => {
                 if let Some(token) = self.shards.get(&shard).map(|s| s.token) {
-                    self.event(shard, token, event);
+                    self.process_event(shard, token, event);
                 }
             }
             ShardInput::Broadcast(event) => self.broadcast(event).await,
@@ -211,44 +211,44 @@
     /// Returns a shard if this member certainly owns it and may therefore report its state to
     /// others.
     fn certain_shard(&self, no: &ShardNo, now: Time) -> Option<&Shard> {
-        self.shards.get(no).map(|o| &o.shard).filter(|s| s.may_tell(now))
+        self.shards.get(no).map(|o| &o.shard).filter(|s| s.may_report(now))
     }
 
     /// Starts a shard that this member now owns.
-    async fn own(&mut self, no: ShardNo, token: u64, load: Snapshot) {
+    async fn start_shard(&mut self, no: ShardNo, token: u64, load: Snapshot) {
         if self.shards.is_empty() && !self.common.is_stopping() {
             // All shards of an earlier release have been released.
             self.release_by = None;
         }
         if self.release_by.is_some() {
-            let _ = self.notes.send(ShardOutput::Releasable(no, 0)).await;
+            let _ = self.notices.send(ShardOutput::Releasable(no, 0)).await;
             return;
         }
         let bounds = self.common.site.borrow().bounds;
         let (me, unix) = (self.common.me, self.common.start_unix_ms);
         let setup = Setup { shard: no, member: me, token, bounds, unix_ms: unix };
         let shard = Shard::new(setup, load, self.common.now());
-        self.shards.insert(no, OwnedShard { token, pending: true, shard });
+        self.shards.insert(no, OwnedShard { token, has_new_events: true, shard });
         let config = self.common.config.borrow().clone();
         if let Some(config) = config {
-            self.event(no, token, Event::Queues(config.queues));
+            self.process_event(no, token, Event::Queues(config.queues));
         }
         let view = self.common.view.borrow().clone();
-        self.event(no, token, Event::Peers(view.advice_members(no)));
-        self.event(no, token, Event::Closing(view.closing.clone()));
-        if let Some(at) = self.confirmed {
-            self.event(no, token, Event::Confirmed(at));
+        self.process_event(no, token, Event::Peers(view.advice_members(no)));
+        self.process_event(no, token, Event::Closing(view.closing.clone()));
+        if let Some(at) = self.confirmed_at {
+            self.process_event(no, token, Event::Confirmed(at));
         }
     }
 
     /// Passes an event to all shards.
     async fn broadcast(&mut self, event: Event) {
         if let Event::Confirmed(at) = &event {
-            self.confirmed = self.confirmed.max(Some(*at));
+            self.confirmed_at = self.confirmed_at.max(Some(*at));
         }
         let all: Vec<_> = self.shards.iter().map(|(s, o)| (*s, o.token)).collect();
         for (shard, token) in all {
-            self.event(shard, token, event.clone());
+            self.process_event(shard, token, event.clone());
         }
     }
 
@@ -257,16 +257,16 @@
         let view = self.common.view.borrow().clone();
         let all: Vec<_> = self.shards.iter().map(|(s, o)| (*s, o.token)).collect();
         for (shard, token) in all {
-            self.event(shard, token, Event::Peers(view.advice_members(shard)));
+            self.process_event(shard, token, Event::Peers(view.advice_members(shard)));
         }
     }
 
     async fn tick(&mut self) {
-        for (shard, token, event) in std::mem::take(&mut self.deferred) {
-            self.event(shard, token, event);
+        for (shard, token, event) in std::mem::take(&mut self.deferred_events) {
+            self.process_event(shard, token, event);
         }
         if self.release_by.is_some() {
-            self.write_rest();
+            self.start_final_writes();
             self.release_settled().await;
         } else {
             self.broadcast(Event::Tick).await;
@@ -288,8 +288,8 @@
         for owned in self.shards.values_mut() {
             metrics.add_tally(&owned.shard.take_stats());
             let levels = owned.shard.gauges(now);
-            levels.waiting.iter().for_each(|(p, n)| *waiting.entry(*p).or_default() += n);
-            for (cause, time) in levels.away {
+            levels.waiting_tasks.iter().for_each(|(p, n)| *waiting.entry(*p).or_default() += n);
+            for (cause, time) in levels.longest_absence {
                 let longest = away.entry(cause).or_default();
                 *longest = time.max(*longest);
             }
@@ -300,27 +300,31 @@
         metrics.set_age("workers", oldest);
     }
 
-    /// Passes an event to its shard; the next [`Self::round`] passes the shard's orders on.
+    /// Passes an event to its shard; the next [`Self::run_rounds`] passes the shard's orders on.
     ///
     /// A shard that is to be released gets only the results of its writes: anything else that it
     /// started now would be left half done to its next owner.
-    fn event(&mut self, no: ShardNo, token: u64, event: Event) {
+    fn process_event(&mut self, no: ShardNo, token: u64, event: Event) {
         let write_result = matches!(event, Event::Stored(..) | Event::CommitRead(_));
         if self.release_by.is_some() && !write_result {
             return;
         }
         let Some(owned) = self.shards.get_mut(&no).filter(|o| o.token == token) else { return };
         owned.shard.apply(event, self.common.now());
-        owned.pending = true;
+        owned.has_new_events = true;
     }
 
     /// Runs a round of each shard that has processed events, and passes its orders on.
-    async fn round(&mut self) {
-        let pending: Vec<_> =
-            self.shards.iter().filter(|(_, o)| o.pending).map(|(s, o)| (*s, o.token)).collect();
+    async fn run_rounds(&mut self) {
+        let pending: Vec<_> = self
+            .shards
+            .iter()
+            .filter(|(_, o)| o.has_new_events)
+            .map(|(s, o)| (*s, o.token))
+            .collect();
         for (no, token) in pending {
             let Some(owned) = self.shards.get_mut(&no) else { continue };
-            owned.pending = false;
+            owned.has_new_events = false;
             for order in owned.shard.run_round(self.common.now()) {
                 let writes = matches!(order, Order::Store(..) | Order::ReadCommit | Order::Deposed);
                 if self.release_by.is_some() && !writes {
@@ -328,33 +332,33 @@
                 }
                 if order == Order::Deposed {
                     self.shards.remove(&no);
-                    let _ = self.notes.send(ShardOutput::Deposed(no)).await;
+                    let _ = self.notices.send(ShardOutput::Deposed(no)).await;
                     break;
                 }
-                self.order(no, token, order);
+                self.pass_order(no, token, order);
             }
         }
     }
 
     /// Starts the remaining writes of the shards that are to be released.
-    fn write_rest(&mut self) {
+    fn start_final_writes(&mut self) {
         let now = self.common.now();
         let each = self.shards.iter_mut().map(|(s, o)| (*s, o.token, o.shard.flush_rest(now)));
         let all: Vec<_> = each.collect();
         for (no, token, orders) in all {
-            orders.into_iter().for_each(|order| self.order(no, token, order));
+            orders.into_iter().for_each(|order| self.pass_order(no, token, order));
         }
     }
 
     /// Passes an order on. If the queue is full, the shard gets an event with the next tick that the
     /// order was not carried out.
-    fn order(&mut self, no: ShardNo, token: u64, order: Order) {
+    fn pass_order(&mut self, no: ShardNo, token: u64, order: Order) {
         let Err(e) = self.orders.try_send(ShardOutput::Order(no, token, order)) else { return };
         let (TrySendError::Full(out) | TrySendError::Closed(out)) = e;
         self.common.metrics.ring_full.with_label_values(&["orders"]).inc();
         let ShardOutput::Order(_, _, order) = out else { return };
         if let Some(event) = unsent_result(order, self.common.now()) {
-            self.deferred.push((no, token, event));
+            self.deferred_events.push((no, token, event));
         }
     }
 
@@ -369,7 +373,7 @@
             .collect();
         for (shard, left) in done {
             self.shards.remove(&shard);
-            let _ = self.notes.send(ShardOutput::Releasable(shard, left)).await;
+            let _ = self.notices.send(ShardOutput::Releasable(shard, left)).await;
         }
     }
 }
--- a/src/shared_state.rs
+++ b/src/shared_state.rs
@@ -8,7 +8,7 @@
         ids::Incarnation,
         member_table::TableView,
         metrics::Metrics,
-        ports::{Codec, Item, Rev, Site, Wave},
+        ports::{Codec, Item, Rev, SiteSettings, Wave},
         prefix_watch::WatchUpdate,
         relay::StoreRoutes,
         service_clients::ServiceClients,
@@ -49,7 +49,7 @@
 /// The state that the threads of a member share.
 pub(crate) struct SharedState {
     /// The formats and addresses of the services that the member calls.
-    pub forms: &'static Codec,
+    pub codec: &'static Codec,
     /// The id of this process.
     pub me: Incarnation,
     /// The Unix time, in milliseconds, at [`Time::ZERO`].
@@ -57,7 +57,7 @@
     /// The member's metrics.
     pub metrics: Arc<Metrics>,
     /// The settings.
-    pub site: watch::Sender<Arc<Site>>,
+    pub site: watch::Sender<Arc<SiteSettings>>,
     /// The configuration, once it has been read.
     pub config: watch::Sender<Option<Config>>,
     /// The ordered maintenance waves.
@@ -67,9 +67,9 @@
     /// Whether this member is stopping.
     pub stop: watch::Sender<bool>,
     /// Chooses whether calls of the store go direct or through other members.
-    pub ways: Arc<StoreRoutes>,
+    pub store_routes: Arc<StoreRoutes>,
     /// The advice calls that this member has in flight, for itself and for other members.
-    pub desk: Mutex<CallQueue>,
+    pub advice_queue: Mutex<CallQueue>,
     start: Instant,
     /// Time of the store's last answer; [`Time::ZERO`] if it never has answered.
     last_answer: AtomicU64,
@@ -90,9 +90,14 @@
 
 impl SharedState {
     /// Creates the state at the start of the member.
-    pub fn new(forms: &'static Codec, site: Site, me: Incarnation, metrics: Arc<Metrics>) -> Self {
+    pub fn new(
+        codec: &'static Codec,
+        site: SiteSettings,
+        me: Incarnation,
+        metrics: Arc<Metrics>,
+    ) -> Self {
         SharedState {
-            forms,
+            codec,
             me,
             start_unix_ms: unix_ms(),
             metrics,
@@ -101,8 +106,8 @@
             waves: watch::Sender::default(),
             view: watch::Sender::new(Arc::default()),
             stop: watch::Sender::new(false),
-            ways: Arc::default(),
-            desk: Mutex::default(),
+            store_routes: Arc::default(),
+            advice_queue: Mutex::default(),
             start: Instant::now(),
             last_answer: AtomicU64::new(0),
             outdated_rev: AtomicU64::new(0),
@@ -118,11 +123,11 @@
     }
 
     /// Creates clients for the calling thread that call all services directly, without a relay.
-    pub fn outside(self: &Arc<Self>) -> ServiceClients {
+    pub fn direct_clients(self: &Arc<Self>) -> ServiceClients {
         let common = self.clone();
         let note_answer = move || common.last_answer.store(common.now().0, Ordering::Relaxed);
         ServiceClients::new(
-            self.forms,
+            self.codec,
             self.site.subscribe(),
             self.metrics.clone(),
             Arc::new(note_answer),
@@ -155,7 +160,7 @@
     }
 
     /// Records that the configuration known here was the store's latest at this time.
-    pub fn confirm(&self, at: Time) {
+    pub fn record_confirmed(&self, at: Time) {
         self.confirmed_at.fetch_max(at.0, Ordering::Relaxed);
     }
 
@@ -198,7 +203,7 @@
     }
 
     /// Returns whether this member can serve callers.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let in_touch = self.reaches_store();
         let registered = self.registered.load(Ordering::Relaxed);
         let configured = self.config.borrow().is_some() && self.is_current();
@@ -210,7 +215,7 @@
     /// They arrive with the watch of the configuration, so that a site without waves needs no
     /// further calls.
     pub fn apply_waves(&self, seen: &WatchUpdate) {
-        let prefix = self.forms.wave_prefix;
+        let prefix = self.codec.wave_prefix;
         let mut waves = self.waves.borrow().clone();
         let (WatchUpdate::Snapshot(items, _) | WatchUpdate::Changes(items, _)) = seen;
         let items = || items.iter().filter(|i| i.key.starts_with(prefix));
@@ -223,7 +228,7 @@
                 waves.remove(&item.key);
                 continue;
             };
-            match (self.forms.decode_wave)(value) {
+            match (self.codec.decode_wave)(value) {
                 Ok(wave) => drop(waves.insert(item.key.clone(), (item.rev, wave))),
                 Err(e) => log::error!(target: "upkeep", "A maintenance wave can't be parsed: {e}."),
             }
@@ -245,7 +250,7 @@
         if known.as_ref().is_some_and(|k| k.rev >= item.rev) {
             return;
         }
-        let queues = match (self.forms.decode_config)(value) {
+        let queues = match (self.codec.decode_config)(value) {
             Ok(queues) => queues,
             Err(e) => {
                 log::error!(target: "config", "The configuration can't be parsed: {e}.");
--- a/src/site.rs
+++ b/src/site.rs
@@ -15,7 +15,7 @@
         membership::Membership,
         metrics::Metrics,
         owned_shards::OwnedShards,
-        ports::{Codec, Site, StoreCall},
+        ports::{Codec, SiteSettings, StoreCall},
         shard_runner::{ShardInput, ShardRunner},
         shared_state::SharedState,
         table_sync::{self, TableSync},
@@ -139,7 +139,7 @@
         notices.clone(),
     );
     let (lease, lease_rx) = watch::channel(0);
-    tokio::spawn(signals.handle(common.clone(), settings));
+    tokio::spawn(signals.handle_signals(common.clone(), settings));
     tokio::spawn(ShardRunner::new(common.clone(), events, order_tx, notices).run());
     tokio::spawn(owner.clone().poll_workers());
     tokio::spawn(log_calls(common.clone()));
@@ -205,9 +205,9 @@
     let (callers, ready, metrics) = (listen(callers)?, listen(ready)?, listen(metrics)?);
     let shared = common.clone();
     tokio::spawn(serve(ready, PAGE_SERVER_LIMITS, pending(), move |head, _| {
-        let ready = shared.ready();
+        let ready = shared.is_ready();
         shared.metrics.set_ready(ready);
-        let status = match (head.uri.path() == shared.forms.ready_path, ready) {
+        let status = match (head.uri.path() == shared.codec.ready_path, ready) {
             (true, true) => 200,
             (true, false) => 503,
             (false, _) => 404,
@@ -233,7 +233,7 @@
 }
 
 impl Listeners {
-    fn bind(site: &Site) -> Result<Self, Error> {
+    fn bind(site: &SiteSettings) -> Result<Self, Error> {
         let bind = |addr: SocketAddr, what: &str| {
             let tcp = TcpListener::bind(addr).and_then(|l| {
                 l.set_nonblocking(true)?;
@@ -275,7 +275,7 @@
     }
 
     /// Reloads the settings or stops the member, as signals demand.
-    async fn handle(mut self, common: Arc<SharedState>, settings: PathBuf) {
+    async fn handle_signals(mut self, common: Arc<SharedState>, settings: PathBuf) {
         loop {
             tokio::select! {
                 _ = self.hangup.recv() => reload(&common, &settings),
@@ -294,7 +294,7 @@
 
 /// Reloads the settings. The addresses that this member listens on can't change while it runs.
 fn reload(common: &SharedState, settings: &Path) {
-    match read_settings(common.forms, settings) {
+    match read_settings(common.codec, settings) {
         Ok(site) => {
             let old = common.site.send_replace(Arc::new(site.clone()));
             let same = (old.caller_addr, old.ready_addr, old.control_addr, &old.metrics_addrs)
@@ -310,7 +310,7 @@
     }
 }
 
-fn read_settings(forms: &Codec, settings: &Path) -> Result<Site, Error> {
+fn read_settings(forms: &Codec, settings: &Path) -> Result<SiteSettings, Error> {
     let named = |e: &dyn std::fmt::Display| {
         Error::new(Kind::BadSettings, format!("{}: {e}", settings.display()))
     };
@@ -323,7 +323,7 @@
 /// Guards against machines that start at the same moment with equal clocks and memory contents: an
 /// id drawn from these alone could be drawn twice, and two members would use the same row of the
 /// table.
-fn random_id(site: &Site) -> u64 {
+fn random_id(site: &SiteSettings) -> u64 {
     let time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let random = RandomState::new().hash_one(std::process::id());
     let what = format!("{} {} {} {random}", site.node, site.control_addr, time.as_nanos());
--- a/src/table_sync.rs
+++ b/src/table_sync.rs
@@ -8,8 +8,8 @@
 use {
     crate::{
         ids::Incarnation,
-        layout::{ListMonitor, MAX_LIST_WAIT, layout},
-        member_table::{MemberTable, Outcome, Takeover, member_key},
+        layout::{ListMonitor, MAX_LIST_WAIT, create_layout},
+        member_table::{MemberTable, Takeover, TakeoverOutcome, member_key},
         membership::RENEW_INTERVAL,
         owned_shards::OwnedShards,
         ports::{Fault, Item, Put, Rev, StoreCall, StoreReply, Txn},
@@ -54,7 +54,7 @@
     shard_inputs: Sender<ShardInput>,
 ) {
     let wait = common.site.borrow().bounds.config_lag / WATCHES_PER_CONFIG_AGE;
-    let mut follow = PrefixWatch::from_snapshot(services, common.forms.operator_prefix, wait);
+    let mut follow = PrefixWatch::from_snapshot(services, common.codec.operator_prefix, wait);
     let mut sent: Option<Arc<QueueConfig>> = None;
     loop {
         match follow.poll().await {
@@ -65,7 +65,7 @@
             None => {}
         }
         if let Some(at) = follow.complete_at() {
-            common.confirm(common.now() - at.elapsed());
+            common.record_confirmed(common.now() - at.elapsed());
         }
         // The thread that serves callers may have applied this configuration already, so compare
         // with what was last sent to the shards.
@@ -83,7 +83,7 @@
     common.apply_waves(seen);
     let (WatchUpdate::Snapshot(items, _) | WatchUpdate::Changes(items, _)) = seen;
     // Many versions may arrive per second, so that only the last one is parsed.
-    let last = items.iter().filter(|i| &*i.key == common.forms.config_key).max_by_key(|i| i.rev);
+    let last = items.iter().filter(|i| &*i.key == common.codec.config_key).max_by_key(|i| i.rev);
     if let Some(item) = last {
         common.apply_config(item);
     }
@@ -95,9 +95,13 @@
 /// watch of every member, and each member watches again at once. With 300 members that started and
 /// stopped one by one, these calls used the whole capacity of the store; leases ended because they
 /// could not be renewed, and each end was one more change.
-async fn follow_table(common: Arc<SharedState>, mut follow: PrefixWatch, seen: Sender<Message>) {
+async fn follow_table(
+    common: Arc<SharedState>,
+    mut follow: PrefixWatch,
+    seen: Sender<SyncMessage>,
+) {
     loop {
-        if seen.send(Message::Seen(follow.next().await)).await.is_err() {
+        if seen.send(SyncMessage::TableUpdate(follow.next().await)).await.is_err() {
             return;
         }
         let members = u32::try_from(common.view.borrow().members.len()).unwrap_or(u32::MAX);
@@ -113,20 +117,20 @@
     table: MemberTable,
     shard_inputs: Sender<ShardInput>,
     /// Sends messages to this task itself.
-    sender: Sender<Message>,
+    sender: Sender<SyncMessage>,
     /// Whether a task is creating the layout.
     making_layout: bool,
     /// Time at which this member was told to stop; `None` while it runs on.
-    stopping: Option<Time>,
+    stopping_since: Option<Time>,
     /// Last time at which this member gave up its shards because the store didn't serve it.
     last_give_up: Option<Time>,
 }
 
 /// The messages to the [`TableSync`].
-enum Message {
+enum SyncMessage {
     /// An update from the watch of the table.
-    Seen(WatchUpdate),
-    TakeoverDone(Takeover, Outcome),
+    TableUpdate(WatchUpdate),
+    TakeoverDone(Takeover, TakeoverOutcome),
     /// The attempt to create the layout has ended.
     LayoutDone,
     /// The release of a shard has been written or given up; holds the number of jobs whose writes
@@ -148,18 +152,19 @@
         notices: Receiver<ShardOutput>,
     ) {
         let (sender, messages) = async_channel::bounded(256);
-        let follow = PrefixWatch::shared(services.clone(), TABLE_PREFIX, TABLE_WATCH_WAIT);
+        let follow =
+            PrefixWatch::from_shared_prefix(services.clone(), TABLE_PREFIX, TABLE_WATCH_WAIT);
         tokio::spawn(follow_table(common.clone(), follow, sender.clone()));
         let notice_tx = sender.clone();
         tokio::spawn(async move {
             while let Ok(out) = notices.recv().await {
-                let _ = notice_tx.send(Message::Notice(out)).await;
+                let _ = notice_tx.send(SyncMessage::Notice(out)).await;
             }
         });
         let (stop, stopping) = (sender.clone(), common.clone());
         tokio::spawn(async move {
             stopping.wait_for_stop().await;
-            let _ = stop.send(Message::Stop).await;
+            let _ = stop.send(SyncMessage::Stop).await;
         });
         let table = MemberTable::new(common.me);
         let (making_layout, stopping, last_give_up) = (false, None, None);
@@ -171,76 +176,83 @@
             shard_inputs,
             sender,
             making_layout,
-            stopping,
+            stopping_since: stopping,
             last_give_up,
         };
         this.run_loop(messages).await;
     }
 
-    async fn run_loop(mut self, messages: Receiver<Message>) {
+    async fn run_loop(mut self, messages: Receiver<SyncMessage>) {
         loop {
-            let unsettled = self.table.has_unowned() || self.common.ways.is_direct_lost();
+            let unsettled = self.table.has_unowned() || self.common.store_routes.is_direct_lost();
             let interval = if unsettled { CHECK_INTERVAL } else { RENEW_INTERVAL };
             let received = timeout(interval, messages.recv()).await;
             if let Some(at) = self.common.last_answer() {
-                self.table.note_answer(at);
+                self.table.record_answer(at);
             }
             if let Ok(Ok(message)) = received {
                 self.handle(message).await;
             }
-            self.table.set_relayed(self.common.ways.is_direct_lost());
+            self.table.set_relayed(self.common.store_routes.is_direct_lost());
             self.give_up().await;
             let takeovers = self.table.due_takeovers(self.common.now());
             takeovers.into_iter().for_each(|t| self.spawn_takeover(t));
-            if self.table.lacks_layout() && !self.making_layout && self.stopping.is_none() {
+            if self.table.lacks_layout() && !self.making_layout && self.stopping_since.is_none() {
                 self.making_layout = true;
                 self.spawn_layout();
             }
-            if self.stopping.is_some() && self.table.owned().is_empty() && !self.table.has_pending()
+            if self.stopping_since.is_some()
+                && self.table.owned().is_empty()
+                && !self.table.has_pending_takeover()
             {
                 return;
             }
         }
     }
 
-    async fn handle(&mut self, message: Message) {
+    async fn handle(&mut self, message: SyncMessage) {
         let now = self.common.now();
         match message {
-            Message::Seen(WatchUpdate::Snapshot(items, rev)) => {
-                let lost = self.table.load(items, rev, now);
+            SyncMessage::TableUpdate(WatchUpdate::Snapshot(items, rev)) => {
+                let lost = self.table.load_snapshot(items, rev, now);
                 self.publish(lost).await;
             }
-            Message::Seen(WatchUpdate::Changes(items, rev)) => {
+            SyncMessage::TableUpdate(WatchUpdate::Changes(items, rev)) => {
                 let lost = self.table.apply_changes(items, rev, now);
                 self.publish(lost).await;
             }
-            Message::TakeoverDone(takeover, outcome) => {
+            SyncMessage::TakeoverDone(takeover, outcome) => {
                 let lost = self.table.finish_takeover(&takeover, outcome.clone(), now);
-                if let Outcome::Done(rev, token) = outcome
+                if let TakeoverOutcome::Done(rev, token) = outcome
                     && self.table.owned().contains_key(&takeover.shard)
                 {
                     self.common.metrics.count_move("taken_over");
-                    self.owned_shards.begin(takeover.shard, token, rev, takeover.lapsed);
+                    self.owned_shards.begin_owning(
+                        takeover.shard,
+                        token,
+                        rev,
+                        takeover.former_lapsed,
+                    );
                 }
                 self.publish(lost).await;
             }
-            Message::LayoutDone => self.making_layout = false,
-            Message::Notice(ShardOutput::Releasable(shard, left)) => self.release(shard, left),
-            Message::Notice(ShardOutput::Deposed(shard)) => {
+            SyncMessage::LayoutDone => self.making_layout = false,
+            SyncMessage::Notice(ShardOutput::Releasable(shard, left)) => self.release(shard, left),
+            SyncMessage::Notice(ShardOutput::Deposed(shard)) => {
                 self.table.remove_owned(shard, now);
                 self.publish(vec![shard]).await;
             }
-            Message::Notice(ShardOutput::Order(..)) => {}
-            Message::Released(shard, left) => {
+            SyncMessage::Notice(ShardOutput::Order(..)) => {}
+            SyncMessage::Released(shard, left) => {
                 self.table.remove_owned(shard, now);
                 self.common.metrics.count_move("released");
-                let after_ms = self.stopping.map_or(0, |s| (now - s).as_millis() as u64);
+                let after_ms = self.stopping_since.map_or(0, |s| (now - s).as_millis() as u64);
                 log::info!(target: "table", did = "released", shard:% = shard, after_ms, unwritten = left; "Shard is released.");
-                self.owned_shards.end(shard).await;
+                self.owned_shards.end_owning(shard).await;
             }
-            Message::Stop => {
-                self.stopping = self.stopping.or(Some(now));
-                self.table.stop();
+            SyncMessage::Stop => {
+                self.stopping_since = self.stopping_since.or(Some(now));
+                self.table.stop_takeovers();
                 let _ = self.shard_inputs.send(ShardInput::Release).await;
             }
         }
@@ -250,9 +262,9 @@
     async fn give_up(&mut self) {
         let (now, me) = (self.common.now(), self.common.me);
         let allowed = self.last_give_up.is_none_or(|at| at + GIVE_UP_INTERVAL <= now);
-        let owns = self.stopping.is_none() && !self.table.owned().is_empty();
+        let owns = self.stopping_since.is_none() && !self.table.owned().is_empty();
         let others = || !self.common.view.borrow().relay_candidates(me).is_empty();
-        if owns && allowed && self.common.ways.yields_shards() && others() {
+        if owns && allowed && self.common.store_routes.yields_shards() && others() {
             self.last_give_up = Some(now);
             let shards = self.table.owned().len();
             log::warn!(target: "table", did = "yields", shards; "The store doesn't serve this member; its shards are given up.");
@@ -265,7 +277,7 @@
         for shard in lost {
             self.common.metrics.count_move("passed");
             log::info!(target: "table", did = "passed", shard:% = shard, to:? = self.table.view().owners.get(&shard); "Shard is no longer owned by this member.");
-            self.owned_shards.end(shard).await;
+            self.owned_shards.end_owning(shard).await;
         }
         let view = self.table.view();
         self.log_members(&view.members.keys().copied().collect());
@@ -299,11 +311,11 @@
 
     fn spawn_takeover(&self, takeover: Takeover) {
         let (services, sender, me) = (self.services.clone(), self.sender.clone(), self.common.me);
-        let control = self.table.control();
+        let control = self.table.control_addr();
         tokio::spawn(async move {
             let outcome = take_over(&services, me, control, &takeover).await;
             log_takeover(me, &takeover, &outcome);
-            let _ = sender.send(Message::TakeoverDone(takeover, outcome)).await;
+            let _ = sender.send(SyncMessage::TakeoverDone(takeover, outcome)).await;
         });
     }
 
@@ -312,12 +324,12 @@
     fn release(&self, shard: ShardNo, left: usize) {
         let (services, sender) = (self.services.clone(), self.sender.clone());
         let row = self.table.owner_row(shard);
-        let attempts = if self.stopping.is_some() { 1 } else { RELEASE_ATTEMPTS };
+        let attempts = if self.stopping_since.is_some() { 1 } else { RELEASE_ATTEMPTS };
         tokio::spawn(async move {
             if let Some((rev, row)) = row {
                 write_release(&services, shard, rev, row, attempts).await;
             }
-            let _ = sender.send(Message::Released(shard, left)).await;
+            let _ = sender.send(SyncMessage::Released(shard, left)).await;
         });
     }
 
@@ -339,14 +351,14 @@
                 make_layout(&services, &common).await;
                 sleep(RENEW_INTERVAL).await;
             }
-            let _ = sender.send(Message::LayoutDone).await;
+            let _ = sender.send(SyncMessage::LayoutDone).await;
         });
     }
 }
 
 /// Logs the outcome of a takeover.
-fn log_takeover(me: Incarnation, takeover: &Takeover, outcome: &Outcome) {
-    let token = if let Outcome::Done(_, token) = outcome { *token } else { takeover.token };
+fn log_takeover(me: Incarnation, takeover: &Takeover, outcome: &TakeoverOutcome) {
+    let token = if let TakeoverOutcome::Done(_, token) = outcome { *token } else { takeover.token };
     log::info!(target: "table", did = "taken_over", shard:% = takeover.shard, member:% = me, token, row = takeover.owner_rev, answer = outcome.name(); "Takeover was tried.");
 }
 
@@ -359,10 +371,10 @@
     row: OwnerRow,
     attempts: u32,
 ) {
-    let key = shard.owner();
+    let key = shard.owner_key();
     let value = record::encode(&OwnerRow { owner: None, token: row.token, control: None });
     let put = Put { key: key.clone(), value, lease: 0 };
-    let txn = Txn { expect: vec![(key, rev)], puts: vec![put], remove: vec![] };
+    let txn = Txn { expected_revs: vec![(key, rev)], puts: vec![put], removed_keys: vec![] };
     let call = StoreCall::Txn(txn);
     let mut pause = Backoff::default();
     for attempt in 1..=attempts {
@@ -384,25 +396,28 @@
     let mut monitor = ListMonitor::new(common.now());
     let mut workers = vec![];
     loop {
-        if let Ok((items, _)) = services.read_prefix(common.forms.worker_prefix, false).await {
+        if let Ok((items, _)) = services.read_prefix(common.codec.worker_prefix, false).await {
             workers = items;
         }
-        if common.view.borrow().layout.is_some() || monitor.observe(workers.len(), common.now()) {
+        if common.view.borrow().layout.is_some()
+            || monitor.record_count(workers.len(), common.now())
+        {
             break;
         }
         sleep(RENEW_INTERVAL).await;
     }
     let read = |item: &Item| {
-        let id = item.key.strip_prefix(common.forms.worker_prefix)?;
-        (common.forms.decode_listed)(id, item.value.as_ref()?).ok()
+        let id = item.key.strip_prefix(common.codec.worker_prefix)?;
+        (common.codec.decode_listed)(id, item.value.as_ref()?).ok()
     };
     let workers: Vec<ListedWorker> = workers.iter().filter_map(read).collect();
     let secret = format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..)).into();
-    let layout = layout(&workers, secret);
+    let layout = create_layout(&workers, secret);
     let (count, shards) = (workers.len(), layout.shards);
     let value = record::encode(&layout);
     let put = Put { key: LAYOUT_KEY.into(), value, lease: 0 };
-    let txn = Txn { expect: vec![(LAYOUT_KEY.into(), 0)], puts: vec![put], remove: vec![] };
+    let txn =
+        Txn { expected_revs: vec![(LAYOUT_KEY.into(), 0)], puts: vec![put], removed_keys: vec![] };
     // The outcome doesn't matter here: the watch delivers the layout that is in force.
     let _ = services.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await;
     log::info!(target: "table", shards, workers = count; "A layout was written, unless another member was first.");
@@ -414,9 +429,9 @@
     me: Incarnation,
     control: Option<SocketAddr>,
     takeover: &Takeover,
-) -> Outcome {
-    let Ok(commit) = services.get(&takeover.shard.commit(), CALL_TIMEOUT).await else {
-        return Outcome::NotWritten;
+) -> TakeoverOutcome {
+    let Ok(commit) = services.get(&takeover.shard.commit_key(), CALL_TIMEOUT).await else {
+        return TakeoverOutcome::NotWritten;
     };
     let row: Option<CommitRow> =
         commit.as_ref().and_then(|c| record::decode(c.value.as_ref().map_or(&[], |v| &v[..])));
@@ -424,28 +439,28 @@
     let put = |key, value| Put { key, value, lease: 0 };
     // Guards against taking over from an owner that has registered again without this member having
     // seen it: that owner's lease is valid, and it would continue to act as the owner.
-    let former_row = takeover.former.map(|former| (member_key(former), 0));
+    let former_row = takeover.former_owner.map(|former| (member_key(former), 0));
     let rows = [
-        (takeover.shard.owner(), takeover.owner_rev),
-        (takeover.shard.commit(), commit.map_or(0, |c| c.rev)),
+        (takeover.shard.owner_key(), takeover.owner_rev),
+        (takeover.shard.commit_key(), commit.map_or(0, |c| c.rev)),
     ];
     let txn = Txn {
-        expect: rows.into_iter().chain(former_row).collect(),
+        expected_revs: rows.into_iter().chain(former_row).collect(),
         puts: vec![
             put(
-                takeover.shard.owner(),
+                takeover.shard.owner_key(),
                 record::encode(&OwnerRow { owner: Some(me), token, control }),
             ),
-            put(takeover.shard.commit(), record::encode(&CommitRow { token, number: 0 })),
+            put(takeover.shard.commit_key(), record::encode(&CommitRow { token, number: 0 })),
         ],
-        remove: vec![],
+        removed_keys: vec![],
     };
     match services.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await {
-        Ok(StoreReply::Done(rev)) => Outcome::Done(rev, token),
-        Ok(StoreReply::Conflict(items)) => Outcome::Conflict(items),
-        Err(Fault::Refused | Fault::Unsent) => Outcome::NotWritten,
-        _ => Outcome::Unclear(
-            services.get(&takeover.shard.owner(), CALL_TIMEOUT).await.ok().flatten(),
+        Ok(StoreReply::Done(rev)) => TakeoverOutcome::Done(rev, token),
+        Ok(StoreReply::Conflict(items)) => TakeoverOutcome::Conflict(items),
+        Err(Fault::Refused | Fault::Unsent) => TakeoverOutcome::NotWritten,
+        _ => TakeoverOutcome::Unclear(
+            services.get(&takeover.shard.owner_key(), CALL_TIMEOUT).await.ok().flatten(),
         ),
     }
 }
--- a/src/tasks.rs
+++ b/src/tasks.rs
@@ -27,10 +27,10 @@
         decide::{
             cancel::Cancels,
             estimate::Estimates,
-            order::Order,
-            quota::{BRIEF_TASK, Grant, QuotaRequest, Quotas, Reclaim},
-            suspect::{FaultTracker, Outcome, Trust, Verdict},
-            urgent::Allowances,
+            order::WaitingTasks,
+            quota::{BRIEF_TASK, QuotaGrant, QuotaRequest, Quotas, ReclaimMethod},
+            suspect::{AttemptOutcome, FaultTracker, TaskVerdict, Trust},
+            urgent::UrgentAllowances,
         },
         ids::{Bucket, JobId, PoolId, TaskId, TaskIndex, TeamId, WorkerId, team_bucket},
         messages::{EndItem, Hold, TaskState, Vm},
@@ -51,7 +51,7 @@
 /// A task or a whole gang that is to be placed now.
 pub struct Pick {
     /// The tasks, each with the grant from its team's quota.
-    pub asks: Vec<(QuotaRequest, Grant)>,
+    pub asks: Vec<(QuotaRequest, QuotaGrant)>,
     /// The job.
     pub job: Job,
     /// Whether other work may be stopped to make room for it.
@@ -74,12 +74,12 @@
 /// The tasks of a member's buckets.
 pub struct Tasks {
     plan: Rc<Plan>,
-    order: Order,
+    order: WaitingTasks,
     quotas: Quotas,
     suspects: FaultTracker,
     estimates: Estimates,
     cancels: Cancels,
-    allowances: Allowances,
+    allowances: UrgentAllowances,
     listed: BTreeMap<JobId, Job>,
     held: BTreeMap<TaskId, Held>,
     delayed: BTreeSet<(Time, TaskId)>,
@@ -109,12 +109,12 @@
     pub fn new(seed: u64) -> Self {
         Tasks {
             plan: Rc::default(),
-            order: Order::default(),
+            order: WaitingTasks::default(),
             quotas: Quotas::default(),
             suspects: FaultTracker::new(seed),
             estimates: Estimates::default(),
             cancels: Cancels::default(),
-            allowances: Allowances::default(),
+            allowances: UrgentAllowances::default(),
             listed: BTreeMap::new(),
             held: BTreeMap::new(),
             delayed: BTreeSet::new(),
@@ -139,7 +139,7 @@
         // loop ends.
         loop {
             let pick = self.order.next(now, &self.quotas)?;
-            let name = pick.ask.task.job.clone();
+            let name = pick.quota_request.task.job.clone();
             let Some(job) = self.listed.get(&name).cloned() else {
                 self.order.remove(&name, &mut self.quotas);
                 continue;
@@ -156,16 +156,16 @@
                 continue;
             }
             let grant = self.order.take(now, &pick, &mut self.quotas);
-            if grant == Grant::Wait {
+            if grant == QuotaGrant::Wait {
                 self.order.park(now, &name, &self.quotas);
                 continue;
             }
-            self.urgent.remove(&pick.ask.task);
-            if !self.hold_pending(&pick.ask.task, &job, None) {
-                self.unplaced(&pick.ask.task, now);
+            self.urgent.remove(&pick.quota_request.task);
+            if !self.hold_pending(&pick.quota_request.task, &job, None) {
+                self.unplaced(&pick.quota_request.task, now);
                 continue;
             }
-            return Some(Pick { asks: vec![(pick.ask, grant)], job, urgent: false });
+            return Some(Pick { asks: vec![(pick.quota_request, grant)], job, urgent: false });
         }
     }
 
@@ -179,12 +179,12 @@
     pub fn should_place(&self, task: &TaskId) -> bool {
         self.room_requested(task)
             && self.listed.contains_key(&task.job)
-            && !self.cancels.cancelled(task)
+            && !self.cancels.is_cancelled(task)
     }
 
     /// Whether a task is cancelled.
     pub fn cancelled(&self, task: &TaskId) -> bool {
-        self.cancels.cancelled(task)
+        self.cancels.is_cancelled(task)
     }
 
     /// The bucket of a held task.
@@ -215,26 +215,26 @@
         self.release(task);
         let Some(job) = self.listed.get(&task.job).cloned() else { return };
         let outcome = match item.state {
-            TaskState::Ended => Outcome::Done,
-            TaskState::Failed => Outcome::Failed,
-            _ => Outcome::Stopped,
+            TaskState::Ended => AttemptOutcome::Done,
+            TaskState::Failed => AttemptOutcome::Failed,
+            _ => AttemptOutcome::Stopped,
         };
-        if outcome == Outcome::Failed {
+        if outcome == AttemptOutcome::Failed {
             self.failed_workers.insert(item.worker.clone());
         }
         self.estimate(item, &job, outcome, placed_at.map(|at| now - at), now);
-        if job.kind == JobKind::Gang && outcome != Outcome::Done {
+        if job.kind == JobKind::Gang && outcome != AttemptOutcome::Done {
             self.restart_gang(&task.job, now);
         }
         match self.suspects.record_end(now, task, &item.worker, outcome) {
-            Verdict::Completed if job.kind == JobKind::Replicas => {
+            TaskVerdict::Completed if job.kind == JobKind::Replicas => {
                 self.delayed.insert((now + RESTART_DELAY, task.clone()));
             }
-            Verdict::Completed => self.ended(task, &job, now),
-            Verdict::Retry(at) => {
+            TaskVerdict::Completed => self.ended(task, &job, now),
+            TaskVerdict::Retry(at) => {
                 self.delayed.insert((at, task.clone()));
             }
-            Verdict::GiveUp(fault) => self.give_up(task, &job, fault),
+            TaskVerdict::GiveUp(fault) => self.give_up(task, &job, fault),
         }
     }
 
@@ -242,17 +242,17 @@
         &mut self,
         item: &EndItem,
         job: &Job,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         ran: Option<Duration>,
         now: Time,
     ) {
         let (name, used) = (&item.task.job, item.used.unwrap_or(job.size));
-        if let (Outcome::Done, Some(ran)) = (outcome, ran) {
-            self.estimates.ended(name, ran, used);
-            let run = self.estimates.run_time(name, job.run);
+        if let (AttemptOutcome::Done, Some(ran)) = (outcome, ran) {
+            self.estimates.record_end(name, ran, used);
+            let run = self.estimates.expected_run_time(name, job.run);
             self.order.set_run_time(now, name, run, &self.quotas);
         } else if !used.fits(&job.size) {
-            self.estimates.check(name, used, job.size, Size::default());
+            self.estimates.check_use(name, used, job.size, Size::default());
         }
     }
 
@@ -261,7 +261,7 @@
         let done = self.done.entry(task.job.clone()).or_default();
         done.insert(task.index);
         if job.kind != JobKind::Gang {
-            return self.order.ended(now, task, &mut self.quotas);
+            return self.order.record_end(now, task, &mut self.quotas);
         }
         let done = done.len();
         if self.held_of(&task.job).count() + (done as usize) < job.tasks as usize {
@@ -272,7 +272,7 @@
         if done >= job.tasks {
             for index in (0..job.tasks).map(TaskIndex) {
                 let task = TaskId { job: task.job.clone(), index };
-                self.order.ended(now, &task, &mut self.quotas);
+                self.order.record_end(now, &task, &mut self.quotas);
             }
         }
     }
@@ -293,7 +293,7 @@
             self.requeue(&task, now);
         }
         self.urgent.wake();
-        self.order.wake(now, &self.quotas);
+        self.order.requeue_parked(now, &self.quotas);
     }
 
     /// Whether a job was taken in from the plan.
@@ -320,7 +320,7 @@
     /// A task that has failed on every worker of a small pool may use them again. If it avoided all
     /// of them, it would wait forever and neither run nor be given up.
     pub fn avoid(&self, task: &TaskId, now: Time) -> Vec<WorkerId> {
-        let held = |w: &&WorkerId| matches!(self.suspects.trust(now, w), Trust::Blocked(_));
+        let held = |w: &&WorkerId| matches!(self.suspects.worker_trust(now, w), Trust::Blocked(_));
         let mut avoid: BTreeSet<&WorkerId> = self.failed_workers.iter().filter(held).collect();
         let failed = self.suspects.failed_on(task);
         let pool = self.listed.get(&task.job).map(|j| &j.pool);
@@ -334,15 +334,15 @@
 
     /// The resources that an attempt of a task reserves.
     pub fn size(&self, task: &TaskId, declared: Size) -> Size {
-        self.estimates.reserve(&task.job, declared)
+        self.estimates.reservation_size(&task.job, declared)
     }
 
     /// How the room of a task can be reclaimed, and whether the room is borrowed.
     pub fn reclaim(&self, task: &TaskId) -> (Hold, bool) {
         let hold = match self.listed.get(&task.job).map(reclaim_mode) {
-            Some(Reclaim::Checkpoint) => Hold::Checkpoint,
-            Some(Reclaim::Brief) => Hold::Brief,
-            Some(Reclaim::Never) | None => Hold::Never,
+            Some(ReclaimMethod::Checkpoint) => Hold::Checkpoint,
+            Some(ReclaimMethod::Brief) => Hold::Brief,
+            Some(ReclaimMethod::Never) | None => Hold::Never,
         };
         (hold, self.quotas.is_borrowed(task))
     }
@@ -376,13 +376,13 @@
 
     fn release(&mut self, task: &TaskId) {
         self.quotas.record_end(task);
-        self.cancels.ended(task);
+        self.cancels.record_end(task);
         if let Some((team, size)) = self.held.remove(task).and_then(|h| h.urgent) {
             self.allowances.record_end(&team, size);
         }
         if !self.listed.contains_key(&task.job) && self.held_of(&task.job).next().is_none() {
             // No task of the job is held any more, so its cancel mark is not needed.
-            let _ = self.cancels.relist(&task.job);
+            let _ = self.cancels.clear_marks(&task.job);
         }
     }
 
@@ -400,11 +400,11 @@
 
 /// How the room of a job's tasks can be reclaimed. Room of urgent work is not reclaimed: the work
 /// would be stopped because it borrows room and would start again at once, repeatedly.
-fn reclaim_mode(job: &Job) -> Reclaim {
+fn reclaim_mode(job: &Job) -> ReclaimMethod {
     match job.kind {
-        JobKind::Batch if !job.urgent && job.run <= BRIEF_TASK => Reclaim::Brief,
-        JobKind::Batch if !job.urgent => Reclaim::Checkpoint,
-        _ => Reclaim::Never,
+        JobKind::Batch if !job.urgent && job.run <= BRIEF_TASK => ReclaimMethod::Brief,
+        JobKind::Batch if !job.urgent => ReclaimMethod::Checkpoint,
+        _ => ReclaimMethod::Never,
     }
 }
 
--- a/src/tasks/gang.rs
+++ b/src/tasks/gang.rs
@@ -6,7 +6,7 @@
         Time,
         decide::{
             order,
-            quota::{Grant, QuotaRequest},
+            quota::{QuotaGrant, QuotaRequest},
         },
         ids::{JobId, TaskId},
     },
@@ -14,22 +14,26 @@
 
 impl Tasks {
     /// Picks all tasks of a gang, if the team's quota admits all of them.
-    pub(super) fn gang(&mut self, name: &JobId, now: Time) -> Option<Vec<(QuotaRequest, Grant)>> {
+    pub(super) fn gang(
+        &mut self,
+        name: &JobId,
+        now: Time,
+    ) -> Option<Vec<(QuotaRequest, QuotaGrant)>> {
         let job = self.listed.get(name)?.clone();
-        let asks = self.order.asks(name);
+        let asks = self.order.quota_requests(name);
         // Some tasks still run or wait for a delay to end; part of a gang must not start.
         if asks.len() < job.tasks as usize || asks.is_empty() {
             return None;
         }
-        let mut taken: Vec<(QuotaRequest, Grant)> = vec![];
+        let mut taken: Vec<(QuotaRequest, QuotaGrant)> = vec![];
         for ask in asks {
-            let pick = order::Pick { grant: self.quotas.grant(&ask), ask: ask.clone() };
+            let pick = order::Pick { grant: self.quotas.grant(&ask), quota_request: ask.clone() };
             let grant = self.order.take(now, &pick, &mut self.quotas);
             let task = ask.task.clone();
-            if grant != Grant::Wait {
+            if grant != QuotaGrant::Wait {
                 taken.push((ask, grant));
             }
-            if grant == Grant::Wait || !self.hold_pending(&task, &job, None) {
+            if grant == QuotaGrant::Wait || !self.hold_pending(&task, &job, None) {
                 for (ask, _) in taken {
                     self.release(&ask.task);
                     self.requeue(&ask.task, now);
--- a/src/tasks/list.rs
+++ b/src/tasks/list.rs
@@ -36,13 +36,13 @@
         let before = std::mem::replace(&mut self.plan, plan.clone());
         let all = self.total_size();
         for (id, team) in &plan.teams {
-            self.quotas.set(id, team.quota.unwrap_or(all), team.weight);
+            self.quotas.set_quota(id, team.quota.unwrap_or(all), team.weight);
         }
         // The quota of a team that was removed must not be lent.
         for id in before.teams.keys().filter(|id| !plan.teams.contains_key(*id)) {
-            self.quotas.set(id, Size::default(), 1);
+            self.quotas.set_quota(id, Size::default(), 1);
         }
-        self.order.relist(&self.quotas);
+        self.order.recompute_ranks(&self.quotas);
         self.remote_ended.retain(|name| plan.jobs.get(name) == before.jobs.get(name));
         let gone: Vec<JobId> = self
             .listed
@@ -72,16 +72,16 @@
             self.held_of(name).map(|(t, h)| (t.clone(), h.placed_at)).collect();
         // Running tasks are counted again, according to the current definition of the job.
         running.iter().for_each(|(task, _)| self.release(task));
-        if self.cancels.relist(name).is_err() {
+        if self.cancels.clear_marks(name).is_err() {
             return false;
         }
         let left = job.deadline.map(|d| d.saturating_sub(past.age));
-        let entry = order::Job {
+        let entry = order::WaitingJob {
             id: name.clone(),
             team: job.team.clone(),
             deadline: left.map_or(Time::NEVER, |left| now + left),
             priority: u8::try_from(job.priority).unwrap_or(u8::MAX),
-            run_time: self.estimates.run_time(name, job.run),
+            run_time: self.estimates.expected_run_time(name, job.run),
             width: job.tasks,
             tasks: job.tasks,
             size: job.size,
@@ -96,7 +96,7 @@
             }
         }
         if job.urgent {
-            self.order.asks(name).iter().for_each(|a| self.urgent.add(&a.task));
+            self.order.quota_requests(name).iter().for_each(|a| self.urgent.add(&a.task));
         }
         true
     }
@@ -129,7 +129,7 @@
         gone.extend(held.into_iter().map(|t| t.job));
         // None of their tasks is held any more, so their cancel marks are not needed.
         for name in &gone {
-            let _ = self.cancels.relist(name);
+            let _ = self.cancels.clear_marks(name);
         }
     }
 
@@ -153,7 +153,7 @@
     }
 
     fn busy(&self, name: &JobId) -> bool {
-        self.held_of(name).any(|(t, h)| h.placed_at.is_none() || self.cancels.cancelled(t))
+        self.held_of(name).any(|(t, h)| h.placed_at.is_none() || self.cancels.is_cancelled(t))
     }
 
     fn restore_job(&mut self, name: &JobId, job: &Job, past: History, now: Time) {
@@ -181,7 +181,7 @@
     fn restore_row(&mut self, row: &TaskRow, job: &Job, now: Time) {
         match row.state {
             s if live(s) => {
-                self.order.adopt(now, &row.task, false, &mut self.quotas);
+                self.order.record_adopted(now, &row.task, false, &mut self.quotas);
                 let bucket = team_bucket(&job.team);
                 let held = Held { bucket, placed_at: Some(now), urgent: None };
                 self.held.insert(row.task.clone(), held);
@@ -192,7 +192,7 @@
             }
             TaskState::Failed if row.tries.unwrap_or(0) >= MAX_TRIES => {
                 let reason = format!("the task failed {} times", row.tries.unwrap_or(0));
-                self.order.adopt(now, &row.task, true, &mut self.quotas);
+                self.order.record_adopted(now, &row.task, true, &mut self.quotas);
                 match job.kind {
                     JobKind::Gang => self.abandon(&row.task.job, reason.into()),
                     _ => drop(self.abandoned.insert(row.task.clone(), reason.into())),
@@ -213,10 +213,10 @@
             // The ended task does not wait, but another task of the gang may still fail; then it
             // waits again.
             JobKind::Gang => {
-                self.order.adopt(now, task, false, &mut self.quotas);
+                self.order.record_adopted(now, task, false, &mut self.quotas);
                 self.quotas.record_end(task);
             }
-            _ => self.order.adopt(now, task, true, &mut self.quotas),
+            _ => self.order.record_adopted(now, task, true, &mut self.quotas),
         }
     }
 
--- a/src/tasks/show.rs
+++ b/src/tasks/show.rs
@@ -20,7 +20,7 @@
         if !self.dependencies_met(job) {
             return Some(format!("waits for {}", job.after.join(", ")).into());
         }
-        let (own, borrowed) = self.quotas.held(&job.team);
+        let (own, borrowed) = self.quotas.held_resources(&job.team);
         Some(format!("waits for room; its team holds {own}, and {borrowed} of other teams").into())
     }
 
@@ -47,8 +47,9 @@
     /// Totals of the tasks here; all are zero once all work is over.
     pub fn balance(&self) -> Balance {
         let teams = || self.plan.teams.keys();
-        let size = teams().map(|t| self.quotas.held(t)).map(|(own, lent)| own + lent).sum();
-        let waits = teams().map(|t| self.quotas.waiting(t)).sum();
+        let size =
+            teams().map(|t| self.quotas.held_resources(t)).map(|(own, lent)| own + lent).sum();
+        let waits = teams().map(|t| self.quotas.waiting_resources(t)).sum();
         Balance { held: self.held.len(), waiting: self.order.waiting_count(), size, waits }
     }
 
--- a/src/tasks/urgent.rs
+++ b/src/tasks/urgent.rs
@@ -4,7 +4,7 @@
     super::{Pick, Tasks},
     crate::{
         Time,
-        decide::quota::{Grant, QuotaRequest},
+        decide::quota::{QuotaGrant, QuotaRequest},
         ids::{JobId, TaskId, TaskIndex},
         text::{Job, JobKind},
     },
@@ -88,14 +88,14 @@
             .get(&job.team)
             .and_then(|t| t.quota)
             .unwrap_or_else(|| self.total_size());
-        if !self.allowances.admit(now, &job.team, size, quota) {
+        if !self.allowances.admit_start(now, &job.team, size, quota) {
             return None;
         }
         let mut asks = vec![];
         let mut admitted = true;
         for task in &tasks {
             self.urgent.remove(task);
-            self.order.adopt(now, task, false, &mut self.quotas);
+            self.order.record_adopted(now, task, false, &mut self.quotas);
             admitted &= self.hold_pending(task, &job, Some((job.team.clone(), job.size)));
             let back = super::reclaim_mode(&job);
             let ask = QuotaRequest {
@@ -104,7 +104,7 @@
                 size: job.size,
                 reclaim: back,
             };
-            asks.push((ask, Grant::Own));
+            asks.push((ask, QuotaGrant::Own));
         }
         if !admitted {
             tasks.iter().for_each(|t| self.unplaced(t, now));
@@ -114,7 +114,8 @@
     }
 
     fn urgent_gang(&self, name: &JobId, job: &Job) -> Option<Vec<TaskId>> {
-        let tasks: Vec<TaskId> = self.order.asks(name).into_iter().map(|a| a.task).collect();
+        let tasks: Vec<TaskId> =
+            self.order.quota_requests(name).into_iter().map(|a| a.task).collect();
         (tasks.len() == job.tasks as usize).then_some(tasks)
     }
 }
