--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -36,7 +36,7 @@
         time::{Time, millis},
     },
     bytes::Bytes,
-    course::{List, Reports, WaveProgress},
+    course::{ListedVms, Reports, WaveProgress},
     loans::Loans,
     std::{
         collections::{BTreeMap, BTreeSet},
@@ -47,20 +47,20 @@
 /// Interval between reads of the list of VMs while a wave or a loan is under way.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 /// Interval between queries to the owners about their workers while a wave or a loan is under way.
-const ASK_INTERVAL: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between queries to the owners about waiting tasks while standby pools exist but no wave
 /// or loan is under way.
-const IDLE_ASK_INTERVAL: Duration = Duration::from_secs(1);
+const IDLE_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Fraction of the members' common rate limit of VM orders that the holder uses.
-const RATE_SHARE: f64 = 0.5;
+const ORDER_RATE_FRACTION: f64 = 0.5;
 /// Maximum number of wave states in one write; further states wait for the next write.
-const MAX_STATES: usize = 20;
+const MAX_STATE_WRITES: usize = 20;
 
 /// Parameters of the holder, the member that runs maintenance waves and loans.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct UpkeepSetup {
     /// Name that the holder gives in its orders.
     pub holder: Box<str>,
     /// Token of the holder, higher than that of any predecessor.
@@ -75,7 +75,7 @@
 
 /// An input to the state machine [`Upkeep`].
 #[derive(Clone, Debug)]
-pub enum Event {
+pub enum UpkeepEvent {
     /// The waves that the operators have ordered, with the revisions of their items, and whether
     /// the stored [`Closing`] still names workers to be emptied.
     Waves(Vec<(Rev, Wave)>, bool),
@@ -98,10 +98,10 @@
 
 /// A request that the state machine returns for its caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum UpkeepRequest {
     /// Read the ledger.
     ReadLedger,
-    /// Write to the store; the number identifies the write in [`Event::Written`].
+    /// Write to the store; the number identifies the write in [`UpkeepEvent::Written`].
     Write(u64, Txn),
     /// Read the list of VMs.
     ListVms,
@@ -113,7 +113,7 @@
 
 /// Whether the ledger is known and whether a read or write of it is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
+enum LedgerStage {
     Unread,
     Reading,
     Idle,
@@ -123,88 +123,88 @@
 /// State machine that runs maintenance waves and loans of standby VMs.
 #[derive(Debug)]
 pub struct Upkeep {
-    setup: Setup,
+    setup: UpkeepSetup,
     progress: BTreeMap<WaveNo, WaveProgress>,
     loans: Loans,
     ordered: Vec<(Rev, Wave)>,
     /// Whether the store still names workers that a predecessor wanted emptied.
     stale_closing: bool,
-    stage: Stage,
+    stage: LedgerStage,
     /// Revision of the stored ledger; its content is in `stored`.
-    rev: Rev,
+    ledger_rev: Rev,
     stored: Ledger,
     /// The workers to be emptied, as stored; `None` if the stored set is not known.
     closing: Option<Closing>,
     /// Content of the write in flight.
     in_flight: (Ledger, Option<Closing>),
-    number: u64,
+    write_number: u64,
     retry_at: Time,
     /// No order is sent before this time; `None` until the first write is confirmed.
     orders_from: Option<Time>,
-    next_call: Time,
-    list: List,
-    listing: bool,
+    next_order: Time,
+    list: ListedVms,
+    list_pending: bool,
     next_list: Time,
     reports: Reports,
-    asking: bool,
-    next_ask: Time,
+    report_pending: bool,
+    next_report: Time,
     deposed: bool,
-    out: Vec<Order>,
+    requests: Vec<UpkeepRequest>,
 }
 
 impl Upkeep {
     /// Creates a holder that has not read the ledger yet.
-    pub fn new(setup: Setup) -> Self {
+    pub fn new(setup: UpkeepSetup) -> Self {
         Upkeep {
             setup,
             progress: BTreeMap::new(),
             loans: Loans::default(),
             ordered: vec![],
             stale_closing: false,
-            stage: Stage::Unread,
-            rev: 0,
+            stage: LedgerStage::Unread,
+            ledger_rev: 0,
             stored: Ledger::default(),
             closing: None,
             in_flight: Default::default(),
-            number: 0,
+            write_number: 0,
             retry_at: Time::ZERO,
             orders_from: None,
-            next_call: Time::ZERO,
-            list: List::default(),
-            listing: false,
+            next_order: Time::ZERO,
+            list: ListedVms::default(),
+            list_pending: false,
             next_list: Time::ZERO,
             reports: Reports::new(),
-            asking: false,
-            next_ask: Time::ZERO,
+            report_pending: false,
+            next_report: Time::ZERO,
             deposed: false,
-            out: vec![],
+            requests: vec![],
         }
     }
 
     /// Processes one event and returns the resulting orders.
-    pub fn on(&mut self, event: Event, now: Time) -> Vec<Order> {
+    pub fn handle_event(&mut self, event: UpkeepEvent, now: Time) -> Vec<UpkeepRequest> {
         if self.deposed {
             return vec![];
         }
         match event {
-            Event::Waves(waves, stale_closing) => {
+            UpkeepEvent::Waves(waves, stale_closing) => {
                 (self.ordered, self.stale_closing) = (waves, stale_closing);
                 self.sync_waves(now);
             }
-            Event::LedgerRead(reply) => self.read(reply, now),
-            Event::Written(number, reply) => self.written(number, &reply, now),
-            Event::VmsListed(sent, reply) => self.listed(sent, reply),
-            Event::Pools(standby) => self.loans.set_standby(standby),
-            Event::OwnersReported(sent, all, needs) => {
-                self.asking = false;
+            UpkeepEvent::LedgerRead(reply) => self.handle_ledger(reply, now),
+            UpkeepEvent::Written(number, reply) => self.handle_written(number, &reply, now),
+            UpkeepEvent::VmsListed(sent, reply) => self.handle_list(sent, reply),
+            UpkeepEvent::Pools(standby) => self.loans.set_standby(standby),
+            UpkeepEvent::OwnersReported(sent, all, needs) => {
+                self.report_pending = false;
                 self.loans.set_needs(&needs, now);
                 self.reports = all.into_iter().map(|h| (h.worker.clone(), (sent, h))).collect();
             }
-            Event::Answered(call, reply) => self.answered(&call, &reply, now),
-            Event::Tick => {}
+            UpkeepEvent::Answered(call, reply) => self.handle_reply(&call, &reply, now),
+            UpkeepEvent::Tick => {}
         }
         self.advance(now);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.requests)
     }
 
     /// Returns whether another holder has taken over. A deposed holder sends no further orders.
@@ -212,35 +212,35 @@
         self.deposed
     }
 
-    /// Returns whether work is left. If not, the caller need not send [`Event::Tick`].
-    pub fn busy(&self) -> bool {
-        let unread = self.stage != Stage::Idle && self.needed();
-        !self.deposed && (self.active() || self.dirty() || unread || self.loans.any())
+    /// Returns whether work is left. If not, the caller need not send [`UpkeepEvent::Tick`].
+    pub fn has_work(&self) -> bool {
+        let unread = self.stage != LedgerStage::Idle && self.is_needed();
+        !self.deposed && (self.is_active() || self.needs_write() || unread || self.loans.has_any())
     }
 
     /// Returns whether a wave or a loan is under way.
-    fn active(&self) -> bool {
-        self.progress.values().any(|c| !c.over) || self.loans.busy()
+    fn is_active(&self) -> bool {
+        self.progress.values().any(|c| !c.is_completed) || self.loans.needs_list()
     }
 
     /// Returns whether a wave, a loan, a standby pool or leftover state of a predecessor exists.
     ///
     /// Leftover state counts because workers could otherwise stay closed forever if the holder died
     /// and the operators withdrew the wave before a successor took over.
-    fn needed(&self) -> bool {
-        !self.ordered.is_empty() || self.stale_closing || self.loans.any()
+    fn is_needed(&self) -> bool {
+        !self.ordered.is_empty() || self.stale_closing || self.loans.has_any()
     }
 
-    fn unix(&self, now: Time) -> u64 {
+    fn unix_ms(&self, now: Time) -> u64 {
         self.setup.unix_ms + millis(now - Time::ZERO)
     }
 
     /// Starts newly ordered waves and drops withdrawn ones, once the ledger is known.
     fn sync_waves(&mut self, now: Time) {
-        if matches!(self.stage, Stage::Unread | Stage::Reading) {
+        if matches!(self.stage, LedgerStage::Unread | LedgerStage::Reading) {
             return;
         }
-        let unix = self.unix(now);
+        let unix = self.unix_ms(now);
         let current: BTreeSet<WaveNo> = self.ordered.iter().map(|(_, w)| w.number).collect();
         self.progress.retain(|no, _| current.contains(no));
         for (rev, wave) in &self.ordered {
@@ -255,9 +255,9 @@
         }
     }
 
-    fn read(&mut self, reply: Result<Option<Item>, Fault>, now: Time) {
+    fn handle_ledger(&mut self, reply: Result<Option<Item>, Fault>, now: Time) {
         let Ok(item) = reply else {
-            (self.stage, self.retry_at) = (Stage::Unread, now + RETRY_PAUSE);
+            (self.stage, self.retry_at) = (LedgerStage::Unread, now + RETRY_PAUSE);
             return;
         };
         let rev = item.as_ref().map_or(0, |i| i.rev);
@@ -269,7 +269,7 @@
         if ledger.token < self.setup.token {
             self.loans.load(&ledger.loans, now);
         }
-        (self.rev, self.stored, self.stage) = (rev, ledger, Stage::Idle);
+        (self.ledger_rev, self.stored, self.stage) = (rev, ledger, LedgerStage::Idle);
         // It is not known whether the owners have seen this holder's last write.
         self.closing = None;
         self.sync_waves(now);
@@ -288,20 +288,22 @@
         Ledger { token: self.setup.token, waves, loans: self.loans.entries() }
     }
 
-    fn turns(&self) -> Closing {
-        let active = self.progress.values().filter(|c| !c.over);
+    fn worker_turns(&self) -> Closing {
+        let active = self.progress.values().filter(|c| !c.is_completed);
         let mut turns = BTreeMap::new();
-        for (worker, turn) in active.flat_map(WaveProgress::turns).chain(self.loans.turns()) {
+        for (worker, turn) in
+            active.flat_map(WaveProgress::worker_turns).chain(self.loans.worker_turns())
+        {
             let known = turns.entry(worker).or_insert(turn);
             // A worker may be in two waves at once: the more advanced turn applies.
             *known = (*known).max(turn);
         }
-        Closing { place: (self.setup.token, self.number), turns }
+        Closing { version: (self.setup.token, self.write_number), turns }
     }
 
-    fn dirty(&self) -> bool {
+    fn needs_write(&self) -> bool {
         let own = self.stored.token == self.setup.token;
-        (self.active() || self.stale_closing || own)
+        (self.is_active() || self.stale_closing || own)
             && (self.ledger() != self.stored || self.closing_changed())
     }
 
@@ -311,22 +313,22 @@
     /// workers that its predecessor has emptied, and a predecessor's order that is still under way
     /// would end the tasks that start there.
     fn closing_changed(&self) -> bool {
-        let unlisted = self.active() && self.list.all.is_empty();
-        !unlisted && self.closing.as_ref().is_none_or(|c| c.turns != self.turns().turns)
+        let unlisted = self.is_active() && self.list.vms.is_empty();
+        !unlisted && self.closing.as_ref().is_none_or(|c| c.turns != self.worker_turns().turns)
     }
 
     fn write(&mut self, now: Time) {
-        if self.stage != Stage::Idle || self.retry_at > now || !self.dirty() {
+        if self.stage != LedgerStage::Idle || self.retry_at > now || !self.needs_write() {
             return;
         }
-        self.number += 1;
-        self.stage = Stage::Writing;
-        let (mut ledger, turns) = (self.ledger(), self.turns());
+        self.write_number += 1;
+        self.stage = LedgerStage::Writing;
+        let (mut ledger, turns) = (self.ledger(), self.worker_turns());
         let mut puts = vec![];
         for (no, entry) in std::mem::take(&mut ledger.waves) {
             let known = self.stored.waves.get(&no);
             let unchanged = known.is_some_and(|k| k.over == entry.over && k.rev == entry.rev);
-            if unchanged || puts.len() < MAX_STATES {
+            if unchanged || puts.len() < MAX_STATE_WRITES {
                 if !unchanged {
                     let (key, value) = (self.setup.encode_state)(no, entry.over);
                     puts.push(Put { key, value, lease: 0 });
@@ -341,13 +343,17 @@
         if let Some(turns) = &turns {
             puts.push(Put { key: CLOSING_KEY.into(), value: record::encode(turns), lease: 0 });
         }
-        let txn = Txn { expect: vec![(LEDGER_KEY.into(), self.rev)], puts, remove: vec![] };
+        let txn = Txn {
+            expected_revs: vec![(LEDGER_KEY.into(), self.ledger_rev)],
+            puts,
+            removed_keys: vec![],
+        };
         self.in_flight = (ledger, turns);
-        self.out.push(Order::Write(self.number, txn));
+        self.requests.push(UpkeepRequest::Write(self.write_number, txn));
     }
 
-    fn written(&mut self, number: u64, reply: &Result<StoreReply, Fault>, now: Time) {
-        if number != self.number || self.stage != Stage::Writing {
+    fn handle_written(&mut self, number: u64, reply: &Result<StoreReply, Fault>, now: Time) {
+        if number != self.write_number || self.stage != LedgerStage::Writing {
             return;
         }
         match reply {
@@ -364,39 +370,42 @@
                 if closing.is_some() {
                     (self.closing, self.stale_closing) = (closing, false);
                 }
-                (self.rev, self.stage) = (*rev, Stage::Idle);
+                (self.ledger_rev, self.stage) = (*rev, LedgerStage::Idle);
             }
             Err(Fault::Refused | Fault::Unsent) => {
-                (self.stage, self.retry_at) = (Stage::Idle, now + RETRY_PAUSE);
+                (self.stage, self.retry_at) = (LedgerStage::Idle, now + RETRY_PAUSE);
             }
             // Either another holder has written, or an earlier write of this one took effect
             // although it was taken for lost. Reading the ledger shows which.
-            _ => (self.stage, self.retry_at) = (Stage::Unread, now + RETRY_PAUSE),
+            _ => (self.stage, self.retry_at) = (LedgerStage::Unread, now + RETRY_PAUSE),
         }
     }
 
-    fn listed(&mut self, sent: Time, reply: Result<Vec<Vm>, Fault>) {
-        self.listing = false;
+    fn handle_list(&mut self, sent: Time, reply: Result<Vec<Vm>, Fault>) {
+        self.list_pending = false;
         let Ok(all) = reply else { return };
         // An empty list of VMs is treated as a failed read.
         if all.is_empty() {
             return;
         }
-        self.list = List { sent, all: all.into_iter().map(|m| (m.id.clone(), m)).collect() };
-        for progress in self.progress.values_mut().filter(|c| !c.over) {
-            progress.listed(&self.list, &self.setup.limits);
+        self.list = ListedVms {
+            requested_at: sent,
+            vms: all.into_iter().map(|m| (m.id.clone(), m)).collect(),
+        };
+        for progress in self.progress.values_mut().filter(|c| !c.is_completed) {
+            progress.update_list(&self.list, &self.setup.limits);
         }
-        self.loans.listed(&self.list);
+        self.loans.update_list(&self.list);
     }
 
-    fn answered(&mut self, call: &VmCall, reply: &Result<VmReply, Fault>, now: Time) {
+    fn handle_reply(&mut self, call: &VmCall, reply: &Result<VmReply, Fault>, now: Time) {
         match &call.action {
             VmAction::Upkeep(wave) => {
                 if let Some(progress) = self.progress.get_mut(wave) {
-                    progress.answered(&call.vm, reply, now);
+                    progress.handle_reply(&call.vm, reply, now);
                 }
             }
-            VmAction::Move(_) => self.loans.answered(&call.vm, reply, now),
+            VmAction::Move(_) => self.loans.handle_reply(&call.vm, reply, now),
         }
         if *reply == Ok(VmReply::Fence) {
             self.resign("order");
@@ -407,16 +416,16 @@
         if self.deposed {
             return;
         }
-        if self.stage == Stage::Unread && self.needed() && self.retry_at <= now {
-            self.stage = Stage::Reading;
-            self.out.push(Order::ReadLedger);
+        if self.stage == LedgerStage::Unread && self.is_needed() && self.retry_at <= now {
+            self.stage = LedgerStage::Reading;
+            self.requests.push(UpkeepRequest::ReadLedger);
         }
-        if !self.active() {
+        if !self.is_active() {
             // The next wave or loan must not start from an outdated list or outdated reports.
             (self.list, self.reports) = Default::default();
         }
         self.poll(now);
-        if !self.list.all.is_empty() {
+        if !self.list.vms.is_empty() {
             self.step(now);
         }
         self.write(now);
@@ -425,48 +434,48 @@
 
     /// Requests the list of VMs and the owners' reports when they are due.
     fn poll(&mut self, now: Time) {
-        let active = self.active();
-        if active && !self.listing && self.next_list <= now {
-            (self.listing, self.next_list) = (true, now + LIST_INTERVAL);
-            self.out.push(Order::ListVms);
+        let active = self.is_active();
+        if active && !self.list_pending && self.next_list <= now {
+            (self.list_pending, self.next_list) = (true, now + LIST_INTERVAL);
+            self.requests.push(UpkeepRequest::ListVms);
         }
-        let mut workers: Vec<WorkerId> = self.turns().turns.into_keys().collect();
+        let mut workers: Vec<WorkerId> = self.worker_turns().turns.into_keys().collect();
         workers.extend(self.loans.workers().cloned());
-        let wanted = !workers.is_empty() || self.loans.any();
-        if wanted && !self.asking && self.next_ask <= now {
-            (self.asking, self.next_ask) =
-                (true, now + if active { ASK_INTERVAL } else { IDLE_ASK_INTERVAL });
-            self.out.push(Order::AskOwners(workers));
+        let wanted = !workers.is_empty() || self.loans.has_any();
+        if wanted && !self.report_pending && self.next_report <= now {
+            (self.report_pending, self.next_report) =
+                (true, now + if active { REPORT_INTERVAL } else { IDLE_REPORT_INTERVAL });
+            self.requests.push(UpkeepRequest::AskOwners(workers));
         }
     }
 
     fn step(&mut self, now: Time) {
-        let in_waves = self.progress.values().flat_map(WaveProgress::taken).cloned();
-        let mut taken: BTreeSet<_> = in_waves.chain(self.loans.taken().cloned()).collect();
-        for progress in self.progress.values_mut().filter(|c| !c.over) {
+        let in_waves = self.progress.values().flat_map(WaveProgress::taken_vms).cloned();
+        let mut taken: BTreeSet<_> = in_waves.chain(self.loans.taken_vms().cloned()).collect();
+        for progress in self.progress.values_mut().filter(|c| !c.is_completed) {
             progress.step(&self.list, &self.reports, &taken, &self.setup.limits, now);
-            taken.extend(progress.taken().cloned());
+            taken.extend(progress.taken_vms().cloned());
         }
-        let in_waves = self.progress.values().flat_map(WaveProgress::taken).cloned().collect();
+        let in_waves = self.progress.values().flat_map(WaveProgress::taken_vms).cloned().collect();
         self.loans.step(&self.list, &self.reports, &in_waves, now);
     }
 
     fn send_order(&mut self, now: Time) {
         let allowed = self.orders_from.is_some_and(|from| from <= now);
-        if !allowed || self.next_call > now || self.stored.token != self.setup.token {
+        if !allowed || self.next_order > now || self.stored.token != self.setup.token {
             return;
         }
         let mut upkeeps =
-            self.progress.iter_mut().filter(|(_, c)| !c.over).filter_map(|(no, c)| {
+            self.progress.iter_mut().filter(|(_, c)| !c.is_completed).filter_map(|(no, c)| {
                 let entry = self.stored.waves.get(no)?;
                 Some((c.next_order(&entry.out, &self.reports, now)?, VmAction::Upkeep(*no)))
             });
         let call = upkeeps.next();
         let call = call.or_else(|| self.loans.next_order(&self.stored.loans, &self.reports, now));
         let Some((vm, deed)) = call else { return };
-        let gap = 1.0 / (self.setup.limits.order_rate * RATE_SHARE).max(0.1);
-        self.next_call = now + Duration::from_secs_f64(gap);
+        let gap = 1.0 / (self.setup.limits.order_rate * ORDER_RATE_FRACTION).max(0.1);
+        self.next_order = now + Duration::from_secs_f64(gap);
         let (holder, token) = (self.setup.holder.clone(), self.setup.token);
-        self.out.push(Order::OrderVm(VmCall { vm, action: deed, holder, token }));
+        self.requests.push(UpkeepRequest::OrderVm(VmCall { vm, action: deed, holder, token }));
     }
 }
--- a/src/upkeep/course.rs
+++ b/src/upkeep/course.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        decide::upkeep::{LIST_DELAY, Plan, Stage, VmStatus, WaveLimits, plan},
+        decide::upkeep::{LIST_DELAY, UpkeepStage, VmStatus, WaveLimits, WavePlan, plan_wave},
         ids::{VmId, WorkerId},
         ports::{Fault, Rev, Vm, VmLimits, VmReply, VmState, Wave},
         shard::{Occupancy, record::UpkeepTurn},
@@ -25,11 +25,11 @@
 
 /// The list of VMs as last read from the platform.
 #[derive(Debug, Default)]
-pub(super) struct List {
+pub(super) struct ListedVms {
     /// Time at which the list was requested.
-    pub sent: Time,
+    pub requested_at: Time,
     /// The VMs by id.
-    pub all: BTreeMap<VmId, Vm>,
+    pub vms: BTreeMap<VmId, Vm>,
 }
 
 /// The owners' last reports on workers, with the time of the request.
@@ -43,9 +43,9 @@
     /// Revision of the operators' item.
     pub rev: Rev,
     /// Start of the wave, in milliseconds of Unix time.
-    pub since: u64,
+    pub started_ms: u64,
     /// Whether the wave is completed.
-    pub over: bool,
+    pub is_completed: bool,
     deadline: Time,
     vms: BTreeMap<VmId, VmProgress>,
 }
@@ -55,11 +55,11 @@
 struct VmProgress {
     phase: Phase,
     /// Number of orders decided for the VM, and number of orders sent.
-    tries: (u32, u32),
+    order_counts: (u32, u32),
     /// Whether an unanswered order may still be carried out.
     unsettled: bool,
     /// Whether the maintenance of the VM has begun.
-    begun: bool,
+    has_begun: bool,
     /// Id of the VM's worker in the last list.
     worker: Option<WorkerId>,
     /// No order is sent before this time.
@@ -89,16 +89,16 @@
     pub fn new(wave: Wave, rev: Rev, entry: Option<&WaveEntry>, unix: u64, now: Time) -> Self {
         // A wave that the operators have changed starts anew, except that finished VMs stay
         // finished.
-        let since = entry.filter(|e| e.rev == rev).map_or(unix, |e| e.since.min(unix));
-        let passed = Duration::from_millis(unix - since);
+        let started_ms = entry.filter(|e| e.rev == rev).map_or(unix, |e| e.since.min(unix));
+        let passed = Duration::from_millis(unix - started_ms);
         let deadline = now + wave.time_limit.saturating_sub(passed);
         let progress = |m: &VmId| {
             let mut progress = VmProgress::default();
             if let Some(entry) = entry {
                 if entry.done.contains(m) {
-                    (progress.phase, progress.begun) = (Phase::Over, true);
+                    (progress.phase, progress.has_begun) = (Phase::Over, true);
                 } else if let Some(tries) = entry.out.get(m) {
-                    progress.tries = (*tries, *tries);
+                    progress.order_counts = (*tries, *tries);
                     // It is not known whether the order was carried out; the answer to a repeated
                     // order shows that.
                     (progress.phase, progress.unsettled) = (Phase::Closing(now, false), true);
@@ -107,33 +107,34 @@
             (m.clone(), progress)
         };
         let vms = wave.vms.iter().map(progress).collect();
-        let over = entry.is_some_and(|e| e.over && e.rev == rev);
-        WaveProgress { wave, rev, since, over, deadline, vms }
+        let is_completed = entry.is_some_and(|e| e.over && e.rev == rev);
+        WaveProgress { wave, rev, started_ms, is_completed, deadline, vms }
     }
 
     /// Returns the ledger entry of this wave.
     pub fn entry(&self) -> WaveEntry {
         let out =
-            |p: &VmProgress| !p.begun && (p.unsettled || matches!(p.phase, Phase::Ordered(..)));
-        let out = self.vms.iter().filter(|(_, p)| out(p)).map(|(m, p)| (m.clone(), p.tries.0));
-        let done = self.vms.iter().filter(|(_, p)| p.begun).map(|(m, _)| m.clone());
+            |p: &VmProgress| !p.has_begun && (p.unsettled || matches!(p.phase, Phase::Ordered(..)));
+        let out =
+            self.vms.iter().filter(|(_, p)| out(p)).map(|(m, p)| (m.clone(), p.order_counts.0));
+        let done = self.vms.iter().filter(|(_, p)| p.has_begun).map(|(m, _)| m.clone());
         WaveEntry {
             rev: self.rev,
-            since: self.since,
+            since: self.started_ms,
             out: out.collect(),
             done: done.collect(),
-            over: self.over,
+            over: self.is_completed,
         }
     }
 
     /// Returns the VMs that this wave is emptying or has taken down.
-    pub fn taken(&self) -> impl Iterator<Item = &VmId> {
+    pub fn taken_vms(&self) -> impl Iterator<Item = &VmId> {
         let taken = |p: &VmProgress| !matches!(p.phase, Phase::Due | Phase::Over);
         self.vms.iter().filter(move |(_, p)| taken(p)).map(|(m, _)| m)
     }
 
     /// Returns the workers of the wave's VMs and how far each is in its maintenance.
-    pub fn turns(&self) -> impl Iterator<Item = (WorkerId, UpkeepTurn)> {
+    pub fn worker_turns(&self) -> impl Iterator<Item = (WorkerId, UpkeepTurn)> {
         self.vms.values().flat_map(|p| {
             let now = p.worker.clone();
             match &p.phase {
@@ -151,11 +152,13 @@
     }
 
     /// Processes a new list of VMs.
-    pub fn listed(&mut self, list: &List, fleet: &VmLimits) {
+    pub fn update_list(&mut self, list: &ListedVms, fleet: &VmLimits) {
         for (m, progress) in &mut self.vms {
-            let Some(vm) = list.all.get(m) else {
+            let Some(vm) = list.vms.get(m) else {
                 // A VM that is missing from the list for `LIST_DELAY` is gone and needs no maintenance.
-                if list.sent - *progress.missing_since.get_or_insert(list.sent) >= LIST_DELAY {
+                if list.requested_at - *progress.missing_since.get_or_insert(list.requested_at)
+                    >= LIST_DELAY
+                {
                     progress.phase = Phase::Over;
                     progress.unsettled = false;
                 }
@@ -163,17 +166,17 @@
             };
             if progress.missing_since.take().is_some()
                 && matches!(progress.phase, Phase::Over)
-                && !progress.begun
+                && !progress.has_begun
             {
                 progress.phase = Phase::Due;
             }
-            progress.seen(vm, list.sent, fleet);
+            progress.seen(vm, list.requested_at, fleet);
         }
     }
 
     /// Returns the number of VMs that are down for this wave or may go down at any moment.
-    fn down(&self, list: &List) -> u32 {
-        let upkeep = |m: &VmId| list.all.get(m).is_some_and(|m| m.state == VmState::Upkeep);
+    fn down_count(&self, list: &ListedVms) -> u32 {
+        let upkeep = |m: &VmId| list.vms.get(m).is_some_and(|m| m.state == VmState::Upkeep);
         let down = |(m, p): &(&VmId, &VmProgress)| {
             p.unsettled || upkeep(m) || matches!(p.phase, Phase::Ordered(..) | Phase::Down(..))
         };
@@ -181,10 +184,10 @@
     }
 
     /// Decides which VMs to start emptying, which to empty without waiting for tasks to end, and
-    /// which to order down; `taken` are the VMs that any wave or loan is working on.
+    /// which to order down; `taken_vms` are the VMs that any wave or loan is working on.
     pub fn step(
         &mut self,
-        list: &List,
+        list: &ListedVms,
         reports: &Reports,
         taken: &BTreeSet<VmId>,
         fleet: &VmLimits,
@@ -193,8 +196,12 @@
         let facts: Vec<VmStatus> =
             self.vms.iter().map(|(m, p)| p.facts(m, list, reports, taken, now)).collect();
         let left = if self.deadline > now { self.deadline - now } else { Duration::ZERO };
-        let allowed = WaveLimits { left, cap: self.wave.max_down, down: fleet.upkeep_time };
-        let Plan { drain: close, force_stop: force } = plan(&facts, allowed);
+        let allowed = WaveLimits {
+            remaining_time: left,
+            max_down: self.wave.max_down,
+            down_time: fleet.upkeep_time,
+        };
+        let WavePlan { drain: close, force_stop: force } = plan_wave(&facts, allowed);
         for (i, (m, progress)) in self.vms.iter_mut().enumerate() {
             if close.contains(&i) {
                 progress.phase = Phase::Closing(now, false);
@@ -209,31 +216,33 @@
         for progress in self.vms.values_mut() {
             let retry =
                 matches!(progress.phase, Phase::Ordered(_, false)) && progress.retry_at <= now;
-            progress.tries.0 += u32::from(retry && progress.tries.0 == progress.tries.1);
+            progress.order_counts.0 +=
+                u32::from(retry && progress.order_counts.0 == progress.order_counts.1);
         }
         let over = |p: &VmProgress| matches!(p.phase, Phase::Down(..) | Phase::Over);
-        if !self.over && self.vms.values().all(over) {
-            self.over = true;
+        if !self.is_completed && self.vms.values().all(over) {
+            self.is_completed = true;
             log::info!(target: "upkeep", did = "completed", wave:% = self.wave.number, late = self.deadline < now; "Wave is completed.");
         }
     }
 
     /// Decides on orders for clear VMs within the maximum number of VMs that may be down.
-    fn decide_orders(&mut self, list: &List, reports: &Reports, now: Time) {
-        let mut slots = self.wave.max_down.max(1).saturating_sub(self.down(list));
+    fn decide_orders(&mut self, list: &ListedVms, reports: &Reports, now: Time) {
+        let mut slots = self.wave.max_down.max(1).saturating_sub(self.down_count(list));
         for (m, progress) in &mut self.vms {
             let Phase::Closing(..) = progress.phase else { continue };
-            let Some(vm) = list.all.get(m).filter(|m| m.state == VmState::Up) else {
+            let Some(vm) = list.vms.get(m).filter(|m| m.state == VmState::Up) else {
                 continue;
             };
             // A VM with an unsettled order counts as down already.
             let slot_free = slots > 0 || progress.unsettled;
-            if progress.retry_at > now || !slot_free || !clear(vm.worker.as_ref(), reports, now) {
+            if progress.retry_at > now || !slot_free || !is_clear(vm.worker.as_ref(), reports, now)
+            {
                 continue;
             }
             slots -= u32::from(!progress.unsettled);
             progress.phase = Phase::Ordered(vm.worker.clone(), false);
-            progress.tries.0 += 1;
+            progress.order_counts.0 += 1;
         }
     }
 
@@ -250,24 +259,24 @@
     ) -> Option<VmId> {
         for (m, progress) in &mut self.vms {
             let Phase::Ordered(worker, in_flight) = &mut progress.phase else { continue };
-            let (decided, sent) = progress.tries;
+            let (decided, sent) = progress.order_counts;
             if *in_flight || sent == decided || stored.get(m) != Some(&decided) {
                 continue;
             }
             // The VM must still have the same incarnation of its worker, and that worker must still
             // be clear.
-            if !clear(worker.as_ref(), reports, now) {
+            if !is_clear(worker.as_ref(), reports, now) {
                 continue;
             }
             *in_flight = true;
-            progress.tries.1 = decided;
+            progress.order_counts.1 = decided;
             return Some(m.clone());
         }
         None
     }
 
     /// Processes the outcome of an order.
-    pub fn answered(&mut self, m: &VmId, reply: &Result<VmReply, Fault>, now: Time) {
+    pub fn handle_reply(&mut self, m: &VmId, reply: &Result<VmReply, Fault>, now: Time) {
         log::info!(target: "upkeep", did = "ordered", wave:% = self.wave.number, vm:% = m, reply:? = reply; "Maintenance was ordered.");
         let Some(progress) = self.vms.get_mut(m) else { return };
         progress.retry_at = now + RETRY_PAUSE;
@@ -302,7 +311,7 @@
             Phase::Down(_, worker) => worker,
             _ => None,
         };
-        (self.begun, self.unsettled) = (true, false);
+        (self.has_begun, self.unsettled) = (true, false);
         self.phase = Phase::Down(now, old);
     }
 
@@ -332,32 +341,32 @@
     fn facts(
         &self,
         m: &VmId,
-        list: &List,
+        list: &ListedVms,
         reports: &Reports,
         taken: &BTreeSet<VmId>,
         now: Time,
     ) -> VmStatus {
-        let vm = list.all.get(m);
+        let vm = list.vms.get(m);
         let report = vm.and_then(|m| reports.get(m.worker.as_ref()?)).map(|w| &w.1);
         let up = vm.is_some_and(|m| m.state == VmState::Up);
         let stage = match self.phase {
-            Phase::Due => Stage::Due,
-            Phase::Closing(since, _) => Stage::Draining(now - since),
-            Phase::Ordered(..) | Phase::Down(..) => Stage::Down,
-            Phase::Over => Stage::Done,
+            Phase::Due => UpkeepStage::Due,
+            Phase::Closing(since, _) => UpkeepStage::Draining(now - since),
+            Phase::Ordered(..) | Phase::Down(..) => UpkeepStage::Down,
+            Phase::Over => UpkeepStage::Done,
         };
         VmStatus {
             stage,
             available: up && !taken.contains(m) && !report.is_some_and(|w| w.leaving),
-            brief: report.map_or(0, |w| w.brief),
-            long_running: report.map_or(0, |w| w.lasting),
+            brief_tasks: report.map_or(0, |w| w.finite_count),
+            long_tasks: report.map_or(0, |w| w.long_running_count),
         }
     }
 }
 
 /// Returns whether a recent report of the owner says that no task runs at a worker and none will
 /// start there. A VM without a worker is clear.
-pub(super) fn clear(worker: Option<&WorkerId>, reports: &Reports, now: Time) -> bool {
+pub(super) fn is_clear(worker: Option<&WorkerId>, reports: &Reports, now: Time) -> bool {
     let Some(worker) = worker else { return true };
     reports
         .get(worker)
--- a/src/upkeep/loans.rs
+++ b/src/upkeep/loans.rs
@@ -8,7 +8,7 @@
         shard::{PoolWait, record::UpkeepTurn},
         time::Time,
         upkeep::{
-            course::{List, Reports, clear},
+            course::{ListedVms, Reports, is_clear},
             ledger::LoanEntry,
         },
     },
@@ -22,16 +22,16 @@
 /// order whose effect the list of VMs does not show yet.
 const RETRY_PAUSES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(8));
 /// Maximum time for a closed VM to become clear; after this time, the VM is used again.
-const CLOSING_LIMIT: Duration = Duration::from_secs(4);
+const CLOSING_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The standby pools and the VMs that are lent from them.
 #[derive(Debug, Default)]
 pub(super) struct Loans {
     standby: BTreeSet<PoolId>,
-    tides: BTreeMap<PoolId, PoolDemand>,
+    pool_demands: BTreeMap<PoolId, PoolDemand>,
     all: BTreeMap<VmId, Loan>,
     /// Moves that the platform has declined: the VM and the pool to which it can't move.
-    barred: BTreeSet<(VmId, PoolId)>,
+    declined_moves: BTreeSet<(VmId, PoolId)>,
 }
 
 /// A VM that is lent.
@@ -41,7 +41,7 @@
     to: PoolId,
     phase: Phase,
     /// Number of orders decided for the VM, and number of orders sent.
-    tries: (u32, u32),
+    order_counts: (u32, u32),
     in_flight: bool,
     /// Whether an unanswered order may still be carried out.
     unsettled: bool,
@@ -69,13 +69,13 @@
     }
 
     /// Returns whether there are standby pools or lent VMs.
-    pub fn any(&self) -> bool {
+    pub fn has_any(&self) -> bool {
         !self.standby.is_empty() || !self.all.is_empty()
     }
 
     /// Returns whether the list of VMs is needed now.
-    pub fn busy(&self) -> bool {
-        let wanted = self.tides.values().any(|t| t.is_waiting());
+    pub fn needs_list(&self) -> bool {
+        let wanted = self.pool_demands.values().any(|t| t.is_waiting());
         !self.all.is_empty() || (wanted && !self.standby.is_empty())
     }
 
@@ -85,7 +85,7 @@
             home: l.home.clone(),
             to: l.to.clone(),
             back: l.phase == Phase::Returning,
-            tries: l.tries.0,
+            tries: l.order_counts.0,
         };
         self.all.iter().map(|(vm, l)| (vm.clone(), entry(l))).collect()
     }
@@ -97,7 +97,7 @@
             // the VM is not used, because the order may still be under way.
             let phase = if e.back { Phase::Closing(now) } else { Phase::Going };
             let loan = Loan {
-                tries: (e.tries, e.tries),
+                order_counts: (e.tries, e.tries),
                 unsettled: true,
                 ..Loan::new(e.home.clone(), e.to.clone(), phase)
             };
@@ -106,13 +106,13 @@
     }
 
     /// Returns the VMs that are moving between pools or being emptied.
-    pub fn taken(&self) -> impl Iterator<Item = &VmId> {
+    pub fn taken_vms(&self) -> impl Iterator<Item = &VmId> {
         let taken = |l: &Loan| !matches!(l.phase, Phase::Arrived(_));
         self.all.iter().filter(move |(_, l)| taken(l)).map(|(vm, _)| vm)
     }
 
     /// Returns the workers at which no task may be started.
-    pub fn turns(&self) -> impl Iterator<Item = (WorkerId, UpkeepTurn)> {
+    pub fn worker_turns(&self) -> impl Iterator<Item = (WorkerId, UpkeepTurn)> {
         let closed = |l: &&Loan| matches!(l.phase, Phase::Closing(_) | Phase::Returning);
         let all = self.all.values().filter(closed);
         all.filter_map(|l| Some((l.worker.clone()?, UpkeepTurn::Closing)))
@@ -124,13 +124,16 @@
     }
 
     /// Processes a new list of VMs.
-    pub fn listed(&mut self, list: &List) {
-        self.all.retain(|vm, loan| match list.all.get(vm) {
+    pub fn update_list(&mut self, list: &ListedVms) {
+        self.all.retain(|vm, loan| match list.vms.get(vm) {
             Some(vm) => {
                 loan.missing_since = None;
                 loan.seen(vm)
             }
-            None => list.sent - *loan.missing_since.get_or_insert(list.sent) < LIST_DELAY,
+            None => {
+                list.requested_at - *loan.missing_since.get_or_insert(list.requested_at)
+                    < LIST_DELAY
+            }
         });
     }
 
@@ -139,36 +142,36 @@
         let mut waits: BTreeMap<&PoolId, Duration> = BTreeMap::new();
         for need in needs {
             let known = waits.entry(&need.pool).or_default();
-            *known = (*known).max(Duration::from_millis(need.waits));
+            *known = (*known).max(Duration::from_millis(need.wait_ms));
         }
         for pool in waits.keys() {
-            self.tides.entry((*pool).clone()).or_default();
+            self.pool_demands.entry((*pool).clone()).or_default();
         }
-        for (pool, demand) in &mut self.tides {
+        for (pool, demand) in &mut self.pool_demands {
             demand.record_wait(waits.get(pool).copied().unwrap_or_default(), now);
         }
     }
 
-    /// Lends VMs to pools that need them and calls back VMs that are no longer needed; `taken` are
+    /// Lends VMs to pools that need them and calls back VMs that are no longer needed; `taken_vms` are
     /// the VMs of maintenance waves.
-    pub fn step(&mut self, list: &List, reports: &Reports, taken: &BTreeSet<VmId>, now: Time) {
+    pub fn step(&mut self, list: &ListedVms, reports: &Reports, taken: &BTreeSet<VmId>, now: Time) {
         for (vm, loan) in &mut self.all {
-            let demand = self.tides.entry(loan.to.clone()).or_default();
+            let demand = self.pool_demands.entry(loan.to.clone()).or_default();
             loan.step(vm, demand, reports, taken, now);
         }
-        let (standby, barred) = (&self.standby, &self.barred);
-        for (pool, demand) in self.tides.iter_mut().filter(|(p, _)| !standby.contains(p)) {
+        let (standby, barred) = (&self.standby, &self.declined_moves);
+        for (pool, demand) in self.pool_demands.iter_mut().filter(|(p, _)| !standby.contains(p)) {
             let able = |vm: &&Vm| {
                 let idle = !matches!(vm.state, VmState::Moving | VmState::Upkeep);
                 let free = !taken.contains(&vm.id) && !self.all.contains_key(&vm.id);
                 let pair = (vm.id.clone(), pool.clone());
                 idle && free && standby.contains(&vm.pool) && !barred.contains(&pair)
             };
-            let Some(vm) = list.all.values().find(able) else { continue };
+            let Some(vm) = list.vms.values().find(able) else { continue };
             if demand.should_lend(now) {
                 log::info!(target: "upkeep", did = "lent", vm:% = vm.id, home:% = vm.pool, to:% = pool; "VM is lent.");
                 let mut loan = Loan::new(vm.pool.clone(), pool.clone(), Phase::Going);
-                loan.tries.0 = 1;
+                loan.order_counts.0 = 1;
                 self.all.insert(vm.id.clone(), loan);
             }
         }
@@ -182,24 +185,24 @@
         now: Time,
     ) -> Option<(VmId, VmAction)> {
         for (vm, loan) in &mut self.all {
-            let (decided, sent) = loan.tries;
+            let (decided, sent) = loan.order_counts;
             let noted = stored.get(vm).is_some_and(|s| s.tries == decided);
             if loan.in_flight || sent == decided || !noted {
                 continue;
             }
             let to = match loan.phase {
                 Phase::Going => &loan.to,
-                Phase::Returning if clear(loan.worker.as_ref(), reports, now) => &loan.home,
+                Phase::Returning if is_clear(loan.worker.as_ref(), reports, now) => &loan.home,
                 _ => continue,
             };
-            (loan.in_flight, loan.tries.1) = (true, decided);
+            (loan.in_flight, loan.order_counts.1) = (true, decided);
             return Some((vm.clone(), VmAction::Move(to.clone())));
         }
         None
     }
 
     /// Processes the outcome of an order.
-    pub fn answered(&mut self, vm: &VmId, reply: &Result<VmReply, Fault>, now: Time) {
+    pub fn handle_reply(&mut self, vm: &VmId, reply: &Result<VmReply, Fault>, now: Time) {
         log::info!(target: "upkeep", did = "moved", vm:% = vm, reply:? = reply; "Move was ordered.");
         let Some(loan) = self.all.get_mut(vm) else { return };
         (loan.in_flight, loan.retry_at) = (false, now + RETRY_PAUSES.0);
@@ -207,7 +210,7 @@
         match reply {
             Ok(VmReply::Begun) => (loan.unsettled, loan.retry_at) = (false, now + RETRY_PAUSES.1),
             Ok(VmReply::None) if going => {
-                self.barred.insert((vm.clone(), loan.to.clone()));
+                self.declined_moves.insert((vm.clone(), loan.to.clone()));
                 self.all.remove(vm);
             }
             Ok(VmReply::Busy) if going && !loan.unsettled => drop(self.all.remove(vm)),
@@ -224,7 +227,7 @@
             home,
             to,
             phase,
-            tries: (0, 0),
+            order_counts: (0, 0),
             in_flight: false,
             unsettled: false,
             retry_at: Time::ZERO,
@@ -260,7 +263,7 @@
         let report = self.worker.as_ref().and_then(|w| reports.get(w)).map(|w| &w.1);
         match &mut self.phase {
             Phase::Arrived(empty) => {
-                let idle = report.is_some_and(|w| w.brief + w.lasting == 0);
+                let idle = report.is_some_and(|w| w.finite_count + w.long_running_count == 0);
                 *empty = idle.then(|| empty.unwrap_or(now));
                 if let Some(since) = *empty
                     && !taken.contains(vm)
@@ -270,18 +273,20 @@
                 }
             }
             Phase::Closing(since) => {
-                if clear(self.worker.as_ref(), reports, now) {
+                if is_clear(self.worker.as_ref(), reports, now) {
                     self.phase = Phase::Returning;
-                    self.tries.0 += 1;
-                } else if now - *since >= CLOSING_LIMIT && !self.unsettled {
+                    self.order_counts.0 += 1;
+                } else if now - *since >= CLOSING_TIMEOUT && !self.unsettled {
                     // A task was started on the VM just before it was closed, so the VM is still
                     // needed.
                     self.phase = Phase::Arrived(None);
                 }
             }
             Phase::Going | Phase::Returning => {
-                let retry = !self.in_flight && self.retry_at <= now && self.tries.0 == self.tries.1;
-                self.tries.0 += u32::from(retry);
+                let retry = !self.in_flight
+                    && self.retry_at <= now
+                    && self.order_counts.0 == self.order_counts.1;
+                self.order_counts.0 += u32::from(retry);
             }
         }
     }
--- a/src/wave_driver.rs
+++ b/src/wave_driver.rs
@@ -12,7 +12,7 @@
         shard::{Occupancy, PoolWait, record::ShardNo},
         shard_runner::ShardInput,
         shared_state::SharedState,
-        upkeep::{Event, LEDGER_KEY, Order, Setup, Upkeep},
+        upkeep::{LEDGER_KEY, Upkeep, UpkeepEvent, UpkeepRequest, UpkeepSetup},
     },
     async_channel::Sender,
     std::{collections::BTreeMap, future::pending, net::SocketAddr, sync::Arc, time::Duration},
@@ -47,10 +47,15 @@
     /// Drives the waves, using this token of the shard, until the future is dropped.
     pub async fn drive(self, token: u64) {
         let (common, site) = (&self.common, self.common.site.borrow().clone());
-        let told = common.forms.encode_wave;
+        let told = common.codec.encode_wave;
         let (holder, fleet, unix) = (site.node.clone(), site.vm_limits, common.start_unix_ms);
-        let mut upkeep =
-            Upkeep::new(Setup { holder, token, limits: fleet, unix_ms: unix, encode_state: told });
+        let mut upkeep = Upkeep::new(UpkeepSetup {
+            holder,
+            token,
+            limits: fleet,
+            unix_ms: unix,
+            encode_state: told,
+        });
         let (sender, events) = async_channel::bounded(ANSWER_QUEUE_LEN);
         let mut waves = common.waves.subscribe();
         waves.mark_changed();
@@ -61,20 +66,20 @@
                 Ok(()) = waves.changed() => {
                     let all = waves.borrow_and_update().values().cloned().collect();
                     let closed = !common.view.borrow().closing.turns.is_empty();
-                    Event::Waves(all, closed)
+                    UpkeepEvent::Waves(all, closed)
                 }
                 Ok(()) = config.changed() => {
                     let config = config.borrow_and_update().clone();
                     let pools = config.iter().flat_map(|c| &c.queues.pools);
-                    Event::Pools(pools.filter(|p| p.standby).map(|p| p.name.clone()).collect())
+                    UpkeepEvent::Pools(pools.filter(|p| p.standby).map(|p| p.name.clone()).collect())
                 }
                 Ok(event) = events.recv() => event,
-                () = sleep(TICK_INTERVAL), if upkeep.busy() => Event::Tick,
+                () = sleep(TICK_INTERVAL), if upkeep.has_work() => UpkeepEvent::Tick,
             };
-            for order in upkeep.on(event, common.now()) {
+            for order in upkeep.handle_event(event, common.now()) {
                 let (this, sender) = (self.clone(), sender.clone());
                 tokio::spawn(async move {
-                    let event = this.carry(order).await;
+                    let event = this.execute_order(order).await;
                     let _ = sender.send(event).await;
                 });
             }
@@ -82,24 +87,26 @@
         pending().await
     }
 
-    async fn carry(&self, order: Order) -> Event {
+    async fn execute_order(&self, order: UpkeepRequest) -> UpkeepEvent {
         let sent = self.common.now();
         match order {
-            Order::ReadLedger => {
-                Event::LedgerRead(self.services.get(LEDGER_KEY, CALL_TIMEOUT).await)
+            UpkeepRequest::ReadLedger => {
+                UpkeepEvent::LedgerRead(self.services.get(LEDGER_KEY, CALL_TIMEOUT).await)
             }
-            Order::Write(number, txn) => Event::Written(
+            UpkeepRequest::Write(number, txn) => UpkeepEvent::Written(
                 number,
                 self.services.call_store(&StoreCall::Txn(txn), CALL_TIMEOUT).await,
             ),
-            Order::ListVms => Event::VmsListed(sent, self.services.list_vms(VM_TIMEOUT).await),
-            Order::AskOwners(workers) => {
+            UpkeepRequest::ListVms => {
+                UpkeepEvent::VmsListed(sent, self.services.list_vms(VM_TIMEOUT).await)
+            }
+            UpkeepRequest::AskOwners(workers) => {
                 let (held, needs) = self.collect_held(workers).await;
-                Event::OwnersReported(sent, held, needs)
+                UpkeepEvent::OwnersReported(sent, held, needs)
             }
-            Order::OrderVm(call) => {
+            UpkeepRequest::OrderVm(call) => {
                 let reply = self.services.call_vm(&call, VM_TIMEOUT).await;
-                Event::Answered(call, reply)
+                UpkeepEvent::Answered(call, reply)
             }
         }
     }
@@ -110,7 +117,7 @@
         let view = self.common.view.borrow().clone();
         let mut shards_by_owner: BTreeMap<(Incarnation, SocketAddr), Vec<ShardNo>> =
             BTreeMap::new();
-        for shard in (0..view.shards()).map(ShardNo) {
+        for shard in (0..view.shard_count()).map(ShardNo) {
             if let Some(owner) = view.owner(shard) {
                 shards_by_owner.entry(owner).or_default().push(shard);
             }
--- a/src/work.rs
+++ b/src/work.rs
@@ -96,12 +96,12 @@
     pub steps: Box<[Step]>,
     /// The occurrences of the job; `None` if it runs once, at once.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub times: Option<Times>,
+    pub times: Option<Occurrences>,
 }
 
 /// The occurrences of a periodic job.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Times {
+pub struct Occurrences {
     /// Number of occurrences; above 0.
     pub count: u32,
     /// Time at which the first occurrence is due, in milliseconds of Unix time.
@@ -198,7 +198,7 @@
 /// The state of a job.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum JobState {
     /// No task has started.
     #[default]
     #[display("queued")]
@@ -217,10 +217,10 @@
     Cancelled,
 }
 
-impl State {
+impl JobState {
     /// Returns whether the state is final, so that no task of the job will start again.
     pub fn is_final(self) -> bool {
-        matches!(self, State::Done | State::Failed | State::Cancelled)
+        matches!(self, JobState::Done | JobState::Failed | JobState::Cancelled)
     }
 }
 
@@ -284,7 +284,7 @@
 
 impl QueueConfig {
     /// Returns the queue that accepts `host` and has the longest prefix of `path`.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Queue> {
+    pub fn find_queue(&self, host: &str, path: &str) -> Option<&Queue> {
         let fits = |q: &&Queue| {
             (q.host.is_empty() || q.host.eq_ignore_ascii_case(host)) && path.starts_with(&*q.prefix)
         };
@@ -292,7 +292,7 @@
     }
 
     /// Returns the queue with this name.
-    pub fn by_name(&self, name: &str) -> Option<&Queue> {
+    pub fn queue_by_name(&self, name: &str) -> Option<&Queue> {
         self.queues.iter().find(|q| *q.name == *name)
     }
 }
--- a/standin/src/measure_order.rs
+++ b/standin/src/measure_order.rs
@@ -18,8 +18,8 @@
     dogwoodreach::{
         Time,
         decide::{
-            order::{Job, Order},
-            quota::{Quotas, Reclaim},
+            order::{WaitingJob, WaitingTasks},
+            quota::{Quotas, ReclaimMethod},
         },
         units::Size,
     },
@@ -134,12 +134,12 @@
 /// tasks. In a step, one running task ends and is queued again, and the next task is selected and
 /// started.
 fn measure_steps(teams: usize, tasks: usize) {
-    let (mut order, mut quotas) = (Order::default(), Quotas::default());
+    let (mut order, mut quotas) = (WaitingTasks::default(), Quotas::default());
     let mut rng = Rng::with_seed(1);
-    (0..teams).for_each(|t| quotas.set(&team(t), Size::new(20, 20 * 1024, 0), rng.u32(1..5)));
+    (0..teams).for_each(|t| quotas.set_quota(&team(t), Size::new(20, 20 * 1024, 0), rng.u32(1..5)));
     for i in 0..tasks / 100 {
         let now = Time(rng.u64(0..3_600_000_000));
-        let new = Job {
+        let new = WaitingJob {
             id: job(i),
             team: team(i % teams),
             deadline: now + Duration::from_secs(rng.u64(3600..36_000)),
@@ -148,7 +148,7 @@
             width: 50,
             tasks: 100,
             size: CORE,
-            reclaim: Reclaim::Checkpoint,
+            reclaim: ReclaimMethod::Checkpoint,
         };
         order.push(now, new, &mut quotas);
     }
@@ -165,7 +165,7 @@
         let Some(pick) = order.next(now + Duration::from_micros(i), &quotas) else { break };
         order.take(now + Duration::from_micros(i), &pick, &mut quotas);
         times.push(begin.elapsed());
-        running.push_back(pick.ask.task);
+        running.push_back(pick.quota_request.task);
     }
     times.sort();
     let at = |part: f64| times[((times.len() - 1) as f64 * part) as usize].as_nanos() as f64 / 1e3;
--- a/standin/src/measure_order/sim.rs
+++ b/standin/src/measure_order/sim.rs
@@ -5,8 +5,8 @@
     dogwoodreach::{
         Time,
         decide::{
-            order::{Job, Order},
-            quota::{Grant, Quotas, Reclaim},
+            order::{WaitingJob, WaitingTasks},
+            quota::{QuotaGrant, Quotas, ReclaimMethod},
         },
         ids::{JobId, TaskId, TaskIndex, TeamId},
         units::Size,
@@ -76,7 +76,7 @@
     users: Vec<User>,
     remaining: Vec<Remaining>,
     queue: VecDeque<usize>,
-    order: Order,
+    order: WaitingTasks,
     quotas: Quotas,
     ends: BinaryHeap<Reverse<(Time, usize, u32)>>,
     ended_at: Vec<Time>,
@@ -85,7 +85,7 @@
 impl<'a> Sim<'a> {
     pub(super) fn new(o: &Options, work: &'a [Work], policy: Policy) -> Self {
         let mut quotas = Quotas::default();
-        (0..USERS).for_each(|u| quotas.set(&team(u), quota(o.slots), 100));
+        (0..USERS).for_each(|u| quotas.set_quota(&team(u), quota(o.slots), 100));
         let remaining = |w: &Work| Remaining { waiting: w.tasks, running: 0, ended: 0 };
         Sim {
             work,
@@ -94,7 +94,7 @@
             users: vec![User::default(); USERS],
             remaining: work.iter().map(remaining).collect(),
             queue: VecDeque::new(),
-            order: Order::default(),
+            order: WaitingTasks::default(),
             quotas,
             ends: BinaryHeap::new(),
             ended_at: vec![Time::ZERO; work.len()],
@@ -119,7 +119,7 @@
             } else if let Some(Reverse((_, i, task))) = self.ends.pop() {
                 self.end(now, i, task);
             }
-            self.order.wake(now, &self.quotas);
+            self.order.requeue_parked(now, &self.quotas);
             while self.ends.len() < self.slots {
                 let Some((i, task)) = self.pick(now) else { break };
                 self.start(now, i, task);
@@ -138,7 +138,7 @@
         if !self.uses_order() {
             return;
         }
-        let new = Job {
+        let new = WaitingJob {
             id: job(i),
             team: team(w.user),
             deadline: w.deadline,
@@ -147,7 +147,7 @@
             width: self.slots.div_ceil(USERS) as u32,
             tasks: w.tasks,
             size: CORE,
-            reclaim: Reclaim::Checkpoint,
+            reclaim: ReclaimMethod::Checkpoint,
         };
         self.order.push(now, new, &mut self.quotas);
     }
@@ -181,9 +181,9 @@
     fn set_weights(&mut self) {
         for (i, u) in self.users.iter().enumerate() {
             let weight = (u.share * 100.0 * USERS as f64 / self.slots as f64).max(1.0) as u32;
-            self.quotas.set(&team(i), quota(self.slots), weight);
+            self.quotas.set_quota(&team(i), quota(self.slots), weight);
         }
-        self.order.relist(&self.quotas);
+        self.order.recompute_ranks(&self.quotas);
     }
 
     /// A task's run time as estimated in the paper: from the job's ended tasks, otherwise from the
@@ -206,9 +206,9 @@
             Policy::Own | Policy::Shares => {
                 let pick = self.order.next(now, &self.quotas)?;
                 let grant = self.order.take(now, &pick, &mut self.quotas);
-                assert_ne!(grant, Grant::Wait, "a pick is granted");
-                let i = pick.ask.task.job.as_str()[1..].parse().ok()?;
-                return Some((i, pick.ask.task.index.0));
+                assert_ne!(grant, QuotaGrant::Wait, "a pick is granted");
+                let i = pick.quota_request.task.job.as_str()[1..].parse().ok()?;
+                return Some((i, pick.quota_request.task.index.0));
             }
         };
         Some((i, self.remaining[i].waiting))
@@ -265,7 +265,7 @@
         if self.uses_order() {
             let id = TaskId { job: job(i), index: TaskIndex(task) };
             self.quotas.record_end(&id);
-            self.order.ended(now, &id, &mut self.quotas);
+            self.order.record_end(now, &id, &mut self.quotas);
         }
     }
 }
--- a/standin/src/site/judge.rs
+++ b/standin/src/site/judge.rs
@@ -13,7 +13,7 @@
         Time,
         ports::{EndReason, Start},
         shard::record::{JobRecord, Progress, ShardNo, TaskRow},
-        work::{JobNo, State, Step, StepKey, TaskKey},
+        work::{JobNo, JobState, Step, StepKey, TaskKey},
     },
     std::{
         collections::{BTreeMap, BTreeSet, HashSet},
@@ -75,7 +75,7 @@
     pub accepted: BTreeMap<JobNo, Time>,
     refused: BTreeSet<JobNo>,
     /// Final states of jobs, as reported to callers.
-    final_states: BTreeMap<JobNo, State>,
+    final_states: BTreeMap<JobNo, JobState>,
     /// Latest token of each shard.
     tokens: BTreeMap<ShardNo, u64>,
     /// Runs that completed: run number, end time, and time of the owner's acknowledgement. An
@@ -122,7 +122,7 @@
                     self.start(world, at, worker, &start, late)?;
                 }
                 Note::Crash { task } => *self.crashes.entry(task).or_default() += 1,
-                Note::End { at, end } => self.end(world, at, end.task, end.run, end.how)?,
+                Note::End { at, end } => self.end(world, at, end.task, end.run, end.reason)?,
                 Note::Acknowledged { task, run, how } => self.acknowledge(world, task, run, how)?,
                 Note::Violation(text) => self.breach(world.now, text)?,
             }
@@ -248,7 +248,7 @@
         let task_key = task_key(world, task);
         self.start_count += 1;
         self.starts.insert(task_key, at);
-        if *start.text != *record.job.text || task.index >= step.count {
+        if *start.payload != *record.job.text || task.index >= step.count {
             return self.breach(at, format!("{task} was not asked for like this: {start:?}"));
         }
         if w.pool != queue.pool || step.needs.as_ref().is_some_and(|n| !w.labels.contains(n)) {
@@ -386,16 +386,16 @@
     }
 
     /// Checks a job's state that a caller received or that a member stored.
-    pub fn check_state(&self, world: &World, job: JobNo, state: State) -> Verdict {
+    pub fn check_state(&self, world: &World, job: JobNo, state: JobState) -> Verdict {
         let most = world.queue(job).map_or(0, |q| q.attempts) as usize;
         let mine = self.failed.iter().filter(|(t, _)| t.step.job == job);
         let right = match state {
-            State::Done => self.job_done(world, job),
-            State::Failed => {
+            JobState::Done => self.job_done(world, job),
+            JobState::Failed => {
                 mine.into_iter().any(|(_, f)| f.len() >= most) || self.may_give_up(job)
             }
-            State::Cancelled => self.cancels.contains_key(&job),
-            State::Queued | State::Running => true,
+            JobState::Cancelled => self.cancels.contains_key(&job),
+            JobState::Queued | JobState::Running => true,
         };
         if !right || !world.jobs.contains_key(&job) {
             return self.breach(world.now, format!("job {job} is shown as {state} without cause"));
@@ -410,7 +410,7 @@
     }
 
     /// Checks a job's state that a caller received. A final state must not change.
-    pub fn check_reported(&mut self, world: &World, job: JobNo, state: State) -> Verdict {
+    pub fn check_reported(&mut self, world: &World, job: JobNo, state: JobState) -> Verdict {
         self.check_state(world, job, state)?;
         if let Some(before) = self.final_states.get(&job).filter(|s| **s != state) {
             return self
--- a/standin/src/site/plan.rs
+++ b/standin/src/site/plan.rs
@@ -5,7 +5,7 @@
     derive_more::Display,
     dogwoodreach::{
         units::Size,
-        work::{Job, Step, Times},
+        work::{Job, Occurrences, Step},
     },
     std::time::Duration,
 };
@@ -256,7 +256,7 @@
     let saving = Step { saves: true, ..step(few, 2 * ms) };
     let gang = Step { gang: true, tight: rng.bool(), saves: rng.bool(), ..step(few + 1, 2 * ms) };
     let label = Step { needs: Some("gpu".into()), size: Size::new(1, 512, 1), ..step(1, ms) };
-    let times = Some(Times { count: 3, first: unix + 2_000, every: 1_500 });
+    let times = Some(Occurrences { count: 3, first: unix + 2_000, every: 1_500 });
     match rng.u32(0..20) {
         0..5 => job([step(1, 300), Step { after: [0].into(), ..step(few + 1, ms) }]),
         5..8 => job([step(few, ms), step(1, 300), Step { after: [0, 1].into(), ..saving }]),
--- a/standin/src/site/store.rs
+++ b/standin/src/site/store.rs
@@ -119,15 +119,15 @@
     /// Executes a transaction: all of its changes, or none if an expected revision doesn't
     /// match.
     pub fn txn(&mut self, txn: &Txn) -> StoreReply {
-        let rows = txn.expect.len() + txn.puts.len() + txn.remove.len();
+        let rows = txn.expected_revs.len() + txn.puts.len() + txn.removed_keys.len();
         assert!(rows <= MAX_TXN_ROWS, "a transaction of {rows} rows");
         assert!(txn.puts.iter().all(|p| p.key.len() <= 200), "a key over 200 bytes");
         self.writes += 1;
         let row = |(key, _): &(Box<str>, Rev)| {
             self.get(key).unwrap_or_else(|| Item { key: key.clone(), value: None, rev: 0 })
         };
-        let present: Vec<Item> = txn.expect.iter().map(row).collect();
-        if present.iter().zip(&txn.expect).any(|(item, (_, rev))| item.rev != *rev) {
+        let present: Vec<Item> = txn.expected_revs.iter().map(row).collect();
+        if present.iter().zip(&txn.expected_revs).any(|(item, (_, rev))| item.rev != *rev) {
             return StoreReply::Conflict(present);
         }
         if txn.puts.iter().any(|p| p.lease != 0 && !self.leases.contains_key(&p.lease)) {
@@ -138,7 +138,7 @@
             self.set(put.key.clone(), Some(put.value.clone()), put.lease);
             self.unjudged_writes.push((put.key.clone(), put.value.clone()));
         }
-        txn.remove.iter().for_each(|k| self.set(k.clone(), None, 0));
+        txn.removed_keys.iter().for_each(|k| self.set(k.clone(), None, 0));
         StoreReply::Done(self.rev)
     }
 
--- a/standin/src/site/worker.rs
+++ b/standin/src/site/worker.rs
@@ -9,8 +9,8 @@
         Time,
         ids::{PoolId, RackId, WorkerId, Zone},
         ports::{
-            Bounds, End, EndReason, Held, MAX_ENDS, Refusal, Row, Start, WorkerCall,
-            WorkerReply as Reply,
+            Bounds, EndReason, EndedRun, Held, MAX_ENDS, PresentRun, Start, WorkerCall,
+            WorkerRefusal, WorkerReply as Reply,
         },
         shard::record::JobRecord,
         units::Size,
@@ -86,7 +86,7 @@
     lease_lapsed: bool,
     barred: BTreeMap<TaskKey, u32>,
     /// Ends that aren't acknowledged, and whether the lease has lapsed since.
-    ended: Vec<(End, bool)>,
+    ended: Vec<(EndedRun, bool)>,
     last_end: u64,
 }
 
@@ -109,7 +109,7 @@
         /// Time of the event.
         at: Time,
         /// The end of the run.
-        end: End,
+        end: EndedRun,
     },
     /// A worker crashed while it ran this task.
     Crash {
@@ -243,7 +243,7 @@
 
     /// Queue of a job.
     pub fn queue(&self, job: JobNo) -> Option<&Queue> {
-        self.queues.by_name(&self.jobs.get(&job)?.queue)
+        self.queues.queue_by_name(&self.jobs.get(&job)?.queue)
     }
 
     /// Resources used by a worker's runs, including those that are being stopped.
@@ -280,7 +280,7 @@
             | WorkerCall::Pace { token, .. } => *token,
         };
         if token < w.token {
-            return Some(Reply::Refused(clock, Refusal::Fence));
+            return Some(Reply::Refused(clock, WorkerRefusal::Fence));
         }
         w.token = token;
         let done = match call {
@@ -292,43 +292,46 @@
         Some(done.map_or_else(|why| Reply::Refused(clock, why), |()| Reply::Done(clock)))
     }
 
-    fn start(&mut self, at: usize, start: &Start, late: bool) -> Result<(), Refusal> {
+    fn start(&mut self, at: usize, start: &Start, late: bool) -> Result<(), WorkerRefusal> {
         let now = self.now;
         let w = &mut self.workers[at];
         if w.runs.iter().any(|r| r.start.task == start.task && r.start.run == start.run) {
-            w.extend(start.until, self.bounds.max_lease, now);
+            w.extend(start.lease_end_ms, self.bounds.max_lease, now);
             return Ok(());
         }
-        if start.until <= w.clock(now) {
-            return Err(Refusal::Late);
+        if start.lease_end_ms <= w.clock(now) {
+            return Err(WorkerRefusal::Late);
         }
-        w.extend(start.until, self.bounds.max_lease, now);
+        w.extend(start.lease_end_ms, self.bounds.max_lease, now);
         if w.barred.get(&start.task).is_some_and(|b| start.run <= *b) {
-            return Err(Refusal::Old);
+            return Err(WorkerRefusal::Old);
         }
         let Some(step) = self.step(start.task.step).cloned() else {
             self.notes.push(Note::Violation(format!("{} was asked for by nobody", start.task)));
-            return Err(Refusal::Bad);
+            return Err(WorkerRefusal::Bad);
         };
         let (id, key) = (self.id(at), start.task.step);
         let advised = self.queue(key.job).is_some_and(|q| q.advice.is_some());
         if advised && !self.advice.is_valid(start.ticket.as_deref(), key, &id, now) {
-            return Err(Refusal::Ticket);
+            return Err(WorkerRefusal::Ticket);
         }
         let pool = &self.workers[at].pool;
         let guards = self.queues.pools.iter().any(|p| p.name == *pool && p.checks_room);
         let mut used = self.used(at);
         used += step.reserved();
         if guards && !used.fits(&self.workers[at].size) {
-            return Err(Refusal::Room);
+            return Err(WorkerRefusal::Room);
         }
-        if !start.saved.is_empty() && !self.saved_by(start, &step) {
-            self.notes
-                .push(Note::Violation(format!("{} has no checkpoint {}", start.task, start.saved)));
+        if !start.checkpoint.is_empty() && !self.saved_by(start, &step) {
+            self.notes.push(Note::Violation(format!(
+                "{} has no checkpoint {}",
+                start.task, start.checkpoint
+            )));
         }
-        let hex = start.saved.split('~').next().unwrap_or_default();
+        let hex = start.checkpoint.split('~').next().unwrap_or_default();
         let work = u64::from_str_radix(hex, 16).unwrap_or(0) as f64;
-        let wait = if start.saved.is_empty() { Duration::ZERO } else { self.bounds.restore_time };
+        let wait =
+            if start.checkpoint.is_empty() { Duration::ZERO } else { self.bounds.restore_time };
         self.workers[at].runs.push(Run {
             start: start.clone(),
             started_at: now,
@@ -346,10 +349,10 @@
     /// Whether the task, or a member of its gang, has reported the checkpoint of a start.
     fn saved_by(&self, start: &Start, step: &Step) -> bool {
         let tail = format!("~{}", checkpoint_suffix(start.task, step));
-        start.saved.ends_with(&tail) && self.checkpoints.contains(&start.saved)
+        start.checkpoint.ends_with(&tail) && self.checkpoints.contains(&start.checkpoint)
     }
 
-    fn stop(&mut self, at: usize, task: TaskKey, run: u32) -> Result<(), Refusal> {
+    fn stop(&mut self, at: usize, task: TaskKey, run: u32) -> Result<(), WorkerRefusal> {
         let saves = self.step(task.step).is_some_and(|s| s.saves);
         let most = self.bounds.stop_time.as_millis() as u64;
         let over = self.now + Duration::from_millis(self.rng.u64(most / 2..=most));
@@ -365,7 +368,7 @@
         Ok(())
     }
 
-    fn pace(&mut self, at: usize, task: TaskKey, run: u32, share: u8) -> Result<(), Refusal> {
+    fn pace(&mut self, at: usize, task: TaskKey, run: u32, share: u8) -> Result<(), WorkerRefusal> {
         let runs = self.workers[at].runs.iter_mut();
         for r in runs.filter(|r| r.start.task == task && r.start.run == run) {
             r.percent = share.min(100);
@@ -381,21 +384,22 @@
         }
         let (gone, rest) = w.ended.drain(..).partition(|(e, _)| e.number <= seen);
         w.ended = rest;
-        let gone: Vec<(End, bool)> = gone;
+        let gone: Vec<(EndedRun, bool)> = gone;
         for (e, _) in gone.into_iter().filter(|(_, lapsed)| !lapsed) {
-            self.notes.push(Note::Acknowledged { task: e.task, run: e.run, how: e.how });
+            self.notes.push(Note::Acknowledged { task: e.task, run: e.run, how: e.reason });
         }
         Reply::Held(self.held(at))
     }
 
     /// The worker's report: its clock, active runs and ends that aren't acknowledged.
     pub fn held(&mut self, at: usize) -> Held {
-        let rows: Vec<Row> = (0..self.workers[at].runs.len()).map(|i| self.row(at, i)).collect();
-        self.checkpoints.extend(rows.iter().map(|r| r.saved.clone()));
+        let rows: Vec<PresentRun> =
+            (0..self.workers[at].runs.len()).map(|i| self.row(at, i)).collect();
+        self.checkpoints.extend(rows.iter().map(|r| r.checkpoint.clone()));
         let w = &self.workers[at];
-        let ended: Vec<End> = w.ended.iter().take(MAX_ENDS).map(|(e, _)| e.clone()).collect();
-        self.checkpoints.extend(ended.iter().map(|e| e.saved.clone()));
-        Held { clock: w.clock(self.now), running: rows, ended }
+        let ended: Vec<EndedRun> = w.ended.iter().take(MAX_ENDS).map(|(e, _)| e.clone()).collect();
+        self.checkpoints.extend(ended.iter().map(|e| e.checkpoint.clone()));
+        Held { clock_ms: w.clock(self.now), running: rows, ended }
     }
 
     /// Whether a worker has ends that aren't acknowledged.
@@ -404,7 +408,7 @@
     }
 
     /// Whether a worker still reports this end.
-    pub fn reports_end(&self, at: usize, end: &End) -> bool {
+    pub fn reports_end(&self, at: usize, end: &EndedRun) -> bool {
         self.workers[at].ended.iter().any(|(e, _)| e == end)
     }
 
@@ -414,7 +418,7 @@
         runs.filter(|r| r.start.task.step.job == job).count()
     }
 
-    fn row(&self, at: usize, i: usize) -> Row {
+    fn row(&self, at: usize, i: usize) -> PresentRun {
         let run = &self.workers[at].runs[i];
         let step = self.step(run.start.task.step).cloned().unwrap_or_default();
         let serves = |r: &&Run| self.step(r.start.task.step).is_some_and(|s| s.fills);
@@ -424,10 +428,10 @@
             true => 100 * u8::from(self.now >= run.started_at + self.bounds.serving_delay / 2),
             false => (run.work / self.task_work(run.start.task) * 100.0).min(99.0) as u8,
         };
-        Row {
+        PresentRun {
             task: run.start.task,
             run: run.start.run,
-            saved: saved(run, &step),
+            checkpoint: saved(run, &step),
             percent,
             load: match step.target {
                 0 => step.size.cores.0 * u64::from(run.percent) / 100,
--- a/standin/src/site/worker/time.rs
+++ b/standin/src/site/worker/time.rs
@@ -5,7 +5,7 @@
     super::{Note, Run, TIME_STEP, World, saved},
     dogwoodreach::{
         Time,
-        ports::{End, EndReason},
+        ports::{EndReason, EndedRun},
         work::{StepKey, TaskKey},
     },
     std::{
@@ -59,7 +59,8 @@
         let barred = w.barred.entry(task).or_default();
         *barred = number.max(*barred);
         let saved = saved(&run, &step);
-        let end = End { number: w.last_end, task, run: number, how, saved };
+        let end =
+            EndedRun { number: w.last_end, task, run: number, reason: how, checkpoint: saved };
         w.ended.push((end.clone(), false));
         self.notes.push(Note::End { at: self.now, end });
         if step.gang && how != EndReason::Broken && how != EndReason::Done {
@@ -152,7 +153,7 @@
         let speeds = members.iter().filter_map(run_of).map(|(at, r)| self.speed(at, r));
         let gain = ms * speeds.fold(f64::MAX, f64::min) / apart;
         let saved: BTreeSet<_> =
-            members.iter().filter_map(run_of).map(|m| m.1.start.saved.clone()).collect();
+            members.iter().filter_map(run_of).map(|m| m.1.start.checkpoint.clone()).collect();
         if saved.len() > 1 {
             self.notes.push(Note::Violation(format!("{key} run {run}: checkpoints {saved:?}")));
         }
--- a/standin/src/soak/callers.rs
+++ b/standin/src/soak/callers.rs
@@ -12,7 +12,7 @@
         Time,
         http::{Client, uri},
         shard::record::JobRecord,
-        work::{JobNo, State},
+        work::{JobNo, JobState},
     },
     http_body_util::Full,
     hyper::Request,
@@ -141,7 +141,9 @@
         self.count(|c| c.asked += 1);
         self.stage.update(|s| {
             let (queue, job) = (drawn.queue.into(), drawn.job.clone());
-            s.world.jobs.insert(no, JobRecord { queue, came: unix(), job, terms: None });
+            s.world
+                .jobs
+                .insert(no, JobRecord { queue, submitted_ms: unix(), job, queue_settings: None });
             if drawn.fails {
                 s.world.failing_steps.insert((no, drawn.job.steps.len() as u16 - 1));
             }
@@ -249,8 +251,8 @@
             );
             if let Some(state) = state.filter(|s| s.is_final() && again.is_none()) {
                 return self.count(|c| match state {
-                    State::Done => c.done += 1,
-                    State::Failed => c.failed += 1,
+                    JobState::Done => c.done += 1,
+                    JobState::Failed => c.failed += 1,
                     _ => c.cancelled += 1,
                 });
             }
--- a/standin/src/soak/member.rs
+++ b/standin/src/soak/member.rs
@@ -11,7 +11,7 @@
     dogwoodreach::{
         http::{Client, uri},
         ids::Zone,
-        ports::Site,
+        ports::SiteSettings,
     },
     http_body_util::Full,
     hyper::Request,
@@ -47,7 +47,7 @@
     /// Whether a fault controls the process now.
     busy: bool,
     ready: bool,
-    site: Site,
+    site: SiteSettings,
     store: Link,
     callers: Link,
     /// Address at which callers reach the member, through the link.
@@ -94,7 +94,7 @@
         for no in 0..options.members {
             let store = Link::new(serving.stores[no]);
             let at = free_ports(member_ip(no))?;
-            let site = Site {
+            let site = SiteSettings {
                 node: format!("member-{no}").into(),
                 zone: Zone::from("z1"),
                 cores: 0.25,
--- a/standin/src/soak/stage.rs
+++ b/standin/src/soak/stage.rs
@@ -8,7 +8,7 @@
     dogwoodreach::{
         Time,
         ids::WorkerId,
-        ports::{End, EndReason},
+        ports::{EndReason, EndedRun},
         shard::record::{OWNERS_PREFIX, OwnerRow, Progress, ShardNo, decode},
         work::JobNo,
     },
@@ -212,7 +212,7 @@
                     (task.step.job, line)
                 }
                 Note::End { at, end } => {
-                    let End { task, run, how, number, .. } = end;
+                    let EndedRun { task, run, reason: how, number, .. } = end;
                     let at_worker = self.ended_at(end);
                     let line = format!(
                         "{at}: {task} run {run} ends {how} at {at_worker}, number {number}"
@@ -236,7 +236,7 @@
     }
 
     /// The worker at which a run ended.
-    fn ended_at(&self, end: &End) -> WorkerId {
+    fn ended_at(&self, end: &EndedRun) -> WorkerId {
         let all = 0..self.world.workers.len();
         let there = all.into_iter().find(|at| self.world.reports_end(*at, end));
         there.map_or(WorkerId::from("a worker that is gone"), |at| self.world.id(at))
@@ -255,7 +255,7 @@
     fn check_acknowledged(&self) -> Verdict {
         for note in &self.world.notes {
             let Note::Acknowledged { task, how: EndReason::Done, .. } = note else { continue };
-            let stored = self.store.get(&SHARD.progress(task.step.job)).and_then(|i| i.value);
+            let stored = self.store.get(&SHARD.progress_key(task.step.job)).and_then(|i| i.value);
             let progress = stored.and_then(|v| decode::<Progress>(&v));
             self.rules.check_acknowledged(&self.world, *task, progress.as_ref())?;
         }
--- a/standin/tests/judge.rs
+++ b/standin/tests/judge.rs
@@ -7,7 +7,7 @@
         ports::{Start, WorkerCall, WorkerReply},
         shard::record::{JobRecord, Progress, ShardNo, TaskRow},
         units::Size,
-        work::{JobNo, State, Step, StepKey, TaskKey},
+        work::{JobNo, JobState, Step, StepKey, TaskKey},
     },
     standin::site::{
         judge::{Breach, Rules},
@@ -23,7 +23,10 @@
 fn world_with_job() -> (World, Rules) {
     let mut world = World::new(5, bounds(), queues(), workers(4));
     let job = job([step(1, 200)]);
-    world.jobs.insert(JOB, JobRecord { queue: "open".into(), came: 0, job, terms: None });
+    world.jobs.insert(
+        JOB,
+        JobRecord { queue: "open".into(), submitted_ms: 0, job, queue_settings: None },
+    );
     (world, Rules::new(5))
 }
 
@@ -32,10 +35,10 @@
     let start = Start {
         task: TaskKey { step: StepKey { job: JOB, time: 0, step: 0 }, index: 0 },
         run: 1,
-        text: "do it".into(),
-        until: u64::MAX,
+        payload: "do it".into(),
+        lease_end_ms: u64::MAX,
         token: 1,
-        saved: "".into(),
+        checkpoint: "".into(),
         ticket: None,
     };
     let id = world.id(2);
@@ -77,15 +80,15 @@
 #[test]
 fn a_job_that_is_over_and_then_is_not() {
     let (mut world, mut rules) = world_with_job();
-    assert_eq!(rules.check_reported(&world, JOB, State::Running), Ok(()));
-    assert_breach(rules.check_reported(&world, JOB, State::Done), "without cause");
+    assert_eq!(rules.check_reported(&world, JOB, JobState::Running), Ok(()));
+    assert_breach(rules.check_reported(&world, JOB, JobState::Done), "without cause");
     start(&mut world);
     world.advance(Time::from_millis(300));
     assert_eq!(rules.check(&mut world), Ok(()));
-    assert_eq!(rules.check_reported(&world, JOB, State::Done), Ok(()));
-    assert_eq!(rules.check_reported(&world, JOB, State::Done), Ok(()));
-    assert_breach(rules.check_reported(&world, JOB, State::Running), "was completed before");
-    assert_breach(rules.check_reported(&world, JobNo(9), State::Queued), "without cause");
+    assert_eq!(rules.check_reported(&world, JOB, JobState::Done), Ok(()));
+    assert_eq!(rules.check_reported(&world, JOB, JobState::Done), Ok(()));
+    assert_breach(rules.check_reported(&world, JOB, JobState::Running), "was completed before");
+    assert_breach(rules.check_reported(&world, JobNo(9), JobState::Queued), "without cause");
 }
 
 #[test]
@@ -109,7 +112,7 @@
     );
     assert_breach(rules.check_acknowledged(&world, task, Some(&row(false))), "isn't stored");
     assert_eq!(rules.check_acknowledged(&world, task, Some(&row(true))), Ok(()));
-    let over = Progress { state: State::Cancelled, ..Progress::default() };
+    let over = Progress { state: JobState::Cancelled, ..Progress::default() };
     assert_eq!(rules.check_acknowledged(&world, task, Some(&over)), Ok(()));
 }
 
@@ -141,7 +144,7 @@
 fn times_are_due_by_the_clock_of_the_day() {
     let (mut world, mut rules) = world_with_job();
     rules.unix_ms = 5_000_000;
-    let times = dogwoodreach::work::Times { count: 1, first: 5_002_000, every: 0 };
+    let times = dogwoodreach::work::Occurrences { count: 1, first: 5_002_000, every: 0 };
     world.jobs.entry(JOB).and_modify(|r| r.job.times = Some(times));
     world.advance(Time::ZERO + Duration::from_millis(1_000));
     start(&mut world);
--- a/tests/admit.rs
+++ b/tests/admit.rs
@@ -221,7 +221,7 @@
     gate.admit(&mut queue, asked, Time::ZERO).expect("an empty queue");
     let now = Time::from_millis(451);
     let [late] = &queue.expire(now)[..] else { panic!("the deadline can no longer be met") };
-    let error = gate.expired(&queue, late, now);
+    let error = gate.expiry_error(&queue, late, now);
     assert_eq!((error.kind(), error.kind().answer().ran), (Kind::Expired, Ran::No));
     // Nothing has left the queue for 451 ms, so this is the expected time per request.
     assert!(error.retry_after().is_some_and(|b| b >= ms(451) && b <= ms(677)), "{error:?}");
--- a/tests/ahead.rs
+++ b/tests/ahead.rs
@@ -115,8 +115,8 @@
 #[test]
 fn only_the_first_steps_for_a_worker_ask_ahead() {
     let mut backlog = Backlog::default();
-    assert_eq!([(); 5].map(|()| backlog.add(1)), [true, true, true, false, false]);
-    assert!(backlog.add(2));
+    assert_eq!([(); 5].map(|()| backlog.add_step(1)), [true, true, true, false, false]);
+    assert!(backlog.add_step(2));
     assert!(
         !ahead::may_call_ahead(2, 9) && ahead::may_call_ahead(3, 9) && ahead::may_call_ahead(1, 1)
     );
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -3,7 +3,7 @@
 use {
     dogwoodreach::{
         Time,
-        decide::cancel::{Busy, Cancels},
+        decide::cancel::{Cancels, StillRunning},
         ids::{TaskId, TaskIndex},
     },
     std::{collections::VecDeque, time::Duration},
@@ -31,7 +31,7 @@
         let sent = c.tick(now);
         assert!(sent.len() <= 64 && !sent.is_empty());
         stops += sent.len();
-        sent.iter().for_each(|t| c.ended(t));
+        sent.iter().for_each(|t| c.record_end(t));
         // Baseline: ten starts per tick from the queue without the check.
         for t in waiting.drain(..10) {
             plain += 1;
@@ -42,7 +42,7 @@
     }
     assert_eq!((started, plain, ticks), (0, 160, 16));
     assert!(c.tick(now).is_empty());
-    assert_eq!(c.relist(&"wave".into()), Ok(()));
+    assert_eq!(c.clear_marks(&"wave".into()), Ok(()));
     assert!(c.try_start(&task("wave", 7)));
 }
 
@@ -56,10 +56,10 @@
     assert_eq!(c.tick(Time::ZERO), [task("a", 1)]);
     assert!(c.tick(Time::from_millis(1999)).is_empty());
     assert_eq!(c.tick(Time::from_millis(2000)), [task("a", 1)]);
-    assert_eq!(c.relist(&"a".into()), Err(Busy(2)));
-    c.ended(&task("a", 1));
+    assert_eq!(c.clear_marks(&"a".into()), Err(StillRunning(2)));
+    c.record_end(&task("a", 1));
     assert!(c.tick(Time::from_millis(9000)).is_empty());
-    assert_eq!(c.pending(), 0);
+    assert_eq!(c.pending_count(), 0);
     assert!(!c.try_start(&task("a", 1)), "cancelled, so no second attempt");
 }
 
@@ -71,7 +71,7 @@
     assert!((0..640).all(|i| c.try_start(&task("wave", i))) && c.try_start(&task("one", 0)));
     (0..640).for_each(|i| c.cancel_task(&task("wave", i)));
     c.cancel_task(&task("one", 0));
-    (0..640).for_each(|i| c.ended(&task("wave", i)));
+    (0..640).for_each(|i| c.record_end(&task("wave", i)));
     let sent: Vec<_> = (0..11).map(|_| c.tick(Time::ZERO)).collect();
     assert_eq!(sent[10], [task("one", 0)]);
     assert!(sent[..10].iter().all(Vec::is_empty));
--- a/tests/choose.rs
+++ b/tests/choose.rs
@@ -73,14 +73,14 @@
                 if failed {
                     played.failed += 1;
                     scores.release(&name);
-                    if ejector.failed(&name, now) {
-                        scores.restart(&name, now);
+                    if ejector.record_failure(&name, now) {
+                        scores.reset(&name, now);
                     }
                 } else {
                     played.times.push(now.since(arrived_at));
-                    let slowness = scores.answered(&name, RUN, ran, now);
-                    if ejector.answered(&name, slowness, now) {
-                        scores.restart(&name, now);
+                    let slowness = scores.record_answer(&name, RUN, ran, now);
+                    if ejector.record_answer(&name, slowness, now) {
+                        scores.reset(&name, now);
                     }
                 }
             }
@@ -178,7 +178,7 @@
         let picked: Vec<_> = std::iter::from_fn(|| scores.pick(&ejector, Time::ZERO)).collect();
         steps.push(picked.len());
         for w in picked {
-            scores.answered(&w, RUN, RUN, Time::ZERO);
+            scores.record_answer(&w, RUN, RUN, Time::ZERO);
         }
     }
     assert_eq!(steps, [1, 2, 4, 8, 8]);
@@ -201,17 +201,17 @@
 fn ejections_grow_and_a_single_request_probes() {
     let (mut ejector, w) = (Ejector::new(3), worker(0));
     let mut now = Time::ZERO;
-    assert_eq!((0..5).filter(|_| ejector.failed(&w, now)).count(), 1);
+    assert_eq!((0..5).filter(|_| ejector.record_failure(&w, now)).count(), 1);
     for length in [5, 10, 20, 40] {
-        assert!(!ejector.allows(&w, 0, now + Duration::from_secs(length) - ms(1)));
+        assert!(!ejector.allows_request(&w, 0, now + Duration::from_secs(length) - ms(1)));
         now = now + Duration::from_secs(length);
-        assert!(ejector.allows(&w, 0, now) && !ejector.allows(&w, 1, now));
-        assert!(ejector.failed(&w, now), "a failed trial must eject again");
+        assert!(ejector.allows_request(&w, 0, now) && !ejector.allows_request(&w, 1, now));
+        assert!(ejector.record_failure(&w, now), "a failed trial must eject again");
     }
-    assert!(!ejector.answered(&w, 1.0, now), "an answer to an older request");
+    assert!(!ejector.record_answer(&w, 1.0, now), "an answer to an older request");
     now = now + Duration::from_secs(80);
-    assert!(ejector.answered(&w, 1.0, now));
-    assert!(ejector.allows(&w, 7, now));
+    assert!(ejector.record_answer(&w, 1.0, now));
+    assert!(ejector.allows_request(&w, 7, now));
 }
 
 // The database behind all workers fails, and with it every request. If every worker were ejected,
@@ -221,22 +221,22 @@
     let mut ejector = Ejector::new(WORKERS);
     for _ in 0..20 {
         for i in 0..WORKERS {
-            ejector.failed(&worker(i), Time::ZERO);
+            ejector.record_failure(&worker(i), Time::ZERO);
         }
     }
-    let open = (0..WORKERS).filter(|&i| ejector.allows(&worker(i), 0, Time::ZERO));
-    assert_eq!((open.count(), ejector.ejected()), (7, 3));
+    let open = (0..WORKERS).filter(|&i| ejector.allows_request(&worker(i), 0, Time::ZERO));
+    assert_eq!((open.count(), ejector.ejected_count()), (7, 3));
     for i in 0..WORKERS {
-        ejector.answered(&worker(i), 100.0, Time::ZERO);
+        ejector.record_answer(&worker(i), 100.0, Time::ZERO);
     }
-    assert_eq!(ejector.ejected(), 3);
+    assert_eq!(ejector.ejected_count(), 3);
 }
 
 #[test]
 fn far_slower_than_peers_is_taken_out() {
     let mut ejector = Ejector::new(WORKERS);
-    ejector.answered(&worker(0), 4.0, Time::ZERO);
-    assert_eq!(ejector.ejected(), 0);
-    ejector.answered(&worker(0), 9.0, Time::ZERO);
-    assert!(!ejector.allows(&worker(0), 0, Time::ZERO));
+    ejector.record_answer(&worker(0), 4.0, Time::ZERO);
+    assert_eq!(ejector.ejected_count(), 0);
+    ejector.record_answer(&worker(0), 9.0, Time::ZERO);
+    assert!(!ejector.allows_request(&worker(0), 0, Time::ZERO));
 }
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -6,7 +6,7 @@
     dogwoodreach::{
         decide::copies::{Candidate, copy_worthwhile, max_copies},
         ports::EndReason,
-        work::{State, Step},
+        work::{JobState, Step},
     },
     hand::{Harness, job, step, task},
     std::time::Duration,
@@ -76,7 +76,7 @@
         let (mut hand, at, copy) = behind(false);
         let (winner, other) = if first { (at, copy) } else { (copy, at) };
         end(&mut hand, winner, EndReason::Done);
-        hand.run_until("done", 500, |h| h.stored_progress(1).state == State::Done);
+        hand.run_until("done", 500, |h| h.stored_progress(1).state == JobState::Done);
         hand.run_until("stopped", 500, |h| h.stops().iter().any(|s| s.1 == other));
         hand.run(5_000);
         assert_eq!(hand.stops().len(), 1);
@@ -101,7 +101,7 @@
             assert_eq!(fails, Some(usize::from(how == EndReason::Failed)));
             assert_eq!(hand.workers_running(task(1, 0)), [other]);
             end(&mut hand, other, EndReason::Done);
-            hand.run_until("done", 500, |h| h.stored_progress(1).state == State::Done);
+            hand.run_until("done", 500, |h| h.stored_progress(1).state == JobState::Done);
         }
     }
 }
@@ -117,11 +117,11 @@
     end(&mut hand, at, EndReason::Failed);
     hand.run_until("a third", 500, |h| copies(h).len() == 3);
     assert_eq!(copies(&hand), [1, 2, 3]);
-    assert_eq!(hand.state(1), Some(State::Running));
+    assert_eq!(hand.state(1), Some(JobState::Running));
     hand.run(100);
     let third = hand.workers_running(task(1, 0))[0];
     end(&mut hand, third, EndReason::Failed);
-    hand.run_until("failed", 500, |h| h.stored_progress(1).state == State::Failed);
+    hand.run_until("failed", 500, |h| h.stored_progress(1).state == JobState::Failed);
 }
 
 #[test]
@@ -138,15 +138,15 @@
     hand.submit(1, "plain", job(Step { copies: true, apart: 1, saves: true, ..step(4, 2) }));
     hand.run(1_000);
     let at = hand.workers_running(task(1, 0))[0];
-    *hand.workers[at].row_mut(&task(1, 0)) = dogwoodreach::ports::Row {
+    *hand.workers[at].row_mut(&task(1, 0)) = dogwoodreach::ports::PresentRun {
         percent: 5,
-        saved: "a7".into(),
+        checkpoint: "a7".into(),
         ..hand.workers[at].running[0].clone()
     };
     hand.run(1_000);
     (1..4).for_each(|i| hand.end(task(1, i), EndReason::Done));
     hand.run_until("a copy", 2_500, |h| h.workers_running(task(1, 0)).len() == 2);
-    assert_eq!(&*hand.starts_of(1).last().expect("a start").2.saved, "a7");
+    assert_eq!(&*hand.starts_of(1).last().expect("a start").2.checkpoint, "a7");
 }
 
 #[test]
@@ -162,7 +162,7 @@
         assert!(left == [at] || left == [copy]);
         let how = if first { EndReason::Done } else { EndReason::Failed };
         end(&mut hand, left[0], how);
-        let wanted = if first { State::Done } else { State::Running };
+        let wanted = if first { JobState::Done } else { JobState::Running };
         hand.run_until("stored", 500, |h| h.stored_progress(1).state == wanted);
     }
 }
--- a/tests/copies_yard.rs
+++ b/tests/copies_yard.rs
@@ -4,7 +4,7 @@
 mod yard;
 
 use {
-    dogwoodreach::work::{JobNo, State, Step},
+    dogwoodreach::work::{JobNo, JobState, Step},
     yard::{ShardSim, job, step},
 };
 
@@ -22,7 +22,7 @@
         yard.submit(no, "open", job([tasks]));
         let started_at = now;
         let done =
-            |y: &ShardSim| y.progress().get(&JobNo(no)).is_some_and(|p| p.state == State::Done);
+            |y: &ShardSim| y.progress().get(&JobNo(no)).is_some_and(|p| p.state == JobState::Done);
         while !done(&yard) {
             now += 50;
             assert!(now < started_at + 60_000, "seed {seed}: job {no} is not done");
--- a/tests/crash.rs
+++ b/tests/crash.rs
@@ -2,7 +2,7 @@
 
 use dogwoodreach::{
     Time,
-    decide::crash::{CrashedRun, blamed},
+    decide::crash::{CrashedRun, blamed_runs},
 };
 
 const OLD: CrashedRun =
@@ -16,21 +16,21 @@
 
 #[test]
 fn a_crash_is_laid_to_what_began_last() {
-    assert_eq!(blamed(&[OLD, NEW, LASTS, YOUNG]), [1]);
-    assert_eq!(blamed(&[OLD, YOUNG]), [1]);
-    assert_eq!(blamed(&[NEW, OLD, NEW]), [0, 2]);
+    assert_eq!(blamed_runs(&[OLD, NEW, LASTS, YOUNG]), [1]);
+    assert_eq!(blamed_runs(&[OLD, YOUNG]), [1]);
+    assert_eq!(blamed_runs(&[NEW, OLD, NEW]), [0, 2]);
 }
 
 #[test]
 fn a_start_without_an_answer_may_be_to_blame_but_not_one_that_came_after_the_crash() {
-    assert_eq!(blamed(&[OLD, SENT, LATER]), [1]);
-    assert_eq!(blamed(&[NEW, SENT, LATER]), [0, 1]);
+    assert_eq!(blamed_runs(&[OLD, SENT, LATER]), [1]);
+    assert_eq!(blamed_runs(&[NEW, SENT, LATER]), [0, 1]);
 }
 
 #[test]
 fn what_ran_beside_other_work_for_long_is_not_to_blame() {
-    assert!(blamed(&[]).is_empty());
-    assert!(blamed(&[OLD, OLD]).is_empty());
-    assert!(blamed(&[LASTS]).is_empty());
-    assert_eq!(blamed(&[OLD]), [0]);
+    assert!(blamed_runs(&[]).is_empty());
+    assert!(blamed_runs(&[OLD, OLD]).is_empty());
+    assert!(blamed_runs(&[LASTS]).is_empty());
+    assert_eq!(blamed_runs(&[OLD]), [0]);
 }
--- a/tests/desk.rs
+++ b/tests/desk.rs
@@ -32,12 +32,12 @@
     let mut desk = CallQueue::new();
     let first = desk.admit(ms(1_000), ms(2_500), at(0)).expect("no calls in flight");
     let second = desk.admit(ms(1_000), ms(3_500), at(100)).expect("in time");
-    desk.done(first, at(700));
+    desk.record_end(first, at(700));
     assert_eq!(desk.backlog(at(700)), ms(1_000));
     assert_eq!(desk.backlog(at(1_200)), ms(500));
-    desk.done(first, at(1_300));
+    desk.record_end(first, at(1_300));
     assert_eq!(desk.backlog(at(1_300)), ms(400), "a call ends only once");
-    desk.done(second, at(1_400));
+    desk.record_end(second, at(1_400));
     assert_eq!(desk.backlog(at(1_400)), ms(0));
     assert!(desk.admit(ms(100), ms(150), at(9_000)).is_some(), "idle time doesn't count");
     assert_eq!(desk.backlog(at(9_040)), ms(60));
@@ -49,7 +49,7 @@
     let first = desk.admit(ms(100), ms(1_600), at(0)).expect("no calls in flight");
     assert_eq!(desk.backlog(at(900)), ms(800));
     assert_eq!(desk.admit(ms(830), ms(1_600), at(900)), None);
-    desk.done(first, at(901));
+    desk.record_end(first, at(901));
     assert!(desk.admit(ms(830), ms(1_600), at(901)).is_some());
 }
 
@@ -71,7 +71,7 @@
     let second = desk.admit(ms(100), ms(2_500), at(60_000)).expect("in time");
     desk.admit(ms(100), ms(2_500), at(60_000)).expect("in time");
     desk.abandon(first);
-    desk.done(second, at(60_500));
+    desk.record_end(second, at(60_500));
     assert_eq!(desk.backlog(at(60_500)), ms(100));
 }
 
@@ -83,6 +83,6 @@
     assert_eq!(desk.admit(ms(0), ms(2_330), at(0)), None);
     let call = desk.admit(ms(0), ms(2_330), at(800)).expect("in time");
     assert_eq!(desk.backlog(at(800)), ms(2_200));
-    desk.done(call, at(900));
+    desk.record_end(call, at(900));
     assert_eq!(desk.backlog(at(900)), ms(2_100));
 }
--- a/tests/estimate.rs
+++ b/tests/estimate.rs
@@ -23,16 +23,16 @@
     for _ in 0..200 {
         let used = Size { memory: Memory(rng.u64(2700..=3000)), ..DECLARED };
         let run = Duration::from_secs(rng.u64(240..=360));
-        over += u32::from(!used.fits(&e.reserve(&job, DECLARED)));
+        over += u32::from(!used.fits(&e.reservation_size(&job, DECLARED)));
         plain += u32::from(!used.fits(&DECLARED));
-        late += u32::from(run > e.run_time(&job, Duration::from_secs(60)));
+        late += u32::from(run > e.expected_run_time(&job, Duration::from_secs(60)));
         plain_late += u32::from(run > Duration::from_secs(60));
-        e.ended(&job, run, used);
+        e.record_end(&job, run, used);
     }
     println!("over memory {over} (declared {plain}), longer than estimated {late} ({plain_late})");
     assert_eq!((over, plain, plain_late), (1, 200, 200));
     assert!(late <= 30);
-    let run = e.run_time(&job, Duration::from_secs(60)).as_secs();
+    let run = e.expected_run_time(&job, Duration::from_secs(60)).as_secs();
     assert!((330..=390).contains(&run), "too long, each batch would look late: {run}");
 }
 
@@ -42,10 +42,13 @@
 fn declared_sizes_are_the_least_and_two_runs_prove_nothing() {
     let mut e = Estimates::default();
     let (job, declared) = ("j".into(), Duration::from_secs(600));
-    (0..2).for_each(|_| e.ended(&job, Duration::from_secs(1), Size::new(0, 10, 0)));
-    assert_eq!((e.reserve(&job, DECLARED), e.run_time(&job, declared)), (DECLARED, declared));
-    e.ended(&job, Duration::from_secs(1), Size::new(0, 10, 0));
-    assert!(e.run_time(&job, declared) < Duration::from_secs(5));
+    (0..2).for_each(|_| e.record_end(&job, Duration::from_secs(1), Size::new(0, 10, 0)));
+    assert_eq!(
+        (e.reservation_size(&job, DECLARED), e.expected_run_time(&job, declared)),
+        (DECLARED, declared)
+    );
+    e.record_end(&job, Duration::from_secs(1), Size::new(0, 10, 0));
+    assert!(e.expected_run_time(&job, declared) < Duration::from_secs(5));
 }
 
 // Nineteen of twenty tasks use 1 to 3 cores, and one uses 8. If the peak were reserved, workers
@@ -57,10 +60,10 @@
     for i in 0..2000 {
         let cores = if rng.u32(0..20) == 0 { 8000 } else { rng.u64(1000..3000) };
         let used = Size { cores: Cores(cores), ..DECLARED };
-        short += u32::from(i >= 200 && !used.fits(&e.reserve(&job, DECLARED)));
-        e.ended(&job, Duration::from_secs(60), used);
+        short += u32::from(i >= 200 && !used.fits(&e.reservation_size(&job, DECLARED)));
+        e.record_end(&job, Duration::from_secs(60), used);
     }
-    let cores = e.reserve(&job, DECLARED).cores;
+    let cores = e.reservation_size(&job, DECLARED).cores;
     println!("reserved {cores} cores, {short} of 1800 used more");
     assert!((2600..=4000).contains(&cores.0) && (90..=270).contains(&short));
 }
@@ -75,16 +78,16 @@
     let used = Size { memory: Memory(1100), ..DECLARED };
     let busy = Size { cores: Cores(1500), ..DECLARED };
     let (full, room) = (Size::default(), Size::new(0, 4096, 0));
-    assert_eq!(e.check(&job, DECLARED, DECLARED, full), Action::Keep);
-    assert_eq!(e.check(&job, busy, DECLARED, room), Action::Keep);
+    assert_eq!(e.check_use(&job, DECLARED, DECLARED, full), Action::Keep);
+    assert_eq!(e.check_use(&job, busy, DECLARED, room), Action::Keep);
     let more = Size { memory: Memory(1650), ..DECLARED };
-    assert_eq!(e.check(&job, used, DECLARED, room), Action::Raise(more));
-    assert_eq!(e.check(&job, used, DECLARED, full), Action::Stop);
+    assert_eq!(e.check_use(&job, used, DECLARED, room), Action::Raise(more));
+    assert_eq!(e.check_use(&job, used, DECLARED, full), Action::Stop);
     let needs = Memory(2600);
     let attempts = (0..20).find(|_| {
-        let reserved = e.reserve(&job, DECLARED);
+        let reserved = e.reservation_size(&job, DECLARED);
         let used = Size { memory: Memory(needs.0.min(reserved.memory.0 + 1)), ..DECLARED };
-        e.check(&job, used, reserved, full) == Action::Keep || reserved.memory >= needs
+        e.check_use(&job, used, reserved, full) == Action::Keep || reserved.memory >= needs
     });
     assert_eq!(attempts, Some(1), "each stop adds half, so few attempts are lost");
 }
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -88,7 +88,7 @@
     }
     for id in 10..410 {
         let next = queue.pop(Time::ZERO).expect("waiting");
-        queue.done(&next, ms(100));
+        queue.record_end(&next, ms(100));
         *ran.entry(next.caller.to_string()).or_insert(0) += 1;
         queue.push(Item { id: RequestId(id), ..next }, Time::ZERO).expect("room");
     }
@@ -211,7 +211,7 @@
                 1 => queue.expire(now),
                 2 => queue.cancel(RequestId(u.int_in_range(0..=id)?)).into_iter().collect(),
                 _ => {
-                    running.pop().iter().for_each(|i| queue.done(i, i.run_time * 2));
+                    running.pop().iter().for_each(|i| queue.record_end(i, i.run_time * 2));
                     Vec::new()
                 }
             };
--- a/tests/fake/slots.rs
+++ b/tests/fake/slots.rs
@@ -133,7 +133,7 @@
             free += 1;
             let wait = now.since(item.arrived_at) - now.since(start);
             if let Some(queue) = door.queue() {
-                queue.done(&item, now.since(start));
+                queue.record_end(&item, now.since(start));
             }
             outcomes.push(Outcome { item, ending: Ending::Answered { wait, end: now } });
         } else if let Err(e) = door.push(item.clone(), now) {
--- a/tests/gang_claim.rs
+++ b/tests/gang_claim.rs
@@ -101,9 +101,9 @@
             Message::Reply { gang, rack: r, round, granted } => {
                 let claim = &mut self.claims[gang].0;
                 let order = if granted {
-                    claim.granted(&rack(r), round, now)
+                    claim.record_grant(&rack(r), round, now)
                 } else {
-                    claim.refused(&rack(r), round, now, rng)
+                    claim.record_refusal(&rack(r), round, now, rng)
                 };
                 self.execute(gang, order, now);
             }
@@ -123,7 +123,7 @@
             if self.retries.get(&gang).is_some_and(|at| *at <= now) {
                 self.retries.remove(&gang);
                 let racks = self.claims[gang].1.iter().map(|r| rack(*r)).collect();
-                let order = self.claims[gang].0.begin(racks, now);
+                let order = self.claims[gang].0.begin_round(racks, now);
                 self.execute(gang, order, now);
             }
             let order = self.claims[gang].0.tick(now, rng);
@@ -193,16 +193,16 @@
     let mut claim = Claim::new(Time::ZERO);
     let racks = vec![rack(1), rack(0)];
     let hold = Duration::from_secs(5);
-    assert_eq!(claim.begin(racks.clone(), secs(0)), Action::Reserve(rack(0), hold, 0));
+    assert_eq!(claim.begin_round(racks.clone(), secs(0)), Action::Reserve(rack(0), hold, 0));
     let Action::Release(held, next) = claim.tick(secs(5), &mut rng) else {
         panic!("it has expired")
     };
     assert!(held == [rack(0)] && next > secs(5));
-    assert_eq!(claim.begin(racks, secs(6)), Action::Reserve(rack(0), hold, 1));
-    assert_eq!(claim.granted(&rack(0), 0, secs(7)), Action::Nothing);
+    assert_eq!(claim.begin_round(racks, secs(6)), Action::Reserve(rack(0), hold, 1));
+    assert_eq!(claim.record_grant(&rack(0), 0, secs(7)), Action::Nothing);
     let next = Action::Reserve(rack(1), Duration::from_secs(4), 1);
-    assert_eq!(claim.granted(&rack(0), 1, secs(7)), next);
-    assert_eq!(claim.granted(&rack(1), 1, secs(11)), Action::Nothing, "too late to start");
+    assert_eq!(claim.record_grant(&rack(0), 1, secs(7)), next);
+    assert_eq!(claim.record_grant(&rack(1), 1, secs(11)), Action::Nothing, "too late to start");
     let Action::Release(held, _) = claim.tick(secs(11), &mut rng) else { panic!("it has expired") };
     assert_eq!(held, [rack(0), rack(1)]);
 }
@@ -213,9 +213,9 @@
         let (mut rng, mut claim) = (fastrand::Rng::with_seed(seed), Claim::new(secs(since)));
         let mut at = secs(300);
         for n in 0..=round {
-            claim.begin(vec![rack(0)], at);
+            claim.begin_round(vec![rack(0)], at);
             let now = at;
-            let order = claim.refused(&rack(0), n, now, &mut rng);
+            let order = claim.record_refusal(&rack(0), n, now, &mut rng);
             let Action::Release(_, next) = order else {
                 panic!("a refused claim must be released")
             };
--- a/tests/hand/mod.rs
+++ b/tests/hand/mod.rs
@@ -20,8 +20,8 @@
         },
         units::Size,
         work::{
-            AdviceCost, Job, JobNo, ListedWorker, Pool, Queue, QueueConfig, State, Step, StepKey,
-            TaskKey, Times,
+            AdviceCost, Job, JobNo, JobState, ListedWorker, Occurrences, Pool, Queue, QueueConfig,
+            Step, StepKey, TaskKey,
         },
     },
     standin::site::setup,
@@ -127,7 +127,7 @@
     pub fn new(count: usize) -> Self {
         let mut store = Store::new(1);
         let shard = Shard::new(setup(0), Snapshot::default(), Time::ZERO);
-        store.put(SHARD.roster(), encode(&Roster::default()));
+        store.put(SHARD.roster_key(), encode(&Roster::default()));
         let mut harness = Harness {
             shard,
             token: 0,
@@ -157,21 +157,24 @@
     pub fn take_over(&mut self) {
         self.token += 1;
         let row = encode(&CommitRow { token: self.token, number: 0 });
-        let commit = self.store.put(SHARD.commit(), row);
+        let commit = self.store.put(SHARD.commit_key(), row);
         self.shard = Shard::new(setup(self.token), self.load(commit), self.now);
         self.pending.clear();
         self.deliver(Event::Queues(queues()));
-        self.deliver(Event::Peers(Peers { own: vec![Incarnation(self.token)], shared: vec![] }));
+        self.deliver(Event::Peers(Peers {
+            unshared: vec![Incarnation(self.token)],
+            shared: vec![],
+        }));
         self.deliver_list();
     }
 
     fn load(&self, commit: u64) -> Snapshot {
         let tail = |key: &str| key.rsplit('/').next().and_then(|n| n.parse().ok());
-        let of = |kind: &str| self.store.range(&format!("{}{kind}/", SHARD.inbox()));
+        let of = |kind: &str| self.store.range(&format!("{}{kind}/", SHARD.inbox_prefix()));
         let jobs = of("j").into_iter().filter_map(|(k, v)| Some((tail(&k)?, decode(&v)?)));
         let cancels = of("c").into_iter().filter_map(|(k, _)| tail(&k));
-        let progress = self.store.range(&SHARD.all_progress()).into_iter();
-        let roster = self.store.get(&SHARD.roster()).and_then(|i| i.value);
+        let progress = self.store.range(&SHARD.progress_prefix()).into_iter();
+        let roster = self.store.get(&SHARD.roster_key()).and_then(|i| i.value);
         Snapshot {
             jobs: jobs.collect(),
             cancels: cancels.collect(),
@@ -184,33 +187,34 @@
 
     /// The progress of a job as the store has it.
     pub fn stored_progress(&self, no: u64) -> Progress {
-        let item = self.store.get(&SHARD.progress(JobNo(no))).and_then(|i| i.value);
+        let item = self.store.get(&SHARD.progress_key(JobNo(no))).and_then(|i| i.value);
         item.and_then(|v| decode(&v)).unwrap_or_default()
     }
 
     /// The state of a job as the owner shows it to callers.
-    pub fn state(&self, no: u64) -> Option<State> {
+    pub fn state(&self, no: u64) -> Option<JobState> {
         self.shard.state(JobNo(no), self.now)
     }
 
     /// Stores a job that a caller submitted and notifies the owner.
     pub fn submit(&mut self, no: u64, queue: &str, job: Job) {
         let came = UNIX_MS + self.now.0 / 1_000;
-        let record = JobRecord { queue: queue.into(), came, job, terms: None };
-        self.store.put(SHARD.job(JobNo(no)), encode(&record));
+        let record =
+            JobRecord { queue: queue.into(), submitted_ms: came, job, queue_settings: None };
+        self.store.put(SHARD.job_key(JobNo(no)), encode(&record));
         self.deliver(Event::Job(JobNo(no), Box::new(record)));
     }
 
     /// Like [`Harness::submit`], for a job that is due `ms` milliseconds later.
     pub fn submit_due(&mut self, no: u64, ms: u64, job: Job) {
         let first = UNIX_MS + self.now.0 / 1_000 + ms;
-        let times = Some(Times { count: 1, first, every: 1 });
+        let times = Some(Occurrences { count: 1, first, every: 1 });
         self.submit(no, "plain", Job { times, ..job });
     }
 
     /// Stores the cancellation of a job and notifies the owner.
     pub fn cancel(&mut self, no: u64) {
-        self.store.put(SHARD.cancel(JobNo(no)), "{}".into());
+        self.store.put(SHARD.cancel_key(JobNo(no)), "{}".into());
         self.deliver(Event::Cancel(JobNo(no)));
     }
 
@@ -326,7 +330,7 @@
                 self.deliver(Event::CommitRead(Err(Fault::Unknown)));
             }
             Order::ReadCommit => {
-                let row = self.store.get(&SHARD.commit()).expect("a commit row");
+                let row = self.store.get(&SHARD.commit_key()).expect("a commit row");
                 let read = decode(&row.value.expect("a value")).expect("a row");
                 self.deliver(Event::CommitRead(Ok((row.rev, read))));
             }
@@ -383,7 +387,7 @@
     pub fn leases(&self, worker: usize) -> Vec<(Time, u64)> {
         let lease = |(at, _, call): &(Time, usize, WorkerCall)| match call {
             WorkerCall::Hold { until: Some(until), .. } => Some((*at, *until)),
-            WorkerCall::Start(s) => Some((*at, s.until)),
+            WorkerCall::Start(s) => Some((*at, s.lease_end_ms)),
             _ => None,
         };
         self.call_log.iter().filter(|(_, w, _)| *w == worker).filter_map(lease).collect()
--- a/tests/hand/worker.rs
+++ b/tests/hand/worker.rs
@@ -5,7 +5,8 @@
         Time,
         ids::WorkerId,
         ports::{
-            End, EndReason, Fault, Held, Refusal, Row, Start, WorkerCall, WorkerReply as Reply,
+            EndReason, EndedRun, Fault, Held, PresentRun, Start, WorkerCall, WorkerRefusal,
+            WorkerReply as Reply,
         },
         units::Size,
         work::{ListedWorker, TaskKey},
@@ -35,8 +36,8 @@
     /// The rate of its clock, as a factor of real time.
     pub clock_rate: f64,
     pub token: u64,
-    pub running: Vec<Row>,
-    pub ends: Vec<End>,
+    pub running: Vec<PresentRun>,
+    pub ends: Vec<EndedRun>,
     /// The number of the last end.
     pub end_count: u64,
     /// The highest run of each task that has ended or was stopped; it and lower ones may not start.
@@ -103,7 +104,7 @@
             | WorkerCall::Pace { token, .. } => *token,
         };
         if token < self.token {
-            return Ok(Reply::Refused(clock, Refusal::Fence));
+            return Ok(Reply::Refused(clock, WorkerRefusal::Fence));
         }
         self.token = token;
         match call {
@@ -115,7 +116,7 @@
             WorkerCall::Hold { seen, .. } => {
                 self.ends.retain(|e| e.number > *seen);
                 let (running, ended) = (self.running.clone(), self.ends.clone());
-                return Ok(Reply::Held(Held { clock, running, ended }));
+                return Ok(Reply::Held(Held { clock_ms: clock, running, ended }));
             }
             WorkerCall::Pace { .. } => {}
         }
@@ -123,14 +124,14 @@
     }
 
     fn start(&mut self, start: &Start, clock: u64) -> Reply {
-        let Start { task, run, saved, .. } = start.clone();
+        let Start { task, run, checkpoint: saved, .. } = start.clone();
         if self.running.iter().any(|r| r.task == task && r.run == run) {
             return Reply::Done(clock);
         }
         if self.ended_runs.get(&task).is_some_and(|last| run <= *last) {
-            return Reply::Refused(clock, Refusal::Old);
+            return Reply::Refused(clock, WorkerRefusal::Old);
         }
-        self.running.push(Row { task, run, saved, percent: 0, load: 0 });
+        self.running.push(PresentRun { task, run, checkpoint: saved, percent: 0, load: 0 });
         Reply::Done(clock)
     }
 
@@ -142,15 +143,21 @@
     /// Ends a task and returns whether it was running here.
     pub fn end(&mut self, task: &TaskKey, how: EndReason) -> bool {
         let Some(at) = self.running.iter().position(|r| r.task == *task) else { return false };
-        let Row { task, run, saved, .. } = self.running.remove(at);
+        let PresentRun { task, run, checkpoint: saved, .. } = self.running.remove(at);
         self.end_count += 1;
-        self.ends.push(End { number: self.end_count, task, run, how, saved });
+        self.ends.push(EndedRun {
+            number: self.end_count,
+            task,
+            run,
+            reason: how,
+            checkpoint: saved,
+        });
         self.forbid_run(&task, run);
         true
     }
 
     /// The row of a task that runs here, to be changed. Panics if it doesn't run here.
-    pub fn row_mut(&mut self, task: &TaskKey) -> &mut Row {
+    pub fn row_mut(&mut self, task: &TaskKey) -> &mut PresentRun {
         self.running
             .iter_mut()
             .find(|r| r.task == *task)
--- a/tests/lanes.rs
+++ b/tests/lanes.rs
@@ -54,7 +54,7 @@
 
 fn lanes(n: u64) -> Lanes {
     let mut lanes = Lanes::new();
-    lanes.set_members(&Peers { own: (0..n).map(Incarnation).collect(), shared: vec![] });
+    lanes.set_members(&Peers { unshared: (0..n).map(Incarnation).collect(), shared: vec![] });
     lanes
 }
 
@@ -76,7 +76,7 @@
             while let Some(s) =
                 in_flight.iter().position(|s| s.end <= t).map(|i| in_flight.swap_remove(i))
             {
-                lanes.done(Incarnation(s.via), s.sent, s.answered, now);
+                lanes.record_end(Incarnation(s.via), s.sent, s.answered, now);
                 if s.answered {
                     let (at, cost) = s.call;
                     let kind = if cost > 200 { &mut results.long } else { &mut results.short };
@@ -206,7 +206,7 @@
     for t in 0..30 {
         let now = Time::from_millis(t);
         if let Some((via, _)) = lanes.pick(ms(SHORT_MS), now, now) {
-            lanes.done(via, now, false, now + ms(1));
+            lanes.record_end(via, now, false, now + ms(1));
         }
     }
     let now = Time::from_millis(31);
@@ -226,7 +226,7 @@
         Some((Incarnation(0), Time::from_millis(LONG_MS + SHORT_MS)))
     );
     assert_eq!(lanes.pick(ms(SHORT_MS), now, now), None);
-    lanes.set_members(&Peers { own: vec![Incarnation(0), Incarnation(1)], shared: vec![] });
+    lanes.set_members(&Peers { unshared: vec![Incarnation(0), Incarnation(1)], shared: vec![] });
     assert_eq!(lanes.calls_at(Incarnation(0)), 2, "the state of a member is kept");
     assert_eq!(lanes.pick(ms(SHORT_MS), now, now).map(|p| p.0), Some(Incarnation(1)));
 }
@@ -234,7 +234,7 @@
 /// Picks a member for a long call and rejects the call; returns the member.
 fn reject_one(lanes: &mut Lanes, now: Time) -> Option<u64> {
     let (via, _) = lanes.pick(ms(LONG_MS), now, now)?;
-    lanes.rejected(via, now, now + ms(1));
+    lanes.record_rejection(via, now, now + ms(1));
     Some(via.0)
 }
 
@@ -245,7 +245,7 @@
     // members.
     let mut lanes = Lanes::new();
     let of = |range: std::ops::Range<u64>| range.map(Incarnation).collect();
-    lanes.set_members(&Peers { own: of(0..2), shared: of(2..4) });
+    lanes.set_members(&Peers { unshared: of(0..2), shared: of(2..4) });
     let now = Time::ZERO;
     assert_eq!(reject_one(&mut lanes, now), Some(2));
     assert_eq!(lanes.total_calls(), 0, "a rejected call doesn't count");
@@ -256,7 +256,7 @@
     assert_eq!(short.0, 1);
     // The limit of long calls on unshared members is reached, and the shared members count as busy
     // for 1.5 s after their rejections.
-    lanes.done(own, now + ms(10), true, now + ms(20));
+    lanes.record_end(own, now + ms(10), true, now + ms(20));
     let later = now + ms(1_501);
     assert_eq!(lanes.pick(ms(LONG_MS), later, later).map(|p| p.0), Some(Incarnation(2)));
 }
@@ -290,11 +290,12 @@
     // late.
     let part = |n: u64| (n * 4..n * 4 + 4).map(Incarnation);
     let peers = |n: u64| Peers {
-        own: part(n).take(2).collect(),
+        unshared: part(n).take(2).collect(),
         shared: (n..4).chain(0..n).flat_map(|n| part(n).skip(2)).collect(),
     };
     // Baseline: each caller may use all members for all calls.
-    let plain = |n: u64| Peers { own: (n..4).chain(0..n).flat_map(part).collect(), shared: vec![] };
+    let plain =
+        |n: u64| Peers { unshared: (n..4).chain(0..n).flat_map(part).collect(), shared: vec![] };
     let ours = short_call_p99([0, 1, 2, 3].map(peers));
     let baseline = short_call_p99([0, 1, 2, 3].map(plain));
     assert!(ours < 60, "{ours} ms");
@@ -321,7 +322,7 @@
         }
         in_flight.retain(|&(caller, via, sent, end): &(usize, Incarnation, Time, u64)| {
             if end <= t {
-                callers[caller].done(via, sent, true, now);
+                callers[caller].record_end(via, sent, true, now);
             }
             end > t
         });
--- a/tests/layout.rs
+++ b/tests/layout.rs
@@ -5,7 +5,7 @@
     dogwoodreach::{
         Time,
         ids::{PoolId, WorkerId, Zone},
-        layout::{ListMonitor, MAX_LIST_WAIT, STABLE_PERIOD, layout},
+        layout::{ListMonitor, MAX_LIST_WAIT, STABLE_PERIOD, create_layout},
         shard::record::ShardNo,
         work::{JobNo, ListedWorker},
     },
@@ -55,11 +55,11 @@
     // All machines start within a third of a second, and the first member reads the list when one
     // worker of 350 has registered. A layout created then would have one shard for good.
     let mut monitor = ListMonitor::new(ms(0));
-    assert!(!monitor.observe(1, ms(0)));
-    assert!(!monitor.observe(19, ms(500)));
-    assert!(!monitor.observe(350, ms(1000)));
-    assert!(!monitor.observe(350, ms(1000) + STABLE_PERIOD - Duration::from_millis(1)));
-    assert!(monitor.observe(350, ms(1000) + STABLE_PERIOD));
+    assert!(!monitor.record_count(1, ms(0)));
+    assert!(!monitor.record_count(19, ms(500)));
+    assert!(!monitor.record_count(350, ms(1000)));
+    assert!(!monitor.record_count(350, ms(1000) + STABLE_PERIOD - Duration::from_millis(1)));
+    assert!(monitor.record_count(350, ms(1000) + STABLE_PERIOD));
 }
 
 #[test]
@@ -70,7 +70,7 @@
         let mut monitor = ListMonitor::new(ms(0));
         let times = (0..).map(|n| (n, ms(n * 500)));
         let whole =
-            times.map(|(n, t)| (monitor.observe(n as usize * step, t), t)).find(|(w, _)| *w);
+            times.map(|(n, t)| (monitor.record_count(n as usize * step, t), t)).find(|(w, _)| *w);
         assert_eq!(whole.expect("complete at last").1, Time::ZERO + MAX_LIST_WAIT);
     }
 }
@@ -79,7 +79,7 @@
 fn small_deployments_have_one_shard() {
     for count in [0, 1, 48, 100] {
         let workers: Vec<_> = large_deployment().into_iter().rev().take(count).collect();
-        let layout = layout(&workers, "s".into());
+        let layout = create_layout(&workers, "s".into());
         assert_eq!(layout.shards, 1);
         assert!(workers.iter().all(|w| layout.worker_shard(w) == ShardNo(0)));
         assert_eq!(layout.job_shard(JobNo(7), &PoolId::from("quoting")), ShardNo(0));
@@ -91,7 +91,7 @@
     // Gangs have up to 20 tasks that take a whole worker each, and 3 of 10 workers can run a step:
     // 29 of 98 workers. Divided over six shards these were 5 per shard, and such a gang never ran.
     let workers = large_deployment();
-    let layout = layout(&workers, "s".into());
+    let layout = create_layout(&workers, "s".into());
     assert_eq!(layout.shards, 3);
     let shards = |pool: &str| -> BTreeSet<ShardNo> {
         workers.iter().filter(|w| w.pool.as_str() == pool).map(|w| layout.worker_shard(w)).collect()
@@ -106,16 +106,16 @@
     // A long-running step has 24 tasks, at most one per worker, and 3 of 10 workers can run it. In
     // a shard of 84 workers 18 tasks ran; 6 never started while most of the pool's 252 workers had
     // room.
-    let layout = layout(&two_pools(84), "s".into());
+    let layout = create_layout(&two_pools(84), "s".into());
     assert_eq!(layout.shards, 2, "one for each pool");
     // A gang of 87 tasks that take half a worker each, and 350 workers of which three in ten can
     // run it.
     let wide: Vec<_> =
         two_pools(300).into_iter().filter(|w| w.pool.as_str() == "quoting").take(350).collect();
-    assert_eq!(crate::layout(&wide, "s".into()).shards, 1);
-    let large = crate::layout(&two_pools(1_000), "s".into());
+    assert_eq!(crate::create_layout(&wide, "s".into()).shards, 1);
+    let large = crate::create_layout(&two_pools(1_000), "s".into());
     let mut parts: BTreeMap<ShardNo, usize> = BTreeMap::new();
-    large.homes.iter().for_each(|(_, shard)| *parts.entry(*shard).or_default() += 1);
+    large.worker_shards.iter().for_each(|(_, shard)| *parts.entry(*shard).or_default() += 1);
     let quoting = |s: &ShardNo| large.pools[&PoolId::from("quoting")].contains(*s);
     assert!(parts.iter().filter(|(s, _)| quoting(s)).all(|(_, n)| *n >= 250), "{parts:?}");
 }
@@ -124,7 +124,7 @@
 fn a_job_is_where_workers_of_its_pool_are() {
     // A shard without workers of a pool would keep that pool's jobs waiting for ever.
     let workers = large_deployment();
-    let layout = layout(&workers, "s".into());
+    let layout = create_layout(&workers, "s".into());
     for pool in ["engineering", "quoting", "later"].map(PoolId::from) {
         let jobs: BTreeSet<_> = (0..500).map(|n| layout.job_shard(JobNo(n), &pool)).collect();
         let there: BTreeSet<_> =
@@ -143,7 +143,7 @@
     // Jobs are spread evenly over the shards. When a hash of the rack chose the shard, one shard
     // had a third of a pool and another none of it, so that its jobs never ran.
     let workers = large_deployment();
-    let layout = layout(&workers, "s".into());
+    let layout = create_layout(&workers, "s".into());
     let mut of: BTreeMap<ShardNo, Vec<&ListedWorker>> = BTreeMap::new();
     for w in workers.iter().filter(|w| w.pool.as_str() == "quoting") {
         of.entry(layout.worker_shard(w)).or_default().push(w);
@@ -160,7 +160,7 @@
     // A worker crashes and restarts with another id. If its shard changed, the new owner's token
     // might be lower than the one that the worker has seen.
     let workers = large_deployment();
-    let layout = layout(&workers, "s".into());
+    let layout = create_layout(&workers, "s".into());
     for w in &workers {
         let next = ListedWorker { id: WorkerId::from("next"), ..w.clone() };
         assert_eq!(layout.worker_shard(&next), layout.worker_shard(w));
@@ -172,7 +172,7 @@
     // A worker crashes for good, and its address is reused by a worker of another pool. The shard
     // of the old worker has no jobs for the new one.
     let workers = large_deployment();
-    let layout = layout(&workers, "s".into());
+    let layout = create_layout(&workers, "s".into());
     let there = |pool: &str| -> BTreeSet<ShardNo> {
         workers.iter().filter(|w| w.pool.as_str() == pool).map(|w| layout.worker_shard(w)).collect()
     };
@@ -186,7 +186,7 @@
 
 #[test]
 fn workers_of_a_rack_that_came_later_are_in_one_shard() {
-    let layout = layout(&large_deployment(), "s".into());
+    let layout = create_layout(&large_deployment(), "s".into());
     let pool = "quoting";
     let shards: BTreeSet<_> =
         (0..20).map(|n| layout.worker_shard(&worker(1000 + n, pool, 1, "r1-3"))).collect();
@@ -201,7 +201,7 @@
 #[test]
 fn the_order_of_the_list_does_not_matter() {
     let mut workers = large_deployment();
-    let before = layout(&workers, "s".into());
+    let before = create_layout(&workers, "s".into());
     workers.reverse();
-    assert_eq!(layout(&workers, "s".into()), before);
+    assert_eq!(create_layout(&workers, "s".into()), before);
 }
--- a/tests/logs.rs
+++ b/tests/logs.rs
@@ -3,7 +3,7 @@
 use {
     dogwoodreach::{
         Time,
-        logs::{Budget, Ring, format_time, line},
+        logs::{LineBudget, LineBuffer, format_time, line},
     },
     log::{Level, Record},
     std::time::{Duration, SystemTime, UNIX_EPOCH},
@@ -15,24 +15,24 @@
 
 #[test]
 fn budget_leaves_out_and_counts() {
-    let mut budget = Budget::new(2);
+    let mut budget = LineBudget::new(2);
     let ms = Time::from_millis;
-    assert_eq!(budget.take(ms(100)), Some(0));
-    assert_eq!(budget.take(ms(200)), Some(0));
-    assert_eq!([budget.take(ms(300)), budget.take(ms(1_099))], [None, None]);
+    assert_eq!(budget.take_line(ms(100)), Some(0));
+    assert_eq!(budget.take_line(ms(200)), Some(0));
+    assert_eq!([budget.take_line(ms(300)), budget.take_line(ms(1_099))], [None, None]);
     assert_eq!(budget.left_out(), 2);
     // The next second has begun: the count of omitted lines is reported once.
-    assert_eq!(budget.take(ms(1_100)), Some(2));
-    assert_eq!(budget.take(ms(1_100)), Some(0));
-    assert_eq!(budget.take(ms(1_200)), None);
+    assert_eq!(budget.take_line(ms(1_100)), Some(2));
+    assert_eq!(budget.take_line(ms(1_100)), Some(0));
+    assert_eq!(budget.take_line(ms(1_200)), None);
     // A clock that stands still or goes back grants no lines.
-    assert_eq!(budget.take(ms(900)), None);
-    assert_eq!(budget.take(ms(60_000)), Some(2));
+    assert_eq!(budget.take_line(ms(900)), None);
+    assert_eq!(budget.take_line(ms(60_000)), Some(2));
 }
 
 #[test]
 fn full_ring_drops_and_counts() {
-    let ring = Ring::new(20);
+    let ring = LineBuffer::new(20);
     ring.put(b"0123456789\n");
     ring.put(b"0123456789\n");
     ring.put(b"01234567\n");
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -4,9 +4,9 @@
     dogwoodreach::{
         Time,
         decide::{
-            order::{Job, Order},
-            quota::{Grant, Quotas, Reclaim},
-            urgent::{self, Allowances, Kind, Place, Running},
+            order::{WaitingJob, WaitingTasks},
+            quota::{QuotaGrant, Quotas, ReclaimMethod},
+            urgent::{self, CandidateWorker, RunningTask, TaskKind, UrgentAllowances},
         },
         ids::{JobId, TaskId, TaskIndex},
         units::Size,
@@ -24,8 +24,8 @@
     Time::ZERO + MINUTE * n
 }
 
-fn job(team: &str, id: &str, tasks: u32, run: u32) -> Job {
-    Job {
+fn job(team: &str, id: &str, tasks: u32, run: u32) -> WaitingJob {
+    WaitingJob {
         id: id.into(),
         team: team.into(),
         deadline: Time::NEVER,
@@ -34,13 +34,13 @@
         width: 100,
         tasks,
         size: Size::new(1, 1024, 0),
-        reclaim: Reclaim::Checkpoint,
+        reclaim: ReclaimMethod::Checkpoint,
     }
 }
 
-/// Simulates slots that run jobs in virtual time, by `Order` or first come, first served.
+/// Simulates slots that run jobs in virtual time, by `WaitingTasks` or first come, first served.
 struct Fake {
-    order: Order,
+    order: WaitingTasks,
     quotas: Quotas,
     first: Option<VecDeque<(TaskId, Duration)>>,
     runs: BTreeMap<JobId, Duration>,
@@ -54,10 +54,10 @@
     fn new(slots: usize, fair: bool, teams: &[(&str, u64, u32)]) -> Self {
         let mut quotas = Quotas::default();
         for (team, size, weight) in teams {
-            quotas.set(&(*team).into(), Size::new(*size, size * 1024, 0), *weight);
+            quotas.set_quota(&(*team).into(), Size::new(*size, size * 1024, 0), *weight);
         }
         Fake {
-            order: Order::default(),
+            order: WaitingTasks::default(),
             quotas,
             first: (!fair).then(VecDeque::new),
             runs: BTreeMap::new(),
@@ -68,7 +68,7 @@
         }
     }
 
-    fn push(&mut self, now: Time, job: Job) {
+    fn push(&mut self, now: Time, job: WaitingJob) {
         self.runs.insert(job.id.clone(), job.run_time);
         let Some(first) = &mut self.first else {
             return self.order.push(now, job, &mut self.quotas);
@@ -82,12 +82,12 @@
             return first.pop_front().map(|(task, _)| task);
         }
         let pick = self.order.next(now, &self.quotas)?;
-        assert_ne!(self.order.take(now, &pick, &mut self.quotas), Grant::Wait);
-        Some(pick.ask.task)
+        assert_ne!(self.order.take(now, &pick, &mut self.quotas), QuotaGrant::Wait);
+        Some(pick.quota_request.task)
     }
 
     fn fill(&mut self, now: Time) {
-        self.order.wake(now, &self.quotas);
+        self.order.requeue_parked(now, &self.quotas);
         while self.ends.len() < self.slots {
             let Some(task) = self.next(now) else { break };
             self.starts.push((now, task.clone()));
@@ -106,7 +106,7 @@
             while self.ends.peek().is_some_and(|Reverse((at, _))| *at == now) {
                 let Some(Reverse((_, task))) = self.ends.pop() else { break };
                 self.quotas.record_end(&task);
-                self.order.ended(now, &task, &mut self.quotas);
+                self.order.record_end(now, &task, &mut self.quotas);
                 self.finished_at.insert(task.job, now);
             }
             self.fill(now);
@@ -129,7 +129,7 @@
     let play = |fair| {
         let mut f = Fake::new(100, fair, &[("big", 50, 1), ("branch", 50, 1)]);
         f.push(Time::ZERO, job("big", "big", 5000, 10));
-        f.push(minutes(1), Job { deadline: hour, ..job("branch", "branch", 200, 10) });
+        f.push(minutes(1), WaitingJob { deadline: hour, ..job("branch", "branch", 200, 10) });
         f.play(minutes(1), minutes(2000));
         f.finished_at[&"branch".into()]
     };
@@ -149,8 +149,11 @@
 fn least_slack_goes_first_within_a_team_by_corrected_run_times() {
     let play = |fair, run| {
         let mut f = Fake::new(10, fair, &[("t", 10, 1)]);
-        f.push(Time::ZERO, Job { deadline: minutes(230), width: 10, ..job("t", "far", 100, 10) });
-        let near = Job { deadline: minutes(60), width: 10, ..job("t", "near", 20, 10) };
+        f.push(
+            Time::ZERO,
+            WaitingJob { deadline: minutes(230), width: 10, ..job("t", "far", 100, 10) },
+        );
+        let near = WaitingJob { deadline: minutes(60), width: 10, ..job("t", "near", 20, 10) };
         f.push(Time::ZERO, near);
         f.order.set_run_time(Time::ZERO, &"far".into(), MINUTE * run, &f.quotas);
         f.play(Time::ZERO, minutes(1000));
@@ -173,8 +176,14 @@
         let mut f = Fake::new(10, fair, &[("other", 10, 1), ("t", 10, 1)]);
         f.push(Time::ZERO, job("other", "other", 10, 30));
         f.fill(Time::ZERO);
-        f.push(Time::ZERO, Job { deadline: minutes(60), width: 10, ..job("t", "lost", 40, 10) });
-        f.push(Time::ZERO, Job { deadline: minutes(100), width: 10, ..job("t", "near", 40, 10) });
+        f.push(
+            Time::ZERO,
+            WaitingJob { deadline: minutes(60), width: 10, ..job("t", "lost", 40, 10) },
+        );
+        f.push(
+            Time::ZERO,
+            WaitingJob { deadline: minutes(100), width: 10, ..job("t", "near", 40, 10) },
+        );
         f.play(Time::ZERO, minutes(1000));
         (f.finished_at[&"lost".into()], f.finished_at[&"near".into()])
     };
@@ -221,10 +230,10 @@
 fn dated_work_does_not_starve_undated_work_of_its_team() {
     let mut f = Fake::new(1, true, &[("t", 1, 1)]);
     f.push(Time::ZERO, job("t", "undated", 1, 1));
-    f.push(Time::ZERO, Job { priority: 3, ..job("t", "preferred", 1, 1) });
+    f.push(Time::ZERO, WaitingJob { priority: 3, ..job("t", "preferred", 1, 1) });
     for i in 0..300 {
         let now = minutes(i);
-        f.push(now, Job { deadline: now + MINUTE, ..job("t", &format!("dated{i}"), 2, 1) });
+        f.push(now, WaitingJob { deadline: now + MINUTE, ..job("t", &format!("dated{i}"), 2, 1) });
         f.play(now, now);
     }
     f.play(minutes(300), minutes(1000));
@@ -241,8 +250,11 @@
     f.push(Time::ZERO, job("t", "running", 5, 5));
     f.push(Time::ZERO, job("t", "longer", 5, 8));
     f.fill(Time::ZERO);
-    let large =
-        Job { size: Size::new(8, 8192, 0), reclaim: Reclaim::Never, ..job("t", "large", 1, 5) };
+    let large = WaitingJob {
+        size: Size::new(8, 8192, 0),
+        reclaim: ReclaimMethod::Never,
+        ..job("t", "large", 1, 5)
+    };
     f.push(Time::ZERO, large);
     f.push(minutes(2), job("t", "small", 500, 4));
     f.play(minutes(2), minutes(60));
@@ -256,26 +268,26 @@
 /// Returns 16 full workers of 16 cores. Each runs a service, a gang member, a long batch task that
 /// can't be checkpointed, and two tasks that can. On every second worker one of the two uses
 /// borrowed quota.
-fn full_cell(now: Time) -> Vec<Place> {
+fn full_cell(now: Time) -> Vec<CandidateWorker> {
     let mut rng = fastrand::Rng::with_seed(9);
     let task = |w: u32, i| TaskId { job: format!("w{w}").as_str().into(), index: TaskIndex(i) };
     let mut worker = |w: u32| {
-        let mut running = |i, kind, borrowed, cores| Running {
+        let mut running = |i, kind, borrowed, cores| RunningTask {
             task: task(w, i),
             size: Size::new(cores, cores * 4096, 0),
             kind,
-            borrowed,
+            is_borrowed: borrowed,
             last_checkpoint: now - Duration::from_secs(rng.u64(60..7200)),
             checkpoint_time: Duration::from_millis(if w == 0 { 900 } else { 300 }),
         };
         let running = vec![
-            running(0, Kind::Service, false, 4),
-            running(1, Kind::Gang, false, 4),
-            running(2, Kind::Plain, true, 2),
-            running(3, Kind::Checkpoint, w.is_multiple_of(2), 4),
-            running(4, Kind::Checkpoint, false, 2),
+            running(0, TaskKind::Service, false, 4),
+            running(1, TaskKind::Gang, false, 4),
+            running(2, TaskKind::Plain, true, 2),
+            running(3, TaskKind::Checkpoint, w.is_multiple_of(2), 4),
+            running(4, TaskKind::Checkpoint, false, 2),
         ];
-        Place { worker: format!("w{w}").as_str().into(), free: Size::default(), running }
+        CandidateWorker { worker: format!("w{w}").as_str().into(), free: Size::default(), running }
     };
     (0..16).map(&mut worker).collect()
 }
@@ -289,22 +301,28 @@
     let now = minutes(600);
     let places = full_cell(now);
     let need = Size::new(4, 8192, 0);
-    let plan = urgent::plan(now, need, &places).expect("there are victims");
+    let plan = urgent::plan_preemption(now, need, &places).expect("there are victims");
     let place = places.iter().find(|p| p.worker == plan.worker).unwrap();
     let victim = place.running.iter().find(|r| r.task == plan.victims[0]).unwrap();
     assert_eq!((plan.victims.len(), plan.cost.own_quota), (1, 0));
-    assert!(victim.kind == Kind::Checkpoint && victim.borrowed);
-    let lost = |r: &Running| now.since(r.last_checkpoint).as_secs() * r.size.cores.0 / 1000 + 30;
-    let fit = |r: &&Running| {
-        r.kind == Kind::Checkpoint && r.borrowed && r.checkpoint_time.as_millis() < 700
+    assert!(victim.kind == TaskKind::Checkpoint && victim.is_borrowed);
+    let lost =
+        |r: &RunningTask| now.since(r.last_checkpoint).as_secs() * r.size.cores.0 / 1000 + 30;
+    let fit = |r: &&RunningTask| {
+        r.kind == TaskKind::Checkpoint && r.is_borrowed && r.checkpoint_time.as_millis() < 700
     };
     let all: Vec<_> = places.iter().flat_map(|p| p.running.iter().filter(fit).map(lost)).collect();
     assert_eq!(plan.cost.lost_work, *all.iter().min().unwrap());
     println!("lost {} core-seconds, first found {}", plan.cost.lost_work, all[0]);
     assert!(plan.cost.lost_work < all[0], "first found");
-    assert_eq!(urgent::plan(now, need, &places[..1]), None, "w0 checkpoints too slowly");
-    assert_eq!(urgent::plan(now, Size::new(8, 8192, 0), &places), None, "services and gangs stay");
-    let both = urgent::plan(now, Size::new(6, 8192, 0), &places).expect("two victims suffice");
+    assert_eq!(urgent::plan_preemption(now, need, &places[..1]), None, "w0 checkpoints too slowly");
+    assert_eq!(
+        urgent::plan_preemption(now, Size::new(8, 8192, 0), &places),
+        None,
+        "services and gangs stay"
+    );
+    let both =
+        urgent::plan_preemption(now, Size::new(6, 8192, 0), &places).expect("two victims suffice");
     assert_eq!((both.victims.len(), both.cost.own_quota), (2, 1));
 }
 
@@ -314,31 +332,33 @@
 fn no_victim_is_stopped_without_need() {
     let now = minutes(600);
     let mut places = full_cell(now).split_off(15);
-    places[0].running[4].borrowed = true;
-    let plan = urgent::plan(now, Size::new(4, 8192, 0), &places).unwrap();
+    places[0].running[4].is_borrowed = true;
+    let plan = urgent::plan_preemption(now, Size::new(4, 8192, 0), &places).unwrap();
     assert_eq!(plan.victims, [places[0].running[3].task.clone()]);
-    (places[0].running[3].borrowed, places[0].running[4].last_checkpoint) = (false, Time::ZERO);
-    let plan = urgent::plan(now, Size::new(2, 8192, 0), &places).unwrap();
+    (places[0].running[3].is_borrowed, places[0].running[4].last_checkpoint) = (false, Time::ZERO);
+    let plan = urgent::plan_preemption(now, Size::new(2, 8192, 0), &places).unwrap();
     assert_eq!(plan.victims, [places[0].running[4].task.clone()], "borrowed, though more is lost");
     places[0].free = Size::new(4, 8192, 0);
-    assert!(urgent::plan(now, Size::new(4, 8192, 0), &places).unwrap().victims.is_empty());
+    assert!(
+        urgent::plan_preemption(now, Size::new(4, 8192, 0), &places).unwrap().victims.is_empty()
+    );
 }
 
 // A team marks its nightly batch of 5,000 tasks as urgent. Without an allowance it would preempt
 // every other team.
 #[test]
 fn a_team_that_marks_all_its_work_urgent_preempts_little() {
-    let (mut a, team) = (Allowances::default(), "t".into());
+    let (mut a, team) = (UrgentAllowances::default(), "t".into());
     let (size, quota) = (Size::new(1, 1024, 0), Size::new(500, 512_000, 0));
     let mut started = [0; 3];
     for second in 0..300 {
         let now = Time::from_millis(second * 1000);
-        let n = (0..5000).filter(|_| a.admit(now, &team, size, quota)).count();
+        let n = (0..5000).filter(|_| a.admit_start(now, &team, size, quota)).count();
         started[(second / 100) as usize] += n;
     }
     println!("urgent starts in each 100 s: {started:?}");
     assert_eq!(started, [39, 11, 0], "a burst, then one in 5 s, at most a tenth of the quota");
     a.record_end(&team, size);
-    assert!(a.admit(minutes(10), &team, size, quota));
-    assert!(!a.admit(minutes(10), &team, Size::new(80, 0, 0), quota));
+    assert!(a.admit_start(minutes(10), &team, size, quota));
+    assert!(!a.admit_start(minutes(10), &team, Size::new(80, 0, 0), quota));
 }
--- a/tests/pace.rs
+++ b/tests/pace.rs
@@ -3,7 +3,7 @@
 use {
     dogwoodreach::{
         Time,
-        decide::pace::{Pace, UNKNOWN_RATIO},
+        decide::pace::{Pace, UNMEASURED_TAIL_RATIO},
     },
     fastrand::Rng,
 };
@@ -161,9 +161,9 @@
     let mut pace = Pace::new();
     let at = |s: u64| Time::from_millis(s * 1000);
     assert_eq!(pace.update(None, at(0)), 100);
-    assert_eq!(pace.update(Some(UNKNOWN_RATIO), at(1)), 50, "a task begins to serve");
+    assert_eq!(pace.update(Some(UNMEASURED_TAIL_RATIO), at(1)), 50, "a task begins to serve");
     assert_eq!(
-        pace.update(Some(UNKNOWN_RATIO), at(9)),
+        pace.update(Some(UNMEASURED_TAIL_RATIO), at(9)),
         50,
         "without a measurement the speed stays"
     );
--- a/tests/reads.rs
+++ b/tests/reads.rs
@@ -13,7 +13,8 @@
     let mut asked = 0;
     for n in 0..queries {
         let now = Time::from_millis(second * 1_000 + n * 1_000 / queries);
-        let admitted = reads.iter_mut().filter_map(|r| r.admit(RATE, MEMBERS, now).then_some(()));
+        let admitted =
+            reads.iter_mut().filter_map(|r| r.admit_query(RATE, MEMBERS, now).then_some(()));
         asked += if ours { admitted.count() } else { MEMBERS } as u64;
     }
     asked
@@ -49,7 +50,9 @@
     let mut count = |needs: u32| {
         let mut reads = std::mem::take(&mut reads);
         (0..1_000)
-            .take_while(|_| reads.admit(400.0, 4, now).then(|| reads.refund(needs)).is_some())
+            .take_while(|_| {
+                reads.admit_query(400.0, 4, now).then(|| reads.refund_reads(needs)).is_some()
+            })
             .count()
     };
     assert_eq!(count(3), 8);
@@ -59,7 +62,7 @@
 #[test]
 fn a_store_with_a_small_share_for_each_settles_one_question_at_a_time() {
     let mut reads = ReadBudget::default();
-    assert!(reads.admit(4.0, 100, Time::ZERO));
-    assert!(!reads.admit(4.0, 100, Time::from_millis(1_000)));
-    assert!(reads.admit(4.0, 100, Time::from_millis(400_000)));
+    assert!(reads.admit_query(4.0, 100, Time::ZERO));
+    assert!(!reads.admit_query(4.0, 100, Time::from_millis(1_000)));
+    assert!(reads.admit_query(4.0, 100, Time::from_millis(400_000)));
 }
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -20,17 +20,17 @@
         let way = if relays { relay.choose_path(repeats, now) } else { StorePath::Direct };
         if way != StorePath::Relayed {
             let ok = !away(ms) && !down(ms);
-            relay.record_direct(ok, now);
+            relay.record_direct_call(ok, now);
             if ok {
                 served += 1;
                 continue;
             }
             refused += 1;
-            if !relays || relay.is_paused(now) {
+            if !relays || relay.is_relaying_paused(now) {
                 continue;
             }
         }
-        let by = relay.candidates(&ALL, ME, now)[0];
+        let by = relay.relay_candidates(&ALL, ME, now)[0];
         relay.record_relay(by, !down(ms), now);
         if down(ms) {
             relay.record_unrelayed(now);
@@ -67,7 +67,7 @@
 fn a_single_failed_call_does_not_lose_the_direct_path() {
     let mut relay = RelayState::default();
     for ms in 0..1000 {
-        relay.record_direct(ms % 2 == 0, Time::from_millis(ms));
+        relay.record_direct_call(ms % 2 == 0, Time::from_millis(ms));
         assert!(!relay.is_direct_lost());
         assert_eq!(relay.choose_path(false, Time::from_millis(ms)), StorePath::Direct);
     }
@@ -84,7 +84,7 @@
     }
     // A call that waited while others were served is no evidence either.
     relay.record_timeout(ms(1000), ms(1600));
-    relay.record_direct(true, ms(1650));
+    relay.record_direct_call(true, ms(1650));
     relay.record_timeout(ms(1100), ms(1700));
     relay.record_timeout(ms(1100), ms(1700));
     assert!(!relay.is_direct_lost());
@@ -97,22 +97,22 @@
 fn who_relayed_last_is_asked_first_and_nobody_asks_itself() {
     let (mut relay, ms) = (RelayState::default(), Time::from_millis);
     let now = ms(0);
-    assert_eq!(relay.candidates(&ALL, ME, now), [7, 9, 2].map(Incarnation));
+    assert_eq!(relay.relay_candidates(&ALL, ME, now), [7, 9, 2].map(Incarnation));
     relay.record_relay(Incarnation(9), true, now);
-    assert_eq!(relay.candidates(&ALL, ME, now), [9, 7, 2].map(Incarnation));
+    assert_eq!(relay.relay_candidates(&ALL, ME, now), [9, 7, 2].map(Incarnation));
     relay.record_relay(Incarnation(9), false, now);
-    assert_eq!(relay.candidates(&ALL, ME, now), [7, 2, 9].map(Incarnation));
-    assert_eq!(relay.candidates(&ALL, ME, ms(2000)), [7, 9, 2].map(Incarnation));
-    assert_eq!(relay.candidates(&[ME], ME, now), []);
-    assert_eq!(relay.candidates(&[], ME, now), []);
+    assert_eq!(relay.relay_candidates(&ALL, ME, now), [7, 2, 9].map(Incarnation));
+    assert_eq!(relay.relay_candidates(&ALL, ME, ms(2000)), [7, 9, 2].map(Incarnation));
+    assert_eq!(relay.relay_candidates(&[ME], ME, now), []);
+    assert_eq!(relay.relay_candidates(&[], ME, now), []);
 }
 
 #[test]
 fn nothing_is_relayed_for_a_second_after_a_call_that_nobody_relayed() {
     let (mut relay, ms) = (RelayState::default(), Time::from_millis);
     relay.record_unrelayed(ms(0));
-    assert!(relay.is_paused(ms(999)));
-    assert!(!relay.is_paused(ms(1000)));
+    assert!(relay.is_relaying_paused(ms(999)));
+    assert!(!relay.is_relaying_paused(ms(1000)));
 }
 
 #[test]
@@ -123,15 +123,15 @@
     let cut = |m: &Incarnation| m.0 < 6;
     for me in all.iter().copied().filter(cut) {
         let (mut relay, mut unserved) = (RelayState::default(), 0);
-        relay.record_direct(false, Time::ZERO);
-        relay.record_direct(false, Time::ZERO);
+        relay.record_direct_call(false, Time::ZERO);
+        relay.record_direct_call(false, Time::ZERO);
         for ms in (0..6_000).step_by(10) {
             let now = Time::from_millis(ms);
             if relay.choose_path(false, now) != StorePath::Relayed {
                 unserved += 1;
                 continue;
             }
-            let mut asked = relay.candidates(&all, me, now).into_iter();
+            let mut asked = relay.relay_candidates(&all, me, now).into_iter();
             let by = asked.find(|m| {
                 relay.record_relay(*m, !cut(m), now);
                 !cut(m)
@@ -149,8 +149,8 @@
 #[test]
 fn a_member_that_is_cut_off_gives_its_shards_up_only_to_members_that_are_served() {
     let (mut relay, ms) = (RelayState::default(), Time::from_millis);
-    relay.record_direct(false, ms(0));
-    relay.record_direct(false, ms(100));
+    relay.record_direct_call(false, ms(0));
+    relay.record_direct_call(false, ms(100));
     relay.record_unrelayed(ms(200));
     assert!(!relay.yields_ownership(ms(900)), "the store is down for all");
     relay.record_relay(Incarnation(7), true, ms(1300));
@@ -160,11 +160,11 @@
     relay.record_relay(Incarnation(7), false, ms(1400));
     relay.record_unrelayed(ms(1400));
     assert!(relay.yields_ownership(ms(1400)));
-    relay.record_direct(true, ms(1500));
+    relay.record_direct_call(true, ms(1500));
     assert!(!relay.yields_ownership(ms(3000)));
     relay.record_relay(Incarnation(9), true, ms(3000));
-    relay.record_direct(false, ms(4000));
-    relay.record_direct(false, ms(4100));
+    relay.record_direct_call(false, ms(4000));
+    relay.record_direct_call(false, ms(4100));
     assert!(!relay.yields_ownership(ms(4800)), "no call has been relayed since the loss");
     relay.record_relay(Incarnation(9), true, ms(4900));
     assert!(relay.yields_ownership(ms(4900)));
@@ -173,23 +173,23 @@
 #[test]
 fn a_cut_that_ends_within_half_a_second_moves_no_shard() {
     let (mut relay, ms) = (RelayState::default(), Time::from_millis);
-    relay.record_direct(false, ms(0));
-    relay.record_direct(false, ms(100));
+    relay.record_direct_call(false, ms(0));
+    relay.record_direct_call(false, ms(100));
     relay.record_relay(Incarnation(7), true, ms(150));
     assert!((150..600).all(|at| !relay.yields_ownership(ms(at))));
-    relay.record_direct(true, ms(590));
+    relay.record_direct_call(true, ms(590));
     assert!(!relay.yields_ownership(ms(700)));
 }
 
 #[test]
 fn the_direct_way_is_tried_by_calls_that_may_be_made_twice() {
     let (mut relay, ms) = (RelayState::default(), Time::from_millis);
-    relay.record_direct(false, ms(0));
-    relay.record_direct(false, ms(0));
+    relay.record_direct_call(false, ms(0));
+    relay.record_direct_call(false, ms(0));
     assert_eq!(relay.choose_path(true, ms(499)), StorePath::Relayed);
     assert_eq!(relay.choose_path(false, ms(500)), StorePath::Relayed);
     assert_eq!(relay.choose_path(true, ms(500)), StorePath::Probe);
     assert_eq!(relay.choose_path(true, ms(501)), StorePath::Relayed);
-    relay.record_direct(true, ms(502));
+    relay.record_direct_call(true, ms(502));
     assert_eq!(relay.choose_path(false, ms(502)), StorePath::Direct);
 }
--- a/tests/release.rs
+++ b/tests/release.rs
@@ -33,7 +33,12 @@
     let setup = Setup { shard: ShardNo(0), member: me, token: 1, bounds: bounds(), unix_ms: unix };
     let step = Step { count: 1, ..Step::default() };
     let job = Job { steps: [step].into(), ..Job::default() };
-    let record = || JobRecord { queue: "/a/".into(), came: unix, job: job.clone(), terms: None };
+    let record = || JobRecord {
+        queue: "/a/".into(),
+        submitted_ms: unix,
+        job: job.clone(),
+        queue_settings: None,
+    };
     let jobs = (1..=60).map(|no| (JobNo(no), record())).collect();
     let cancels = (1..=60).map(JobNo).collect();
     let mut shard =
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -3,7 +3,7 @@
 use {
     dogwoodreach::{
         Error, Kind, Ran, Time,
-        decide::retry::{Budget, can_retry},
+        decide::retry::{RetryAllowance, can_retry},
         ids::CallerId,
     },
     std::time::Duration,
@@ -15,7 +15,7 @@
 /// probability `refused`. Returns the total number of tries and the number of requests served.
 fn simulate(budget: bool, refused: f64) -> (u32, u32) {
     let mut rng = fastrand::Rng::with_seed(5);
-    let mut budgets: Vec<_> = (0..MEMBERS).map(|_| Budget::new(Time::ZERO)).collect();
+    let mut budgets: Vec<_> = (0..MEMBERS).map(|_| RetryAllowance::new(Time::ZERO)).collect();
     let (mut sum, mut served) = (0, 0);
     for i in 0..20_000 {
         let now = Time::from_millis(i);
@@ -29,7 +29,7 @@
                 break;
             }
             let error = Error::from(Kind::EndpointRefused);
-            if budget && budgets[member].retry(&caller, error, tries + 1, now).is_err() {
+            if budget && budgets[member].spend_retry(&caller, error, tries + 1, now).is_err() {
                 break;
             }
             // The next try is forwarded and uses another member's budget.
@@ -66,22 +66,22 @@
 // refused.
 #[test]
 fn small_caller_has_a_retry_left() {
-    let mut budget = Budget::new(Time::ZERO);
+    let mut budget = RetryAllowance::new(Time::ZERO);
     let refused = || Error::from(Kind::EndpointRefused);
     let (heavy, small) = (CallerId::from("heavy"), CallerId::from("small"));
     let (mut heavy_retries, mut small_retries) = (0, 0);
     for i in 0..60_000 {
         let now = Time::from_millis(i);
         budget.record_try(0);
-        heavy_retries += u32::from(budget.retry(&heavy, refused(), 1, now).is_ok());
+        heavy_retries += u32::from(budget.spend_retry(&heavy, refused(), 1, now).is_ok());
         if i % 15_000 == 14_999 {
-            small_retries += u32::from(budget.retry(&small, refused(), 1, now).is_ok());
+            small_retries += u32::from(budget.spend_retry(&small, refused(), 1, now).is_ok());
         }
     }
     println!("retries: heavy {heavy_retries}, small {small_retries} of 4");
     assert_eq!(small_retries, 4);
     assert!(heavy_retries <= 6005);
-    let spent = budget.retry(&heavy, refused(), 1, Time::from_millis(60_000));
+    let spent = budget.spend_retry(&heavy, refused(), 1, Time::from_millis(60_000));
     let spent = spent.expect_err("the budget is exhausted");
     assert_eq!((spent.kind(), spent.kind().answer().ran), (Kind::RetryBudget, Ran::No));
     assert_eq!(spent.retry_after(), Some(Duration::from_secs(1)));
@@ -92,10 +92,10 @@
 // where there is already too much.
 #[test]
 fn only_what_did_not_run_is_tried_again() {
-    let mut budget = Budget::new(Time::ZERO);
+    let mut budget = RetryAllowance::new(Time::ZERO);
     (0..1000).for_each(|_| budget.record_try(0));
     for kind in Kind::ALL {
-        let result = budget.retry(&CallerId::from("a"), Error::from(kind), 1, Time::ZERO);
+        let result = budget.spend_retry(&CallerId::from("a"), Error::from(kind), 1, Time::ZERO);
         assert_eq!(result.is_ok(), can_retry(kind));
         assert!(result.is_err() || kind.answer().ran == Ran::No, "{kind}");
     }
@@ -103,6 +103,6 @@
     for kind in [Late, QueueFull, OverShare, Expired, Timeout, Broken, KeyRunning, OutcomeUnknown] {
         assert!(!can_retry(kind), "{kind}");
     }
-    let third = budget.retry(&CallerId::from("a"), EndpointRefused.into(), 3, Time::ZERO);
+    let third = budget.spend_retry(&CallerId::from("a"), EndpointRefused.into(), 3, Time::ZERO);
     assert_eq!(third.map_err(|e| e.kind()), Err(EndpointRefused));
 }
--- a/tests/shard.rs
+++ b/tests/shard.rs
@@ -6,7 +6,7 @@
     arbtest::{arbitrary::Unstructured, arbtest},
     dogwoodreach::{
         units::Size,
-        work::{Job, JobNo, State, Step, Times},
+        work::{Job, JobNo, JobState, Occurrences, Step},
     },
     std::time::Duration,
     yard::{ShardSim, job, rules::UNIX_START_MS, step, store::Mode},
@@ -36,7 +36,7 @@
 
 /// One job of each kind of step.
 fn jobs_of_each_kind() -> Vec<Job> {
-    let times = Some(Times { count: 3, first: UNIX_START_MS + 2_000, every: 1_500 });
+    let times = Some(Occurrences { count: 3, first: UNIX_START_MS + 2_000, every: 1_500 });
     let fills = Step { fills: true, image: "sift".into(), ..step(2, 1_000) };
     vec![
         job([step(1, 300), Step { after: [0].into(), ..step(6, 500) }]),
@@ -224,7 +224,7 @@
         yard.run_until(5_000);
         yard.run_until_settled(60_000);
         let progress = yard.progress();
-        let failed = progress.iter().filter(|(_, p)| p.state == State::Failed);
+        let failed = progress.iter().filter(|(_, p)| p.state == JobState::Failed);
         assert_eq!(failed.map(|f| f.0.0).collect::<Vec<_>>(), [1], "seed {seed}");
     }
 }
--- a/tests/shard_advice.rs
+++ b/tests/shard_advice.rs
@@ -21,7 +21,7 @@
         prefix: "/feed/".into(),
         priority: 1,
         advice: Some(cost),
-        ..defaults.by_name("open").expect("a queue").clone()
+        ..defaults.queue_by_name("open").expect("a queue").clone()
     };
     Arc::new(QueueConfig { queues: vec![feed], ..(*defaults).clone() })
 }
--- a/tests/shard_away.rs
+++ b/tests/shard_away.rs
@@ -6,7 +6,7 @@
 use {
     dogwoodreach::{
         decide::lanes::Peers,
-        ports::{EndReason, Fault, Refusal, WorkerCall, WorkerReply as Reply},
+        ports::{EndReason, Fault, WorkerCall, WorkerRefusal, WorkerReply as Reply},
         shard::{AbsentStep, Cause, Exclusion, Sight, event::Event},
         work::{Job, JobNo, Step},
     },
@@ -19,7 +19,7 @@
 
 /// Refuses starts for want of capacity, of which the owner doesn't know.
 const REFUSE_STARTS: Hook = |call| match call {
-    WorkerCall::Start(_) => Some(Ok(Reply::Refused(0, Refusal::Room))),
+    WorkerCall::Start(_) => Some(Ok(Reply::Refused(0, WorkerRefusal::Room))),
     _ => None,
 };
 
@@ -71,10 +71,13 @@
     harness.run(200);
     let away = only_report(&harness);
     assert_eq!(away.cause, Cause::Room);
-    assert_eq!((away.waiting, away.oldest, away.class), (1, 0, 0));
+    assert_eq!((away.waiting_count, away.oldest_index, away.class), (1, 0, 0));
     let Sight { usable, all, good, full, valid, .. } = away.sight;
     assert_eq!((usable, all, good, full, valid), (2, 2, 2, 2, 0));
-    assert!(away.away >= Duration::from_secs(2) && away.away < Duration::from_millis(2_200));
+    assert!(
+        away.absence_time >= Duration::from_secs(2)
+            && away.absence_time < Duration::from_millis(2_200)
+    );
 }
 
 #[test]
@@ -93,8 +96,11 @@
     assert_eq!(harness.shard.absences(harness.now), []);
     harness.run(300);
     let away = only_report(&harness);
-    assert_eq!((away.waiting, away.oldest), (1, 1));
-    assert!(away.away >= Duration::from_secs(2) && away.away < Duration::from_millis(2_300));
+    assert_eq!((away.waiting_count, away.oldest_index), (1, 1));
+    assert!(
+        away.absence_time >= Duration::from_secs(2)
+            && away.absence_time < Duration::from_millis(2_300)
+    );
 }
 
 #[test]
@@ -106,7 +112,10 @@
     harness.run(2_500);
     let away = only_report(&harness);
     assert_eq!(away.cause, Cause::Bound);
-    assert_eq!((away.waiting, away.sight.good, away.sight.bound, away.sight.full), (2, 3, 3, 0));
+    assert_eq!(
+        (away.waiting_count, away.sight.good, away.sight.bound, away.sight.full),
+        (2, 3, 3, 0)
+    );
 }
 
 #[test]
@@ -214,8 +223,8 @@
     end_filler(&mut harness, 0);
     harness.run(300);
     let (first, second) = (report_for(&harness, 1), report_for(&harness, 2));
-    assert_eq!((first.cause, first.behind), (Cause::Tickets, 0));
-    assert_eq!((second.cause, second.behind), (Cause::Before, 1));
+    assert_eq!((first.cause, first.preceding_count), (Cause::Tickets, 0));
+    assert_eq!((second.cause, second.preceding_count), (Cause::Before, 1));
     assert_eq!((second.sight.before, second.sight.old), (1, 0));
 }
 
@@ -295,7 +304,7 @@
     harness.submit(1, "plain", long_running(2, 1));
     harness.run(2_500);
     assert_eq!(harness.starts_of(1).len(), 1);
-    let AbsentStep { cause, waiting: tasks, sight, .. } = only_report(&harness);
+    let AbsentStep { cause, waiting_count: tasks, sight, .. } = only_report(&harness);
     assert_eq!((cause, tasks), (Cause::Bar(Exclusion::Unproven), 1));
     assert_eq!((sight.all, sight.usable, sight.good, sight.barred), (1, 0, 1, 1));
 }
@@ -309,7 +318,7 @@
     harness.submit(1, "plain", long_running(2, 1));
     harness.run(2_200);
     let away = only_report(&harness);
-    assert_eq!((away.cause, away.waiting, away.unseen), (Cause::Stop, 0, 2));
+    assert_eq!((away.cause, away.waiting_count, away.unseen_count), (Cause::Stop, 0, 2));
 }
 
 #[test]
@@ -324,8 +333,10 @@
     harness.workers[at].hook = SILENT;
     harness.run(4_000);
     let away = only_report(&harness);
-    assert_eq!((away.cause, away.waiting, away.unseen), (Cause::Silent, 0, 1));
-    assert!(away.away >= Duration::from_secs(2) && away.away <= Duration::from_secs(5));
+    assert_eq!((away.cause, away.waiting_count, away.unseen_count), (Cause::Silent, 0, 1));
+    assert!(
+        away.absence_time >= Duration::from_secs(2) && away.absence_time <= Duration::from_secs(5)
+    );
 }
 
 #[test]
@@ -350,5 +361,5 @@
     harness.submit(1_000, "plain", long_running(1, 1));
     harness.run(2_500);
     let away = report_for(&harness, 1_000);
-    assert_eq!((away.cause, away.behind), (Cause::Order, 450));
+    assert_eq!((away.cause, away.preceding_count), (Cause::Order, 450));
 }
--- a/tests/shard_blind.rs
+++ b/tests/shard_blind.rs
@@ -5,7 +5,7 @@
 use {
     dogwoodreach::{
         ports::{EndReason, WorkerCall, WorkerReply},
-        work::State,
+        work::JobState,
     },
     hand::{Harness, job, step, task, worker::NORMAL},
 };
@@ -24,8 +24,9 @@
         _ => None,
     };
     harness.cancel(1);
-    harness
-        .run_until("the cancel is stored", 500, |h| h.stored_progress(1).state == State::Cancelled);
+    harness.run_until("the cancel is stored", 500, |h| {
+        h.stored_progress(1).state == JobState::Cancelled
+    });
     harness.take_over();
     harness.submit(2, "plain", job(step(1, 1)));
     harness.run(1_000);
--- a/tests/shard_cancel_first.rs
+++ b/tests/shard_cancel_first.rs
@@ -3,7 +3,7 @@
 mod hand;
 
 use {
-    dogwoodreach::work::State,
+    dogwoodreach::work::JobState,
     hand::{Harness, job, step},
 };
 
@@ -20,6 +20,6 @@
     harness.run(3_000);
     assert!(harness.starts_of(1).is_empty());
     assert_eq!(harness.starts_of(2).len(), 1, "other jobs must start");
-    assert_eq!(harness.state(1), Some(State::Cancelled));
-    assert_eq!(harness.stored_progress(1).state, State::Cancelled);
+    assert_eq!(harness.state(1), Some(JobState::Cancelled));
+    assert_eq!(harness.stored_progress(1).state, JobState::Cancelled);
 }
--- a/tests/shard_crash.rs
+++ b/tests/shard_crash.rs
@@ -3,7 +3,7 @@
 mod hand;
 
 use {
-    dogwoodreach::work::{State, Step, TaskKey},
+    dogwoodreach::work::{JobState, Step, TaskKey},
     hand::{Harness, job, step, task},
     std::time::Duration,
 };
@@ -16,7 +16,7 @@
 /// the number of crashes.
 fn crash_until_over(harness: &mut Harness, task: TaskKey) -> usize {
     for crashes in 0..=MAX_STARTS {
-        let over = |h: &Harness| h.state(task.step.job.0) == Some(State::Failed);
+        let over = |h: &Harness| h.state(task.step.job.0) == Some(JobState::Failed);
         harness.run_until("a start or the end of the job", 20_000, |h| {
             over(h) || !h.workers_running(task).is_empty()
         });
@@ -82,7 +82,7 @@
     assert_eq!(crash_until_over(&mut harness, task(3, 0)), 3);
     harness.run(5_000);
     for (no, count) in [(1, 4), (2, 4), (4, 3)] {
-        assert_ne!(harness.state(no), Some(State::Failed), "job {no}");
+        assert_ne!(harness.state(no), Some(JobState::Failed), "job {no}");
         let running =
             (0..count).filter(|i| !harness.workers_running(task(no, *i)).is_empty()).count();
         assert_eq!(running as u32, count, "tasks of job {no}");
@@ -101,7 +101,7 @@
         harness.crash(at);
     }
     harness.run(1_000);
-    assert_eq!(harness.state(1), Some(State::Running));
+    assert_eq!(harness.state(1), Some(JobState::Running));
 }
 
 #[test]
@@ -122,7 +122,7 @@
             harness.run(300);
         }
     }
-    assert_eq!(harness.state(1), Some(State::Failed));
+    assert_eq!(harness.state(1), Some(JobState::Failed));
 }
 
 #[test]
--- a/tests/shard_cut_off.rs
+++ b/tests/shard_cut_off.rs
@@ -6,7 +6,7 @@
 use {
     dogwoodreach::{
         Time,
-        ports::{Fault, Held, Refusal, WorkerCall, WorkerReply as Reply},
+        ports::{Fault, Held, WorkerCall, WorkerRefusal, WorkerReply as Reply},
         work::JobNo,
     },
     hand::{
@@ -103,7 +103,7 @@
     for w in &mut harness.workers {
         w.hook = |call| match call {
             WorkerCall::Hold { .. } => {
-                Some(Ok(Reply::Held(Held { clock: 1_750, running: vec![], ended: vec![] })))
+                Some(Ok(Reply::Held(Held { clock_ms: 1_750, running: vec![], ended: vec![] })))
             }
             _ => Some(Err(Fault::Unknown)),
         };
@@ -126,7 +126,7 @@
     harness.submit(1, "plain", job(step(5, 3)));
     harness.run(500);
     harness.workers[3].hook = |call| match call {
-        WorkerCall::Hold { .. } => Some(Ok(Reply::Refused(0, Refusal::Fence))),
+        WorkerCall::Hold { .. } => Some(Ok(Reply::Refused(0, WorkerRefusal::Fence))),
         _ => None,
     };
     let at = harness.run_until("the order to give up the shard", 100, |h| h.deposed);
--- a/tests/shard_dropped.rs
+++ b/tests/shard_dropped.rs
@@ -3,7 +3,7 @@
 mod yard;
 
 use {
-    dogwoodreach::work::{QueueConfig, State, Step},
+    dogwoodreach::work::{JobState, QueueConfig, Step},
     std::{sync::Arc, time::Duration},
     yard::{ShardSim, job, queues, step, workers},
 };
@@ -32,7 +32,7 @@
             yard.at(2_500, |y| y.release_shard(Duration::from_millis(300)));
             yard.run_until(5_000);
             yard.run_until_settled(15_000);
-            assert_eq!(yard.stored_state(1), Some(State::Done));
+            assert_eq!(yard.stored_state(1), Some(JobState::Done));
         }
     }
 }
--- a/tests/shard_end_twice.rs
+++ b/tests/shard_end_twice.rs
@@ -3,7 +3,7 @@
 mod hand;
 
 use {
-    dogwoodreach::{ports::EndReason, work::State},
+    dogwoodreach::{ports::EndReason, work::JobState},
     hand::{Harness, job, step, task},
 };
 
@@ -25,5 +25,5 @@
     harness.run_until("the second failure", 500, |h| failures(h) == 2);
     harness.run_until("a third run", 5_000, |h| h.workers_running(task(1, 0)) == [0]);
     harness.end(task(1, 0), EndReason::Failed);
-    harness.run_until("the failure of the job", 500, |h| h.state(1) == Some(State::Failed));
+    harness.run_until("the failure of the job", 500, |h| h.state(1) == Some(JobState::Failed));
 }
--- a/tests/shard_gang.rs
+++ b/tests/shard_gang.rs
@@ -5,7 +5,7 @@
 use {
     dogwoodreach::{
         Time,
-        ports::{EndReason, Refusal, Start, WorkerCall, WorkerReply as Reply},
+        ports::{EndReason, Start, WorkerCall, WorkerRefusal, WorkerReply as Reply},
         work::Step,
     },
     hand::{
@@ -17,7 +17,7 @@
 
 /// Refuses starts for want of capacity.
 const REFUSE_STARTS: Hook = |call| match call {
-    WorkerCall::Start(_) => Some(Ok(Reply::Refused(0, Refusal::Room))),
+    WorkerCall::Start(_) => Some(Ok(Reply::Refused(0, WorkerRefusal::Room))),
     _ => None,
 };
 
@@ -30,7 +30,7 @@
 
 /// The distinct runs and checkpoints of all starts but the first `after`.
 fn restarts(harness: &Harness, after: usize) -> BTreeSet<(u32, Box<str>)> {
-    harness.starts()[after..].iter().map(|s| (s.2.run, s.2.saved.clone())).collect()
+    harness.starts()[after..].iter().map(|s| (s.2.run, s.2.checkpoint.clone())).collect()
 }
 
 #[test]
@@ -68,7 +68,7 @@
     harness.run(300);
     for (i, saved) in (0..).zip(["a3", "a4", ""]) {
         let at = harness.workers_running(task(1, i))[0];
-        harness.workers[at].row_mut(&task(1, i)).saved = saved.into();
+        harness.workers[at].row_mut(&task(1, i)).checkpoint = saved.into();
     }
     harness.end(task(1, 0), EndReason::Failed);
     harness.run_until("the restart of all members", 5_000, |h| h.starts().len() == 6);
@@ -88,7 +88,7 @@
     harness.run(300);
     for i in 0..3 {
         let at = harness.workers_running(task(1, i))[0];
-        harness.workers[at].row_mut(&task(1, i)).saved = "a3".into();
+        harness.workers[at].row_mut(&task(1, i)).checkpoint = "a3".into();
     }
     harness.run(300);
     let at = harness.workers_running(task(1, 1))[0];
@@ -96,7 +96,7 @@
     harness.run_until("the stops of the others", 30_000, |h| h.stops().len() == 2);
     harness.run(2_000);
     assert_eq!(harness.starts().len(), 3, "there must be no room for the gang");
-    harness.workers[at].row_mut(&task(1, 1)).saved = "a5".into();
+    harness.workers[at].row_mut(&task(1, 1)).checkpoint = "a5".into();
     harness.end(task(1, 1), EndReason::Lapsed);
     harness.workers[at].hook = NORMAL;
     harness.run_until("the restart of all members", 5_000, |h| h.starts().len() == 6);
@@ -113,7 +113,7 @@
     harness.run(300);
     for (i, saved) in (0..).zip(["a3", "a4", "a5"]) {
         let at = harness.workers_running(task(1, i))[0];
-        harness.workers[at].row_mut(&task(1, i)).saved = saved.into();
+        harness.workers[at].row_mut(&task(1, i)).checkpoint = saved.into();
         harness.end(task(1, i), EndReason::Broken);
     }
     harness.take_over();
--- a/tests/shard_gang_fits.rs
+++ b/tests/shard_gang_fits.rs
@@ -3,7 +3,7 @@
 mod yard;
 
 use {
-    dogwoodreach::work::{JobNo, State, Step},
+    dogwoodreach::work::{JobNo, JobState, Step},
     yard::{ShardSim, job, step},
 };
 
@@ -20,6 +20,6 @@
     }
     yard.run_until(40_000);
     let progress = yard.progress();
-    let done = |no: u64| progress.get(&JobNo(no)).is_some_and(|p| p.state == State::Done);
+    let done = |no: u64| progress.get(&JobNo(no)).is_some_and(|p| p.state == JobState::Done);
     assert!(done(1), "the gang must be done");
 }
--- a/tests/shard_gang_stuck.rs
+++ b/tests/shard_gang_stuck.rs
@@ -3,7 +3,7 @@
 mod yard;
 
 use {
-    dogwoodreach::work::{JobNo, State, Step},
+    dogwoodreach::work::{JobNo, JobState, Step},
     yard::{ShardSim, job, step},
 };
 
@@ -22,7 +22,7 @@
         }
         yard.run_until(60_000);
         let progress = yard.progress();
-        let done = |n: &u64| progress.get(&JobNo(*n)).is_some_and(|p| p.state == State::Done);
+        let done = |n: &u64| progress.get(&JobNo(*n)).is_some_and(|p| p.state == JobState::Done);
         let open: Vec<u64> = (2..8).filter(|n| !done(n)).collect();
         println!("seed {seed}: gang done {}, open {open:?}", done(&1));
         assert!(open.is_empty(), "seed {seed}: {open:?} must be done");
--- a/tests/shard_kept.rs
+++ b/tests/shard_kept.rs
@@ -27,9 +27,9 @@
         stretch: 1.0,
         slack: ms(slack),
         advice: Some(AdviceCost { base: ms(cost), each: ms(2), valid: ms(2_000) }),
-        ..defaults.by_name("open").expect("a queue").clone()
+        ..defaults.queue_by_name("open").expect("a queue").clone()
     };
-    let open = defaults.by_name("open").expect("a queue").clone();
+    let open = defaults.queue_by_name("open").expect("a queue").clone();
     let all = vec![queue("gangs", 0, 0, 900), queue("tasks", 1, 30_000, 280), open];
     Arc::new(QueueConfig { queues: all, ..(*defaults).clone() })
 }
--- a/tests/shard_leaving.rs
+++ b/tests/shard_leaving.rs
@@ -20,7 +20,7 @@
     harness.run(500);
     let at = harness.workers_running(task(1, 0))[0];
     assert_eq!(harness.workers_running(task(2, 0)), [at], "the fuller worker must be preferred");
-    harness.workers[at].row_mut(&task(2, 0)).saved = "a7".into();
+    harness.workers[at].row_mut(&task(2, 0)).checkpoint = "a7".into();
     harness.run(300);
     harness.workers[at].leaves_in = Some(Duration::from_secs(6));
     harness.deliver_list();
@@ -75,7 +75,7 @@
     assert!(stop + MAX_STOP < end, "stopped too late: at {stop}");
     assert!(stop > moved + Duration::from_secs(2), "stopped too early: at {stop}");
     harness.run_until("a start elsewhere", 500, |h| h.workers_running(task(2, 0)) == [1 - at]);
-    assert_eq!(&*harness.starts_of(2)[1].2.saved, "a7");
+    assert_eq!(&*harness.starts_of(2)[1].2.checkpoint, "a7");
     harness.end(task(2, 0), EndReason::Done);
     harness.run_until("the end of the job", 500, |h| h.stored_progress(2).state.is_final());
 }
--- a/tests/shard_note.rs
+++ b/tests/shard_note.rs
@@ -6,7 +6,7 @@
     dogwoodreach::{
         Time,
         ports::{EndReason, Fault, WorkerCall},
-        work::{JobNo, State},
+        work::{JobNo, JobState},
     },
     hand::{
         Harness, job, step,
@@ -79,11 +79,11 @@
     hand.write_outcomes = [Answered, Refused, Refused, Refused].into();
     hand.store_up = true;
     hand.run_until("the first is noted", 500, |h| h.last_acked_end(0) > 0);
-    assert_eq!((hand.last_acked_end(0), hand.stored_progress(1).state), (1, State::Running));
+    assert_eq!((hand.last_acked_end(0), hand.stored_progress(1).state), (1, JobState::Running));
     hand.run_until("the second is stored", 2_000, |h| {
         h.last_acked_end(0) > 1 || h.stored_progress(1).state.is_final()
     });
-    assert_eq!(hand.stored_progress(1).state, State::Done);
+    assert_eq!(hand.stored_progress(1).state, JobState::Done);
     hand.run_until("the second is noted", 500, |h| h.last_acked_end(0) == 2);
 }
 
@@ -114,13 +114,13 @@
     hand.store_up = false;
     hand.end(task(1, 1), EndReason::Done);
     hand.run(1_000);
-    assert_eq!(hand.state(1), Some(State::Running));
+    assert_eq!(hand.state(1), Some(JobState::Running));
     assert_eq!(hand.shard.queued_jobs("plain"), 0);
     hand.store_up = true;
-    hand.run_until("completed", 200, |h| h.state(1) == Some(State::Done));
-    assert_eq!(hand.stored_progress(1).state, State::Done);
+    hand.run_until("completed", 200, |h| h.state(1) == Some(JobState::Done));
+    assert_eq!(hand.stored_progress(1).state, JobState::Done);
     hand.take_over();
-    assert_eq!(hand.state(1), Some(State::Done), "job {} is over", JobNo(1));
+    assert_eq!(hand.state(1), Some(JobState::Done), "job {} is over", JobNo(1));
 }
 
 #[test]
@@ -136,7 +136,7 @@
         _ => None,
     };
     hand.cancel(1);
-    hand.run_until("stored", 1_000, |h| h.state(1) == Some(State::Cancelled));
+    hand.run_until("stored", 1_000, |h| h.state(1) == Some(JobState::Cancelled));
     hand.run(500);
     hand.workers[0].hook = NORMAL;
     hand.run_until("the runs have ended", 3_000, |h| h.workers[0].running.is_empty());
--- a/tests/shard_pools.rs
+++ b/tests/shard_pools.rs
@@ -25,7 +25,7 @@
         prefix: format!("/{name}/").into(),
         priority,
         advice: Some(cost),
-        ..old.by_name(pool).expect("a queue").clone()
+        ..old.queue_by_name(pool).expect("a queue").clone()
     };
     let all = vec![queue("first", "plain", 0), queue("second", "open", 1)];
     Arc::new(QueueConfig { queues: all, ..(*old).clone() })
--- a/tests/shard_stay.rs
+++ b/tests/shard_stay.rs
@@ -43,7 +43,7 @@
         slack: Duration::from_secs(1),
         attempts: 4,
         advice: Some(AdviceCost { base: us(base), each: us(each), valid: Duration::from_secs(2) }),
-        ..old.by_name("open").expect("a queue").clone()
+        ..old.queue_by_name("open").expect("a queue").clone()
     };
     Arc::new(QueueConfig { queues: QUEUES.map(queue).into(), ..(*old).clone() })
 }
--- a/tests/shard_takeover.rs
+++ b/tests/shard_takeover.rs
@@ -3,7 +3,7 @@
 mod hand;
 
 use {
-    dogwoodreach::ports::{EndReason, Row, WorkerCall, WorkerReply as Reply},
+    dogwoodreach::ports::{EndReason, PresentRun, WorkerCall, WorkerReply as Reply},
     hand::{
         Harness, job, step, task,
         worker::{Hook, NORMAL, SILENT},
@@ -53,7 +53,7 @@
     hand.run(500);
     let at = hand.workers_running(task(1, 0))[0];
     let other = (0..3).find(|w| *w != at).expect("another");
-    let row = Row { run: 2, ..hand.workers[at].row_mut(&task(1, 0)).clone() };
+    let row = PresentRun { run: 2, ..hand.workers[at].row_mut(&task(1, 0)).clone() };
     hand.workers[other].running.push(row);
     hand.workers[other].hook = SILENT;
     hand.take_over();
--- a/tests/shard_tickets.rs
+++ b/tests/shard_tickets.rs
@@ -5,7 +5,7 @@
 use {
     dogwoodreach::{
         Time,
-        ports::{EndReason, Refusal, Start, WorkerCall, WorkerReply as Reply},
+        ports::{EndReason, Start, WorkerCall, WorkerRefusal, WorkerReply as Reply},
         work::Step,
     },
     hand::{
@@ -18,7 +18,7 @@
 /// The worker refuses every start that carries a ticket, because of the ticket.
 const REFUSE_TICKET: Hook = |call| match call {
     WorkerCall::Start(Start { ticket: Some(_), .. }) => {
-        Some(Ok(Reply::Refused(0, Refusal::Ticket)))
+        Some(Ok(Reply::Refused(0, WorkerRefusal::Ticket)))
     }
     _ => None,
 };
--- a/tests/shard_told.rs
+++ b/tests/shard_told.rs
@@ -4,7 +4,7 @@
 mod yard;
 
 use {
-    dogwoodreach::work::{JobNo, State},
+    dogwoodreach::work::{JobNo, JobState},
     hand::Harness,
     yard::{ShardSim, job, step},
 };
@@ -21,7 +21,7 @@
         yard.fault(5_500, ShardSim::take_over);
         yard.run_until(5_000);
         yard.run_until_settled(10_000);
-        assert_eq!(yard.stored_state(1), Some(State::Done));
+        assert_eq!(yard.stored_state(1), Some(JobState::Done));
         let resumed_at = yard.now.0 / 1_000 + 200;
         yard.fault(resumed_at, |y| y.pause_owner(0, false));
         for ms in resumed_at..resumed_at + 20 {
@@ -41,21 +41,21 @@
     hand.submit(1, "plain", hand::job(hand::step(1, 1)));
     hand.run(300);
     hand.end(hand::task(1, 0), dogwoodreach::ports::EndReason::Done);
-    hand.run_until("stored", 500, |h| h.state(1) == Some(State::Done));
+    hand.run_until("stored", 500, |h| h.state(1) == Some(JobState::Done));
     hand.submit(2, "plain", hand::job(hand::step(1, 9)));
-    assert_eq!(hand.state(2), Some(State::Queued));
-    assert!(hand.shard.may_tell(hand.now));
+    assert_eq!(hand.state(2), Some(JobState::Queued));
+    assert!(hand.shard.may_report(hand.now));
     hand.lease_confirmed = false;
     hand.run(2_500);
     assert_eq!(hand.state(2), None);
     assert!(
-        !hand.shard.may_tell(hand.now),
+        !hand.shard.may_report(hand.now),
         "it must not report the number of waiting jobs or its workers' tasks either"
     );
-    assert_eq!(hand.state(1), Some(State::Done), "job {} is over", JobNo(1));
+    assert_eq!(hand.state(1), Some(JobState::Done), "job {} is over", JobNo(1));
     hand.lease_confirmed = true;
     hand.run(100);
-    assert_eq!(hand.state(2), Some(State::Queued));
+    assert_eq!(hand.state(2), Some(JobState::Queued));
 }
 
 #[test]
--- a/tests/shard_unread.rs
+++ b/tests/shard_unread.rs
@@ -3,7 +3,7 @@
 mod yard;
 
 use {
-    dogwoodreach::work::{JobNo, State},
+    dogwoodreach::work::{JobNo, JobState},
     std::time::Duration,
     yard::{ShardSim, job, step, store::Mode},
 };
@@ -26,6 +26,6 @@
         });
         yard.run_until(12_000);
         assert_eq!(yard.rules.start_count, 3, "seed {seed}: the task starts three times");
-        assert_eq!(yard.progress()[&JobNo(1)].state, State::Failed, "seed {seed}");
+        assert_eq!(yard.progress()[&JobNo(1)].state, JobState::Failed, "seed {seed}");
     }
 }
--- a/tests/shard_upkeep.rs
+++ b/tests/shard_upkeep.rs
@@ -20,7 +20,7 @@
 fn set_turns(hand: &mut Harness, number: u64, turns: &[(usize, UpkeepTurn)]) {
     let turns = turns.iter().map(|(at, turn)| (hand.workers[*at].id.clone(), *turn));
     let closing =
-        Closing { place: (1, number), turns: turns.collect::<BTreeMap<WorkerId, UpkeepTurn>>() };
+        Closing { version: (1, number), turns: turns.collect::<BTreeMap<WorkerId, UpkeepTurn>>() };
     hand.deliver(Event::Closing(Arc::new(closing)));
 }
 
@@ -68,11 +68,11 @@
     hand.submit(1, "plain", job(Step { saves: true, ..step(1, 1) }));
     hand.run(100);
     let at = hand.workers_running(task(1, 0))[0];
-    hand.workers[at].row_mut(&task(1, 0)).saved = "a7".into();
+    hand.workers[at].row_mut(&task(1, 0)).checkpoint = "a7".into();
     hand.run(100);
     set_turns(&mut hand, 1, &[(at, UpkeepTurn::Forced)]);
     hand.run_until("it goes on", 500, |h| h.workers_running(task(1, 0)) == [1 - at]);
-    assert_eq!(&*hand.starts_of(1)[1].2.saved, "a7");
+    assert_eq!(&*hand.starts_of(1)[1].2.checkpoint, "a7");
     hand.run_until("clear", 500, |h| clear(h, at));
 }
 
--- a/tests/shard_waits.rs
+++ b/tests/shard_waits.rs
@@ -7,7 +7,7 @@
     dogwoodreach::{
         Time,
         units::Size,
-        work::{AdviceCost, Job, JobNo, Queue, QueueConfig, State, Step, StepKey, Times},
+        work::{AdviceCost, Job, JobNo, JobState, Occurrences, Queue, QueueConfig, Step, StepKey},
     },
     std::{ops::RangeInclusive, sync::Arc, time::Duration},
     yard::{ShardSim, job, rules::UNIX_START_MS, step, store::Mode, worker::Worker},
@@ -40,7 +40,7 @@
         prefix: format!("/{name}/").into(),
         priority,
         advice,
-        ..old.by_name("open").expect("a queue").clone()
+        ..old.queue_by_name("open").expect("a queue").clone()
     };
     let all = vec![
         queue("plain", 1, None),
@@ -98,7 +98,7 @@
         12 => job([Step { copies: true, ..few }]),
         13 => {
             let (first, every) = (UNIX_START_MS + now + rng.u64(0..3_000), rng.u64(200..3_000));
-            Job { times: Some(Times { count: 4, first, every }), ..job([few]) }
+            Job { times: Some(Occurrences { count: 4, first, every }), ..job([few]) }
         }
         14 => job([Step { fills: true, image: "sift".into(), ..few }]),
         _ => job([Step { fills: true, image: "sift".into(), apart: 1, ..few }]),
@@ -318,5 +318,5 @@
     yard.run_until(9_000);
     assert_eq!(yard.run_count(JobNo(1)), 4);
     yard.run_until(20_000);
-    assert_eq!(yard.stored_state(2), Some(State::Done));
+    assert_eq!(yard.stored_state(2), Some(JobState::Done));
 }
--- a/tests/shard_wide.rs
+++ b/tests/shard_wide.rs
@@ -6,7 +6,7 @@
 use {
     dogwoodreach::{
         units::Size,
-        work::{AdviceCost, JobNo, Queue, QueueConfig, State, Step},
+        work::{AdviceCost, JobNo, JobState, Queue, QueueConfig, Step},
     },
     std::{sync::Arc, time::Duration},
     yard::{ShardSim, job, step, worker::Worker},
@@ -33,7 +33,7 @@
         slack: ms(1_000),
         attempts: 4,
         advice: Some(cost),
-        ..old.by_name("open").expect("a queue").clone()
+        ..old.queue_by_name("open").expect("a queue").clone()
     };
     let cost =
         |base, micros| AdviceCost { base: ms(base), each: Duration::from_micros(micros), valid };
@@ -74,7 +74,7 @@
 
 /// Whether a job is stored as done.
 fn done(yard: &ShardSim, no: u64) -> bool {
-    yard.stored_state(no) == Some(State::Done)
+    yard.stored_state(no) == Some(JobState::Done)
 }
 
 /// Advances time until these jobs are done, and returns when the last one was, in milliseconds.
--- a/tests/shift.rs
+++ b/tests/shift.rs
@@ -90,7 +90,7 @@
             Event::Arrive => {
                 let sender = &mut spreads[rng.usize(..senders)];
                 let owner = match ours {
-                    true => sender.pick(Duration::MAX, RUN, now).map(|i| i.0 as usize),
+                    true => sender.pick_peer(Duration::MAX, RUN, now).map(|i| i.0 as usize),
                     false => least(&known),
                 };
                 outcome.without_room += usize::from(owner.is_none());
@@ -198,16 +198,16 @@
     };
     let at = Time::from_millis;
     report(&mut spread, 2, 0, at(0));
-    assert_eq!(spread.pick(long, long, at(1)), Some(peer));
+    assert_eq!(spread.pick_peer(long, long, at(1)), Some(peer));
     spread.record_refusal(peer);
-    assert_eq!(spread.pick(long, RUN, at(1)), None, "the peer refused a request");
+    assert_eq!(spread.pick_peer(long, RUN, at(1)), None, "the peer refused a request");
     report(&mut spread, 2, 0, at(100));
-    assert_eq!(spread.pick(long, RUN, at(101)), Some(peer));
-    assert_eq!(spread.pick(long, RUN, at(3101)), None, "the report is too old");
+    assert_eq!(spread.pick_peer(long, RUN, at(101)), Some(peer));
+    assert_eq!(spread.pick_peer(long, RUN, at(3101)), None, "the report is too old");
     // The request would wait for 100 ms at the peer.
     report(&mut spread, 0, 32, at(4000));
-    assert_eq!(spread.pick(ms(150), RUN, at(4000)), None);
-    assert_eq!(spread.pick(ms(300), RUN, at(4000)), Some(peer));
+    assert_eq!(spread.pick_peer(ms(150), RUN, at(4000)), None);
+    assert_eq!(spread.pick_peer(ms(300), RUN, at(4000)), Some(peer));
     spread.remove_peer(peer);
-    assert_eq!(spread.pick(long, RUN, at(4000)), None);
+    assert_eq!(spread.pick_peer(long, RUN, at(4000)), None);
 }
--- a/tests/site/forms.rs
+++ b/tests/site/forms.rs
@@ -6,11 +6,11 @@
         Error, Kind,
         ids::{PoolId, WorkerId, Zone},
         ports::{
-            Advice, AdviceCall, Bounds, Codec, Fault, Held, Item, Put, Site, StoreCall, StoreReply,
-            Txn, Vm, VmCall, VmLimits, VmPage, VmReply, VmState, Wave, WireRequest, WorkerCall,
-            WorkerReply,
+            Advice, AdviceCall, Bounds, Codec, Fault, Held, Item, Put, SiteSettings, StoreCall,
+            StoreReply, Txn, Vm, VmCall, VmLimits, VmPage, VmReply, VmState, Wave, WireRequest,
+            WorkerCall, WorkerReply,
         },
-        work::{Job, ListedWorker, Queue, QueueConfig, State},
+        work::{Job, JobState, ListedWorker, Queue, QueueConfig},
     },
     serde_json::{Value, json},
     std::time::Duration,
@@ -31,7 +31,7 @@
     decode_store: store,
     encode_worker: |_: &WorkerId, _: &WorkerCall| wire("/worker", json!({})),
     decode_worker: |_: &WorkerCall, _, _| {
-        Ok(WorkerReply::Held(Held { clock: 1, ..Held::default() }))
+        Ok(WorkerReply::Held(Held { clock_ms: 1, ..Held::default() }))
     },
     encode_advice: |_: &AdviceCall| wire("/advice", json!({})),
     decode_advice: |_, _| Ok(Advice::default()),
@@ -42,14 +42,14 @@
     decode_wave: wave,
     encode_wave: |no, over| (format!("told/{no}").into(), over.to_string().into()),
     decode_job: job,
-    encode_state: |s: State| s.to_string().into(),
+    encode_state: |s: JobState| s.to_string().into(),
     encode_waiting: |n| n.to_string().into(),
 };
 
 /// Reads per second that the store serves according to the settings.
 pub const READS_PER_S: f64 = 400.0;
 
-fn settings(text: &str) -> Result<Site, Error> {
+fn settings(text: &str) -> Result<SiteSettings, Error> {
     let bad_settings = |e: &dyn std::fmt::Display| Error::new(Kind::BadSettings, e.to_string());
     let v: Value = serde_json::from_str(text).map_err(|e| bad_settings(&e))?;
     let addr = |name: &str| {
@@ -57,7 +57,7 @@
         text.parse().map_err(|e| bad_settings(&e))
     };
     let ms = Duration::from_millis;
-    Ok(Site {
+    Ok(SiteSettings {
         node: "node".into(),
         zone: Zone::from("z"),
         cores: 1.0,
@@ -184,13 +184,14 @@
 }
 
 fn ask_txn(txn: &Txn) -> Value {
-    let expect: Vec<_> = txn.expect.iter().map(|(k, r)| json!({"key": k, "rev": r})).collect();
+    let expect: Vec<_> =
+        txn.expected_revs.iter().map(|(k, r)| json!({"key": k, "rev": r})).collect();
     let put = |p: &Put| {
         let value = std::str::from_utf8(&p.value).expect("text");
         json!({"key": p.key, "value": value, "lease": p.lease})
     };
     let puts: Vec<_> = txn.puts.iter().map(put).collect();
-    json!({"expect": expect, "puts": puts, "remove": txn.remove})
+    json!({"expect": expect, "puts": puts, "remove": txn.removed_keys})
 }
 
 fn item(v: &Value) -> Item {
--- a/tests/sound.rs
+++ b/tests/sound.rs
@@ -149,7 +149,7 @@
                 })
                 .collect();
             fit.sort();
-            let w = fit.iter().map(|f| f.3).find(|w| !judged || sounds[*w].probe(now));
+            let w = fit.iter().map(|f| f.3).find(|w| !judged || sounds[*w].try_probe(now));
             room = busy.iter().any(|b| *b < SLOTS);
             let Some(w) = w else { return true };
             busy[w] += 1;
@@ -252,13 +252,13 @@
     for (n, secs) in [2, 4, 8, 16, 16].into_iter().enumerate() {
         let until = now + Duration::from_secs(secs);
         assert_eq!(sound.verdict(now), Verdict::Quarantined { until });
-        assert!(!sound.probe(now));
+        assert!(!sound.try_probe(now));
         now = until;
-        assert!(sound.probe(now) && !sound.probe(now), "a second probe was allowed");
+        assert!(sound.try_probe(now) && !sound.try_probe(now), "a second probe was allowed");
         sound.record_end(JobNo(9 + n as u64), false, 0, now);
     }
     now = now + Duration::from_secs(16);
-    assert!(sound.probe(now));
+    assert!(sound.try_probe(now));
     sound.record_end(JobNo(5), true, 0, now);
     assert_eq!(sound.verdict(now), Verdict::Sound);
 }
@@ -308,7 +308,7 @@
         sound.record_end(JobNo(1), false, 0, Time::ZERO);
         sound.record_end(JobNo(2), false, 0, Time::ZERO);
         for now in (0..60_000).step_by(100).map(Time::from_millis) {
-            if sound.probe(now) {
+            if sound.try_probe(now) {
                 probes += 1;
                 sound.record_end(JobNo(1), false, elsewhere, now);
             }
--- a/tests/suspect.rs
+++ b/tests/suspect.rs
@@ -4,7 +4,7 @@
 use {
     dogwoodreach::{
         Time,
-        decide::suspect::{Fault, FaultTracker, Outcome, Trust, Verdict},
+        decide::suspect::{AttemptOutcome, Fault, FaultTracker, TaskVerdict, Trust},
         ids::{TaskId, TaskIndex, WorkerId},
     },
     fastrand::Rng,
@@ -79,7 +79,7 @@
         let task = id(job, index);
         let open = |i: &usize| {
             let (worker, _, busy) = &self.workers[*i];
-            let most = match self.suspects.trust(self.now, worker) {
+            let most = match self.suspects.worker_trust(self.now, worker) {
                 _ if !self.judged => SLOTS,
                 Trust::Full => SLOTS,
                 Trust::Probe => 1,
@@ -128,14 +128,14 @@
         let failed = self.fails(job, i);
         self.failures += u32::from(failed);
         self.done += u32::from(!failed);
-        let outcome = if failed { Outcome::Failed } else { Outcome::Done };
+        let outcome = if failed { AttemptOutcome::Failed } else { AttemptOutcome::Done };
         let verdict =
             self.suspects.record_end(self.now, &id(job, index), &self.workers[i].0, outcome);
         match verdict {
             _ if !self.judged && failed => self.waits.push(Reverse((self.now, job, index))),
-            Verdict::Retry(at) => self.waits.push(Reverse((at, job, index))),
-            Verdict::GiveUp(fault) => drop(self.given_up.insert(job, fault)),
-            Verdict::Completed => {}
+            TaskVerdict::Retry(at) => self.waits.push(Reverse((at, job, index))),
+            TaskVerdict::GiveUp(fault) => drop(self.given_up.insert(job, fault)),
+            TaskVerdict::Completed => {}
         }
     }
 
@@ -171,7 +171,7 @@
     let (judged, plain) = (play(true), play(false));
     println!("failures: judged {}, retried for ever {}", judged.failures, plain.failures);
     assert_eq!((judged.done, judged.given_up.len()), (800, 0));
-    assert_eq!(judged.suspects.quarantined(), [&WorkerId::from("w003")]);
+    assert_eq!(judged.suspects.quarantined_workers(), [&WorkerId::from("w003")]);
     // No task ends on its peers for 10 s; without spacing of starts it would fail 400 tasks until
     // then.
     assert!(judged.failures < 20 && judged.failures * 50 < plain.failures);
@@ -193,7 +193,7 @@
     assert_eq!(judged.done, 700);
     assert!(matches!(judged.given_up.get(&5), Some(Fault::Job(n)) if *n >= 4));
     assert_eq!(judged.given_up.len(), 1);
-    assert!(judged.suspects.quarantined().is_empty());
+    assert!(judged.suspects.quarantined_workers().is_empty());
     assert!(judged.failures * 5 < plain.failures);
 }
 
@@ -207,7 +207,7 @@
     (0..8).for_each(|job| f.submit(job, 100));
     f.play(Time::from_millis(3_600_000));
     println!("failures {}, over at {} s", f.failures, f.now.0 / 1_000_000);
-    assert_eq!((f.done, f.given_up.len(), f.suspects.quarantined().len()), (800, 0, 0));
+    assert_eq!((f.done, f.given_up.len(), f.suspects.quarantined_workers().len()), (800, 0, 0));
     assert!(
         f.failures < 100 && f.now < Time::from_millis(200_000),
         "the trial did not end with the first success"
@@ -224,8 +224,11 @@
     println!("failures {}, given up {:?}", f.failures, f.given_up);
     assert_eq!(f.done, 1200);
     assert_eq!(f.given_up.keys().copied().collect::<Vec<_>>(), [2, 6]);
-    assert_eq!(f.suspects.quarantined(), [&WorkerId::from("w000"), &WorkerId::from("w017")]);
-    assert_eq!(f.suspects.trust(f.now, &"w001".into()), Trust::Full);
+    assert_eq!(
+        f.suspects.quarantined_workers(),
+        [&WorkerId::from("w000"), &WorkerId::from("w017")]
+    );
+    assert_eq!(f.suspects.worker_trust(f.now, &"w001".into()), Trust::Full);
 }
 
 // In a cell that runs nothing else, no worker can be shown to be good. The job is still given up,
@@ -240,11 +243,11 @@
     assert_eq!(f.failures, 12);
 }
 
-fn probe(s: &mut FaultTracker, at: Time, index: u32, outcome: Outcome) {
+fn probe(s: &mut FaultTracker, at: Time, index: u32, outcome: AttemptOutcome) {
     let w = WorkerId::from("w0");
-    assert_eq!(s.trust(at, &w), Trust::Probe);
+    assert_eq!(s.worker_trust(at, &w), Trust::Probe);
     s.record_start(at, &id(0, index), &w);
-    assert_eq!(s.trust(at, &w), Trust::Blocked(Time::NEVER), "a second probe was allowed");
+    assert_eq!(s.worker_trust(at, &w), Trust::Blocked(Time::NEVER), "a second probe was allowed");
     s.record_end(at, &id(0, index), &w, outcome);
 }
 
@@ -257,7 +260,7 @@
     for round in 0..12u32 {
         for i in (0..n).rev() {
             let w = WorkerId::from(format!("w{i}").as_str());
-            let outcome = if i < bad { Outcome::Failed } else { Outcome::Done };
+            let outcome = if i < bad { AttemptOutcome::Failed } else { AttemptOutcome::Done };
             s.record_end(Time::ZERO, &id(0, round * 100 + i as u32), &w, outcome);
         }
     }
@@ -270,19 +273,19 @@
 fn probes_bring_a_mended_worker_back_and_grow_rare_for_a_broken_one() {
     let mut s = pool_with_bad(10, 1);
     let w = WorkerId::from("w0");
-    assert_eq!(s.trust(Time::ZERO, &w), Trust::Blocked(Time::from_millis(30_000)));
+    assert_eq!(s.worker_trust(Time::ZERO, &w), Trust::Blocked(Time::from_millis(30_000)));
     let mut at = Time::from_millis(30_000);
     let mut waits = Vec::new();
     for i in 0..8 {
-        probe(&mut s, at, 9000 + i, Outcome::Failed);
-        let Trust::Blocked(next) = s.trust(at, &w) else { panic!("still broken") };
+        probe(&mut s, at, 9000 + i, AttemptOutcome::Failed);
+        let Trust::Blocked(next) = s.worker_trust(at, &w) else { panic!("still broken") };
         waits.push((next - at).as_secs());
         at = next;
     }
     assert_eq!(waits, [60, 120, 240, 480, 960, 1800, 1800, 1800]);
-    probe(&mut s, at, 9100, Outcome::Stopped);
-    (0..3).for_each(|i| probe(&mut s, at, 9200 + i, Outcome::Done));
-    assert_eq!(s.trust(at, &w), Trust::Full);
+    probe(&mut s, at, 9100, AttemptOutcome::Stopped);
+    (0..3).for_each(|i| probe(&mut s, at, 9200 + i, AttemptOutcome::Done));
+    assert_eq!(s.worker_trust(at, &w), Trust::Full);
 }
 
 // A mount that half of the pool needs is gone. Quarantining all failing workers would leave too few
@@ -290,9 +293,9 @@
 #[test]
 fn no_more_than_a_fifth_of_a_pool_is_quarantined() {
     let s = pool_with_bad(20, 6);
-    assert_eq!(s.quarantined().len(), 4);
-    assert!(s.spared() > 0);
-    assert_eq!(pool_with_bad(5, 1).quarantined().len(), 1);
+    assert_eq!(s.quarantined_workers().len(), 4);
+    assert!(s.spared_failures() > 0);
+    assert_eq!(pool_with_bad(5, 1).quarantined_workers().len(), 1);
 }
 
 // A rack's switch fails, and its five workers fail everything they start before any of them is
@@ -303,17 +306,17 @@
     for i in [0, 2, 4, 6, 8] {
         let w = WorkerId::from(format!("w{i}").as_str());
         assert!(matches!(
-            s.record_end(Time::ZERO, &id(1, 0), &w, Outcome::Failed),
-            Verdict::Retry(_)
+            s.record_end(Time::ZERO, &id(1, 0), &w, AttemptOutcome::Failed),
+            TaskVerdict::Retry(_)
         ));
     }
     let late = Time::from_millis(600_000);
     assert!(matches!(
-        s.record_end(late, &id(1, 0), &"w8".into(), Outcome::Failed),
-        Verdict::Retry(_)
+        s.record_end(late, &id(1, 0), &"w8".into(), AttemptOutcome::Failed),
+        TaskVerdict::Retry(_)
     ));
-    let last = s.record_end(late, &id(1, 0), &"w1".into(), Outcome::Failed);
-    assert_eq!(last, Verdict::GiveUp(Fault::Task(6)));
+    let last = s.record_end(late, &id(1, 0), &"w1".into(), AttemptOutcome::Failed);
+    assert_eq!(last, TaskVerdict::GiveUp(Fault::Task(6)));
 }
 
 // Four broken workers in quarantine each pass one probe by chance and then fail a good new job,
@@ -325,9 +328,12 @@
     for i in 0..8 {
         let w = WorkerId::from(format!("w{}", i % 4).as_str());
         s.record_start(at, &id(0, 5000), &w);
-        s.record_end(at, &id(0, 5000), &w, Outcome::Done);
+        s.record_end(at, &id(0, 5000), &w, AttemptOutcome::Done);
         let later = at + Duration::from_secs(600) * (i / 4);
-        assert!(matches!(s.record_end(later, &id(1, 0), &w, Outcome::Failed), Verdict::Retry(_)));
+        assert!(matches!(
+            s.record_end(later, &id(1, 0), &w, AttemptOutcome::Failed),
+            TaskVerdict::Retry(_)
+        ));
     }
 }
 
@@ -337,7 +343,8 @@
 fn the_wait_between_attempts_doubles_with_jitter_up_to_five_minutes() {
     let mut s = pool_with_bad(10, 0);
     for full in [2, 4, 8, 16, 32, 64, 128, 256, 300, 300, 300] {
-        let Verdict::Retry(at) = s.record_end(Time::ZERO, &id(1, 0), &"w1".into(), Outcome::Failed)
+        let TaskVerdict::Retry(at) =
+            s.record_end(Time::ZERO, &id(1, 0), &"w1".into(), AttemptOutcome::Failed)
         else {
             panic!("a single worker does not prove a fault of the job");
         };
@@ -352,7 +359,7 @@
 fn a_returned_worker_is_judged_by_new_evidence() {
     let mut s = pool_with_bad(10, 1);
     let at = Time::from_millis(30_000);
-    (0..3).for_each(|i| probe(&mut s, at, 9200 + i, Outcome::Done));
-    s.record_end(at, &id(0, 9300), &"w0".into(), Outcome::Failed);
-    assert_eq!(s.trust(at, &"w0".into()), Trust::Full);
+    (0..3).for_each(|i| probe(&mut s, at, 9200 + i, AttemptOutcome::Done));
+    s.record_end(at, &id(0, 9300), &"w0".into(), AttemptOutcome::Failed);
+    assert_eq!(s.worker_trust(at, &"w0".into()), Trust::Full);
 }
