--- a/tests/table.rs
+++ b/tests/table.rs
@@ -6,8 +6,8 @@
         decide::lanes::Peers,
         ids::{Incarnation, Zone},
         member_table::{
-            MAX_STORE_SILENCE, MemberTable, Outcome, RANK_DELAY, RELAYED_DELAY, TAKEOVER_GRACE,
-            Takeover, member_key,
+            MAX_STORE_SILENCE, MemberTable, RANK_DELAY, RELAYED_DELAY, TAKEOVER_GRACE, Takeover,
+            TakeoverOutcome, member_key,
         },
         ports::{Item, Rev},
         shard::record::{self, LAYOUT_KEY, Layout, MemberRow, OwnerRow, ShardNo},
@@ -52,7 +52,7 @@
             record::encode(&Layout {
                 shards,
                 secret: "s".into(),
-                homes: vec![],
+                worker_shards: vec![],
                 pools: BTreeMap::new(),
             }),
         );
@@ -96,8 +96,8 @@
     /// Starts a member that reads the whole table.
     fn start(&mut self, member: Incarnation) {
         let mut table = MemberTable::new(member);
-        table.note_answer(self.now);
-        table.load(self.items.values().cloned().collect(), self.rev, self.now);
+        table.record_answer(self.now);
+        table.load_snapshot(self.items.values().cloned().collect(), self.rev, self.now);
         self.tables.insert(member, table);
     }
 
@@ -108,21 +108,21 @@
     }
 
     fn owner(&self, shard: ShardNo) -> Option<OwnerRow> {
-        record::decode(self.items.get(&shard.owner())?.value.as_ref()?)
+        record::decode(self.items.get(&shard.owner_key())?.value.as_ref()?)
     }
 
     /// Applies a takeover as the store does.
-    fn apply(&mut self, member: Incarnation, takeover: &Takeover) -> Outcome {
-        let rev = self.items.get(&takeover.shard.owner()).map_or(0, |i| i.rev);
+    fn apply(&mut self, member: Incarnation, takeover: &Takeover) -> TakeoverOutcome {
+        let rev = self.items.get(&takeover.shard.owner_key()).map_or(0, |i| i.rev);
         if rev != takeover.owner_rev {
-            return Outcome::Conflict(
-                self.items.get(&takeover.shard.owner()).cloned().into_iter().collect(),
+            return TakeoverOutcome::Conflict(
+                self.items.get(&takeover.shard.owner_key()).cloned().into_iter().collect(),
             );
         }
         let row =
             OwnerRow { owner: Some(member), token: takeover.token, control: Some(address(member)) };
-        let rev = self.write(takeover.shard.owner(), record::encode(&row));
-        Outcome::Done(rev, takeover.token)
+        let rev = self.write(takeover.shard.owner_key(), record::encode(&row));
+        TakeoverOutcome::Done(rev, takeover.token)
     }
 
     /// Advances the time in steps of 20 ms, with the store answering all members, and applies their
@@ -133,7 +133,7 @@
             self.now = self.now + Duration::from_millis(20);
             for member in self.tables.keys().copied().collect::<Vec<_>>() {
                 let now = self.now;
-                self.table(member).note_answer(now);
+                self.table(member).record_answer(now);
                 self.step(member);
             }
         }
@@ -249,7 +249,7 @@
     assert_eq!(view.available_members(), back);
     let mut asked = BTreeSet::new();
     for shard in (0..4).map(ShardNo) {
-        let Peers { own, shared } = view.advice_members(shard);
+        let Peers { unshared: own, shared } = view.advice_members(shard);
         let all: Vec<_> = own.into_iter().chain(shared).collect();
         let each: BTreeSet<_> = all.iter().copied().collect();
         assert_eq!(all.len(), each.len(), "once");
@@ -266,10 +266,10 @@
     let view = cell.table(id(1)).view();
     let mut first = BTreeSet::new();
     for shard in (0..4).map(ShardNo) {
-        let Peers { own, shared } = view.advice_members(shard);
+        let Peers { unshared: own, shared } = view.advice_members(shard);
         assert!(own.len() >= 5);
         for other in (0..4).map(ShardNo).filter(|s| *s != shard) {
-            let Peers { own: others, .. } = view.advice_members(other);
+            let Peers { unshared: others, .. } = view.advice_members(other);
             assert!(!others.iter().any(|m| own.contains(m) || shared.contains(m)));
         }
         first.extend(own.into_iter().chain(shared).take(10));
@@ -312,7 +312,7 @@
     let now = cell.now;
     let takeovers = cell.table(member).due_takeovers(now);
     for takeover in &takeovers {
-        cell.table(member).finish_takeover(takeover, Outcome::NotWritten, now);
+        cell.table(member).finish_takeover(takeover, TakeoverOutcome::NotWritten, now);
     }
     !takeovers.is_empty()
 }
@@ -325,10 +325,10 @@
     cell.advance(SETTLE_TIME);
     let first = cell.owner(ShardNo(0)).expect("owned").owner.expect("a member");
     let now = cell.now;
-    cell.table(first).stop();
+    cell.table(first).stop_takeovers();
     cell.join(first, true);
     let row = OwnerRow { owner: None, token: 1, control: None };
-    cell.write(ShardNo(0).owner(), record::encode(&row));
+    cell.write(ShardNo(0).owner_key(), record::encode(&row));
     cell.table(first).remove_owned(ShardNo(0), now);
     cell.advance(Duration::from_millis(20));
     let row = cell.owner(ShardNo(0)).expect("owned");
@@ -343,7 +343,7 @@
     let mut cell = Cell::new(1, 1);
     let late = cell.now + MAX_STORE_SILENCE + Duration::from_millis(1);
     assert!(cell.table(id(1)).due_takeovers(late).is_empty());
-    cell.table(id(1)).note_answer(late);
+    cell.table(id(1)).record_answer(late);
     assert_eq!(cell.table(id(1)).due_takeovers(late).len(), 1);
 }
 
@@ -359,7 +359,7 @@
     // The other member gets no answer for longer than the grace period.
     cell.now = cell.now + TAKEOVER_GRACE + MAX_STORE_SILENCE * 2;
     let now = cell.now;
-    cell.table(other).note_answer(now);
+    cell.table(other).record_answer(now);
     assert!(cell.table(other).due_takeovers(now).is_empty());
     cell.join(owner, false);
     cell.advance(SETTLE_TIME);
@@ -393,8 +393,8 @@
     let now = cell.now;
     let takeover = cell.table(id(1)).due_takeovers(now).remove(0);
     cell.apply(id(1), &takeover);
-    let read = cell.items.get(&ShardNo(0).owner()).cloned();
-    cell.table(id(1)).finish_takeover(&takeover, Outcome::Unclear(read), now);
+    let read = cell.items.get(&ShardNo(0).owner_key()).cloned();
+    cell.table(id(1)).finish_takeover(&takeover, TakeoverOutcome::Unclear(read), now);
     assert!(cell.table(id(1)).owned().is_empty(), "nothing is assumed");
     cell.advance(Duration::from_secs(1));
     assert_eq!(cell.table(id(1)).owned().get(&ShardNo(0)), Some(&2));
@@ -407,7 +407,7 @@
     let mut cell = Cell::new(1, 1);
     let now = cell.now;
     let takeover = cell.table(id(1)).due_takeovers(now).remove(0);
-    cell.table(id(1)).finish_takeover(&takeover, Outcome::Unclear(None), now);
+    cell.table(id(1)).finish_takeover(&takeover, TakeoverOutcome::Unclear(None), now);
     cell.apply(id(1), &takeover);
     cell.advance(Duration::from_secs(1));
     let row = cell.owner(ShardNo(0)).expect("owned");
@@ -425,7 +425,8 @@
     let other = if owner == id(1) { id(2) } else { id(1) };
     cell.rev += 1;
     let row = OwnerRow { owner: Some(other), token: 2, control: None };
-    let item = Item { key: ShardNo(0).owner(), value: Some(record::encode(&row)), rev: cell.rev };
+    let item =
+        Item { key: ShardNo(0).owner_key(), value: Some(record::encode(&row)), rev: cell.rev };
     let (now, rev) = (cell.now, cell.rev);
     assert_eq!(cell.table(owner).apply_changes(vec![item], rev, now), [ShardNo(0)]);
     assert!(cell.table(owner).owned().is_empty());
@@ -438,16 +439,16 @@
     // shard away from this member.
     let mut cell = Cell::new(1, 1);
     let row = OwnerRow { owner: None, token: 4, control: None };
-    cell.write(ShardNo(0).owner(), record::encode(&row));
+    cell.write(ShardNo(0).owner_key(), record::encode(&row));
     let old: Vec<Item> = cell.items.values().cloned().collect();
     let rev = cell.rev;
     cell.advance(Duration::from_secs(1));
     let now = cell.now;
-    assert!(cell.table(id(1)).load(old, rev, now).is_empty());
+    assert!(cell.table(id(1)).load_snapshot(old, rev, now).is_empty());
     assert_eq!(cell.table(id(1)).owned().get(&ShardNo(0)), Some(&5));
     let bare: Vec<Item> =
-        cell.items.values().filter(|i| i.key != ShardNo(0).owner()).cloned().collect();
-    assert!(cell.table(id(1)).load(bare, rev, now).is_empty());
+        cell.items.values().filter(|i| i.key != ShardNo(0).owner_key()).cloned().collect();
+    assert!(cell.table(id(1)).load_snapshot(bare, rev, now).is_empty());
     assert_eq!(cell.table(id(1)).owned().get(&ShardNo(0)), Some(&5));
 }
 
--- a/tests/turns.rs
+++ b/tests/turns.rs
@@ -27,7 +27,7 @@
         turns.record_wait(&pools[1], true, now);
     }
     assert!(turns.may_call(&pools[0], true, now), "both pools have calls of the same weight");
-    turns.record_done(Incarnation(0), now);
+    turns.record_call_end(Incarnation(0), now);
     turns.record_wait(&pools[0], true, now);
     assert!(!turns.may_call(&pools[1], true, now), "the other pool's calls weigh less");
 }
--- a/tests/upkeep.rs
+++ b/tests/upkeep.rs
@@ -44,7 +44,7 @@
     sim.take_over();
     sim.run(60_000);
     assert_eq!(sim.calls, 0);
-    assert!(!sim.holders[1].upkeep.busy());
+    assert!(!sim.holders[1].upkeep.has_work());
 }
 
 #[test]
--- a/tests/wave/mod.rs
+++ b/tests/wave/mod.rs
@@ -16,7 +16,7 @@
             Occupancy, PoolWait,
             record::{CLOSING_KEY, Closing, UpkeepTurn, decode},
         },
-        upkeep::{Event, LEDGER_KEY, Order, Setup, Upkeep},
+        upkeep::{LEDGER_KEY, Upkeep, UpkeepEvent, UpkeepRequest, UpkeepSetup},
     },
     std::{
         collections::{BTreeMap, VecDeque},
@@ -60,12 +60,12 @@
     pub token: u64,
     pub gone: bool,
     pub paused: bool,
-    backlog: Vec<Event>,
+    backlog: Vec<UpkeepEvent>,
 }
 
 enum Message {
-    Deliver(usize, Event),
-    Execute(usize, Order),
+    Deliver(usize, UpkeepEvent),
+    Execute(usize, UpkeepRequest),
     Late(VmCall),
 }
 
@@ -141,7 +141,7 @@
         };
         let told = |no, over: bool| (format!("told/{no}").into(), over.to_string().into());
         let holder = format!("node-{token}").into();
-        let upkeep = Upkeep::new(Setup {
+        let upkeep = Upkeep::new(UpkeepSetup {
             holder,
             token,
             limits: fleet,
@@ -166,13 +166,13 @@
     /// Sends the standby pools to all holders.
     pub fn send_pools(&mut self) {
         for at in 0..self.holders.len() {
-            self.deliver(at, Event::Pools([PoolId::from(SPARE)].into()));
+            self.deliver(at, UpkeepEvent::Pools([PoolId::from(SPARE)].into()));
         }
     }
 
     /// Sets how long the pool's work has waited, in milliseconds.
     pub fn set_wait(&mut self, ms: u64) {
-        self.needs = vec![PoolWait { pool: "pool".into(), waits: ms }];
+        self.needs = vec![PoolWait { pool: "pool".into(), wait_ms: ms }];
     }
 
     /// Number of lent VMs.
@@ -193,7 +193,7 @@
     pub fn send_waves(&mut self) {
         let left = !self.closing().turns.is_empty();
         for at in 0..self.holders.len() {
-            self.deliver(at, Event::Waves(self.waves.clone(), left));
+            self.deliver(at, UpkeepEvent::Waves(self.waves.clone(), left));
         }
     }
 
@@ -213,7 +213,7 @@
         self.wave_state() == Some(true)
     }
 
-    fn deliver(&mut self, at: usize, event: Event) {
+    fn deliver(&mut self, at: usize, event: UpkeepEvent) {
         let holder = &mut self.holders[at];
         if holder.gone {
             return;
@@ -221,7 +221,7 @@
         if holder.paused {
             return holder.backlog.push(event);
         }
-        for order in holder.upkeep.on(event, self.now) {
+        for order in holder.upkeep.handle_event(event, self.now) {
             self.calls += 1;
             self.messages.push((self.now + ANSWER_DELAY, Message::Execute(at, order)));
         }
@@ -292,7 +292,7 @@
             }
         }
         for at in 0..self.holders.len() {
-            self.deliver(at, Event::Tick);
+            self.deliver(at, UpkeepEvent::Tick);
         }
         self.check();
     }
@@ -315,33 +315,40 @@
         }
     }
 
-    fn execute(&mut self, from: usize, order: Order) {
+    fn execute(&mut self, from: usize, order: UpkeepRequest) {
         let back = self.now + ANSWER_DELAY;
         let unheard = self.now + CALL_TIMEOUT;
         let (at, event) = match order {
-            Order::ReadLedger => (back, Event::LedgerRead(Ok(self.store.get(LEDGER_KEY)))),
-            Order::Write(number, txn) => match self
-                .write_fates
-                .pop_front()
-                .unwrap_or(CallOutcome::Answered)
-            {
-                CallOutcome::Answered => (back, Event::Written(number, Ok(self.store.txn(&txn)))),
-                CallOutcome::Refused => (back, Event::Written(number, Err(Fault::Refused))),
-                CallOutcome::Unanswered => (unheard, Event::Written(number, Err(Fault::Unknown))),
-                CallOutcome::AnswerLost(wait) => {
-                    self.late_writes.push((self.now + wait, txn));
-                    (unheard, Event::Written(number, Err(Fault::Unknown)))
+            UpkeepRequest::ReadLedger => {
+                (back, UpkeepEvent::LedgerRead(Ok(self.store.get(LEDGER_KEY))))
+            }
+            UpkeepRequest::Write(number, txn) => {
+                match self.write_fates.pop_front().unwrap_or(CallOutcome::Answered) {
+                    CallOutcome::Answered => {
+                        (back, UpkeepEvent::Written(number, Ok(self.store.txn(&txn))))
+                    }
+                    CallOutcome::Refused => {
+                        (back, UpkeepEvent::Written(number, Err(Fault::Refused)))
+                    }
+                    CallOutcome::Unanswered => {
+                        (unheard, UpkeepEvent::Written(number, Err(Fault::Unknown)))
+                    }
+                    CallOutcome::AnswerLost(wait) => {
+                        self.late_writes.push((self.now + wait, txn));
+                        (unheard, UpkeepEvent::Written(number, Err(Fault::Unknown)))
+                    }
                 }
-            },
-            Order::ListVms => {
+            }
+            UpkeepRequest::ListVms => {
                 self.list_reads += 1;
                 let all = self.list_history.front().expect("time has passed").1.clone();
-                (back, Event::VmsListed(self.now, Ok(all)))
-            }
-            Order::AskOwners(workers) => {
-                (back, Event::OwnersReported(self.now, self.reports(&workers), self.needs.clone()))
+                (back, UpkeepEvent::VmsListed(self.now, Ok(all)))
             }
-            Order::OrderVm(call) => {
+            UpkeepRequest::AskOwners(workers) => (
+                back,
+                UpkeepEvent::OwnersReported(self.now, self.reports(&workers), self.needs.clone()),
+            ),
+            UpkeepRequest::OrderVm(call) => {
                 let told = call.clone();
                 let (at, reply) = match self.order_fates.pop_front().unwrap_or(OrderFate::Answered)
                 {
@@ -357,7 +364,7 @@
                         (unheard, Err(Fault::Unknown))
                     }
                 };
-                (at, Event::Answered(told, reply))
+                (at, UpkeepEvent::Answered(told, reply))
             }
         };
         self.messages.push((at, Message::Deliver(from, event)));
@@ -371,8 +378,8 @@
             closed: m.closed.0.is_some(),
             known: true,
             leaving: false,
-            brief: u32::from(m.busy && !m.empty(self.now)),
-            lasting: 0,
+            finite_count: u32::from(m.busy && !m.empty(self.now)),
+            long_running_count: 0,
         };
         asked.map(one).collect()
     }
--- a/tests/yard/events.rs
+++ b/tests/yard/events.rs
@@ -9,11 +9,12 @@
         if self.store.health == Mode::Down {
             return self.at(self.now.0 / 1_000 + 200, ShardSim::take_over);
         }
-        let old = self.store.get(&SHARD.owner()).and_then(|i| i.value);
+        let old = self.store.get(&SHARD.owner_key()).and_then(|i| i.value);
         let token = old.and_then(|v| decode::<OwnerRow>(&v)).map_or(1, |r| r.token + 1);
         let me = Incarnation(100 + token);
-        self.store.put(SHARD.owner(), encode(&OwnerRow { owner: Some(me), token, control: None }));
-        let commit = self.store.put(SHARD.commit(), encode(&CommitRow { token, number: 0 }));
+        self.store
+            .put(SHARD.owner_key(), encode(&OwnerRow { owner: Some(me), token, control: None }));
+        let commit = self.store.put(SHARD.commit_key(), encode(&CommitRow { token, number: 0 }));
         let setup = Setup {
             shard: SHARD,
             member: me,
@@ -47,7 +48,7 @@
         }
         let first = [Event::Listed(listed), Event::Peers(self.callers(me)), Event::Confirmed(now)];
         first.into_iter().for_each(|e| self.schedule(now, Delivery::Event(owner, e)));
-        if self.closing.place.1 > 0 {
+        if self.closing.version.1 > 0 {
             self.schedule(now, Delivery::Event(owner, Event::Closing(self.closing.clone())));
         }
     }
@@ -55,7 +56,7 @@
     /// The members that can call for advice, starting with the owner.
     pub(super) fn callers(&self, me: Incarnation) -> Peers {
         let own = (8..8 + self.members).map(|n| if n == 8 { me } else { Incarnation(n) });
-        Peers { own: own.collect(), shared: self.shared_members.clone() }
+        Peers { unshared: own.collect(), shared: self.shared_members.clone() }
     }
 
     /// Adds members that another shard's owner uses too. From `ms` on, that owner has two calls in
@@ -75,17 +76,18 @@
 
     /// Reads from the store what a new owner of the shard needs.
     pub(super) fn load(&self, commit: u64) -> Snapshot {
-        let inbox = self.store.range(&SHARD.inbox());
+        let inbox = self.store.range(&SHARD.inbox_prefix());
         let tail = |key: &str| key.rsplit('/').next().and_then(|n| n.parse().ok());
         let of = |kind: &str| {
-            let all =
-                inbox.iter().filter(|(k, _)| k.starts_with(&format!("{}{kind}/", SHARD.inbox())));
+            let all = inbox
+                .iter()
+                .filter(|(k, _)| k.starts_with(&format!("{}{kind}/", SHARD.inbox_prefix())));
             all.filter_map(|(k, v)| Some((tail(k)?, v.clone()))).collect::<Vec<(JobNo, _)>>()
         };
         let progress: Vec<(JobNo, Progress)> = self.progress().into_iter().collect();
         let over = |job| progress.iter().any(|(j, p)| *j == job && p.state.is_final());
         let jobs = of("j").into_iter().filter(|(j, _)| !over(*j));
-        let roster = self.store.get(&SHARD.roster()).and_then(|i| i.value);
+        let roster = self.store.get(&SHARD.roster_key()).and_then(|i| i.value);
         Snapshot {
             jobs: jobs.filter_map(|(j, v)| Some((j, decode(&v)?))).collect(),
             cancels: of("c").into_iter().map(|c| c.0).collect(),
@@ -102,7 +104,7 @@
 
     /// Progress of all jobs in the store.
     pub fn progress(&self) -> BTreeMap<JobNo, Progress> {
-        let all = self.store.range(&SHARD.all_progress()).into_iter();
+        let all = self.store.range(&SHARD.progress_prefix()).into_iter();
         let one = |(k, v): (Box<str>, bytes::Bytes)| {
             Some((k.rsplit('/').next()?.parse().ok()?, decode(&v)?))
         };
@@ -166,9 +168,9 @@
 
     /// Tells the owners which workers are to be emptied.
     pub fn set_closing(&mut self, turns: &[(usize, UpkeepTurn)]) {
-        let place = (1, self.closing.place.1 + 1);
+        let place = (1, self.closing.version.1 + 1);
         let turns = turns.iter().map(|(at, turn)| (self.world.id(*at), *turn)).collect();
-        self.closing = Arc::new(Closing { place, turns });
+        self.closing = Arc::new(Closing { version: place, turns });
         let closing = Event::Closing(self.closing.clone());
         self.broadcast(self.now + Duration::from_millis(50), closing);
     }
--- a/tests/yard/mail.rs
+++ b/tests/yard/mail.rs
@@ -16,7 +16,7 @@
             }
             Delivery::AnswerAdvice(owner, via, call, sent, number) => {
                 let now = self.now;
-                self.advice_desk(via).done(number, now);
+                self.advice_desk(via).record_end(number, now);
                 let valid = self.advice_cost(&call).valid;
                 let reply = Ok(self.world.advice.answer(&call, valid, self.now));
                 let at = self.now + self.network_delay();
@@ -159,7 +159,7 @@
         };
         let (at, reply) = match fate {
             CallOutcome::Answered => {
-                let row = self.store.get(&SHARD.commit()).and_then(row);
+                let row = self.store.get(&SHARD.commit_key()).and_then(row);
                 (self.now + self.store.draw_delay(), row.ok_or(Fault::Bad("no commit row".into())))
             }
             CallOutcome::Refused => (self.now + self.store.draw_delay(), Err(Fault::Refused)),
@@ -204,7 +204,7 @@
         };
         match (admitted, fault == Fault::Unknown) {
             (Some(number), true) => self.schedule(at, Delivery::AdviceTimeout(via, number)),
-            (Some(number), false) => self.advice_desk(via).done(number, now),
+            (Some(number), false) => self.advice_desk(via).record_end(number, now),
             (None, _) => self.refused_calls += 1,
         }
         let event = Event::Advised { call, via, sent, reply: Err(fault) };
@@ -226,7 +226,7 @@
         let over = self.world.advice.accept(via, &call, takes, now).unwrap_or(now);
         let action = move |y: &mut ShardSim| {
             let now = y.now;
-            y.advice_desk(via).done(number, now);
+            y.advice_desk(via).record_end(number, now);
             y.make_other_call(via, cost);
         };
         self.schedule(over, Delivery::Act(Box::new(action)));
--- a/tests/yard/mod.rs
+++ b/tests/yard/mod.rs
@@ -26,7 +26,7 @@
                 decode, encode,
             },
         },
-        work::{AdviceCost, Job, JobNo, ListedWorker, QueueConfig, State, StepKey},
+        work::{AdviceCost, Job, JobNo, JobState, ListedWorker, QueueConfig, StepKey},
     },
     rules::{Breach, Rules, UNIX_START_MS},
     std::{
@@ -252,9 +252,14 @@
             let later = self.now.0 / 1_000 + 500;
             return self.at(later, move |y| y.submit(no, &queue, job));
         }
-        let terms = self.world.queues.by_name(&queue).cloned().map(Box::new);
-        let record = JobRecord { queue, came: UNIX_START_MS + self.now.0 / 1_000, job, terms };
-        self.store.put(SHARD.job(JobNo(no)), encode(&record));
+        let terms = self.world.queues.queue_by_name(&queue).cloned().map(Box::new);
+        let record = JobRecord {
+            queue,
+            submitted_ms: UNIX_START_MS + self.now.0 / 1_000,
+            job,
+            queue_settings: terms,
+        };
+        self.store.put(SHARD.job_key(JobNo(no)), encode(&record));
         self.world.jobs.insert(JobNo(no), record.clone());
         self.send_inbox_change(Event::Job(JobNo(no), Box::new(record)));
     }
@@ -275,7 +280,7 @@
         if self.store.health == Mode::Down {
             return self.at(self.now.0 / 1_000 + 500, move |y| y.cancel(no));
         }
-        self.store.put(SHARD.cancel(JobNo(no)), "{}".into());
+        self.store.put(SHARD.cancel_key(JobNo(no)), "{}".into());
         self.rules.cancels.entry(JobNo(no)).or_insert(self.now);
         self.send_inbox_change(Event::Cancel(JobNo(no)));
     }
@@ -322,7 +327,7 @@
         }
         assert_kept(result);
         for (key, value) in std::mem::take(&mut self.store.unjudged_writes) {
-            let job = key.strip_prefix(&*SHARD.all_progress()).and_then(|j| j.parse().ok());
+            let job = key.strip_prefix(&*SHARD.progress_prefix()).and_then(|j| j.parse().ok());
             if let Some(job) = job {
                 let progress = decode(&value).expect("stored progress is readable");
                 assert_kept(self.rules.check_progress(&self.world, job, &progress));
@@ -414,31 +419,31 @@
     }
 
     /// State of a job in the store.
-    pub fn stored_state(&self, no: u64) -> Option<State> {
-        let item = self.store.get(&SHARD.progress(JobNo(no)))?;
+    pub fn stored_state(&self, no: u64) -> Option<JobState> {
+        let item = self.store.get(&SHARD.progress_key(JobNo(no)))?;
         Some(decode::<Progress>(&item.value?)?.state)
     }
 
     /// Jobs that have not reached their expected final state.
-    pub fn unfinished(&self) -> Vec<(JobNo, Option<State>)> {
+    pub fn unfinished(&self) -> Vec<(JobNo, Option<JobState>)> {
         let progress = self.progress();
         let state = |j: &JobNo| progress.get(j).map(|p| p.state);
         let unfinished = self.world.jobs.keys().filter(|j| !self.is_final(**j, state(j)));
         unfinished.map(|j| (*j, state(j))).collect()
     }
 
-    fn is_final(&self, job: JobNo, state: Option<State>) -> bool {
+    fn is_final(&self, job: JobNo, state: Option<JobState>) -> bool {
         let steps = &self.world.jobs[&job].job.steps;
         if self.rules.cancels.contains_key(&job) {
-            return state.is_some_and(State::is_final) && self.run_count(job) == 0;
+            return state.is_some_and(JobState::is_final) && self.run_count(job) == 0;
         }
         let poisoned = self.world.crashing_tasks.iter().any(|t| t.step.job == job);
         if poisoned || self.world.failing_steps.iter().any(|h| h.0 == job) {
-            return state == Some(State::Failed);
+            return state == Some(JobState::Failed);
         }
         let lasting: u32 = steps.iter().filter(|s| s.lasts).map(|s| s.count).sum();
         match lasting {
-            0 => state == Some(State::Done),
+            0 => state == Some(JobState::Done),
             count => self.run_count(job) == count as usize,
         }
     }
--- a/tests/yard_crash.rs
+++ b/tests/yard_crash.rs
@@ -4,7 +4,7 @@
 mod yard;
 
 use {
-    dogwoodreach::work::{JobNo, State, Step, StepKey, TaskKey},
+    dogwoodreach::work::{JobNo, JobState, Step, StepKey, TaskKey},
     std::time::Duration,
     yard::{ShardSim, job, step},
 };
@@ -52,7 +52,7 @@
     yard.run_until(15_000);
     yard.run_until_settled(SETTLE_MS);
     for no in 2..=LAST_ORDINARY_JOB {
-        assert_eq!(yard.stored_state(no), Some(State::Done), "seed {seed}: job {no}");
+        assert_eq!(yard.stored_state(no), Some(JobState::Done), "seed {seed}: job {no}");
     }
 }
 
--- a/tests/yard_upkeep.rs
+++ b/tests/yard_upkeep.rs
@@ -13,7 +13,7 @@
             event::Event as ShardEvent,
             record::{CLOSING_KEY, Closing, decode},
         },
-        upkeep::{Event, LEDGER_KEY, Order, Setup, Upkeep},
+        upkeep::{LEDGER_KEY, Upkeep, UpkeepEvent, UpkeepRequest, UpkeepSetup},
         work::{JobNo, Step},
     },
     std::{collections::BTreeSet, sync::Arc, time::Duration},
@@ -50,7 +50,7 @@
         holder_gap: Duration::from_secs(3),
     };
     let outcome = |no, over: bool| (format!("told/{no}").into(), over.to_string().into());
-    Upkeep::new(Setup {
+    Upkeep::new(UpkeepSetup {
         holder: "node".into(),
         token,
         limits: fleet,
@@ -99,7 +99,7 @@
 
     fn send_waves(&mut self) {
         let wave = (1, self.wave.clone());
-        self.deliver(Event::Waves(vec![wave], !self.closing().turns.is_empty()));
+        self.deliver(UpkeepEvent::Waves(vec![wave], !self.closing().turns.is_empty()));
     }
 
     fn closing(&self) -> Closing {
@@ -122,25 +122,29 @@
         self.send_waves();
     }
 
-    fn deliver(&mut self, event: Event) {
+    fn deliver(&mut self, event: UpkeepEvent) {
         let now = self.yard.now;
-        for order in self.upkeep.on(event, now) {
+        for order in self.upkeep.handle_event(event, now) {
             let reply = match order {
-                Order::ReadLedger => Event::LedgerRead(Ok(self.yard.store.get(LEDGER_KEY))),
-                Order::Write(number, txn) => Event::Written(number, Ok(self.yard.store.txn(&txn))),
-                Order::ListVms => Event::VmsListed(now, Ok(self.vms())),
-                Order::AskOwners(workers) => {
+                UpkeepRequest::ReadLedger => {
+                    UpkeepEvent::LedgerRead(Ok(self.yard.store.get(LEDGER_KEY)))
+                }
+                UpkeepRequest::Write(number, txn) => {
+                    UpkeepEvent::Written(number, Ok(self.yard.store.txn(&txn)))
+                }
+                UpkeepRequest::ListVms => UpkeepEvent::VmsListed(now, Ok(self.vms())),
+                UpkeepRequest::AskOwners(workers) => {
                     let owner = self.yard.owner();
                     let gone = owner.ended;
                     let held = owner.shard.occupancy(&workers);
-                    Event::OwnersReported(now, if gone { vec![] } else { held }, vec![])
+                    UpkeepEvent::OwnersReported(now, if gone { vec![] } else { held }, vec![])
                 }
-                Order::OrderVm(call) => {
+                UpkeepRequest::OrderVm(call) => {
                     let reply = Ok(self.order(&call));
                     let lost =
                         self.unanswered_one_in > 0 && self.rng.u32(0..self.unanswered_one_in) == 0;
                     let unknown = Err(dogwoodreach::ports::Fault::Unknown);
-                    Event::Answered(call, if lost { unknown } else { reply })
+                    UpkeepEvent::Answered(call, if lost { unknown } else { reply })
                 }
             };
             self.deliver(reply);
@@ -205,7 +209,7 @@
                 let now = self.yard.now;
                 self.yard.owner().shard.apply(ShardEvent::Closing(Arc::new(closing)), now);
             }
-            self.deliver(Event::Tick);
+            self.deliver(UpkeepEvent::Tick);
             let (seed, now) = (self.yard.rules.seed, self.yard.now);
             for (no, count) in [(1, LASTING_TASKS as usize), (2, 3)] {
                 let working = self.working_tasks(no);
--- a/tests/yard_worker.rs
+++ b/tests/yard_worker.rs
@@ -8,12 +8,12 @@
         Time,
         ids::Incarnation,
         ports::{
-            AdviceCall, End, EndReason, Fault, Held, Put, Refusal, Start, StoreReply, Txn,
-            WorkerCall, WorkerReply as Reply,
+            AdviceCall, EndReason, EndedRun, Fault, Held, Put, Start, StoreReply, Txn, WorkerCall,
+            WorkerRefusal, WorkerReply as Reply,
         },
         shard::record::{JobRecord, Progress, TaskRow},
         units::Size,
-        work::{AdviceCost, Job, JobNo, State, Step, StepKey, TaskKey, Times},
+        work::{AdviceCost, Job, JobNo, JobState, Occurrences, Step, StepKey, TaskKey},
     },
     std::{
         panic::{AssertUnwindSafe, catch_unwind},
@@ -32,7 +32,10 @@
 /// A world of four workers in which job 1 is in a queue.
 fn world(queue: &str, job: Job) -> World {
     let mut world = World::new(1, bounds(), queues(), workers(4));
-    world.jobs.insert(JobNo(1), JobRecord { queue: queue.into(), came: 0, job, terms: None });
+    world.jobs.insert(
+        JobNo(1),
+        JobRecord { queue: queue.into(), submitted_ms: 0, job, queue_settings: None },
+    );
     world
 }
 
@@ -42,7 +45,15 @@
 
 fn order(task: TaskKey, run: u32) -> Start {
     let (text, saved) = ("do it".into(), "".into());
-    Start { task, run, text, until: 1_000_000, token: 1, saved, ticket: None }
+    Start {
+        task,
+        run,
+        payload: text,
+        lease_end_ms: 1_000_000,
+        token: 1,
+        checkpoint: saved,
+        ticket: None,
+    }
 }
 
 fn call(world: &mut World, at: usize, call: WorkerCall) -> Option<Reply> {
@@ -51,7 +62,7 @@
 }
 
 /// Starts a run; returns the reason if the worker refuses it.
-fn start(world: &mut World, at: usize, start: Start) -> Option<Refusal> {
+fn start(world: &mut World, at: usize, start: Start) -> Option<WorkerRefusal> {
     match call(world, at, WorkerCall::Start(start)) {
         Some(Reply::Done(_)) => None,
         Some(Reply::Refused(_, why)) => Some(why),
@@ -82,7 +93,7 @@
 }
 
 fn end_kinds(held: &Held) -> Vec<(u64, u32, EndReason)> {
-    held.ended.iter().map(|e: &End| (e.number, e.task.index, e.how)).collect()
+    held.ended.iter().map(|e: &EndedRun| (e.number, e.task.index, e.reason)).collect()
 }
 
 #[test]
@@ -96,18 +107,18 @@
     w.advance(Time::from_millis(8_200));
     let held = hold(&mut w, 1, None, 0);
     assert_eq!((held.running.len(), end_kinds(&held)), (0, vec![(1, 0, EndReason::Lapsed)]));
-    let late = Start { until: held.clock, ..order(task(0, 1), 1) };
-    assert_eq!(start(&mut w, 1, late), Some(Refusal::Late));
+    let late = Start { lease_end_ms: held.clock_ms, ..order(task(0, 1), 1) };
+    assert_eq!(start(&mut w, 1, late), Some(WorkerRefusal::Late));
 }
 
 #[test]
 fn refused_for_old_still_extends_the_lease() {
     let mut w = world("plain", job([step(2, 60_000)]));
-    let until = |until| Start { until, ..order(task(0, 0), 1) };
+    let until = |until| Start { lease_end_ms: until, ..order(task(0, 0), 1) };
     start(&mut w, 0, until(2_000));
     stop(&mut w, 0, task(0, 1), 3);
-    let old = Start { until: 5_000, ..order(task(0, 1), 3) };
-    assert_eq!(start(&mut w, 0, old), Some(Refusal::Old));
+    let old = Start { lease_end_ms: 5_000, ..order(task(0, 1), 3) };
+    assert_eq!(start(&mut w, 0, old), Some(WorkerRefusal::Old));
     w.advance(Time::from_millis(3_900)); // the clock began at 1,000
     assert_eq!(hold(&mut w, 0, None, 0).running.len(), 1);
     w.advance(Time::from_millis(4_100));
@@ -118,9 +129,9 @@
 fn a_lower_token_does_nothing_until_the_worker_is_another() {
     let mut w = world("plain", job([step(2, 60_000)]));
     assert_eq!(start(&mut w, 0, Start { token: 2, ..order(task(0, 0), 1) }), None);
-    assert_eq!(start(&mut w, 0, order(task(0, 1), 1)), Some(Refusal::Fence));
+    assert_eq!(start(&mut w, 0, order(task(0, 1), 1)), Some(WorkerRefusal::Fence));
     let fence = stop(&mut w, 0, task(0, 0), 1);
-    assert!(matches!(fence, Some(Reply::Refused(_, Refusal::Fence))));
+    assert!(matches!(fence, Some(Reply::Refused(_, WorkerRefusal::Fence))));
     let old = w.id(0);
     w.crash(0);
     assert_eq!(call(&mut w, 0, WorkerCall::Start(order(task(0, 1), 1))), None);
@@ -138,13 +149,13 @@
     (0..4).for_each(|i| assert_eq!(start(&mut w, 0, order(task(0, i), 2)), None));
     assert_eq!(start(&mut w, 0, order(task(0, 0), 2)), None); // it runs already
     stop(&mut w, 0, task(0, 0), 2);
-    assert_eq!(start(&mut w, 0, order(task(0, 4), 1)), Some(Refusal::Room));
+    assert_eq!(start(&mut w, 0, order(task(0, 4), 1)), Some(WorkerRefusal::Room));
     advance_renewing(&mut w, 1_100);
     assert_eq!(end_kinds(&hold(&mut w, 0, None, 0)), [(1, 0, EndReason::Stopped)]);
-    assert_eq!(start(&mut w, 0, order(task(0, 0), 2)), Some(Refusal::Old));
+    assert_eq!(start(&mut w, 0, order(task(0, 0), 2)), Some(WorkerRefusal::Old));
     assert_eq!(start(&mut w, 0, order(task(0, 0), 3)), None);
     stop(&mut w, 1, task(0, 4), 2); // the run hasn't arrived yet
-    assert_eq!(start(&mut w, 1, order(task(0, 4), 1)), Some(Refusal::Old));
+    assert_eq!(start(&mut w, 1, order(task(0, 4), 1)), Some(WorkerRefusal::Old));
 }
 
 #[test]
@@ -184,18 +195,18 @@
     start(&mut w, 0, order(task(0, 0), 1));
     advance_renewing(&mut w, 1_500);
     let shown = hold(&mut w, 0, None, 0).running.remove(0);
-    assert!(shown.saved.starts_with("000003e8"), "{}", shown.saved); // one per second of work
+    assert!(shown.checkpoint.starts_with("000003e8"), "{}", shown.checkpoint); // one per second of work
     assert_eq!(shown.percent, 50);
     stop(&mut w, 0, task(0, 0), 1);
     advance_renewing(&mut w, 1_100);
     let end = hold(&mut w, 0, None, 0).ended.remove(0);
-    assert!(end.saved.starts_with("000005dc"), "{}", end.saved); // and at a stop
-    start(&mut w, 1, Start { saved: end.saved, ..order(task(0, 0), 2) });
+    assert!(end.checkpoint.starts_with("000005dc"), "{}", end.checkpoint); // and at a stop
+    start(&mut w, 1, Start { checkpoint: end.checkpoint, ..order(task(0, 0), 2) });
     advance_renewing(&mut w, 1_900);
     assert!(hold(&mut w, 1, None, 0).ended.is_empty()); // the restore takes 0.5 s
     advance_renewing(&mut w, 200);
     assert_eq!(end_kinds(&hold(&mut w, 1, None, 0)), [(1, 0, EndReason::Done)]);
-    start(&mut w, 1, Start { saved: "00000001~none".into(), ..order(task(0, 0), 3) });
+    start(&mut w, 1, Start { checkpoint: "00000001~none".into(), ..order(task(0, 0), 3) });
     assert!(w.notes.iter().any(|n| matches!(n, Note::Violation(_))));
 }
 
@@ -291,24 +302,28 @@
     assert_eq!(waiting.filter(|a| *a == Err(Fault::Refused)).count(), 9);
     let advice = w.advice.answer(&ask, cost.valid, w.now);
     let ticket = |t: TaskKey| Start { ticket: Some(advice.accepted[0].1.clone()), ..order(t, 1) };
-    assert_eq!(start(&mut w, 2, order(task(0, 0), 1)), Some(Refusal::Ticket));
+    assert_eq!(start(&mut w, 2, order(task(0, 0), 1)), Some(WorkerRefusal::Ticket));
     assert_eq!(start(&mut w, 2, ticket(task(0, 0))), None);
-    assert_eq!(start(&mut w, 3, ticket(task(0, 1))), Some(Refusal::Ticket));
-    assert_eq!(start(&mut w, 2, ticket(task(1, 0))), Some(Refusal::Ticket));
+    assert_eq!(start(&mut w, 3, ticket(task(0, 1))), Some(WorkerRefusal::Ticket));
+    assert_eq!(start(&mut w, 2, ticket(task(1, 0))), Some(WorkerRefusal::Ticket));
     w.advance(Time::from_millis(3_000));
-    assert_eq!(start(&mut w, 2, ticket(task(0, 2))), Some(Refusal::Ticket));
+    assert_eq!(start(&mut w, 2, ticket(task(0, 2))), Some(WorkerRefusal::Ticket));
 }
 
 #[test]
 fn the_store_changes_all_or_nothing() {
     let mut store = Store::new(1);
     let put = |key: &str| Put { key: key.into(), value: "1".into(), lease: 0 };
-    let txn = |rev, puts: Vec<Put>| Txn { expect: vec![("a".into(), rev)], puts, remove: vec![] };
+    let txn = |rev, puts: Vec<Put>| Txn {
+        expected_revs: vec![("a".into(), rev)],
+        puts,
+        removed_keys: vec![],
+    };
     assert_eq!(store.txn(&txn(0, vec![put("a"), put("b")])), StoreReply::Done(8));
     let conflict = store.txn(&txn(0, vec![put("c")]));
     assert!(matches!(conflict, StoreReply::Conflict(items) if items[0].rev == 8));
     assert_eq!((store.rev, store.get("c")), (8, None));
-    let gone = Txn { remove: vec!["b".into()], ..txn(8, vec![]) };
+    let gone = Txn { removed_keys: vec!["b".into()], ..txn(8, vec![]) };
     assert_eq!((store.txn(&gone), store.get("b")), (StoreReply::Done(9), None));
     store.health = Mode::Down;
     assert!(
@@ -344,7 +359,7 @@
     let last = hold(&mut w, 2, None, 4);
     assert!(last.ended.is_empty());
     assert_kept(rules.check(&mut w));
-    assert_kept(rules.check_state(&w, JobNo(1), State::Done));
+    assert_kept(rules.check_state(&w, JobNo(1), JobState::Done));
     assert_eq!(rules.start_count, 4);
 }
 
@@ -397,7 +412,7 @@
         assert_eq!(start(w, 2, order(task(1, 0), 1)), None)
     });
     assert_breach("before it was due", |w, _| {
-        let times = Some(Times { count: 1, first: UNIX_START_MS + 1_000, every: 0 });
+        let times = Some(Occurrences { count: 1, first: UNIX_START_MS + 1_000, every: 0 });
         w.jobs.entry(JobNo(1)).and_modify(|r| r.job.times = times);
         start(w, 2, order(task(0, 0), 1));
     });
@@ -445,12 +460,12 @@
 #[test]
 fn rules_see_what_nobody_asked_for_and_what_is_not_so() {
     assert_breach("was not asked for like this", |w, _| {
-        start(w, 2, Start { text: "do that".into(), ..order(task(0, 0), 1) });
+        start(w, 2, Start { payload: "do that".into(), ..order(task(0, 0), 1) });
     });
     assert_breach("has no checkpoint", |w, _| {
-        start(w, 2, Start { saved: "00000001".into(), ..order(task(0, 0), 1) });
+        start(w, 2, Start { checkpoint: "00000001".into(), ..order(task(0, 0), 1) });
     });
-    for state in [State::Done, State::Failed, State::Cancelled] {
+    for state in [JobState::Done, JobState::Failed, JobState::Cancelled] {
         assert_breach("without cause", |w, rules| {
             assert_kept(rules.check_state(w, JobNo(1), state))
         });
