--- a/src/decide/ahead.rs
+++ b/src/decide/ahead.rs
@@ -1,11 +1,11 @@
 //! Decides when to request tickets for a step that waits for free resources.
 //!
 //! *Load pattern:* tasks that take a whole worker for a few seconds, in a pool with more work than
-//! room. A call for advice takes 0.5 to 1.5 s, and its tickets are valid for little longer.
-//! *Without it:* a step asks only once there is room, and the worker is idle until the answer
-//! arrives. This is a tenth of a pool's time if tasks take 5.6 s and calls 0.6 s, at a moment when
-//! the pool has no time to spare. Steps that could be in time are late, and so is each step behind
-//! them.
+//! room. A call for advice takes 0.5 to 1.5 s, and the tickets that it returns are valid for only
+//! slightly longer than that. *Without prefetching:* a step asks only once there is room, and the
+//! worker is idle until the answer arrives. If tasks take 5.6 s and calls 0.6 s, workers are idle
+//! for a tenth of their time although work is waiting. Steps that could be in time are late, and so
+//! is each step behind them.
 //!
 //! So the first steps in order for a worker ask shortly before its room is expected to become free,
 //! and again before their tickets expire.
--- a/src/decide/fit.rs
+++ b/src/decide/fit.rs
@@ -75,7 +75,8 @@
         if room.serving {
             cost += INTERFERENCE_COST;
         }
-        // Prefers the most free processors per filler.
+        // Prefers the room with the largest share of free processors per filler, counting the
+        // filler to be placed.
         let share = share(room.free.cores.0, room.total.cores.0) / u64::from(room.fillers + 1);
         return cost + 300 - share.min(300);
     }
--- a/src/decide/gather.rs
+++ b/src/decide/gather.rs
@@ -24,10 +24,11 @@
     std::{cmp::Reverse, collections::BTreeMap, time::Duration},
 };
 
-/// Divisor of a pool's size that gives the maximum part kept for gangs that can still be in time.
-pub const KEPT_DIVISOR: u64 = 3;
-/// Divisor of a busy pool's size that gives the maximum part kept for late gangs.
-pub const KEPT_LATE_DIVISOR: u64 = 10;
+/// Divisor of a pool's size that gives the maximum part reserved for gangs that can still be in
+/// time.
+pub const MAX_RESERVED_DIVISOR: u64 = 3;
+/// Divisor of a busy pool's size that gives the maximum part reserved for late gangs.
+pub const MAX_RESERVED_LATE_DIVISOR: u64 = 10;
 /// Minimum ratio of the tasks that the known workers could hold if empty to the tasks of the gang.
 /// Below it advice is requested about more workers.
 pub const MIN_CAPACITY_RATIO: u64 = 2;
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -16,7 +16,7 @@
 //! *No starvation:* a job's latest start is at most `ROOM_WAIT` after its arrival, and precedes the
 //! arrival by at most half of the job's work. A deadline that can no longer be met, by the estimate
 //! and [`WaitingJob::width`], is ignored. So a job of the same team can only be passed by work that
-//! arrived within that time. Between teams, one start in `AGED_START_INTERVAL` goes to the team
+//! arrived within that time. Between teams, one start in `STARTS_PER_AGED_START` goes to the team
 //! that has had no start for longest among those whose first job's latest start has passed,
 //! regardless of the team's share.
 //!
@@ -40,10 +40,10 @@
     },
 };
 
-/// Interval, in starts, between two starts that go to a team by age alone. An eighth of all starts
-/// takes little from the fair shares. At 940 starts per second, each of 310 overdue teams still has
-/// a start within three seconds.
-const AGED_START_INTERVAL: u32 = 8;
+/// Number of starts of which one goes to a team by age alone. An eighth of all starts takes little
+/// from the fair shares. At 940 starts per second, each of 310 overdue teams still has a start
+/// within three seconds.
+const STARTS_PER_AGED_START: u32 = 8;
 /// Maximum number of jobs of a team that are tried against its quota per tick. The others wait for
 /// the next tick. A job that may not borrow must not keep those behind it from borrowing, but the
 /// search must be bounded.
@@ -188,7 +188,7 @@
         let Some(e) = self.jobs.get_mut(&pick.quota_request.task.job) else { return grant };
         if grant != QuotaGrant::Wait {
             e.waiting.remove(&pick.quota_request.task.index);
-            self.start_counter = (self.start_counter + 1) % AGED_START_INTERVAL;
+            self.start_counter = (self.start_counter + 1) % STARTS_PER_AGED_START;
             if let Some(queue) = self.teams.get_mut(&pick.quota_request.team) {
                 queue.last_start = now;
             }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Records a request that is about to be tried, after `tries` tries at any member.
+    /// Records that a request is about to be tried; `tries` is the number of its earlier tries,
+    /// over all members.
     pub fn record_try(&mut self, tries: u32) {
         if tries == 0 {
             self.earned_retries =
--- a/src/decide/standby.rs
+++ b/src/decide/standby.rs
@@ -7,13 +7,14 @@
 //! start like a shortage. VMs move back and forth, each move costs money, and a moving VM is of no
 //! use.
 //!
-//! *Thresholds:* a VM is lent after work that could start has waited for [`LOAN_WAIT`] without a
-//! break. Tasks end every few seconds, so most work finds room by itself sooner, and a move takes
-//! half as long. One VM is lent at a time, and the next only [`LOAN_INTERVAL`] later: the previous
-//! VM has to arrive and fill up before the remaining wait is meaningful. A VM is returned when
-//! nothing has waited for more than [`SHORT_WAIT`] during [`QUIET_PERIOD`], and the VM has been
-//! empty for [`IDLE_PERIOD`]. A move there and back costs about as much as ten seconds of a VM, so
-//! a VM that is returned sooner and needed again would have been cheaper to keep.
+//! *Thresholds:* a VM is lent once the oldest work that could start in a pool has waited for
+//! [`LOAN_WAIT`]. Tasks end every few seconds, so most work finds room in its own pool sooner than
+//! that, and a move takes half as long. One VM is lent at a time, and the next only
+//! [`LOAN_INTERVAL`] later: the previous VM has to arrive and fill up before the remaining wait is
+//! meaningful. A VM is returned when nothing has waited for more than [`SHORT_WAIT`] during
+//! [`QUIET_PERIOD`], and the VM has been empty for [`IDLE_PERIOD`]. A move there and back costs
+//! about as much as running a VM for ten seconds, so returning a VM sooner costs more than keeping
+//! it if the pool needs it again.
 
 use {crate::Time, std::time::Duration};
 
--- a/src/job_api.rs
+++ b/src/job_api.rs
@@ -45,7 +45,7 @@
 const MIN_REMAINING: Duration = Duration::from_millis(20);
 /// Delay after which a caller may retry if the configuration or the table is unknown or outdated.
 const STALE_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Upper bound of the time limit of one call of the store.
+/// Upper bound of the time limit of one call to the store.
 const MAX_CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 
 const CLOSE_CONNECTION: HeaderValue = HeaderValue::from_static("close");
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Time limit of one call of the store; leaves time for a further call.
+    /// Time limit of one call to the store; leaves time for a further call.
     fn call_limit(&self, request: &CallerRequest) -> Result<Duration, Error> {
         let left = request.deadline - self.common.now();
         if left < MIN_REMAINING {
--- a/src/job_api/queries.rs
+++ b/src/job_api/queries.rs
@@ -18,7 +18,8 @@
 
 /// Time limit of a call of a shard's owner.
 pub(super) const OWNER_TIMEOUT: Duration = Duration::from_millis(250);
-/// Delay after which a caller may retry for a state that is unavailable, as during a takeover.
+/// Delay after which a caller may repeat a query for a state that is unavailable, for example
+/// during a takeover.
 const STATE_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Time for which the length of a queue is cached.
 const LENGTH_TTL: Duration = Duration::from_millis(500);
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -178,7 +178,7 @@
 }
 
 impl Budgets {
-    fn take(&self, record: &Record<'_>) -> Option<u64> {
+    fn admit(&self, record: &Record<'_>) -> Option<u64> {
         let place = (record.file_static().unwrap_or(""), record.line().unwrap_or(0));
         let now = Time::ZERO + self.started_at.elapsed();
         let mut budgets = self.budgets.lock().unwrap_or_else(PoisonError::into_inner);
@@ -200,7 +200,7 @@
     }
     let _ = Builder::from_env(Env::default().default_filter_or(default_filter))
         .target(Target::Pipe(Box::new(ring)))
-        .format(move |out, record| match budgets.take(record) {
+        .format(move |out, record| match budgets.admit(record) {
             Some(left_out) => out.write_all(line(record, left_out, SystemTime::now()).as_bytes()),
             None => Ok(()),
         })
--- a/src/member_rpc.rs
+++ b/src/member_rpc.rs
@@ -374,7 +374,7 @@
         answer.into()
     }
 
-    /// Asks other members, one after the other, to make a call of the store; `None` if no other
+    /// Asks other members, one after the other, to make a call to the store; `None` if no other
     /// member is known.
     ///
     /// The members that are asked call the store directly or not at all, so that a call can't be
--- a/src/relay.rs
+++ b/src/relay.rs
@@ -1,4 +1,4 @@
-//! Chooses whether calls of the store go direct or through another member, and defines the messages
+//! Chooses whether calls to the store go direct or through another member, and defines the messages
 //! by which one member asks another to relay a call.
 //!
 //! While the store doesn't serve a member, other members make its calls for it; see
@@ -27,7 +27,7 @@
 /// The HTTP status and body of a reply, or the fault if there is no reply.
 pub type WireReply = Result<(u16, Bytes), Fault>;
 
-/// A call of the store in the form in which one member passes it to another.
+/// A call to the store in the form in which one member passes it to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RelayedCall {
     /// HTTP method.
@@ -52,7 +52,7 @@
     }
 }
 
-/// A request to another member to make a call of the store.
+/// A request to another member to make a call to the store.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct RelayRequest {
     /// The call to be made.
@@ -105,7 +105,7 @@
 /// The future of a call that other members are asked to make.
 pub type RelayFuture = Pin<Box<dyn Future<Output = Option<WireReply>> + Send>>;
 
-/// Decides whether calls of the store go direct or through other members; shared by a member's
+/// Decides whether calls to the store go direct or through other members; shared by a member's
 /// threads.
 pub struct StoreRoutes {
     /// The time at which [`StoreRoutes::now`] is zero.
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Waits until the direct connection is lost.
+    /// Waits until the direct connection to the store counts as lost.
     ///
     /// Lets a watch on an unresponsive connection end early. Otherwise it would wait for its full
     /// time, although other calls have shown that the store doesn't answer.
--- a/src/service_clients.rs
+++ b/src/service_clients.rs
@@ -3,7 +3,7 @@
 //!
 //! Each call is sent once, with a time limit, and is counted by its kind and result. Retries are left
 //! to the callers of this module: only they know whether a call that may have taken effect may be
-//! made again. A call of the store that fails on the direct connection may be relayed by another
+//! made again. A call to the store that fails on the direct connection may be relayed by another
 //! member.
 
 use {
@@ -31,7 +31,7 @@
     tokio::sync::watch,
 };
 
-/// Time limit of a call of the store, other than a watch.
+/// Time limit of a call to the store, other than a watch.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Extra time limit of a watch call beyond the time for which it waits for changes.
 pub const WATCH_MARGIN: Duration = Duration::from_millis(700);
@@ -45,7 +45,7 @@
 const MAX_WRITE_REPLY_BYTES: usize = 64 * 1024;
 /// Maximum number of idle connections that are kept open to one address.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// Time limit of a direct call of the store while the direct connection is lost.
+/// Time limit of a direct call to the store while the direct connection is lost.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Minimum remaining time of a call that is relayed.
 const MIN_RELAY_TIME: Duration = Duration::from_millis(50);
@@ -88,7 +88,7 @@
         ServiceClients { client, codec, site, metrics, on_answer, health, routes: None }
     }
 
-    /// Sets up relaying: other members make the calls of the store while the store doesn't serve
+    /// Sets up relaying: other members make the calls to the store while the store doesn't serve
     /// this member.
     pub fn with_relay(self, routes: Arc<StoreRoutes>, relayer: Relayer) -> Self {
         ServiceClients { routes: Some((routes, relayer)), ..self }
@@ -132,7 +132,7 @@
         reply
     }
 
-    /// Makes a call of the store directly or through another member, as [`StoreRoutes`] chooses.
+    /// Makes a call to the store directly or through another member, as [`StoreRoutes`] chooses.
     async fn call_routed(
         &self,
         call: &StoreCall,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Makes a call of the store from this VM.
+    /// Makes a call to the store from this VM.
     ///
     /// Ranges and watches get extra time as long as parts of the reply keep arriving: with a fixed
     /// limit, a reply that is too large for a slow link would be abandoned and requested again from
@@ -211,7 +211,7 @@
         self.exchange(request(addr, wire)?, &limits).await
     }
 
-    /// Makes a call of the store for another member, as that member has encoded it.
+    /// Makes a call to the store for another member, as that member has encoded it.
     ///
     /// `repeats` says whether the call may be made twice.
     ///
@@ -433,7 +433,7 @@
         }
     }
 
-    /// Records the duration of a call of the store; logs when the store is slow and when it is quick
+    /// Records the duration of a call to the store; logs when the store is slow and when it is quick
     /// again.
     fn record_latency(&self, duration: Duration) {
         let change = self.latency.lock().unwrap_or_else(PoisonError::into_inner).record(duration);
--- a/src/shard/gangs.rs
+++ b/src/shard/gangs.rs
@@ -8,8 +8,8 @@
 use {
     crate::{
         decide::gather::{
-            self, KEPT_DIVISOR, KEPT_LATE_DIVISOR, MAX_KEEP_TIME, MIN_CAPACITY_RATIO, Offer,
-            soonest_placement,
+            self, MAX_KEEP_TIME, MAX_RESERVED_DIVISOR, MAX_RESERVED_LATE_DIVISOR,
+            MIN_CAPACITY_RATIO, Offer, soonest_placement,
         },
         shard::{
             dispatch::choose_workers,
@@ -132,7 +132,7 @@
         let late = self.ranks.get(turn.key).is_none_or(|r| r.class() > 0);
         let first =
             quiet || round.starving_steps.contains(turn.key) || self.reservations.is_empty();
-        let part = if late { KEPT_LATE_DIVISOR } else { KEPT_DIVISOR };
+        let part = if late { MAX_RESERVED_LATE_DIVISOR } else { MAX_RESERVED_DIVISOR };
         let room = turn.usable.iter().filter_map(|n| self.workers[n.0].list_entry.as_ref());
         let total = room.fold(Size::default(), |sum, l| sum + l.capacity);
         let kept = self.reservations.values().fold(Size::default(), |sum, r| {
--- a/src/shard/logging.rs
+++ b/src/shard/logging.rs
@@ -35,7 +35,7 @@
     /// absence by cause.
     pub fn gauges(&self, now: Time) -> Gauges {
         let mut levels = Gauges {
-            list_age: now - self.reported.listed_at,
+            worker_list_age: now - self.reported.listed_at,
             longest_absence: self.reported.away.clone(),
             ..Gauges::default()
         };
--- a/src/shard/record.rs
+++ b/src/shard/record.rs
@@ -271,7 +271,8 @@
     /// The worker is being drained: nothing starts there, long-running tasks move, other tasks may
     /// finish.
     Closing,
-    /// As `Closing`, but tasks that still run on the worker are stopped.
+    /// As `Closing`, but tasks that still run on the worker are stopped. A long-running task stays
+    /// as long as its step may not miss any more tasks.
     Forced,
 }
 
--- a/src/shard/stats.rs
+++ b/src/shard/stats.rs
@@ -62,7 +62,7 @@
     /// The number of waiting tasks that could start, by the priority of their queue.
     pub waiting_tasks: BTreeMap<u8, usize>,
     /// The age of the worker list.
-    pub list_age: Duration,
+    pub worker_list_age: Duration,
     /// The longest time for which a long-running task has been away, by cause.
     pub longest_absence: BTreeMap<Cause, Duration>,
 }
--- a/src/shard_runner.rs
+++ b/src/shard_runner.rs
@@ -293,7 +293,7 @@
                 let longest = away.entry(cause).or_default();
                 *longest = time.max(*longest);
             }
-            oldest = oldest.max(levels.list_age);
+            oldest = oldest.max(levels.worker_list_age);
         }
         metrics.set_waiting(&waiting);
         metrics.set_away(&away);
--- a/src/shared_state.rs
+++ b/src/shared_state.rs
@@ -66,7 +66,7 @@
     pub view: watch::Sender<Arc<TableView>>,
     /// Whether this member is stopping.
     pub stop: watch::Sender<bool>,
-    /// Chooses whether calls of the store go direct or through other members.
+    /// Chooses whether calls to the store go direct or through other members.
     pub store_routes: Arc<StoreRoutes>,
     /// The advice calls that this member has in flight, for itself and for other members.
     pub advice_queue: Mutex<CallQueue>,
--- a/src/upkeep.rs
+++ b/src/upkeep.rs
@@ -283,7 +283,7 @@
         self.deposed = true;
     }
 
-    fn ledger(&self) -> Ledger {
+    fn ledger_snapshot(&self) -> Ledger {
         let waves = self.progress.iter().map(|(no, c)| (*no, c.entry())).collect();
         Ledger { token: self.setup.token, waves, loans: self.loans.entries() }
     }
@@ -304,7 +304,7 @@
     fn needs_write(&self) -> bool {
         let own = self.stored.token == self.setup.token;
         (self.is_active() || self.stale_closing || own)
-            && (self.ledger() != self.stored || self.closing_changed())
+            && (self.ledger_snapshot() != self.stored || self.closing_changed())
     }
 
     /// Returns whether the stored set of workers to be emptied differs from the intended one.
@@ -323,7 +323,7 @@
         }
         self.write_number += 1;
         self.stage = LedgerStage::Writing;
-        let (mut ledger, turns) = (self.ledger(), self.worker_turns());
+        let (mut ledger, turns) = (self.ledger_snapshot(), self.worker_turns());
         let mut puts = vec![];
         for (no, entry) in std::mem::take(&mut ledger.waves) {
             let known = self.stored.waves.get(&no);
@@ -453,7 +453,7 @@
         let in_waves = self.progress.values().flat_map(WaveProgress::taken_vms).cloned();
         let mut taken: BTreeSet<_> = in_waves.chain(self.loans.taken_vms().cloned()).collect();
         for progress in self.progress.values_mut().filter(|c| !c.is_completed) {
-            progress.step(&self.list, &self.reports, &taken, &self.setup.limits, now);
+            progress.advance(&self.list, &self.reports, &taken, &self.setup.limits, now);
             taken.extend(progress.taken_vms().cloned());
         }
         let in_waves = self.progress.values().flat_map(WaveProgress::taken_vms).cloned().collect();
--- a/src/upkeep/course.rs
+++ b/src/upkeep/course.rs
@@ -185,7 +185,7 @@
 
     /// Decides which VMs to start emptying, which to empty without waiting for tasks to end, and
     /// which to order down; `taken_vms` are the VMs that any wave or loan is working on.
-    pub fn step(
+    pub fn advance(
         &mut self,
         list: &ListedVms,
         reports: &Reports,
--- a/src/work.rs
+++ b/src/work.rs
@@ -94,7 +94,7 @@
     pub text: Box<str>,
     /// The steps of the job.
     pub steps: Box<[Step]>,
-    /// The occurrences of the job; `None` if it runs once, at once.
+    /// The occurrences of the job; `None` if it runs only once, as soon as possible.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub times: Option<Occurrences>,
 }
