--- a/src/shard/speculation.rs
+++ b/src/shard/speculation.rs
@@ -1,5 +1,5 @@
-//! Speculative copies: second runs of tasks that are far slower than their siblings, for steps that
-//! allow them.
+//! Starts speculative copies: second runs of tasks that are far slower than their siblings, for
+//! steps that allow them.
 
 use {
     crate::{
@@ -97,7 +97,7 @@
         slow.sort_by_key(|s| (Reverse(s.0), s.1));
         for (needs, task, at) in slow.into_iter().take(allowed as usize) {
             let Some(to) = self.spare_worker(&task, &step, at, now) else { return };
-            log::info!(target: "shard", did = "copy", job:% = key.job, task:% = task, worker:% = self.workers[to.0].id, beside:% = self.workers[at.0].id, needs_ms = millis(needs), expected_ms = millis(expected); "Speculative copy starts.");
+            log::info!(target: "shard", did = "copy", job:% = key.job, task:% = task, worker:% = self.workers[to.0].id, beside:% = self.workers[at.0].id, needs_ms = millis(needs), expected_ms = millis(expected); "A speculative copy starts.");
             self.start_copy(task, at, to, &step, now);
         }
     }
