--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,9 +27,9 @@
 //!     id: RequestId(id),
 //!     caller: CallerId::from("broker"),
 //!     team: TeamId::from("underwriting"),
-//!     born: Time::ZERO,
+//!     arrived_at: Time::ZERO,
 //!     deadline: Time::from_millis(due),
-//!     run: Duration::from_millis(150),
+//!     run_time: Duration::from_millis(150),
 //! };
 //!
 //! // The first request is admitted; one that could not end by its deadline is refused at once.
