--- a/standin/src/fleet.rs
+++ b/standin/src/fleet.rs
@@ -1,4 +1,5 @@
-//! All workers of one process, and the control of their faults and links.
+//! All stand-in workers of one process, and the HTTP interface that controls their faults and
+//! links.
 
 use {
     crate::{
@@ -11,25 +12,26 @@
     std::time::Instant,
 };
 
-/// The workers, each with the link that lies before it.
+/// The workers, each with the link in front of it.
 #[derive(Clone, Default)]
 pub struct Fleet {
     workers: Vec<(WorkerId, Worker, Link)>,
 }
 
 impl Fleet {
-    /// Adds a worker.
+    /// Adds a worker with the link in front of it.
     pub fn add(&mut self, id: WorkerId, worker: Worker, link: Link) {
         self.workers.push((id, worker, link));
     }
 
-    /// Lets time pass for all.
+    /// Advances all workers to `now`.
     pub fn tick(&self, now: Instant) {
         self.workers.iter().for_each(|(_, w, _)| w.tick(now));
     }
 
-    /// Answers a call of the control: faults of workers and of links, for all whose name begins
-    /// with `worker`, and what was witnessed.
+    /// Answers a control call. `/fault` and `/link` set the faults of all workers and links whose
+    /// worker id begins with the parameter `worker`; the other paths read what the workers
+    /// witnessed.
     pub fn handle(&self, head: &Parts, body: &[u8]) -> Reply {
         let q = query(head);
         let begin = q.get("worker").map_or("", |w| w);
--- a/standin/src/kv.rs
+++ b/standin/src/kv.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform's key-value service, with its faults on command.
+//! Stand-in for the platform's key-value service, with faults that a test sets by HTTP.
 
 use {
     crate::web::{Reply, json, query},
@@ -17,17 +17,17 @@
     tokio::sync::watch,
 };
 
-/// The faults that the service plays.
+/// Faults of the service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// No call is answered.
+    /// Whether all calls stay unanswered.
     pub outage: bool,
-    /// How much later each call is answered, in milliseconds.
+    /// Additional latency of each call, in milliseconds.
     pub slow: u64,
-    /// How many of the next writes take effect with their answer lost.
+    /// Number of next writes that take effect but whose answers are lost.
     pub lose: u32,
-    /// Whether reads return the record before the last write.
+    /// Whether reads return the record as it was before the last write.
     pub stale: bool,
 }
 
@@ -48,7 +48,7 @@
     lapsed: Option<Instant>,
 }
 
-/// The service.
+/// The key-value service.
 #[derive(Clone)]
 pub struct Kv {
     store: Arc<Mutex<Store>>,
@@ -56,7 +56,7 @@
 }
 
 impl Kv {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Kv { store: Arc::default(), changed: Arc::new(watch::Sender::new(0)) }
     }
@@ -79,7 +79,7 @@
         *self.lock().calls.entry(kind.as_str().into()).or_default() += 1;
         let faults = self.lock().faults.clone();
         if faults.outage {
-            // A service that is down answers nothing at all; the client's deadline ends the call.
+            // A service that is down doesn't answer at all; the client's deadline ends the call.
             std::future::pending::<()>().await;
         }
         if faults.slow > 0 {
@@ -126,12 +126,12 @@
         }
     }
 
-    /// Ends the leases that have lapsed, with their records.
+    /// Ends the leases that have expired and removes their records.
     pub fn lapse(&self, now: Instant) {
         let mut store = self.lock();
         let passed = store.lapsed.replace(now).map_or(Duration::ZERO, |before| now - before);
         if store.faults.outage {
-            // Leases stand still while the service is down.
+            // Leases don't run out while the service is down.
             store.leases.values_mut().for_each(|end| *end += passed);
             return;
         }
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,3 +1,4 @@
-//! The outside of a site as state machines, and the judge of what they have seen. Not shipped.
+//! The simulated environment of a member as state machines, and the judge of their events. For
+//! tests and measurements only; not shipped.
 
 pub mod site;
--- a/standin/src/measure_order.rs
+++ b/standin/src/measure_order.rs
@@ -1,9 +1,11 @@
-//! Orders of tasks compared on the same jobs, in virtual time; and the cost of a step of ours.
+//! Compares scheduling orders of tasks on the same jobs in virtual time, and measures the time of
+//! one step of the product's order.
 //!
-//! The paper's order is that of `PAPER-workload-pattern-based-schedul`: shares of users inverse to the
-//! mean size of their present jobs (its Eq. 7 and 8, alpha 1), and within a user first come, first
-//! served where both coefficients of variation are below one, else equal shares (its Algorithm 3).
-//! `Shares` takes only these shares, as weights of our order. Nothing is preempted.
+//! [`Policy::Paper`] is the order of `PAPER-workload-pattern-based-schedul`: each user's share is
+//! inverse to the mean size of the user's present jobs (Eq. 7 and 8, alpha 1). Within a user, jobs
+//! are served first come, first served if both coefficients of variation are below one, otherwise
+//! with equal shares (Algorithm 3). [`Policy::Shares`] uses only these shares, as weights of the
+//! product's order. Nothing is preempted.
 
 mod jobs;
 mod sim;
@@ -32,7 +34,8 @@
 
 const CORE: Size = Size::new(1, 1024, 0);
 const USERS: usize = 31;
-/// Users with large jobs, or the tenth with the largest where all draw from one distribution.
+/// Number of users with large jobs. If all users draw from one distribution, these are the tenth
+/// with the largest mean.
 const LARGE: usize = 3;
 const POLICIES: [Policy; 6] =
     [Policy::First, Policy::Fair, Policy::Paper, Policy::Slack, Policy::Own, Policy::Shares];
@@ -45,7 +48,7 @@
     load: f64,
 }
 
-/// Prints the tables; errs on a wrong argument.
+/// Prints the tables. Errs on an invalid argument.
 pub fn run(mut args: Parser) -> Result<(), Box<dyn Error>> {
     let mut o = Options { slots: 200, hours: 8, seeds: 5, load: 0.9 };
     while let Some(arg) = args.next()? {
@@ -70,7 +73,7 @@
     println!("| teams | waiting tasks | step p50 us | p99.9 us | max us |");
     println!("|---|---|---|---|---|");
     for (teams, tasks) in [(31, 3_000), (310, 30_000), (310, 300_000), (3_100, 300_000)] {
-        steps(teams, tasks);
+        measure_steps(teams, tasks);
     }
     Ok(())
 }
@@ -92,8 +95,8 @@
     }
 }
 
-/// Mean response of all jobs, of small and large users', the worst of a large user's, in seconds; and
-/// the part of jobs with a deadline that were late.
+/// Mean response times in seconds of all jobs, of small users' jobs and of large users' jobs, the
+/// longest of a large user's job, and the share of late jobs among those with a deadline.
 fn figures(work: &[Work], over: &[Time], large: &BTreeSet<usize>) -> [f64; 5] {
     let response = |i: &usize| (over[*i] - work[*i].arrival).as_secs_f64();
     let mean = |of: Vec<usize>| of.iter().map(response).sum::<f64>() / of.len() as f64;
@@ -127,9 +130,10 @@
     of.iter().sum::<f64>() / of.len().max(1) as f64
 }
 
-/// Prints how long a step takes (a task ends and waits anew, the next is picked and taken) with so
-/// many teams and waiting tasks, in jobs of a hundred tasks.
-fn steps(teams: usize, tasks: usize) {
+/// Prints the duration of a step with this number of teams and waiting tasks, in jobs of a hundred
+/// tasks. In a step, one running task ends and is queued again, and the next task is selected and
+/// started.
+fn measure_steps(teams: usize, tasks: usize) {
     let (mut order, mut quotas) = (Order::default(), Quotas::default());
     let mut rng = Rng::with_seed(1);
     (0..teams).for_each(|t| quotas.set(&team(t), Size::new(20, 20 * 1024, 0), rng.u32(1..5)));
--- a/standin/src/soak.rs
+++ b/standin/src/soak.rs
@@ -96,8 +96,8 @@
     let mut int = signal(SignalKind::interrupt())?;
     let report = tokio::select! {
         report = run(&options) => report?,
-        _ = term.recv() => return Err("told to end".into()),
-        _ = int.recv() => return Err("told to end".into()),
+        _ = term.recv() => return Err("terminated by a signal".into()),
+        _ = int.recv() => return Err("terminated by a signal".into()),
     };
     if json {
         println!("{}", serde_json::to_string_pretty(&report)?);
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform's lagging list of live and leaving VMs.
+//! Stand-in for the platform's VM list, which lags behind the actual state of the VMs.
 
 use {
     crate::web::{Reply, json},
@@ -15,13 +15,13 @@
     },
 };
 
-/// The faults that the list plays.
+/// Faults of the list.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// How far the list lags, in milliseconds.
+    /// Age of the list, in milliseconds.
     pub lag: u64,
-    /// Whether it does not answer.
+    /// Whether calls for the list stay unanswered.
     pub outage: bool,
 }
 
@@ -32,14 +32,14 @@
     faults: Faults,
 }
 
-/// A change of one VM's state.
+/// A change of one VM's state; `None` removes the VM.
 #[derive(Deserialize)]
 struct Mark {
     worker: Box<str>,
     state: Option<VmState>,
 }
 
-/// The list.
+/// The VM list.
 #[derive(Clone, Default)]
 pub struct Vms {
     state: Arc<Mutex<State>>,
@@ -59,7 +59,8 @@
                 }
                 json(&list)
             }
-            // Stand-in only: a worker enters itself, and a test marks one leaving or gone.
+            // Only the stand-in has these calls: workers enter themselves, and tests mark VMs as
+            // leaving or gone.
             ("PUT", "/enter") => self.change(body, |state, list: VmList| {
                 state.vms.extend(list.vms.into_iter().map(|vm| (vm.worker.0.clone(), vm)));
             }),
@@ -95,7 +96,7 @@
     }
 }
 
-/// The list as it stood one lag ago.
+/// The list as it was before the configured lag.
 fn current(state: &State) -> VmList {
     let now = Instant::now();
     let lag = Duration::from_millis(state.faults.lag);
--- a/standin/src/web.rs
+++ b/standin/src/web.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' servers share.
+//! Helpers of the stand-ins' HTTP servers.
 
 use {
     bytes::Bytes,
@@ -8,14 +8,14 @@
     std::{collections::BTreeMap, time::Duration},
 };
 
-/// An answer.
+/// An HTTP answer.
 pub type Reply = Response<Full<Bytes>>;
 
-/// Wide limits: the stand-ins are not what is tested.
+/// Limits wide enough that the stand-ins never restrict the system under test.
 pub const LIMITS: Limits =
     Limits { body: 64 << 20, connections: 8192, patience: Duration::from_secs(60) };
 
-/// A JSON answer.
+/// Serializes a value as a JSON answer.
 pub fn json<T: serde::Serialize>(value: &T) -> Reply {
     match serde_json::to_vec(value) {
         Ok(body) => answer(200, body),
@@ -23,13 +23,13 @@
     }
 }
 
-/// The parameters after the question mark; none of ours need unescaping.
+/// The query parameters of a request. The tests use none that need percent-decoding.
 pub fn query(head: &Parts) -> BTreeMap<Box<str>, Box<str>> {
     let query = head.uri.query().unwrap_or("");
     query.split('&').filter_map(|p| p.split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
 }
 
-/// A header as text.
+/// Value of a header as text, or "" if it is absent.
 pub fn header<'a>(head: &'a Parts, name: &str) -> &'a str {
     head.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("")
 }
